--- /dev/null
+++ b/src/main/java/linenring/scale/measurement/Usage.java
@@ -0,0 +1,17 @@
+package linenring.scale.measurement;
+
+/**
+ * What one steward used while a workload ran, read from outside its process; of a hollow one, its share of its process.
+ *
+ * @param processorShare processor time over elapsed time: 1 is one core
+ * @param residentBytes resident memory of the process at the end
+ * @param heapBytes heap in use after a full collection
+ * @param bytesInPerSecond what was sent to it
+ * @param bytesOutPerSecond what it sent
+ */
+public record Usage(
+        double processorShare,
+        double residentBytes,
+        double heapBytes,
+        double bytesInPerSecond,
+        double bytesOutPerSecond) {}
--- /dev/null
+++ b/src/main/java/linenring/scale/measurement/Variable.java
@@ -0,0 +1,25 @@
+package linenring.scale.measurement;
+
+/** What a sweep varies while all else is held. */
+public enum Variable {
+    CATALOGUE_HOSTS("hosts in the catalogue"),
+    HOSTS_IN_SCOPE("hosts in tables"),
+    PROXIES("proxies of a steward"),
+    SERVICES("services in the catalogue"),
+    ZONES("zones"),
+    STEWARDS("stewards that watch the catalogue"),
+    CHANGES_PER_SECOND("changes of the catalogue a second"),
+    REPORTS_PER_SECOND("reports to a steward a second"),
+    RESTARTS_PER_SECOND("restarts of hosts a second");
+
+    private final String description;
+
+    Variable(String description) {
+        this.description = description;
+    }
+
+    /** The words for tables and plots. */
+    public String description() {
+        return description;
+    }
+}
