--- a/src/main/java/linenring/plan/Balance.java
+++ b/src/main/java/linenring/plan/Balance.java
@@ -93,7 +93,7 @@
     private final List<Zone> zones = new ArrayList<>();
     private final List<double[]> metBy = new ArrayList<>(); // sums of the warm hosts that are in, by kind
     private final List<BooleanSupplier> rules;
-    private double now, provenAt, fadedAt, roundTrip, alarmAt = -1, askAt, stormUntil = -1, metAt;
+    private double now, provenAt, fadedAt, roundTrip, alarmAt = -1, askAt, stormUntil = -1, metAt, drainedAt;
     private boolean wholeList, drainsWait, bindsWait, rush, stale = true; // stale: sums or hosts have changed
     private double waiting, reckonedAt, usualLate, mostLate, usualBad, ended, bad, rate;
     private int mark, lastNumber, full; // full: number of full tables, which come before all others
@@ -461,11 +461,15 @@
                 .mapToDouble(p -> cost(p, told.stream().filter(h -> holds(p, h)).count())).sum();
         drainsWait = !told.isEmpty() && (bindsWait || need > room && room < 0.25 * mostWaiting
                 || !mayWrite(concerned, 0, DRAINS)); // nothing else is written meanwhile
-        return !drainsWait && told.stream().filter(h -> waiting + holders(h).stream()
-                .mapToDouble(p -> cost(p, 1)).sum() <= mostWaiting).mapToInt(h -> {
-                    withdraw(h, true);
-                    return 1;
-                }).sum() > 0;
+        return !drainsWait && !gathers(concerned) && each(h -> h.told && !h.out && waiting + holders(h)
+                .stream().mapToDouble(p -> cost(p, 1)).sum() <= mostWaiting, h -> withdraw(h, true))
+                .getAsBoolean();
+    }
+
+    /** Guards the cap of messages against a drain told of word by word: the last half of it is spaced. */
+    private boolean gathers(List<Proxy> to) { // others may be written meanwhile, and drains ride along
+        return now - drainedAt < Math.min(grace / 2, messagesOver / (0.6 * messagesMost)) && to.stream()
+                .anyMatch(p -> messagesMost > 0 && p.fresh == 0 && capUsed(p) > LINES * messagesMost);
     }
 
     private List<Proxy> holders(Host h) { // no others get a message
@@ -478,6 +482,7 @@
 
     private void withdraw(Host h, boolean out) {
         h.out = out;
+        drainedAt = h.told ? now : drainedAt;
         stale = true;
         orders.withdraw(h.id, out);
         holders(h).forEach(p -> order(p, 1));
@@ -497,12 +502,10 @@
     /** Guards against a host at which tries fail, and not at the best third; a slow one goes when all do. */
     private boolean fails(Host h) {
         double failed = h.met[BAD], good = h.met[ENDED] - failed;
-        if (!h.running || h.sick || failed < (h.trialSince >= 0 ? 2 : 4)) {
-            return false; // 4 bad tries, or 2 on trial, prove enough
-        }
         reckon();
         boolean quick = h.met[SPENT] < 1.3 * good * objective * usualLate;
-        return failed >= (good + failed) * Math.max(quick ? 0.3 : 0.97, 0.15 + 2.2 * usualBad);
+        return h.running && !h.sick && failed >= (h.trialSince >= 0 ? 2 : 4) // bad tries that prove enough
+                && failed >= (good + failed) * Math.max(quick ? 0.3 : 0.97, 0.15 + 2.2 * usualBad);
     }
 
     /**
@@ -655,11 +658,8 @@
     }
 
     private int pending(Table t) {
-        int count = (int) IntStream.range(0, operations.length).filter(k -> levelDue(t, k)).count();
-        for (Host h : t.members) {
-            count += due(h, t) ? 1 : 0;
-        }
-        return count;
+        return (int) (IntStream.range(0, operations.length).filter(k -> levelDue(t, k)).count()
+                + t.members.stream().filter(h -> due(h, t)).count());
     }
 
     private double unsent(Table t, int depth) { // binds have depth 2, as a step comes after them
@@ -749,7 +749,7 @@
     }
 
     private List<Table> partsOf(Table base, int wide) { // the tables that share out the dealt parts
-        int count = wide == 0 ? 0 : Math.max(1, parts / wide);
+        int count = wide == 0 ? 0 : Math.min(parts, Math.max(2, parts / wide)); // none is all of them
         List<Table> all = IntStream.range(0, count)
                 .mapToObj(i -> part(base, i * parts / count, (i + 1) * parts / count)).toList();
         reckon();
--- a/src/test/java/linenring/steward/ChannelAccountTest.java
+++ b/src/test/java/linenring/steward/ChannelAccountTest.java
@@ -1,5 +1,6 @@
 package linenring.steward;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.OutputStream;
@@ -218,6 +219,54 @@
                 host + " is out " + (shutAt.get(host) - at) + " ms after the word"));
     }
 
+    /**
+     * Half of the proxies join first, so that half of the hosts is dealt to each; with the others here, that would be over what
+     * the channel can send. Three in ten hosts are replaced, and again three seconds later, while hosts fail in turn: each
+     * proxy must not hold all hosts by then, or the withdrawals alone take most of the grace.
+     */
+    @Test
+    void drainsArriveWithinTheGraceWhereMoreProxiesJoinThanTheTablesWereDealtFor() {
+        double grace = 5400;
+        int proxies = 56, first = 30, hosts = 200, replaced = 60;
+        Books books = new Books(List.of("quote"), proxies, new Log(new PrintStream(OutputStream.nullOutputStream())));
+        Balance balance = new Balance(figures(1, 5300, grace), books);
+        begin(books, balance, hosts, Double.NEGATIVE_INFINITY, first, true);
+        Map<String, Double> told = new TreeMap<>();
+        int next = hosts;
+        for (int round = 0; round < 700; round++) { // 35 s
+            now += 50;
+            balance.clock(now);
+            deliver(books, balance);
+            if (round == 20) {
+                join(books, balance, proxies, true);
+            }
+            balance.listOpens(false);
+            if (round == 360 || round == 420) {
+                for (int h = 0; h < replaced; h++, next++) {
+                    balance.running(books.listed("s-" + next), next % 3, 0, 1, now);
+                }
+            } else if (round == 400 || round == 460) {
+                for (int h = next - hosts - replaced; h < next - hosts; h++) {
+                    balance.stopping(h, h % 3, 0, 1);
+                    told.put("s-" + h, now);
+                }
+            }
+            balance.listCloses();
+            if (round >= 380 && round < 460 && round % 5 == 0) { // a tenth of the hosts fails, each time another
+                for (int h = round / 5 % 10; h < next; h += 10) {
+                    balance.tally(h, h % 3, 10, 10, 500, 1000);
+                }
+            }
+            balance.settle();
+            books.send();
+        }
+        assertTrue(mostWaiting > 3000, "the channel was busy: " + mostWaiting);
+        assertEquals(2 * replaced, told.size());
+        told.forEach((host, at) -> assertTrue(
+                shutAt.getOrDefault(host, Double.POSITIVE_INFINITY) - at <= grace + 300,
+                host + " is out " + (shutAt.get(host) - at) + " ms after the word"));
+    }
+
     /**
      * Most tries fail at a fleet that has just started, and the weights of all its hosts are cut at once. Each line lets its
      * host back too, which the steward that was in charge before may have shut out there.
@@ -249,7 +298,12 @@
         balance.listOpens(true);
         IntStream.range(0, hosts).forEach(h -> balance.running(books.listed("s-" + h), h % 3, 0, 1, started));
         balance.listCloses();
-        for (int p = 0; p < proxies; p++) {
+        join(books, balance, proxies, fresh);
+    }
+
+    /** More proxies join, until there are so many. */
+    private void join(Books books, Balance balance, int proxies, boolean fresh) {
+        for (int p = lines.size(); p < proxies; p++) {
             lines.add(new Line(p));
             written.add(new ArrayDeque<>());
             books.joined(p, lines.get(p), fresh);
