--- /dev/null
+++ b/src/main/java/linenring/scale/catalogue/CatalogueHost.java
@@ -0,0 +1,33 @@
+package linenring.scale.catalogue;
+
+import linenring.message.HostList;
+
+/**
+ * One entry of the catalogue.
+ *
+ * @param zone number of its zone, from 0
+ * @param kind number of its machine kind, from 0
+ * @param rack number of its rack within the zone; the protocol's {@code cell}
+ * @param service number of its service, from 0
+ * @param startedMs Unix time of its last start, 0 for long ago
+ */
+public record CatalogueHost(
+        String id, String address, int zone, int kind, int rack, int service, HostList.State state, long startedMs) {
+
+    CatalogueHost as(HostList.State next) {
+        return new CatalogueHost(id, address, zone, kind, rack, service, next, startedMs);
+    }
+
+    CatalogueHost startedAt(long now) {
+        return new CatalogueHost(id, address, zone, kind, rack, service, HostList.State.READY, now);
+    }
+
+    /** Another host in the same place, started now. */
+    CatalogueHost replacedBy(String newId, long now) {
+        return new CatalogueHost(newId, address, zone, kind, rack, service, HostList.State.READY, now);
+    }
+
+    public boolean isReady() {
+        return state == HostList.State.READY;
+    }
+}
--- /dev/null
+++ b/src/main/java/linenring/scale/catalogue/CatalogueJson.java
@@ -0,0 +1,68 @@
+package linenring.scale.catalogue;
+
+import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.JsonGenerator;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.nio.charset.StandardCharsets;
+
+/** Encodes changes and whole lists as the catalogue's agent does. */
+final class CatalogueJson {
+    private static final JsonFactory JSON = new JsonFactory();
+    private static final int BYTES_PER_HOST = 160;
+
+    private CatalogueJson() {}
+
+    /** One JSON object and its LF; its first {@code spoilt} entries can't be read. */
+    static byte[] line(CatalogueChange change, int spoilt) {
+        ByteArrayOutputStream bytes =
+                new ByteArrayOutputStream(64 + BYTES_PER_HOST * change.hosts().size());
+        try (JsonGenerator out = JSON.createGenerator(bytes)) {
+            out.writeStartObject();
+            out.writeNumberField("version", change.version());
+            out.writeBooleanField("full", change.whole());
+            out.writeArrayFieldStart("servers");
+            for (int i = 0; i < change.hosts().size(); i++) {
+                entry(out, change.hosts().get(i), i < spoilt);
+            }
+            out.writeEndArray();
+            out.writeEndObject();
+            out.writeRaw('\n');
+        } catch (IOException e) {
+            throw new UncheckedIOException(e); // memory takes what is written
+        }
+        return bytes.toByteArray();
+    }
+
+    /** These bytes as one chunk (RFC 9112, 7.1). */
+    static byte[] chunk(byte[] data) {
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(data.length + 16);
+        bytes.writeBytes((Integer.toHexString(data.length) + "\r\n").getBytes(StandardCharsets.US_ASCII));
+        bytes.writeBytes(data);
+        bytes.writeBytes(new byte[] {'\r', '\n'});
+        return bytes.toByteArray();
+    }
+
+    private static void entry(JsonGenerator out, CatalogueHost host, boolean spoilt) throws IOException {
+        out.writeStartObject();
+        out.writeStringField("id", host.id());
+        out.writeStringField("addr", host.address());
+        out.writeStringField("zone", CatalogueLayout.zoneName(host.zone()));
+        out.writeStringField("kind", CatalogueLayout.kindName(host.kind()));
+        out.writeNumberField("cell", host.rack());
+        out.writeStringField("service", CatalogueLayout.serviceName(host.service()));
+        out.writeStringField("state", spoilt ? "?" : state(host));
+        out.writeNumberField("weight", 1.0);
+        out.writeNumberField("started_ms", host.startedMs());
+        out.writeEndObject();
+    }
+
+    private static String state(CatalogueHost host) {
+        return switch (host.state()) {
+            case READY -> "Ready";
+            case TERMINATING -> "Terminating";
+            case GONE -> "Gone";
+        };
+    }
+}
--- /dev/null
+++ b/src/main/java/linenring/scale/fleet/ArrivalJson.java
@@ -0,0 +1,67 @@
+package linenring.scale.fleet;
+
+import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.JsonGenerator;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import linenring.message.Arrival;
+
+/** Encodes what proxies and collectors say, one line each. */
+final class ArrivalJson {
+    private static final JsonFactory JSON = new JsonFactory();
+
+    private final FleetLayout layout;
+
+    ArrivalJson(FleetLayout layout) {
+        this.layout = layout;
+    }
+
+    byte[] line(Arrival what) {
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(160);
+        try (JsonGenerator out = JSON.createGenerator(bytes)) {
+            out.writeStartObject();
+            fields(out, what);
+            out.writeEndObject();
+            out.writeRaw('\n');
+        } catch (IOException e) {
+            throw new UncheckedIOException(e); // memory takes what is written
+        }
+        return bytes.toByteArray();
+    }
+
+    private void fields(JsonGenerator out, Arrival what) throws IOException {
+        if (what instanceof Arrival.Joining joining) {
+            out.writeStringField("@type", "SUBSCRIBE");
+            out.writeNumberField("id", joining.proxy());
+            out.writeStringField("site", layout.zones().get(joining.zone()));
+            out.writeNumberField("rps", joining.usual());
+            out.writeBooleanField("new", joining.fresh());
+        } else if (what instanceof Arrival.Collector collector) {
+            out.writeStringField("@type", "SOURCE");
+            out.writeStringField("site", layout.zones().get(collector.zone()));
+        } else if (what instanceof Arrival.Applied applied) {
+            out.writeStringField("@type", "ACK");
+            out.writeNumberField("id", applied.proxy());
+            out.writeNumberField("seq", applied.mark());
+            out.writeNumberField("ms", Math.round(applied.tookMs() * 10) / 10.0);
+        } else if (what instanceof Arrival.Usage usage) {
+            out.writeStringField("@type", "RATE");
+            out.writeNumberField("id", usage.proxy());
+            out.writeStringField("lane", layout.operations().get(usage.operation()));
+            out.writeNumberField("count", usage.total());
+            out.writeNumberField("fail", 0);
+            out.writeNumberField("over", usage.spanMs());
+        } else if (what instanceof Arrival.HostSums sums) {
+            out.writeStringField("@type", "LOAD");
+            out.writeStringField("site", layout.zones().get(sums.zone()));
+            out.writeStringField("target", sums.host());
+            out.writeNumberField("count", sums.total());
+            out.writeNumberField("fail", sums.bad());
+            out.writeNumberField("mean", sums.meanMs());
+            out.writeNumberField("over", sums.spanMs());
+        } else {
+            out.writeStringField("@type", "PING");
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/linenring/scale/fleet/OrderReader.java
@@ -0,0 +1,91 @@
+package linenring.scale.fleet;
+
+import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonToken;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import linenring.message.Order;
+
+/** Reads the lines of orders as a proxy does, and puts continued ones together. One for each stream. */
+final class OrderReader {
+    private static final JsonFactory JSON = new JsonFactory();
+
+    private final List<Order.Part> parts = new ArrayList<>();
+
+    /** The fields of one line. */
+    private static final class Fields {
+        String type;
+        List<String> operations = List.of();
+        List<Order.Line> lines = new ArrayList<>();
+        List<String> shutOut = List.of(), letBack = List.of();
+        boolean whole, continued;
+        double letIn = Double.NaN;
+        int tries;
+        int mark = Order.NO_MARK;
+    }
+
+    /** The order that this line completes, or null where more of it comes. */
+    Order line(byte[] bytes, int from, int length) throws IOException {
+        Fields fields = new Fields();
+        try (JsonParser in = JSON.createParser(bytes, from, length)) {
+            if (in.nextToken() != JsonToken.START_OBJECT) {
+                throw new IOException("not a JSON object");
+            }
+            while (in.nextToken() != JsonToken.END_OBJECT) {
+                String name = in.currentName();
+                in.nextToken();
+                field(fields, name, in);
+            }
+        }
+        if (!"CONFIG".equals(fields.type)) {
+            return null; // a PONG
+        }
+        Order.Level level = Double.isNaN(fields.letIn) ? null : new Order.Level(fields.letIn, fields.tries);
+        parts.add(new Order.Part(
+                fields.operations, fields.whole, fields.lines, level, fields.shutOut, fields.letBack, fields.mark));
+        if (fields.continued) {
+            return null;
+        }
+        Order order = new Order(List.copyOf(parts));
+        parts.clear();
+        return order;
+    }
+
+    private static void field(Fields fields, String name, JsonParser in) throws IOException {
+        switch (name) {
+            case "@type" -> fields.type = in.getText();
+            case "routes" -> fields.operations = words(in);
+            case "full" -> fields.whole = in.getBooleanValue();
+            case "endpoints" -> fields.lines = lines(in);
+            case "admit" -> fields.letIn = in.getDoubleValue();
+            case "policy" -> fields.tries = in.getIntValue();
+            case "eject" -> fields.shutOut = words(in);
+            case "restore" -> fields.letBack = words(in);
+            case "nonce_out" -> fields.mark = in.getIntValue();
+            case "continued" -> fields.continued = in.getBooleanValue();
+            default -> in.skipChildren();
+        }
+    }
+
+    private static List<String> words(JsonParser in) throws IOException {
+        List<String> words = new ArrayList<>();
+        while (in.nextToken() != JsonToken.END_ARRAY) {
+            words.add(in.getText());
+        }
+        return words;
+    }
+
+    private static List<Order.Line> lines(JsonParser in) throws IOException {
+        List<Order.Line> lines = new ArrayList<>();
+        while (in.nextToken() != JsonToken.END_ARRAY) {
+            in.nextToken();
+            String host = in.getText();
+            in.nextToken();
+            lines.add(new Order.Line(host, in.getDoubleValue()));
+            in.nextToken(); // its end
+        }
+        return lines;
+    }
+}
--- /dev/null
+++ b/src/main/java/linenring/scale/sockets/package-info.java
@@ -0,0 +1,2 @@
+/** One thread with one selector that serves the many small connections of stand-ins. */
+package linenring.scale.sockets;
