--- /dev/null
+++ b/src/main/java/linenring/scale/measurement/ScenarioOutcome.java
@@ -0,0 +1,24 @@
+package linenring.scale.measurement;
+
+/**
+ * What a scenario came to.
+ *
+ * @param workload all that the steward bore while it was played
+ * @param real what a real steward used from its beginning to its end, or null where it did not live to the end
+ * @param hollow what a hollow one used, or null where none ran
+ * @param hostsConcerned entries of the catalogue that changed
+ * @param convergenceSeconds from the last change written until the real steward's hosts are the catalogue's, NaN if never
+ * @param bytesIn all that was sent to one real steward
+ * @param bytesOut all that it sent
+ * @param failure what went wrong, in words; null where nothing did
+ */
+public record ScenarioOutcome(
+        Scenario scenario,
+        Workload workload,
+        Usage real,
+        Usage hollow,
+        int hostsConcerned,
+        double convergenceSeconds,
+        double bytesIn,
+        double bytesOut,
+        String failure) {}
--- a/src/main/java/linenring/scale/measurement/Usage.java
+++ b/src/main/java/linenring/scale/measurement/Usage.java
@@ -2,16 +2,21 @@
 
 /**
  * What one steward used while a workload ran, read from outside its process; of a hollow one, its share of its process.
+ * A figure that could not be read is NaN.
  *
  * @param processorShare processor time over elapsed time: 1 is one core
  * @param residentBytes resident memory of the process at the end
  * @param heapBytes heap in use after a full collection
  * @param bytesInPerSecond what was sent to it
  * @param bytesOutPerSecond what it sent
+ * @param messagesInPerSecond lines that were sent to it
+ * @param messagesOutPerSecond lines that it sent
  */
 public record Usage(
         double processorShare,
         double residentBytes,
         double heapBytes,
         double bytesInPerSecond,
-        double bytesOutPerSecond) {}
+        double bytesOutPerSecond,
+        double messagesInPerSecond,
+        double messagesOutPerSecond) {}
--- a/src/main/java/linenring/scale/measurement/Workload.java
+++ b/src/main/java/linenring/scale/measurement/Workload.java
@@ -1,5 +1,8 @@
 package linenring.scale.measurement;
 
+import java.util.EnumMap;
+import java.util.Map;
+
 /**
  * What one steward is given to bear while it is measured. Rates are per second.
  *
@@ -24,109 +27,66 @@
         double reportsPerSecond,
         double restartsPerSecond) {
 
-    /** The same workload with another size of one variable. */
-    public Workload with(Variable variable, double size) {
-        int whole = (int) Math.round(size);
+    /** The workload with these sizes; counts are rounded. Every variable has a size. */
+    public static Workload of(Map<Variable, Double> sizes) {
+        return new Workload(
+                count(sizes, Variable.CATALOGUE_HOSTS),
+                count(sizes, Variable.HOSTS_IN_SCOPE),
+                count(sizes, Variable.PROXIES),
+                count(sizes, Variable.SERVICES),
+                count(sizes, Variable.ZONES),
+                count(sizes, Variable.STEWARDS),
+                sizes.get(Variable.CHANGES_PER_SECOND),
+                sizes.get(Variable.REPORTS_PER_SECOND),
+                sizes.get(Variable.RESTARTS_PER_SECOND));
+    }
+
+    private static int count(Map<Variable, Double> sizes, Variable variable) {
+        return (int) Math.round(sizes.get(variable));
+    }
+
+    /** The size of one variable. */
+    public double size(Variable variable) {
         return switch (variable) {
-            case CATALOGUE_HOSTS ->
-                new Workload(
-                        whole,
-                        Math.min(whole, hostsInScope == catalogueHosts ? whole : hostsInScope),
-                        proxies,
-                        services,
-                        zones,
-                        stewards,
-                        changesPerSecond,
-                        reportsPerSecond,
-                        restartsPerSecond);
-            case HOSTS_IN_SCOPE ->
-                new Workload(
-                        Math.max(whole, catalogueHosts),
-                        whole,
-                        proxies,
-                        services,
-                        zones,
-                        stewards,
-                        changesPerSecond,
-                        reportsPerSecond,
-                        restartsPerSecond);
-            case PROXIES ->
-                new Workload(
-                        catalogueHosts,
-                        hostsInScope,
-                        whole,
-                        services,
-                        zones,
-                        stewards,
-                        changesPerSecond,
-                        reportsPerSecond,
-                        restartsPerSecond);
-            case SERVICES ->
-                new Workload(
-                        catalogueHosts,
-                        hostsInScope,
-                        proxies,
-                        whole,
-                        zones,
-                        stewards,
-                        changesPerSecond,
-                        reportsPerSecond,
-                        restartsPerSecond);
-            case ZONES ->
-                new Workload(
-                        catalogueHosts,
-                        hostsInScope,
-                        proxies,
-                        services,
-                        whole,
-                        stewards,
-                        changesPerSecond,
-                        reportsPerSecond,
-                        restartsPerSecond);
-            case STEWARDS ->
-                new Workload(
-                        catalogueHosts,
-                        hostsInScope,
-                        proxies,
-                        services,
-                        zones,
-                        whole,
-                        changesPerSecond,
-                        reportsPerSecond,
-                        restartsPerSecond);
-            case CHANGES_PER_SECOND ->
-                new Workload(
-                        catalogueHosts,
-                        hostsInScope,
-                        proxies,
-                        services,
-                        zones,
-                        stewards,
-                        size,
-                        reportsPerSecond,
-                        restartsPerSecond);
-            case REPORTS_PER_SECOND ->
-                new Workload(
-                        catalogueHosts,
-                        hostsInScope,
-                        proxies,
-                        services,
-                        zones,
-                        stewards,
-                        changesPerSecond,
-                        size,
-                        restartsPerSecond);
-            case RESTARTS_PER_SECOND ->
-                new Workload(
-                        catalogueHosts,
-                        hostsInScope,
-                        proxies,
-                        services,
-                        zones,
-                        stewards,
-                        changesPerSecond,
-                        reportsPerSecond,
-                        size);
+            case CATALOGUE_HOSTS -> catalogueHosts;
+            case HOSTS_IN_SCOPE -> hostsInScope;
+            case PROXIES -> proxies;
+            case SERVICES -> services;
+            case ZONES -> zones;
+            case STEWARDS -> stewards;
+            case CHANGES_PER_SECOND -> changesPerSecond;
+            case REPORTS_PER_SECOND -> reportsPerSecond;
+            case RESTARTS_PER_SECOND -> restartsPerSecond;
         };
     }
+
+    /** The sizes of all variables, by variable. */
+    public Map<Variable, Double> sizes() {
+        Map<Variable, Double> sizes = new EnumMap<>(Variable.class);
+        for (Variable variable : Variable.values()) {
+            sizes.put(variable, size(variable));
+        }
+        return sizes;
+    }
+
+    /** Whether the steward's tables may hold every host of the catalogue. */
+    public boolean isUnscoped() {
+        return hostsInScope == catalogueHosts;
+    }
+
+    /**
+     * The same workload with another size of one variable. Without a scope, the hosts in scope follow the catalogue; with
+     * one, neither comes to exceed the other's bound: the scope shrinks with the catalogue, and the catalogue grows with it.
+     */
+    public Workload with(Variable variable, double size) {
+        Map<Variable, Double> sizes = sizes();
+        sizes.put(variable, size);
+        if (variable == Variable.CATALOGUE_HOSTS) {
+            sizes.put(Variable.HOSTS_IN_SCOPE, isUnscoped() ? size : Math.min(size, hostsInScope));
+        }
+        if (variable == Variable.HOSTS_IN_SCOPE) {
+            sizes.put(Variable.CATALOGUE_HOSTS, Math.max(size, catalogueHosts));
+        }
+        return of(sizes);
+    }
 }
