--- a/src/main/java/linenring/front/settings/FrontPlanReader.java
+++ b/src/main/java/linenring/front/settings/FrontPlanReader.java
@@ -1,14 +1,7 @@
 package linenring.front.settings;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.networknt.schema.Error;
-import com.networknt.schema.InputFormat;
-import com.networknt.schema.Schema;
-import com.networknt.schema.SchemaRegistry;
-import com.networknt.schema.SpecificationVersion;
 import java.io.IOException;
-import java.io.InputStream;
-import java.io.UncheckedIOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
@@ -21,8 +14,8 @@
 import java.util.Map;
 import java.util.Set;
 import linenring.figures.Names;
-import linenring.kdl.KdlReader;
-import linenring.kdl.KdlTree;
+import linenring.kdl.SettingsDocument;
+import linenring.kdl.SettingsSchema;
 import linenring.kdl.Units;
 import linenring.routing.Effect;
 import linenring.routing.Pool;
@@ -62,15 +55,12 @@
     private static final String TAKE = "5s"; // nobody accepts meanwhile; dials wait in the kernel
     private static final String PROBATION = "10s"; // faults of a new release that end it at once show within seconds
 
-    private final String file;
     private final Names names;
-    private final Map<String, Integer> lines;
-    private final List<String> faults = new ArrayList<>();
+    private final SettingsDocument document;
 
-    private FrontPlanReader(String file, Names names, Map<String, Integer> lines) {
-        this.file = file;
+    private FrontPlanReader(Names names, SettingsDocument document) {
         this.names = names;
-        this.lines = lines;
+        this.document = document;
     }
 
     public static Outcome read(Path file, Names names) {
@@ -82,101 +72,18 @@
     }
 
     static Outcome read(String file, String text, Names names) {
-        KdlReader.Read read = KdlReader.read(text);
-        if (read.nodes() == null) {
-            return new Outcome(
-                    null,
-                    read.faults().stream()
-                            .map(f -> file + ":" + f.line() + ": " + f.what())
-                            .toList());
+        SettingsDocument document =
+                new SettingsSchema(FrontPlanReader.class, "front.schema.json", LISTS).read(file, text);
+        if (!document.isSound()) {
+            return new Outcome(null, document.faults());
         }
-        KdlTree.Tree tree = KdlTree.of(read.nodes(), LISTS);
-        if (tree.fault() != null) {
-            return new Outcome(
-                    null,
-                    List.of(file + ":" + tree.fault().line() + ": "
-                            + tree.fault().what()));
-        }
-        FrontPlanReader reader = new FrontPlanReader(file, names, tree.lines());
-        schema().validate(tree.root()).stream()
-                .sorted(Comparator.comparingInt(
-                        (Error e) -> reader.line(e.getInstanceLocation().toString())))
-                .forEach(reader::schemaFault);
-        FrontPlan plan = reader.faults.isEmpty() ? reader.plan(tree.root().get("front")) : null;
-        return reader.faults.isEmpty()
-                ? new Outcome(plan, List.of())
-                : new Outcome(null, reader.faults.stream().distinct().toList());
-    }
-
-    private static Schema schema() {
-        try (InputStream in = FrontPlanReader.class.getResourceAsStream("front.schema.json")) {
-            return SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
-                    .getSchema(
-                            new String(in.readAllBytes(), java.nio.charset.StandardCharsets.UTF_8), InputFormat.JSON);
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
-    }
-
-    private int line(String pointer) {
-        String at = pointer;
-        while (!lines.containsKey(at) && !at.isEmpty()) {
-            at = at.substring(0, Math.max(0, at.lastIndexOf('/')));
-        }
-        return lines.getOrDefault(at, 1);
+        FrontPlan plan =
+                new FrontPlanReader(names, document).plan(document.root().get("front"));
+        return new Outcome(document.isSound() ? plan : null, document.faults());
     }
 
     private void fault(String pointer, String what) {
-        faults.add(file + ":" + line(pointer) + ": " + what);
-    }
-
-    private static String key(String pointer) {
-        String key = pointer.replaceAll("^/|/[0-9]+|/arguments", "").replace('/', '.');
-        return key.isEmpty() ? "the file" : key;
-    }
-
-    private void schemaFault(Error e) {
-        String at = e.getInstanceLocation().toString();
-        JsonNode was = e.getInstanceNode();
-        String property = e.getProperty();
-        switch (e.getKeyword()) {
-            case "required" ->
-                fault(
-                        at,
-                        key(at) + ": " + ("arguments".equals(property) ? "what it is called" : property)
-                                + " is missing");
-            case "additionalProperties" ->
-                fault(
-                        at + "/" + property,
-                        key(at) + ": "
-                                + ("arguments".equals(property)
-                                        ? "a value stands where properties such as name=value are expected"
-                                        : property + " is not known here"));
-            default -> {
-                JsonNode about = e.getSchemaNode() == null ? null : describes(at);
-                fault(at, key(at) + ": " + shown(was) + " is not " + (about == null ? e.getMessage() : about.asText()));
-            }
-        }
-    }
-
-    /** The words of the schema for the place, found by walking it as the instance is walked. */
-    private JsonNode describes(String pointer) {
-        JsonNode root = schema().getSchemaNode(), at = root, words = null;
-        for (String step : pointer.substring(1).split("/")) {
-            at = step.matches("[0-9]+")
-                    ? at.path("items")
-                    : at.path("properties").path(step);
-            if (at.has("$ref")) {
-                at = root.at(at.get("$ref").asText().substring(1));
-            }
-            words = at.has("description") ? at.get("description") : words;
-        }
-        return words;
-    }
-
-    private static String shown(JsonNode was) {
-        String text = was == null ? "it" : was.toString();
-        return text.length() <= 60 ? text : text.substring(0, 60) + "...";
+        document.fault(pointer, what);
     }
 
     // ---- what a schema can't say
