--- a/src/main/java/linenring/scale/catalogue/CatalogueEvents.java
+++ b/src/main/java/linenring/scale/catalogue/CatalogueEvents.java
@@ -28,6 +28,7 @@
             new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
     private final List<String> ids = new ArrayList<>(); // those that churn may take
     private long orders;
+    private boolean steady = true;
 
     public CatalogueEvents(Catalogue catalogue, RandomGenerator chance) {
         this.catalogue = catalogue;
@@ -69,9 +70,17 @@
         repeat(from, hostsPerSecond, this::replaceOne);
     }
 
+    /** No host begins to restart or to be replaced any more; those that have begun end. */
+    public void endSteadyRates() {
+        steady = false;
+    }
+
     private void repeat(long from, double perSecond, Event event) {
         if (perSecond > 0) {
             at(from, now -> {
+                if (!steady) {
+                    return null;
+                }
                 repeat(now + Math.max(1, Math.round(1000 / perSecond)), perSecond, event);
                 return event.happen(now);
             });
@@ -113,6 +122,11 @@
 
     // ---- single events
 
+    /** These hosts are replaced by others at once. */
+    public void replaceAll(long when, List<CatalogueHost> which) {
+        at(when, now -> which.isEmpty() ? null : catalogue.replace(which, now));
+    }
+
     /** All hosts of one zone's rack are gone. */
     public void loseRack(long when, int zone, int rack) {
         at(when, now -> removeAll(catalogue.hosts(h -> h.zone() == zone && h.rack() == rack)));
--- a/src/main/java/linenring/scale/measurement/ScenarioOutcome.java
+++ b/src/main/java/linenring/scale/measurement/ScenarioOutcome.java
@@ -10,6 +10,7 @@
  * @param convergenceSeconds from the last change written until the real steward's hosts are the catalogue's, NaN if never
  * @param bytesIn all that was sent to one real steward
  * @param bytesOut all that it sent
+ * @param peakProcessorShare the highest processor share of the real one over any one second
  * @param failure what went wrong, in words; null where nothing did
  */
 public record ScenarioOutcome(
@@ -21,4 +22,5 @@
         double convergenceSeconds,
         double bytesIn,
         double bytesOut,
+        double peakProcessorShare,
         String failure) {}
--- a/src/main/java/linenring/scale/measurement/Usage.java
+++ b/src/main/java/linenring/scale/measurement/Usage.java
@@ -1,5 +1,7 @@
 package linenring.scale.measurement;
 
+import java.util.Map;
+
 /**
  * What one steward used while a workload ran, read from outside its process; of a hollow one, its share of its process.
  * A figure that could not be read is NaN.
@@ -11,6 +13,7 @@
  * @param bytesOutPerSecond what it sent
  * @param messagesInPerSecond lines that were sent to it
  * @param messagesOutPerSecond lines that it sent
+ * @param shareByThread processor share by the name of its threads; empty where that was not measured
  */
 public record Usage(
         double processorShare,
@@ -19,4 +22,9 @@
         double bytesInPerSecond,
         double bytesOutPerSecond,
         double messagesInPerSecond,
-        double messagesOutPerSecond) {}
+        double messagesOutPerSecond,
+        Map<String, Double> shareByThread) {
+    public Usage {
+        shareByThread = Map.copyOf(shareByThread);
+    }
+}
