--- a/src/main/java/linenring/scale/measurement/Variable.java
+++ b/src/main/java/linenring/scale/measurement/Variable.java
@@ -18,6 +18,14 @@
         this.description = description;
     }
 
+    /** Whether it is a rate a second; any other is a count. */
+    public boolean isRate() {
+        return switch (this) {
+            case CHANGES_PER_SECOND, REPORTS_PER_SECOND, RESTARTS_PER_SECOND -> true;
+            default -> false;
+        };
+    }
+
     /** The words for tables and plots. */
     public String description() {
         return description;
--- /dev/null
+++ b/src/main/java/linenring/scale/settings/ScalePlan.java
@@ -0,0 +1,34 @@
+package linenring.scale.settings;
+
+import java.util.List;
+import linenring.scale.measurement.Scenario;
+import linenring.scale.measurement.Sweep;
+
+/**
+ * What a scale run is to measure.
+ *
+ * @param seed for all that is drawn by chance
+ * @param warmUpSeconds how long each point runs before it is measured
+ * @param windowSeconds how long each point is measured
+ */
+public record ScalePlan(
+        long seed,
+        double warmUpSeconds,
+        double windowSeconds,
+        Bounds bounds,
+        List<Sweep> sweeps,
+        List<Scenario> scenarios) {
+    public ScalePlan {
+        sweeps = List.copyOf(sweeps);
+        scenarios = List.copyOf(scenarios);
+    }
+
+    /** What the run may use at most; beyond it, it ends. */
+    public record Bounds(long memoryBytes, int processes, double seconds) {}
+
+    /** The least time that the sweeps take: warm-up and window of each point. */
+    public double sweepSeconds() {
+        int points = sweeps.stream().mapToInt(sweep -> sweep.sizes().size()).sum();
+        return points * (warmUpSeconds + windowSeconds);
+    }
+}
--- /dev/null
+++ b/src/test/java/linenring/scale/settings/ScalePlanReaderTest.java
@@ -0,0 +1,104 @@
+package linenring.scale.settings;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.stream.Collectors;
+import linenring.scale.measurement.Scenario;
+import linenring.scale.measurement.Sweep;
+import linenring.scale.measurement.Variable;
+import linenring.scale.measurement.Workload;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+class ScalePlanReaderTest {
+    private static final String GOOD = """
+            // line 1
+            scale {
+                seed 7
+                warm-up "2s"
+                window "1.5s"
+                bounds memory="2GiB" processes=20 time="5min"
+                workload catalogue-hosts=256 proxies=8 services=4 zones=3 stewards=2 changes-per-second=0.5 reports-per-second=20 restarts-per-second=0
+                sweep "catalogue-hosts" {
+                    sizes 256 1024 4096
+                    workload proxies=0
+                }
+                sweep "changes-per-second" {
+                    sizes 0 0.5 5
+                    workload catalogue-hosts=1024 hosts-in-scope=64
+                }
+                scenario "zone-lost-and-back"
+            }
+            """;
+
+    @Test
+    void readsSweepsOverTheCommonWorkload() {
+        ScalePlan plan = ScalePlanReader.read("s.kdl", GOOD).plan();
+        assertEquals(
+                new ScalePlan(
+                        7,
+                        2,
+                        1.5,
+                        new ScalePlan.Bounds(2L << 30, 20, 300),
+                        List.of(
+                                new Sweep(
+                                        Variable.CATALOGUE_HOSTS,
+                                        List.of(256.0, 1024.0, 4096.0),
+                                        new Workload(256, 256, 0, 4, 3, 2, 0.5, 20, 0)),
+                                new Sweep(
+                                        Variable.CHANGES_PER_SECOND,
+                                        List.of(0.0, 0.5, 5.0),
+                                        new Workload(1024, 64, 8, 4, 3, 2, 0.5, 20, 0))),
+                        List.of(Scenario.ZONE_LOST_AND_BACK)),
+                plan);
+    }
+
+    /** A line of the good file replaced; the only thing that is said of it. */
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "3 | seed -1 | 3: scale.seed: -1 is not a whole number from 0",
+                "3 | | 2: scale: seed is missing",
+                "4 | warm-up 2 | 4: scale.warm-up: 2 is not a duration with its unit, such as \"20s\" or \"1.5min\"",
+                "4 | warmup \"2s\"; warm-up \"2s\" | 4: scale: warmup is not known here",
+                "6 | bounds memory=\"2GB\" processes=20 time=\"5min\" | 6: scale.bounds.memory: \"2GB\" is not a size with its unit, such as \"8GiB\"",
+                "6 | bounds memory=\"2GiB\" processes=20 time=\"20s\" | 6: scale.bounds.time: \"20s\" is under the 21 s that the sweeps' points take",
+                "7 | workload catalogue-hosts=256 proxies=8 zones=3 stewards=2 changes-per-second=0 reports-per-second=0 restarts-per-second=0 | 7: scale.workload: services is missing",
+                "8 | sweep \"hosts\" { | 8: scale.sweep: \"hosts\" is not one of \"catalogue-hosts\", \"hosts-in-scope\", \"proxies\", \"services\", \"zones\", \"stewards\", \"changes-per-second\", \"reports-per-second\", \"restarts-per-second\"",
+                "9 | sizes 256 | 9: scale.sweep.sizes: 256 is not two sizes or more, such as: sizes 256 1024 4096",
+                "9 | sizes 256 1024 1024 | 9: scale.sweep \"catalogue-hosts\".sizes: 1024 is not over 1024 before it",
+                "9 | sizes 256 1024.5 | 9: scale.sweep \"catalogue-hosts\".sizes: 1024.5 is not a whole number",
+                "10 | workload proxies=-1 | 10: scale.sweep.workload.proxies: -1 is not a whole number from 0",
+                "14 | workload hosts-in-scope=512 | 14: scale.sweep \"changes-per-second\".workload: hosts-in-scope of 512 is over catalogue-hosts of 256",
+                "16 | scenario \"zone-lost\" | 16: scale.scenario: \"zone-lost\" is not one of \"churn\", \"rolling-restart\", \"rack-lost\", \"zone-lost-and-back\", \"silence-caught-up\", \"spoilt-list\", \"partial-list\"",
+                "17 | | 18: the file ends before a '}' that is open",
+            })
+    void tellsAFaultByFileLineKeyAndWhatWasExpected(int line, String instead, String said) {
+        List<String> lines = new ArrayList<>(GOOD.lines().toList());
+        lines.set(line - 1, instead == null ? "" : instead);
+        ScalePlanReader.Outcome read = ScalePlanReader.read("s.kdl", String.join("\n", lines) + "\n");
+        assertNull(read.plan());
+        assertEquals("s.kdl:" + said, read.faults().stream().collect(Collectors.joining("; ")));
+    }
+
+    @Test
+    void rejectsAMissingFileInOneLine() {
+        assertEquals(
+                List.of("/no/such.kdl: cannot be read"),
+                ScalePlanReader.read(Path.of("/no/such.kdl")).faults());
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"example/scale.kdl", "docs/capacity/slopes.kdl"})
+    void findsNoFaultInTheFilesThatComeWithTheProgram(String file) {
+        assertEquals(List.of(), ScalePlanReader.read(Path.of(file)).faults());
+    }
+}
