--- /dev/null
+++ b/src/main/java/linenring/scale/report/fit/Shape.java
@@ -0,0 +1,63 @@
+package linenring.scale.report.fit;
+
+/**
+ * How a figure may follow a size: an intercept and a weighted sum of terms, some of them with a parameter of their own.
+ * In the order of preference where two fit equally well.
+ */
+public enum Shape {
+    CONSTANT("constant", false),
+    LINEAR("linear", false),
+    N_LOG_N("n log n", false),
+    QUADRATIC("quadratic", false),
+    POWER("power", true),
+    BROKEN_LINE("broken line", true);
+
+    /** The range of exponents that {@link #POWER} is tried with. */
+    static final double LEAST_EXPONENT = 0.2;
+
+    static final double MOST_EXPONENT = 3;
+
+    private final String description;
+    private final boolean hasParameter;
+
+    Shape(String description, boolean hasParameter) {
+        this.description = description;
+        this.hasParameter = hasParameter;
+    }
+
+    /** The words for tables. */
+    public String description() {
+        return description;
+    }
+
+    /** Whether the terms depend on an exponent or a knee that has to be searched for. */
+    boolean hasParameter() {
+        return hasParameter;
+    }
+
+    /** The terms of a size beside the intercept; {@code parameter} is the exponent or the knee. */
+    double[] terms(double size, double parameter) {
+        return switch (this) {
+            case CONSTANT -> new double[] {};
+            case LINEAR -> new double[] {size};
+            case N_LOG_N -> new double[] {nLogN(size)};
+            case QUADRATIC -> new double[] {size, size * size};
+            case POWER -> new double[] {Math.pow(size, parameter)};
+            case BROKEN_LINE -> new double[] {size, Math.max(0, size - parameter)};
+        };
+    }
+
+    private static double nLogN(double size) {
+        return size <= 1 ? 0 : size * Math.log(size) / Math.log(2);
+    }
+
+    /** How many figures are chosen to fit: intercept, weights, and the parameter. */
+    int freedom() {
+        return 1 + terms(1, 1).length + (hasParameter ? 1 : 0);
+    }
+
+    /** Samples that a fit needs: two more than it chooses figures, so that residuals tell something. */
+    int leastSamples() {
+        return freedom() + 2;
+    }
+}
