--- a/src/main/java/linenring/scale/fleet/HollowProxy.java
+++ b/src/main/java/linenring/scale/fleet/HollowProxy.java
@@ -18,6 +18,7 @@
     private final HostBook hosts;
     private final Tables tables;
     private volatile boolean joined;
+    private volatile boolean ordered; // on its present stream
     private volatile boolean served; // it has had a host for each operation
     private int stream; // counts its streams
 
@@ -50,6 +51,7 @@
     }
 
     int joins() {
+        ordered = false;
         joined = true;
         return ++stream;
     }
@@ -60,7 +62,14 @@
     }
 
     Tables.Applied apply(Order order) {
-        return tables.apply(order);
+        Tables.Applied applied = tables.apply(order);
+        ordered |= applied.isUsable();
+        return applied;
+    }
+
+    /** Whether its steward has written to it on its present stream. */
+    public boolean isOrdered() {
+        return joined && ordered;
     }
 
     /** Whether it has a host for each operation. */
--- a/src/main/java/linenring/scale/run/Agreement.java
+++ b/src/main/java/linenring/scale/run/Agreement.java
@@ -7,21 +7,21 @@
 /**
  * How far the tables of a fleet's proxies agree with the catalogue.
  *
- * @param notJoined proxies that no steward has
- * @param withoutHost joined proxies that have no host for some operation
+ * @param notOrdered proxies that no steward has written to on their present stream
+ * @param withoutHost proxies that have no host for some operation
  * @param staleLines open lines of hosts that the catalogue does not list as ready
  * @param missingLines hosts that the catalogue lists as ready and a table does not have; counted only where tables are whole
  */
-record Agreement(int notJoined, int withoutHost, int staleLines, int missingLines) {
+record Agreement(int notOrdered, int withoutHost, int staleLines, int missingLines) {
     /** Compares; {@code whole}: each table is to have all hosts that are ready. */
     static Agreement of(Collection<HollowProxy> proxies, int operations, Set<String> ready, boolean whole) {
-        int notJoined = 0;
+        int notOrdered = 0;
         int withoutHost = 0;
         int stale = 0;
         int missing = 0;
         for (HollowProxy proxy : proxies) {
-            notJoined += proxy.isJoined() ? 0 : 1;
-            withoutHost += proxy.isJoined() && !proxy.hasHosts() ? 1 : 0;
+            notOrdered += proxy.isOrdered() ? 0 : 1;
+            withoutHost += !proxy.hasHosts() ? 1 : 0;
             for (int operation = 0; operation < operations; operation++) {
                 Set<String> open = proxy.openHosts(operation);
                 int fresh = (int) open.stream().filter(ready::contains).count();
@@ -29,17 +29,17 @@
                 missing += whole ? ready.size() - fresh : 0;
             }
         }
-        return new Agreement(notJoined, withoutHost, stale, missing);
+        return new Agreement(notOrdered, withoutHost, stale, missing);
     }
 
     /** Whether each proxy has a table of hosts that are ready, and all of them where tables are whole. */
     boolean isComplete() {
-        return notJoined == 0 && withoutHost == 0 && staleLines == 0 && missingLines == 0;
+        return notOrdered == 0 && withoutHost == 0 && staleLines == 0 && missingLines == 0;
     }
 
     @Override
     public String toString() {
-        return notJoined + " proxies not joined, " + withoutHost + " without a host, " + staleLines
+        return notOrdered + " proxies without an order, " + withoutHost + " without a host, " + staleLines
                 + " lines of hosts that are not ready, " + missingLines + " lines missing";
     }
 }
--- a/src/main/java/linenring/scale/run/PointRunner.java
+++ b/src/main/java/linenring/scale/run/PointRunner.java
@@ -16,7 +16,8 @@
  * and the hollow stewards use over a window.
  */
 final class PointRunner {
-    private static final long SETTLE_S = 60;
+    private static final long SETTLE_S = 60; // of the real one, and again of the hollow ones
+    private static final double STARTS_AND_ENDS_S = 10;
     private static final int REAL_STEWARDS = 1;
 
     private final double warmUpSeconds;
@@ -34,24 +35,27 @@
     /** What one steward is read from at one time. */
     private record Reading(ProcessorTimes times, Traffic.Counts traffic) {}
 
-    /** How long a point takes at most, in s. */
-    double secondsAtMost() {
-        return 2 * SETTLE_S + warmUpSeconds + windowSeconds + SETTLE_S;
+    /** How long a point takes if its proxies have their tables at once, in s. */
+    double secondsAtLeast() {
+        return STARTS_AND_ENDS_S + warmUpSeconds + windowSeconds;
     }
 
-    Point measure(double size, Workload workload) throws Exception { // Jetty's start() may throw any
+    /** Takes so many seconds at most; the first half of what it has to spare is for settling. */
+    Point measure(double size, Workload workload, double secondsAtMost)
+            throws Exception { // Jetty's start() may throw any
+        long settle = (long) Math.min(SETTLE_S, (secondsAtMost - secondsAtLeast()) / 2);
         try (Testbed testbed = new Testbed(workload, seed)) {
-            return measure(size, testbed);
+            return measure(size, testbed, settle);
         }
     }
 
-    private Point measure(double size, Testbed testbed) throws Exception {
+    private Point measure(double size, Testbed testbed, long settleSeconds) throws Exception {
         Workload workload = testbed.workload();
         long begun = System.nanoTime();
         testbed.open(REAL_STEWARDS, Math.max(1, workload.stewards() - REAL_STEWARDS));
         RealMember real = testbed.real().get(0);
-        String failure = testbed.awaitSettled(real, System.nanoTime() + TimeUnit.SECONDS.toNanos(SETTLE_S));
-        String hollowFailure = testbed.awaitHollowSettled(System.nanoTime() + TimeUnit.SECONDS.toNanos(SETTLE_S));
+        String failure = testbed.awaitSettled(real, System.nanoTime() + TimeUnit.SECONDS.toNanos(settleSeconds));
+        String hollowFailure = testbed.awaitHollowSettled(System.nanoTime() + TimeUnit.SECONDS.toNanos(settleSeconds));
         progress.say("settled after " + (System.nanoTime() - begun) / 1_000_000 + " ms"
                 + (failure == null ? "" : "; real: " + failure)
                 + (hollowFailure == null ? "" : "; hollow: " + hollowFailure));
--- a/src/main/java/linenring/scale/run/Testbed.java
+++ b/src/main/java/linenring/scale/run/Testbed.java
@@ -11,6 +11,7 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 import linenring.configuration.Assignment;
@@ -141,7 +142,7 @@
         });
     }
 
-    void script(java.util.function.Consumer<CatalogueEvents> change) {
+    void script(Consumer<CatalogueEvents> change) {
         driver.script(change);
     }
 
@@ -229,7 +230,7 @@
             return watchers + " of " + due + " hold the present list";
         }
         long without = fleet.proxies().stream()
-                .filter(p -> !p.isJoined() || !p.hasHosts())
+                .filter(p -> !p.isOrdered() || !p.hasHosts())
                 .count();
         return without == 0 ? null : without + " of " + fleet.proxies().size() + " proxies have no table";
     }
