--- a/src/main/java/linenring/scale/measurement/Workload.java
+++ b/src/main/java/linenring/scale/measurement/Workload.java
@@ -70,7 +70,7 @@
     }
 
     /** Whether the steward's tables may hold every host of the catalogue. */
-    public boolean isUnscoped() {
+    public boolean scopeIsWhole() {
         return hostsInScope == catalogueHosts;
     }
 
@@ -82,7 +82,7 @@
         Map<Variable, Double> sizes = sizes();
         sizes.put(variable, size);
         if (variable == Variable.CATALOGUE_HOSTS) {
-            sizes.put(Variable.HOSTS_IN_SCOPE, isUnscoped() ? size : Math.min(size, hostsInScope));
+            sizes.put(Variable.HOSTS_IN_SCOPE, scopeIsWhole() ? size : Math.min(size, hostsInScope));
         }
         if (variable == Variable.HOSTS_IN_SCOPE) {
             sizes.put(Variable.CATALOGUE_HOSTS, Math.max(size, catalogueHosts));
--- /dev/null
+++ b/src/main/java/linenring/scale/report/MarkdownReport.java
@@ -0,0 +1,167 @@
+package linenring.scale.report;
+
+import static linenring.scale.report.MarkdownTable.figure;
+import static linenring.scale.report.MarkdownTable.signedPercent;
+import static linenring.scale.report.MarkdownTable.text;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.stream.Collectors;
+import linenring.scale.measurement.MeasuredSweep;
+import linenring.scale.measurement.Point;
+import linenring.scale.measurement.ScaleRun;
+import linenring.scale.measurement.ScenarioOutcome;
+import linenring.scale.measurement.Usage;
+import linenring.scale.measurement.Variable;
+import linenring.scale.measurement.Workload;
+import linenring.scale.report.fit.Fit;
+import linenring.scale.report.fit.FitOutcome;
+import linenring.scale.report.fit.HeldOut;
+
+/** A run as Markdown: for each sweep its points and its fits, then the scenarios. */
+public final class MarkdownReport {
+    private final ScaleRun run;
+    private final List<SweepAnalysis> analyses;
+
+    public MarkdownReport(ScaleRun run, List<SweepAnalysis> analyses) {
+        this.run = run;
+        this.analyses = List.copyOf(analyses);
+    }
+
+    /** The whole page; {@code name} is its title. */
+    public String page(String name) {
+        StringBuilder page = new StringBuilder("# Scale run " + name + "\n\n" + head());
+        for (int i = 0; i < analyses.size(); i++) {
+            page.append(section(i + 1, analyses.get(i)));
+        }
+        if (!run.scenarios().isEmpty()) {
+            page.append("\n## Scenarios\n\n").append(scenarios());
+        }
+        return page.toString();
+    }
+
+    private String head() {
+        return "Build " + run.build() + ", begun " + run.startedAt() + ", seed " + run.seed() + ", " + run.cores()
+                + " cores, " + run.machine() + ". Each point: " + figure(run.warmUpSeconds()) + " s of warm-up, "
+                + figure(run.windowSeconds()) + " s measured. MB is 10^6 bytes, kB 10^3.\n";
+    }
+
+    private static String section(int number, SweepAnalysis analysis) {
+        MeasuredSweep sweep = analysis.sweep();
+        return "\n## " + number + ". By " + sweep.variable().description() + "\n\nHeld: " + held(sweep) + ".\n\n"
+                + points(sweep) + "\n" + fits(analysis);
+    }
+
+    private static String held(MeasuredSweep sweep) {
+        Workload base = sweep.base();
+        return Arrays.stream(Variable.values())
+                .filter(variable -> variable != sweep.variable())
+                .filter(variable -> !(variable == Variable.HOSTS_IN_SCOPE && base.scopeIsWhole()))
+                .map(variable -> variable.description() + " " + figure(base.size(variable)))
+                .collect(Collectors.joining(", "));
+    }
+
+    // ---- points
+
+    private static String points(MeasuredSweep sweep) {
+        List<String> headings = new ArrayList<>(List.of(sweep.variable().description()));
+        for (Metric metric : Metric.values()) {
+            headings.add(metric.description() + ", " + metric.unit());
+        }
+        headings.add("hollow: processor, % of a core; heap, MB");
+        headings.add("failure");
+        MarkdownTable table = new MarkdownTable(headings);
+        sweep.points().forEach(point -> table.row(cells(point)));
+        return table.toString();
+    }
+
+    private static List<String> cells(Point point) {
+        List<String> cells = new ArrayList<>(List.of(figure(point.size())));
+        for (Metric metric : Metric.values()) {
+            cells.add(cell(metric, point.real()));
+        }
+        cells.add(hollow(point.hollow()));
+        cells.add(text(point.failure()));
+        return cells;
+    }
+
+    private static String cell(Metric metric, Usage usage) {
+        return usage == null ? "" : figure(metric.of(usage));
+    }
+
+    private static String hollow(Usage usage) {
+        return usage == null ? "" : cell(Metric.PROCESSOR, usage) + "; " + cell(Metric.HEAP, usage);
+    }
+
+    // ---- fits
+
+    private static String fits(SweepAnalysis analysis) {
+        MarkdownTable table = new MarkdownTable(List.of(
+                "figure",
+                "shape",
+                "formula",
+                "knee",
+                "residuals, +-",
+                "largest seen",
+                "kept out",
+                "predicted",
+                "measured",
+                "error"));
+        analysis.fits().forEach(fitted -> table.row(cells(fitted)));
+        return table.toString();
+    }
+
+    private static List<String> cells(SweepAnalysis.FittedMetric fitted) {
+        String figure = fitted.side().description() + " " + fitted.metric().description() + ", "
+                + fitted.metric().unit();
+        if (fitted.outcome() instanceof FitOutcome.TooFewSizes few) {
+            String why = "not fitted: " + few.measured() + " sizes, " + few.needed() + " are needed";
+            return List.of(figure, why, "", "", "", "", "", "", "", "");
+        }
+        FitOutcome.Fitted found = (FitOutcome.Fitted) fitted.outcome();
+        Fit fit = found.fit();
+        HeldOut heldOut = found.heldOut();
+        return List.of(
+                figure,
+                fit.shape().description(),
+                fit.formula(),
+                figure(fit.knee()),
+                figure(fit.residualError()),
+                figure(fit.largestSize()),
+                figure(heldOut.size()),
+                figure(heldOut.predicted()),
+                figure(heldOut.measured()),
+                signedPercent(heldOut.error()));
+    }
+
+    // ---- scenarios
+
+    private String scenarios() {
+        MarkdownTable table = new MarkdownTable(List.of(
+                "scenario",
+                "hosts in the catalogue",
+                "entries changed",
+                "converged after, s",
+                "kB in",
+                "kB out",
+                "processor, % of a core",
+                "resident memory, MB",
+                "failure"));
+        run.scenarios().forEach(outcome -> table.row(cells(outcome)));
+        return table.toString();
+    }
+
+    private static List<String> cells(ScenarioOutcome outcome) {
+        return List.of(
+                outcome.scenario().description(),
+                figure(outcome.workload().catalogueHosts()),
+                figure(outcome.hostsConcerned()),
+                figure(outcome.convergenceSeconds()),
+                figure(outcome.bytesIn() / 1e3),
+                figure(outcome.bytesOut() / 1e3),
+                cell(Metric.PROCESSOR, outcome.real()),
+                cell(Metric.RESIDENT, outcome.real()),
+                text(outcome.failure()));
+    }
+}
--- /dev/null
+++ b/src/main/java/linenring/scale/report/RunReport.java
@@ -0,0 +1,49 @@
+package linenring.scale.report;
+
+import java.io.IOException;
+import java.io.OutputStream;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
+import java.util.List;
+import linenring.scale.measurement.ScaleRun;
+
+/** Writes a run's files into one directory: {@code NAME.json}, {@code NAME.md} and {@code NAME-SWEEP-FIGURE.png}. */
+public final class RunReport {
+    private static final List<Metric> PLOTTED = List.of(Metric.PROCESSOR, Metric.RESIDENT, Metric.HEAP);
+
+    private final Path directory;
+
+    public RunReport(Path directory) {
+        this.directory = directory;
+    }
+
+    /** The record, the tables and the plots. */
+    public void write(ScaleRun run, String name) throws IOException {
+        writeRecord(run, name);
+        List<SweepAnalysis> analyses =
+                run.sweeps().stream().map(SweepAnalysis::of).toList();
+        Files.writeString(directory.resolve(name + ".md"), new MarkdownReport(run, analyses).page(name));
+        for (int i = 0; i < analyses.size(); i++) {
+            plot(analyses.get(i), name + "-" + (i + 1));
+        }
+    }
+
+    /** The record alone, of a run that goes on too: the file is whole at any time. */
+    public void writeRecord(ScaleRun run, String name) throws IOException {
+        Files.createDirectories(directory);
+        Path written = Files.writeString(directory.resolve(name + ".json.part"), RunRecords.write(run));
+        Files.move(written, directory.resolve(name + ".json"), StandardCopyOption.REPLACE_EXISTING);
+    }
+
+    private void plot(SweepAnalysis analysis, String prefix) throws IOException {
+        for (SweepAnalysis.FittedMetric fitted : analysis.fits()) {
+            if (fitted.side() == Side.REAL && PLOTTED.contains(fitted.metric())) {
+                Path file = directory.resolve(prefix + "-" + fitted.metric().fileName() + ".png");
+                try (OutputStream to = Files.newOutputStream(file)) {
+                    SweepPlot.write(analysis.sweep().variable(), fitted, to);
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/linenring/scale/report/SweepAnalysis.java
@@ -0,0 +1,44 @@
+package linenring.scale.report;
+
+import java.util.ArrayList;
+import java.util.List;
+import linenring.scale.measurement.MeasuredSweep;
+import linenring.scale.report.fit.FitChooser;
+import linenring.scale.report.fit.FitOutcome;
+import linenring.scale.report.fit.Sample;
+
+/** The fits of a measured sweep. A point that failed, or whose figure was not read, is left out of them. */
+public record SweepAnalysis(MeasuredSweep sweep, List<FittedMetric> fits) {
+    public SweepAnalysis {
+        fits = List.copyOf(fits);
+    }
+
+    /** One figure of one side against the sweep's variable. */
+    public record FittedMetric(Side side, Metric metric, List<Sample> samples, FitOutcome outcome) {
+        public FittedMetric {
+            samples = List.copyOf(samples);
+        }
+    }
+
+    /** Fits each figure that was read at any point. */
+    public static SweepAnalysis of(MeasuredSweep sweep) {
+        List<FittedMetric> fits = new ArrayList<>();
+        for (Side side : Side.values()) {
+            for (Metric metric : Metric.values()) {
+                List<Sample> samples = samples(sweep, side, metric);
+                if (!samples.isEmpty()) {
+                    fits.add(new FittedMetric(side, metric, samples, FitChooser.choose(samples)));
+                }
+            }
+        }
+        return new SweepAnalysis(sweep, fits);
+    }
+
+    private static List<Sample> samples(MeasuredSweep sweep, Side side, Metric metric) {
+        return sweep.points().stream()
+                .filter(point -> side.of(point) != null)
+                .map(point -> new Sample(point.size(), metric.of(side.of(point))))
+                .filter(sample -> !Double.isNaN(sample.value()))
+                .toList();
+    }
+}
