--- a/src/main/java/linenring/command/Subcommands.java
+++ b/src/main/java/linenring/command/Subcommands.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.OptionalLong;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import linenring.configuration.Assignment;
@@ -17,6 +18,7 @@
 import linenring.handover.wire.Wire;
 import linenring.kdl.Units;
 import linenring.load.Load;
+import linenring.scale.run.ScaleCommand;
 import linenring.standin.Node;
 import linenring.wirehost.WireHost;
 import picocli.CommandLine;
@@ -310,4 +312,51 @@
             return Serve.CANNOT_START;
         }
     }
+
+    @Command(
+            name = "scale",
+            mixinStandardHelpOptions = true,
+            description = {
+                "Measure what a steward uses as its surroundings grow: sweeps and scenarios, on loopback.",
+                "A real steward runs in a process of its own, with the flags of deploy/balancer.toml; hollow ones run beside it.",
+                "It ends by itself within the bounds of its settings. docs/capacity/README.md tells the settings' keys.",
+                "Exit codes: 0 measured, 2 usage, 3 settings at fault, 4 the record can't be written."
+            })
+    int scale(
+            @Parameters(paramLabel = "FILE", description = "the settings, KDL; example/scale.kdl is a short run")
+                    Path file,
+            @Option(names = "--seed", paramLabel = "N", description = "goes before the settings' seed") Long seed,
+            @Option(
+                            names = "--record",
+                            paramLabel = "DIR",
+                            defaultValue = ".",
+                            description =
+                                    "where the record, its tables and its plots are written (the current directory)")
+                    Path directory,
+            @Option(
+                            names = "--name",
+                            paramLabel = "NAME",
+                            description = "that the record's files begin with (the settings' file name)")
+                    String name,
+            @Option(
+                            names = "--build",
+                            paramLabel = "TEXT",
+                            description = "what is measured, such as a commit, for the record (the release)")
+                    String build,
+            @Option(names = "--progress", description = "tell on standard error how far it has come") boolean progress)
+            throws InterruptedException {
+        ScaleCommand.Ending ending = new ScaleCommand(new ScaleCommand.Arguments(
+                        file,
+                        seed == null ? OptionalLong.empty() : OptionalLong.of(seed),
+                        directory,
+                        name == null ? file.getFileName().toString().replaceFirst("\\.kdl$", "") : name,
+                        build == null ? release() : build,
+                        progress))
+                .run();
+        return switch (ending) {
+            case MEASURED -> 0;
+            case SETTINGS_AT_FAULT -> Serve.CONFIGURATION;
+            case RECORD_NOT_WRITTEN -> Serve.CANNOT_START;
+        };
+    }
 }
--- /dev/null
+++ b/src/main/java/linenring/scale/run/ScaleCommand.java
@@ -0,0 +1,88 @@
+package linenring.scale.run;
+
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.OptionalLong;
+import linenring.scale.measurement.ScaleRun;
+import linenring.scale.measurement.Workload;
+import linenring.scale.report.RunReport;
+import linenring.scale.settings.ScalePlan;
+import linenring.scale.settings.ScalePlanReader;
+
+/** The sub-command {@code scale}: reads the settings, measures, and writes the record. */
+public final class ScaleCommand {
+    /** What came of it. */
+    public enum Ending {
+        MEASURED,
+        SETTINGS_AT_FAULT,
+        RECORD_NOT_WRITTEN
+    }
+
+    /**
+     * What it is told.
+     *
+     * @param seed goes before the settings' where it is there
+     * @param name that the record's files begin with
+     * @param build what is measured, in words
+     */
+    public record Arguments(
+            Path settings, OptionalLong seed, Path directory, String name, String build, boolean progress) {}
+
+    private final Arguments arguments;
+    private final Progress progress;
+    private IOException notWritten;
+
+    public ScaleCommand(Arguments arguments) {
+        this.arguments = arguments;
+        progress = arguments.progress() ? words -> System.err.println("scale: " + words) : Progress.NONE;
+    }
+
+    public Ending run() throws InterruptedException {
+        ScalePlanReader.Outcome read = ScalePlanReader.read(arguments.settings());
+        if (read.plan() == null) {
+            read.faults().forEach(System.err::println);
+            return Ending.SETTINGS_AT_FAULT;
+        }
+        RunReport report = new RunReport(arguments.directory());
+        ScaleRun run = new ScaleRunner(request(read.plan()), progress, soFar -> writeRecord(report, soFar)).run();
+        try {
+            report.write(run, arguments.name());
+        } catch (IOException e) {
+            notWritten = e;
+        }
+        if (notWritten != null) {
+            System.err.println(
+                    "linenring: the record can't be written to " + arguments.directory() + ": " + notWritten);
+            return Ending.RECORD_NOT_WRITTEN;
+        }
+        System.out.println(arguments.directory().resolve(arguments.name() + ".md"));
+        return Ending.MEASURED;
+    }
+
+    private void writeRecord(RunReport report, ScaleRun soFar) {
+        try {
+            report.writeRecord(soFar, arguments.name());
+        } catch (IOException e) {
+            notWritten = e;
+        }
+    }
+
+    private ScaleRunner.Request request(ScalePlan plan) {
+        return new ScaleRunner.Request(
+                arguments.build(),
+                arguments.seed().orElse(plan.seed()),
+                plan.warmUpSeconds(),
+                plan.windowSeconds(),
+                new ScaleRunner.Bounds(
+                        plan.bounds().memoryBytes(),
+                        plan.bounds().processes(),
+                        plan.bounds().seconds()),
+                plan.sweeps(),
+                plan.scenarios(),
+                scenarioWorkload(plan));
+    }
+
+    private static Workload scenarioWorkload(ScalePlan plan) {
+        return plan.sweeps().get(0).base();
+    }
+}
--- a/src/main/java/linenring/scale/run/ScaleRunner.java
+++ b/src/main/java/linenring/scale/run/ScaleRunner.java
@@ -22,20 +22,24 @@
 /** A whole run: sweep after sweep, point after point, then the scenarios; it ends by itself within its bound of time. */
 public final class ScaleRunner {
     private static final String TIME_IS_UP = "not run: the run's time was up";
+    private static final String MEMORY_IS_UP = "not run: the run's memory was up";
+    private static final String TOO_FEW_PROCESSES = "not run: the run may not start a steward's process";
+    private static final long STEWARD_BYTES = 256L << 20; // more than its flags let a real one have
+    private static final int PROCESSES = 2; // this one and a real steward's
 
     /**
      * What a run is made of.
      *
      * @param build the commit or release that is measured
      * @param scenarioWorkload under which scenarios are played
-     * @param secondsAtMost no point and no scenario begins that could end later
+     * @param bounds what the run may use
      */
     public record Request(
             String build,
             long seed,
             double warmUpSeconds,
             double windowSeconds,
-            double secondsAtMost,
+            Bounds bounds,
             List<Sweep> sweeps,
             List<Scenario> scenarios,
             Workload scenarioWorkload) {
@@ -45,6 +49,15 @@
         }
     }
 
+    /**
+     * What a run may use at most.
+     *
+     * @param memoryBytes no point begins where this process uses so much already, with a real steward's share beside it
+     * @param processes this one included
+     * @param seconds no point and no scenario begins that could end later
+     */
+    public record Bounds(long memoryBytes, int processes, double seconds) {}
+
     private final Request request;
     private final Progress progress;
     private final Consumer<ScaleRun> soFar;
@@ -84,8 +97,9 @@
     private Point measure(double size, Workload workload) throws InterruptedException {
         PointRunner runner =
                 new PointRunner(request.warmUpSeconds(), request.windowSeconds(), request.seed(), progress);
-        if (secondsLeft() < runner.secondsAtLeast()) {
-            return new Point(size, workload, null, null, TIME_IS_UP);
+        String beyond = beyondBounds(runner.secondsAtLeast());
+        if (beyond != null) {
+            return new Point(size, workload, null, null, beyond);
         }
         try {
             return runner.measure(size, workload, secondsLeft());
@@ -98,8 +112,9 @@
 
     private ScenarioOutcome play(Scenario scenario) throws InterruptedException {
         progress.say("scenario: " + scenario.description());
-        if (secondsLeft() < ScenarioPlayer.SECONDS_AT_MOST) {
-            return ScenarioPlayer.failed(scenario, request.scenarioWorkload(), TIME_IS_UP);
+        String beyond = beyondBounds(ScenarioPlayer.SECONDS_AT_MOST);
+        if (beyond != null) {
+            return ScenarioPlayer.failed(scenario, request.scenarioWorkload(), beyond);
         }
         try {
             return new ScenarioPlayer(request.seed(), progress).play(scenario, request.scenarioWorkload());
@@ -110,8 +125,22 @@
         }
     }
 
+    /** Which bound keeps what takes so many seconds from being run, in words, or null. */
+    private String beyondBounds(double seconds) {
+        if (request.bounds().processes() < PROCESSES) {
+            return TOO_FEW_PROCESSES;
+        }
+        if (secondsLeft() < seconds) {
+            return TIME_IS_UP;
+        }
+        System.gc();
+        Runtime runtime = Runtime.getRuntime();
+        long used = runtime.totalMemory() - runtime.freeMemory();
+        return used + STEWARD_BYTES > request.bounds().memoryBytes() ? MEMORY_IS_UP : null;
+    }
+
     private double secondsLeft() {
-        return request.secondsAtMost()
+        return request.bounds().seconds()
                 - Duration.between(startedAt, Instant.now()).toMillis() / 1000.0;
     }
 
