--- a/src/main/java/linenring/scale/report/MarkdownReport.java
+++ b/src/main/java/linenring/scale/report/MarkdownReport.java
@@ -21,6 +21,9 @@
 
 /** A run as Markdown: for each sweep its points and its fits, then the scenarios. */
 public final class MarkdownReport {
+    private static final double PERCENT = 100;
+    private static final double KILO = 1e3;
+
     private final ScaleRun run;
     private final List<SweepAnalysis> analyses;
 
@@ -50,7 +53,13 @@
     private static String section(int number, SweepAnalysis analysis) {
         MeasuredSweep sweep = analysis.sweep();
         return "\n## " + number + ". By " + sweep.variable().description() + "\n\nHeld: " + held(sweep) + ".\n\n"
-                + points(sweep) + "\n" + fits(analysis);
+                + points(sweep) + "\n" + fits(analysis) + threads(sweep);
+    }
+
+    private static String threads(MeasuredSweep sweep) {
+        ThreadTable table = new ThreadTable(sweep);
+        String told = "\nProcessor time by thread of the real steward, % of a core:\n\n";
+        return table.isEmpty() ? "" : told + table.markdown(sweep.variable().description());
     }
 
     private static String held(MeasuredSweep sweep) {
@@ -146,6 +155,7 @@
                 "kB in",
                 "kB out",
                 "processor, % of a core",
+                "at most in a second",
                 "resident memory, MB",
                 "failure"));
         run.scenarios().forEach(outcome -> table.row(cells(outcome)));
@@ -158,9 +168,10 @@
                 figure(outcome.workload().catalogueHosts()),
                 figure(outcome.hostsConcerned()),
                 figure(outcome.convergenceSeconds()),
-                figure(outcome.bytesIn() / 1e3),
-                figure(outcome.bytesOut() / 1e3),
+                figure(outcome.bytesIn() / KILO),
+                figure(outcome.bytesOut() / KILO),
                 cell(Metric.PROCESSOR, outcome.real()),
+                figure(PERCENT * outcome.peakProcessorShare()),
                 cell(Metric.RESIDENT, outcome.real()),
                 text(outcome.failure()));
     }
--- a/src/main/java/linenring/scale/settings/ScalePlan.java
+++ b/src/main/java/linenring/scale/settings/ScalePlan.java
@@ -3,6 +3,7 @@
 import java.util.List;
 import linenring.scale.measurement.Scenario;
 import linenring.scale.measurement.Sweep;
+import linenring.scale.measurement.Workload;
 
 /**
  * What a scale run is to measure.
@@ -10,6 +11,7 @@
  * @param seed for all that is drawn by chance
  * @param warmUpSeconds how long each point runs before it is measured
  * @param windowSeconds how long each point is measured
+ * @param scenarioWorkload what the steward bears while scenarios are played
  */
 public record ScalePlan(
         long seed,
@@ -17,7 +19,8 @@
         double windowSeconds,
         Bounds bounds,
         List<Sweep> sweeps,
-        List<Scenario> scenarios) {
+        List<Scenario> scenarios,
+        Workload scenarioWorkload) {
     public ScalePlan {
         sweeps = List.copyOf(sweeps);
         scenarios = List.copyOf(scenarios);
--- a/src/main/java/linenring/scale/settings/ScalePlanReader.java
+++ b/src/main/java/linenring/scale/settings/ScalePlanReader.java
@@ -60,7 +60,8 @@
                 seconds(in.get("window")),
                 bounds(in.get("bounds")),
                 sweeps(in),
-                scenarios(in));
+                scenarios(in),
+                scenarioWorkload(in));
         checkTime(plan, in.get("bounds"));
         return plan;
     }
@@ -98,7 +99,8 @@
         List<Double> sizes = new ArrayList<>();
         in.get("sizes").get("arguments").forEach(size -> sizes.add(size.asDouble()));
         checkSizes(variable, sizes, at + "/sizes");
-        return new Sweep(variable, sizes, workload(common, in.path("workload"), variable, at + "/workload"));
+        String key = "scale.sweep \"" + name(variable) + "\".workload";
+        return new Sweep(variable, sizes, workload(common, in.path("workload"), key, at + "/workload"));
     }
 
     private void checkSizes(Variable variable, List<Double> sizes, String at) {
@@ -114,8 +116,15 @@
         }
     }
 
-    /** The common workload but for what the sweep says otherwise; a scope that neither names is the whole catalogue. */
-    private Workload workload(JsonNode common, JsonNode own, Variable swept, String at) {
+    // ---- workloads
+
+    private Workload scenarioWorkload(JsonNode in) {
+        JsonNode own = in.path("scenario-workload");
+        return workload(in.get("workload"), own, "scale.scenario-workload", "/scale/scenario-workload");
+    }
+
+    /** The common workload but for what {@code own} says otherwise; a scope that neither names is the whole catalogue. */
+    private Workload workload(JsonNode common, JsonNode own, String key, String at) {
         Map<Variable, Double> sizes = new EnumMap<>(Variable.class);
         for (Variable variable : Variable.values()) {
             JsonNode size = own.has(name(variable)) ? own.get(name(variable)) : common.get(name(variable));
@@ -123,11 +132,9 @@
         }
         double hosts = sizes.get(Variable.CATALOGUE_HOSTS);
         double scope = sizes.get(Variable.HOSTS_IN_SCOPE);
-        if (scope > hosts && swept != Variable.CATALOGUE_HOSTS) {
+        if (scope > hosts) {
             document.fault(
-                    at,
-                    "scale.sweep \"" + name(swept) + "\".workload: hosts-in-scope of " + shown(scope)
-                            + " is over catalogue-hosts of " + shown(hosts));
+                    at, key + ": hosts-in-scope of " + shown(scope) + " is over catalogue-hosts of " + shown(hosts));
         }
         return Workload.of(sizes);
     }
--- a/src/test/java/linenring/scale/report/RunReportTest.java
+++ b/src/test/java/linenring/scale/report/RunReportTest.java
@@ -12,6 +12,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Map;
 import javax.imageio.ImageIO;
 import linenring.scale.measurement.MeasuredSweep;
 import linenring.scale.measurement.Point;
@@ -44,8 +45,9 @@
     private static MeasuredSweep sweep() {
         List<Point> points = new ArrayList<>();
         for (double size : SIZES) {
-            Usage real = new Usage(0.01 + 4e-6 * size, 50e6 + 600 * size, Double.NaN, 1200, 300, 20, 2);
-            Usage hollow = new Usage(0.005 + 4e-6 * size, Double.NaN, 1e6 + 550 * size, 1200, 300, 20, 2);
+            Map<String, Double> threads = Map.of("steward", 4e-6 * size, "compiler", 0.0001, "timer", 0.0002);
+            Usage real = new Usage(0.01 + 4e-6 * size, 50e6 + 600 * size, Double.NaN, 1200, 300, 20, 2, threads);
+            Usage hollow = new Usage(0.005 + 4e-6 * size, Double.NaN, 1e6 + 550 * size, 1200, 300, 20, 2, Map.of());
             points.add(new Point(size, BASE.with(Variable.CATALOGUE_HOSTS, size), real, hollow, null));
         }
         points.add(
@@ -57,12 +59,13 @@
         ScenarioOutcome zone = new ScenarioOutcome(
                 Scenario.ZONE_LOST_AND_BACK,
                 BASE,
-                new Usage(0.2, 52e6, Double.NaN, 0, 0, 0, 0),
+                new Usage(0.2, 52e6, Double.NaN, 0, 0, 0, 0, Map.of()),
                 null,
                 42,
                 1.25,
                 90_000,
                 12_000,
+                0.9,
                 null);
         return new ScaleRun(
                 "abc1234", "2026-12-02T05:00:00Z", 7, 8, "test machine", 2, 1.5, List.of(sweep()), List.of(zone));
@@ -130,7 +133,16 @@
                 page.contains("| real resident memory, MB | linear | 50.00 + 0.0006000 n |  | 0.000 | 16,384 | 32,768 |"
                         + " 69.7 | 69.7 |"),
                 page);
-        assertTrue(page.contains("| 64 | 42 | 1.25 | 90 | 12 | 20 | 52 |  |\n"), page);
+        assertTrue(page.contains("| 64 | 42 | 1.25 | 90 | 12 | 20 | 90 | 52 |  |\n"), page);
+    }
+
+    @Test
+    void thePageTellsTheBusyThreadsAndTheRestAsOne() {
+        String page = new MarkdownReport(run(), List.of(SweepAnalysis.of(sweep()))).page("r");
+        assertTrue(
+                page.contains("| hosts in the catalogue | steward | other threads |\n| --- | --- | --- |\n"
+                        + "| 64 | 0.026 | 0.030 |\n"),
+                page);
     }
 
     @Test
--- a/src/test/java/linenring/scale/settings/ScalePlanReaderTest.java
+++ b/src/test/java/linenring/scale/settings/ScalePlanReaderTest.java
@@ -6,6 +6,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.stream.Collectors;
 import linenring.scale.measurement.Scenario;
 import linenring.scale.measurement.Sweep;
@@ -14,6 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 class ScalePlanReaderTest {
@@ -34,6 +36,7 @@
                     workload catalogue-hosts=1024 hosts-in-scope=64
                 }
                 scenario "zone-lost-and-back"
+                scenario-workload catalogue-hosts=512
             }
             """;
 
@@ -55,7 +58,8 @@
                                         Variable.CHANGES_PER_SECOND,
                                         List.of(0.0, 0.5, 5.0),
                                         new Workload(1024, 64, 8, 4, 3, 2, 0.5, 20, 0))),
-                        List.of(Scenario.ZONE_LOST_AND_BACK)),
+                        List.of(Scenario.ZONE_LOST_AND_BACK),
+                        new Workload(512, 512, 8, 4, 3, 2, 0.5, 20, 0)),
                 plan);
     }
 
@@ -78,8 +82,9 @@
                 "9 | sizes 256 1024.5 | 9: scale.sweep \"catalogue-hosts\".sizes: 1024.5 is not a whole number",
                 "10 | workload proxies=-1 | 10: scale.sweep.workload.proxies: -1 is not a whole number from 0",
                 "14 | workload hosts-in-scope=512 | 14: scale.sweep \"changes-per-second\".workload: hosts-in-scope of 512 is over catalogue-hosts of 256",
-                "16 | scenario \"zone-lost\" | 16: scale.scenario: \"zone-lost\" is not one of \"churn\", \"rolling-restart\", \"rack-lost\", \"zone-lost-and-back\", \"silence-caught-up\", \"spoilt-list\", \"partial-list\"",
-                "17 | | 18: the file ends before a '}' that is open",
+                "16 | scenario \"zone-lost\" | 16: scale.scenario: \"zone-lost\" is not one of \"idle\", \"churn\", \"rolling-restart\", \"rack-lost\", \"zone-lost-and-back\", \"silence-caught-up\", \"spoilt-list\", \"partial-list\", \"proxies-restarted\", \"stewards-restarted\"",
+                "17 | scenario-workload hosts-in-scope=257 | 17: scale.scenario-workload: hosts-in-scope of 257 is over catalogue-hosts of 256",
+                "18 | | 19: the file ends before a '}' that is open",
             })
     void tellsAFaultByFileLineKeyAndWhatWasExpected(int line, String instead, String said) {
         List<String> lines = new ArrayList<>(GOOD.lines().toList());
@@ -89,6 +94,16 @@
         assertEquals("s.kdl:" + said, read.faults().stream().collect(Collectors.joining("; ")));
     }
 
+    @ParameterizedTest
+    @EnumSource(Scenario.class)
+    void knowsEachScenarioByItsName(Scenario scenario) {
+        String name = scenario.name().toLowerCase(Locale.ROOT).replace('_', '-');
+        ScalePlanReader.Outcome read =
+                ScalePlanReader.read("s.kdl", GOOD.replace("\"zone-lost-and-back\"", "\"" + name + "\""));
+        assertEquals(List.of(), read.faults());
+        assertEquals(List.of(scenario), read.plan().scenarios());
+    }
+
     @Test
     void rejectsAMissingFileInOneLine() {
         assertEquals(
