--- a/src/main/java/linenring/scale/run/ScaleCommand.java
+++ b/src/main/java/linenring/scale/run/ScaleCommand.java
@@ -4,7 +4,6 @@
 import java.nio.file.Path;
 import java.util.OptionalLong;
 import linenring.scale.measurement.ScaleRun;
-import linenring.scale.measurement.Workload;
 import linenring.scale.report.RunReport;
 import linenring.scale.settings.ScalePlan;
 import linenring.scale.settings.ScalePlanReader;
@@ -79,10 +78,6 @@
                         plan.bounds().seconds()),
                 plan.sweeps(),
                 plan.scenarios(),
-                scenarioWorkload(plan));
-    }
-
-    private static Workload scenarioWorkload(ScalePlan plan) {
-        return plan.sweeps().get(0).base();
+                plan.scenarioWorkload());
     }
 }
