--- a/src/main/java/linenring/scale/catalogue/CatalogueServer.java
+++ b/src/main/java/linenring/scale/catalogue/CatalogueServer.java
@@ -28,6 +28,7 @@
     private final SocketLoop loop;
     private final Set<Watcher> watchers = new LinkedHashSet<>(); // on the loop's thread
     private final LongAdder linesOut = new LongAdder();
+    private final LongAdder watchesOpened = new LongAdder();
     private volatile long[] held = {};
     private InetSocketAddress address;
 
@@ -67,6 +68,7 @@
             Matcher watch = WATCH.matcher(asked);
             if (watch.matches()) {
                 version = Long.parseLong(watch.group(1));
+                watchesOpened.increment();
                 link.send(WATCH_HEAD);
                 toldAt = System.nanoTime();
                 catchUp();
@@ -216,6 +218,11 @@
         return loop.bytesOut.sum();
     }
 
+    /** Watches that were begun; those of who dialled again count anew. */
+    public long watchesOpened() {
+        return watchesOpened.sum();
+    }
+
     /** Lines told, blank ones included. */
     public long linesOut() {
         return linesOut.sum();
--- a/src/main/java/linenring/scale/fleet/ListLedger.java
+++ b/src/main/java/linenring/scale/fleet/ListLedger.java
@@ -15,7 +15,7 @@
     private final Map<String, HostList.State> hosts = new HashMap<>();
     private final List<String> faults = new ArrayList<>();
     private long version = -1;
-    private long changes, wholeLists, jumps;
+    private long changes, wholeLists, jumps, merged;
 
     /** Takes one line in. */
     public synchronized void listed(HostList list) {
@@ -29,6 +29,7 @@
         } else {
             changes++;
             jumps += list.version() == version + 1 ? 0 : 1;
+            merged += Math.max(0, list.version() - version - 1);
         }
         version = list.version();
         for (HostList.Entry entry : list.entries()) {
@@ -64,6 +65,11 @@
         return jumps;
     }
 
+    /** Versions that came in the line of a later one: with {@link #changes} all that there were since the whole list. */
+    public synchronized long merged() {
+        return merged;
+    }
+
     public synchronized List<String> faults() {
         return List.copyOf(faults);
     }
--- a/src/main/java/linenring/scale/run/HollowMember.java
+++ b/src/main/java/linenring/scale/run/HollowMember.java
@@ -13,10 +13,17 @@
     private HollowSteward steward;
     private MemoryFleets.Connection connection;
 
-    HollowMember(String name, Assignment assignment, Scheduler scheduler, HollowFleet fleet, MemoryFleets fleets) {
+    /** {@code keepsLedger}: of what the catalogue tells it, which takes time and memory. */
+    HollowMember(
+            String name,
+            Assignment assignment,
+            Scheduler scheduler,
+            HollowFleet fleet,
+            MemoryFleets fleets,
+            boolean keepsLedger) {
         this.fleet = fleet;
         this.fleets = fleets;
-        steward = new HollowSteward(name, assignment, scheduler, false);
+        steward = new HollowSteward(name, assignment, scheduler, keepsLedger);
     }
 
     void open() throws Exception { // Jetty's start() may throw any
--- a/src/main/java/linenring/scale/run/Testbed.java
+++ b/src/main/java/linenring/scale/run/Testbed.java
@@ -41,6 +41,7 @@
 
     private final Workload workload;
     private final long seed;
+    private final boolean keepsLedgers;
     private final Path folder;
     private final Catalogue catalogue;
     private final List<String> scope;
@@ -54,8 +55,14 @@
 
     /** Builds the catalogue; nothing runs yet. */
     Testbed(Workload workload, long seed) throws IOException {
+        this(workload, seed, false);
+    }
+
+    /** With ledgers, if so asked, of what the catalogue tells hollow stewards. */
+    Testbed(Workload workload, long seed, boolean keepsLedgers) throws IOException {
         this.workload = workload;
         this.seed = seed;
+        this.keepsLedgers = keepsLedgers;
         folder = Files.createTempDirectory("linenring-scale");
         catalogue = new Catalogue(new CatalogueLayout(
                 workload.catalogueHosts(), workload.zones(), KINDS, workload.services(), HOSTS_PER_RACK));
@@ -91,8 +98,8 @@
             member.open();
         }
         for (int i = 0; i < hollowStewards; i++) {
-            hollow.add(
-                    new HollowMember("hollow-" + i, assignment(i), scheduler, fleet(realStewards + i), memoryFleets));
+            hollow.add(new HollowMember(
+                    "hollow-" + i, assignment(i), scheduler, fleet(realStewards + i), memoryFleets, keepsLedgers));
         }
         for (HollowMember member : hollow) {
             member.open();
@@ -166,6 +173,11 @@
         return workload;
     }
 
+    /** The agent of all hollow stewards. */
+    CatalogueServer hollowCatalogue() {
+        return hollowCatalogue;
+    }
+
     /** All servers of the catalogue. */
     List<CatalogueServer> servers() {
         return Stream.concat(Stream.of(hollowCatalogue), real.stream().map(RealMember::server))
--- /dev/null
+++ b/src/test/java/linenring/scale/catalogue/CatalogueAnswersTest.java
@@ -0,0 +1,73 @@
+package linenring.scale.catalogue;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import linenring.figures.Names;
+import linenring.message.Codec;
+import linenring.message.Decoded;
+import linenring.message.HostList;
+import org.junit.jupiter.api.Test;
+
+class CatalogueAnswersTest {
+    private final Catalogue catalogue = new Catalogue(new CatalogueLayout(30, 2, 2, 3, 5));
+    private final CatalogueAnswers answers = new CatalogueAnswers(catalogue);
+
+    private Decoded<HostList> read(byte[] bytes, int length) {
+        CatalogueLayout layout = catalogue.layout();
+        Names names = new Names(layout.zoneNames(), layout.kindNames(), List.of("lookup"), 1, 4);
+        return new Codec(names).hostList(bytes, length);
+    }
+
+    @Test
+    void aListIsReadAsTheStewardReadsIt() {
+        CatalogueAnswers.Body body = answers.list();
+        assertFalse(body.isCut());
+        HostList list = read(body.bytes(), body.length()).value();
+        assertEquals(catalogue.snapshot().asHostList(), list);
+    }
+
+    @Test
+    void aCutListEndsWithinAnEntryAndTheNextIsWhole() {
+        answers.cutNextLists(1);
+        CatalogueAnswers.Body cut = answers.list();
+        assertTrue(cut.isCut());
+        assertNull(read(cut.bytes(), cut.length()).value());
+        String sent = new String(cut.bytes(), 0, cut.length(), StandardCharsets.UTF_8);
+        assertTrue(sent.contains("\"id\"") && !sent.endsWith("},"), sent);
+        assertFalse(answers.list().isCut());
+    }
+
+    @Test
+    void spoiltEntriesAreLeftOutAloneAndTheNextListIsSound() {
+        answers.spoilNextLists(1, 4);
+        CatalogueAnswers.Body body = answers.list();
+        HostList spoilt = read(body.bytes(), body.length()).value();
+        assertNotNull(spoilt);
+        assertEquals(26, spoilt.entries().size());
+        assertEquals(4, spoilt.spoilt().size());
+        CatalogueAnswers.Body next = answers.list();
+        assertEquals(30, read(next.bytes(), next.length()).value().entries().size());
+    }
+
+    @Test
+    void anEntryThatIsGoneIsReadAsGone() {
+        CatalogueChange gone = catalogue.remove(catalogue.hosts(h -> h.zone() == 1));
+        HostList list = read(gone.encoded(), gone.encoded().length).value();
+        assertFalse(list.whole());
+        assertEquals(15, list.entries().size());
+        assertTrue(list.entries().stream().allMatch(e -> e.state() == HostList.State.GONE));
+    }
+
+    @Test
+    void aChangeIsEncodedOnce() {
+        CatalogueChange change = catalogue.terminate(catalogue.hosts(h -> h.rack() == 0));
+        assertTrue(change.chunk() == change.chunk());
+        assertTrue(catalogue.snapshot() == catalogue.snapshot());
+    }
+}
--- /dev/null
+++ b/src/test/java/linenring/scale/process/ProcessorTimesTest.java
@@ -0,0 +1,47 @@
+package linenring.scale.process;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Map;
+import linenring.scale.process.ProcessorTimes.ThreadKey;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+class ProcessorTimesTest {
+    @TempDir
+    Path process;
+
+    private void thread(String id, String name, String schedstat) throws IOException {
+        Path task = Files.createDirectories(process.resolve("task").resolve(id));
+        Files.writeString(task.resolve("comm"), name + "\n");
+        Files.writeString(task.resolve("schedstat"), schedstat);
+    }
+
+    @Test
+    void readsUserAndSystemTimeWhateverTheNameHolds() throws IOException {
+        Files.writeString(process.resolve("stat"), "7 (a ) b) S 1 7 7 0 -1 4194560 100 0 0 0 250 50 0 0 20 0\n");
+        thread("8", "qtp99-12", "1500000 10 3\n");
+        ProcessorTimes times = ProcessorTimes.read(process, true);
+        assertEquals(3_000_000_000L, times.nanos());
+        assertEquals(Map.of(new ThreadKey(8, "qtp99-12"), 1_500_000L), times.nanosByThread());
+        assertTrue(ProcessorTimes.read(process, false).nanosByThread().isEmpty());
+    }
+
+    @Test
+    void threadsOfAPoolStandTogetherAndANewOneCountsFromItsStart() {
+        ProcessorTimes before = new ProcessorTimes(0, 0, Map.of(new ThreadKey(1, "qtp5-1"), 100L));
+        ProcessorTimes after = new ProcessorTimes(
+                1024,
+                512,
+                Map.of(
+                        new ThreadKey(1, "qtp5-1"), 228L,
+                        new ThreadKey(2, "qtp5-2"), 128L,
+                        new ThreadKey(3, "timer"), 0L));
+        assertEquals(0.5, after.shareSince(before));
+        assertEquals(Map.of("qtp", 0.25), after.sharesByThreadSince(before));
+    }
+}
