--- a/src/main/java/linenring/command/Subcommands.java
+++ b/src/main/java/linenring/command/Subcommands.java
@@ -323,8 +323,16 @@
                 "Exit codes: 0 measured, 2 usage, 3 settings at fault, 4 the record can't be written."
             })
     int scale(
-            @Parameters(paramLabel = "FILE", description = "the settings, KDL; example/scale.kdl is a short run")
+            @Parameters(
+                            paramLabel = "FILE",
+                            arity = "0..1",
+                            description = "the settings, KDL; example/scale.kdl is a short run")
                     Path file,
+            @Option(
+                            names = "--from",
+                            paramLabel = "RECORD",
+                            description = "measure nothing; write the tables, fits and plots of this record.json again")
+                    Path record,
             @Option(names = "--seed", paramLabel = "N", description = "goes before the settings' seed") Long seed,
             @Option(
                             names = "--record",
@@ -345,14 +353,20 @@
                     String build,
             @Option(names = "--progress", description = "tell on standard error how far it has come") boolean progress)
             throws InterruptedException {
-        ScaleCommand.Ending ending = new ScaleCommand(new ScaleCommand.Arguments(
-                        file,
-                        seed == null ? OptionalLong.empty() : OptionalLong.of(seed),
-                        directory,
-                        name == null ? file.getFileName().toString().replaceFirst("\\.kdl$", "") : name,
-                        build == null ? release() : build,
-                        progress))
-                .run();
+        if ((file == null) == (record == null)) {
+            throw new CommandLine.ParameterException(
+                    spec.commandLine(), "scale: either the settings' FILE or --from RECORD is needed");
+        }
+        ScaleCommand.Ending ending = record != null
+                ? ScaleCommand.again(record)
+                : new ScaleCommand(new ScaleCommand.Arguments(
+                                file,
+                                seed == null ? OptionalLong.empty() : OptionalLong.of(seed),
+                                directory,
+                                name == null ? file.getFileName().toString().replaceFirst("\\.kdl$", "") : name,
+                                build == null ? release() : build,
+                                progress))
+                        .run();
         return switch (ending) {
             case MEASURED -> 0;
             case SETTINGS_AT_FAULT -> Serve.CONFIGURATION;
--- a/src/main/java/linenring/scale/run/ScaleCommand.java
+++ b/src/main/java/linenring/scale/run/ScaleCommand.java
@@ -4,6 +4,7 @@
 import java.nio.file.Path;
 import java.util.OptionalLong;
 import linenring.scale.measurement.ScaleRun;
+import linenring.scale.report.RunRecords;
 import linenring.scale.report.RunReport;
 import linenring.scale.settings.ScalePlan;
 import linenring.scale.settings.ScalePlanReader;
@@ -58,6 +59,25 @@
         return Ending.MEASURED;
     }
 
+    /** Writes the tables, fits and plots of a record again, beside it. */
+    public static Ending again(Path record) {
+        try {
+            String name = record.getFileName().toString().replaceFirst("\\.json$", "");
+            Path directory = record.toAbsolutePath().getParent();
+            RunRecords.Outcome read = RunRecords.read(record);
+            if (read.run() == null) {
+                System.err.println("linenring: " + read.fault());
+                return Ending.SETTINGS_AT_FAULT;
+            }
+            new RunReport(directory).write(read.run(), name);
+            System.out.println(directory.resolve(name + ".md"));
+            return Ending.MEASURED;
+        } catch (IOException e) {
+            System.err.println("linenring: " + record + " can't be read or written again: " + e.getMessage());
+            return Ending.RECORD_NOT_WRITTEN;
+        }
+    }
+
     private void writeRecord(RunReport report, ScaleRun soFar) {
         try {
             report.writeRecord(soFar, arguments.name());
--- a/src/main/java/linenring/scale/run/ScenarioPlayer.java
+++ b/src/main/java/linenring/scale/run/ScenarioPlayer.java
@@ -117,12 +117,11 @@
         }
 
         /** Seconds from the last of the event on; NaN where the tables did not come to agree. */
-        private double awaitConvergence() throws IOException, InterruptedException {
+        private double awaitConvergence() throws InterruptedException {
             double converged = Double.NaN;
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(CONVERGE_S);
             while (real.process().isAlive() && System.nanoTime() < end) {
-                peak.read(real.process().processorTimes(false));
-                TimeUnit.MILLISECONDS.sleep(POLL_MS);
+                watchFor(POLL_MS);
                 long now = System.nanoTime();
                 if (!hasEnded()) {
                     continue;
@@ -212,7 +211,7 @@
                     ? testbed.workload().changesPerSecond()
                     : CHURN_PER_SECOND;
             testbed.script(events -> events.churn(now, rate));
-            awaitWatched(CHURN_MS);
+            watchFor(CHURN_MS);
             testbed.script(CatalogueEvents::endSteadyRates);
         }
 
@@ -231,7 +230,7 @@
                     .mapToObj(i -> all.get(i * every))
                     .toList();
             testbed.script(events -> events.replaceAll(now, some));
-            awaitWatched(SILENT_MS);
+            watchFor(SILENT_MS);
             testbed.servers().forEach(s -> s.silent(false));
         }
 
@@ -242,7 +241,7 @@
                     .hosts(h -> true)
                     .subList(0, Math.min(SPOILT_ENTRIES, testbed.workload().catalogueHosts()));
             restart();
-            awaitWatched(WATCH_MS);
+            watchFor(WATCH_MS);
             testbed.script(events -> events.rollingRestart(System.currentTimeMillis(), spoilt, SPOILT_ENTRIES, 1));
         }
 
@@ -253,16 +252,17 @@
             first = new ProcessorTimes(System.nanoTime(), 0, Map.of()); // it has used none yet
         }
 
-        private void awaitWatched(long ms) throws InterruptedException {
+        /** Passes so much time and reads the peak meanwhile. */
+        private void watchFor(long ms) throws InterruptedException {
             long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
-            while (System.nanoTime() < end && real.process().isAlive()) {
+            do {
                 try {
                     peak.read(real.process().processorTimes(false));
                 } catch (IOException e) {
                     return; // it has ended, which is told at the end
                 }
-                TimeUnit.MILLISECONDS.sleep(POLL_MS);
-            }
+                TimeUnit.MILLISECONDS.sleep(Math.min(ms, POLL_MS));
+            } while (System.nanoTime() < end);
         }
     }
 }
