--- a/src/main/java/linenring/scale/report/MarkdownReport.java
+++ b/src/main/java/linenring/scale/report/MarkdownReport.java
@@ -105,6 +105,7 @@
 
     // ---- fits
 
+    /** The fits; of figures that have too few sizes the names alone. */
     private static String fits(SweepAnalysis analysis) {
         MarkdownTable table = new MarkdownTable(List.of(
                 "figure",
@@ -117,18 +118,24 @@
                 "predicted",
                 "measured",
                 "error"));
-        analysis.fits().forEach(fitted -> table.row(cells(fitted)));
-        return table.toString();
+        List<String> unfitted = new ArrayList<>();
+        for (SweepAnalysis.FittedMetric fitted : analysis.fits()) {
+            if (fitted.outcome() instanceof FitOutcome.Fitted found) {
+                table.row(cells(name(fitted), found));
+            } else if (fitted.outcome() instanceof FitOutcome.TooFewSizes few) {
+                unfitted.add(name(fitted) + ": " + few.measured() + " sizes, " + few.needed() + " are needed");
+            }
+        }
+        String told = unfitted.isEmpty() ? "" : "Not fitted: " + String.join("; ", unfitted) + ".\n";
+        return unfitted.size() == analysis.fits().size() ? told : table + (told.isEmpty() ? "" : "\n" + told);
     }
 
-    private static List<String> cells(SweepAnalysis.FittedMetric fitted) {
-        String figure = fitted.side().description() + " " + fitted.metric().description() + ", "
+    private static String name(SweepAnalysis.FittedMetric fitted) {
+        return fitted.side().description() + " " + fitted.metric().description() + ", "
                 + fitted.metric().unit();
-        if (fitted.outcome() instanceof FitOutcome.TooFewSizes few) {
-            String why = "not fitted: " + few.measured() + " sizes, " + few.needed() + " are needed";
-            return List.of(figure, why, "", "", "", "", "", "", "", "");
-        }
-        FitOutcome.Fitted found = (FitOutcome.Fitted) fitted.outcome();
+    }
+
+    private static List<String> cells(String figure, FitOutcome.Fitted found) {
         Fit fit = found.fit();
         HeldOut heldOut = found.heldOut();
         return List.of(
--- a/src/test/java/linenring/scale/report/RunReportTest.java
+++ b/src/test/java/linenring/scale/report/RunReportTest.java
@@ -121,7 +121,8 @@
         MeasuredSweep few =
                 new MeasuredSweep(Variable.PROXIES, BASE, sweep().points().subList(0, 3));
         String page = new MarkdownReport(run(), List.of(SweepAnalysis.of(few))).page("r");
-        assertTrue(page.contains("| real resident memory, MB | not fitted: 3 sizes, 5 are needed |"), page);
+        assertTrue(page.contains("\nNot fitted: real processor, % of a core: 3 sizes, 5 are needed; "), page);
+        assertTrue(!page.contains("| figure | shape |"), page);
     }
 
     @Test
--- a/src/test/java/linenring/scale/settings/ScalePlanReaderTest.java
+++ b/src/test/java/linenring/scale/settings/ScalePlanReaderTest.java
@@ -3,11 +3,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
+import java.io.IOException;
+import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.stream.Collectors;
+import java.util.stream.Stream;
 import linenring.scale.measurement.Scenario;
 import linenring.scale.measurement.Sweep;
 import linenring.scale.measurement.Variable;
@@ -16,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.junit.jupiter.params.provider.ValueSource;
+import org.junit.jupiter.params.provider.MethodSource;
 
 class ScalePlanReaderTest {
     private static final String GOOD = """
@@ -112,8 +115,16 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"example/scale.kdl", "docs/capacity/slopes.kdl"})
-    void findsNoFaultInTheFilesThatComeWithTheProgram(String file) {
-        assertEquals(List.of(), ScalePlanReader.read(Path.of(file)).faults());
+    @MethodSource("plansThatComeWithTheProgram")
+    void findsNoFaultInThePlansThatComeWithTheProgram(Path file) {
+        assertEquals(List.of(), ScalePlanReader.read(file).faults());
+    }
+
+    static List<Path> plansThatComeWithTheProgram() throws IOException {
+        try (Stream<Path> plans = Files.list(Path.of("docs/capacity/plans"))) {
+            return Stream.concat(plans, Stream.of(Path.of("example/scale.kdl")))
+                    .sorted()
+                    .toList();
+        }
     }
 }
