--- a/src/test/java/linenring/scale/run/ScaleTest.java
+++ b/src/test/java/linenring/scale/run/ScaleTest.java
@@ -9,6 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import linenring.scale.catalogue.CatalogueEvents;
+import linenring.scale.catalogue.CatalogueHost;
 import linenring.scale.fleet.HollowFleet;
 import linenring.scale.fleet.ListLedger;
 import linenring.scale.measurement.Workload;
@@ -18,6 +19,7 @@
 class ScaleTest {
     private static final Workload SMALL = new Workload(48, 48, 6, 4, 3, 3, 20, 60, 2);
     private static final long CHURN_MS = 4000, ZONE_AWAY_MS = 1500;
+    private static final int FAILING = 5;
     private static final long GIVE_UP_S = 40; // not an assert on time: where it hangs, it ends
 
     private static boolean await(BooleanSupplier what) throws InterruptedException {
@@ -43,7 +45,13 @@
             testbed.beginSteadyRates();
             TimeUnit.MILLISECONDS.sleep(CHURN_MS);
             testbed.script(CatalogueEvents::endSteadyRates);
-            testbed.script(events -> events.loseZone(System.currentTimeMillis(), 1, ZONE_AWAY_MS));
+            List<CatalogueHost> failing = testbed.catalogue().hosts(h -> h.zone() == 2 && h.isReady());
+            testbed.script(
+                    events -> { // some are gone for good without a drain, and a zone for a while
+                        long now = System.currentTimeMillis();
+                        events.replaceAll(now, failing.subList(0, FAILING));
+                        events.loseZone(now, 1, ZONE_AWAY_MS);
+                    });
             assertTrue(await(() -> !testbed.driver().isBusy()));
 
             assertConverges(testbed, real.fleet().fleet());
