--- a/src/main/java/linenring/scale/run/ScaleRunner.java
+++ b/src/main/java/linenring/scale/run/ScaleRunner.java
@@ -23,9 +23,8 @@
 public final class ScaleRunner {
     private static final String TIME_IS_UP = "not run: the run's time was up";
     private static final String MEMORY_IS_UP = "not run: the run's memory was up";
-    private static final String TOO_FEW_PROCESSES = "not run: the run may not start a steward's process";
+    private static final String TOO_FEW_PROCESSES = "not run: the run may not start so many processes";
     private static final long STEWARD_BYTES = 256L << 20; // more than its flags let a real one have
-    private static final int PROCESSES = 2; // this one and a real steward's
 
     /**
      * What a run is made of.
@@ -97,7 +96,7 @@
     private Point measure(double size, Workload workload) throws InterruptedException {
         PointRunner runner =
                 new PointRunner(request.warmUpSeconds(), request.windowSeconds(), request.seed(), progress);
-        String beyond = beyondBounds(runner.secondsAtLeast());
+        String beyond = beyondBounds(runner.secondsAtLeast(), PointRunner.realStewards(workload));
         if (beyond != null) {
             return new Point(size, workload, null, null, beyond);
         }
@@ -112,7 +111,7 @@
 
     private ScenarioOutcome play(Scenario scenario) throws InterruptedException {
         progress.say("scenario: " + scenario.description());
-        String beyond = beyondBounds(ScenarioPlayer.SECONDS_AT_MOST);
+        String beyond = beyondBounds(ScenarioPlayer.SECONDS_AT_MOST, 1);
         if (beyond != null) {
             return ScenarioPlayer.failed(scenario, request.scenarioWorkload(), beyond);
         }
@@ -125,9 +124,9 @@
         }
     }
 
-    /** Which bound keeps what takes so many seconds from being run, in words, or null. */
-    private String beyondBounds(double seconds) {
-        if (request.bounds().processes() < PROCESSES) {
+    /** Which bound keeps what takes so many seconds and real stewards from being run, in words, or null. */
+    private String beyondBounds(double seconds, int realStewards) {
+        if (request.bounds().processes() < 1 + realStewards) {
             return TOO_FEW_PROCESSES;
         }
         if (secondsLeft() < seconds) {
@@ -136,7 +135,7 @@
         System.gc();
         Runtime runtime = Runtime.getRuntime();
         long used = runtime.totalMemory() - runtime.freeMemory();
-        return used + STEWARD_BYTES > request.bounds().memoryBytes() ? MEMORY_IS_UP : null;
+        return used + realStewards * STEWARD_BYTES > request.bounds().memoryBytes() ? MEMORY_IS_UP : null;
     }
 
     private double secondsLeft() {
--- /dev/null
+++ b/src/test/java/linenring/scale/run/ScaleRunnerTest.java
@@ -0,0 +1,61 @@
+package linenring.scale.run;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.ArrayList;
+import java.util.List;
+import linenring.scale.measurement.ScaleRun;
+import linenring.scale.measurement.Scenario;
+import linenring.scale.measurement.Sweep;
+import linenring.scale.measurement.Variable;
+import linenring.scale.measurement.Workload;
+import org.junit.jupiter.api.Test;
+
+class ScaleRunnerTest {
+    private static final Workload WORKLOAD = new Workload(64, 64, 8, 4, 3, 2, 1, 20, 0);
+    private static final long ENOUGH_BYTES = 8L << 30;
+
+    private final List<ScaleRun> toldSoFar = new ArrayList<>();
+
+    private ScaleRun run(ScaleRunner.Bounds bounds) throws InterruptedException {
+        ScaleRunner.Request request = new ScaleRunner.Request(
+                "b1",
+                1,
+                3,
+                5,
+                bounds,
+                List.of(new Sweep(Variable.PROXIES, List.of(4.0, 8.0), WORKLOAD)),
+                List.of(Scenario.IDLE),
+                WORKLOAD);
+        return new ScaleRunner(request, Progress.NONE, toldSoFar::add).run();
+    }
+
+    private void assertNothingRuns(ScaleRunner.Bounds bounds, String why) throws InterruptedException {
+        ScaleRun run = run(bounds);
+        assertEquals(
+                List.of(why, why),
+                run.sweeps().get(0).points().stream().map(p -> p.failure()).toList());
+        assertEquals(
+                List.of(WORKLOAD.with(Variable.PROXIES, 4), WORKLOAD),
+                run.sweeps().get(0).points().stream().map(p -> p.workload()).toList());
+        assertEquals(why, run.scenarios().get(0).failure());
+        assertEquals(3, toldSoFar.size());
+        assertEquals(1, toldSoFar.get(0).sweeps().get(0).points().size());
+    }
+
+    @Test
+    void whatNoTimeIsLeftForIsTold() throws InterruptedException {
+        assertNothingRuns(new ScaleRunner.Bounds(ENOUGH_BYTES, 20, 2), "not run: the run's time was up");
+    }
+
+    @Test
+    void whatNoMemoryIsLeftForIsTold() throws InterruptedException {
+        assertNothingRuns(new ScaleRunner.Bounds(1 << 20, 20, 10_000), "not run: the run's memory was up");
+    }
+
+    @Test
+    void whatNoProcessIsLeftForIsTold() throws InterruptedException {
+        assertNothingRuns(
+                new ScaleRunner.Bounds(ENOUGH_BYTES, 1, 10_000), "not run: the run may not start so many processes");
+    }
+}
