--- a/src/main/java/linenring/scale/run/PointRunner.java
+++ b/src/main/java/linenring/scale/run/PointRunner.java
@@ -19,7 +19,7 @@
  * and the hollow stewards use over a window.
  */
 final class PointRunner {
-    private static final long SETTLE_S = 60; // of the real one, and again of the hollow ones
+    private static final long SETTLE_S = 60;
     private static final double STARTS_AND_ENDS_S = 10;
     private static final int REAL_STEWARDS_MOST = 4;
     private static final int STEWARDS_PER_REAL = 8; // one of so many is a real one
@@ -50,10 +50,10 @@
         return STARTS_AND_ENDS_S + warmUpSeconds + windowSeconds;
     }
 
-    /** Takes so many seconds at most; the first half of what it has to spare is for settling. */
+    /** Takes so many seconds at most: what is to spare is for settling. */
     Point measure(double size, Workload workload, double secondsAtMost)
             throws Exception { // Jetty's start() may throw any
-        long settle = (long) Math.min(SETTLE_S, (secondsAtMost - secondsAtLeast()) / 2);
+        long settle = (long) Math.min(SETTLE_S, secondsAtMost - secondsAtLeast());
         try (Testbed testbed = new Testbed(workload, seed)) {
             return measure(size, testbed, settle);
         }
@@ -85,8 +85,7 @@
     }
 
     /** Waits until all real stewards are settled; null, or what is missing at the first that is not. */
-    private static String settle(Testbed testbed, long seconds) throws InterruptedException {
-        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
+    private static String settle(Testbed testbed, long deadline) throws InterruptedException {
         for (RealMember member : testbed.real()) {
             String missing = testbed.awaitSettled(member, deadline);
             if (missing != null) {
