--- a/src/main/java/linenring/scale/process/ProcessorTimes.java
+++ b/src/main/java/linenring/scale/process/ProcessorTimes.java
@@ -16,6 +16,7 @@
  */
 public record ProcessorTimes(long atNanos, long nanos, Map<ThreadKey, Long> nanosByThread) {
     private static final long NANOS_PER_TICK = 10_000_000; // USER_HZ is 100 on every Linux
+    private static final String NUMBER_AT_END = "[-#]?[0-9]+(-[0-9]+)?$";
     private static final int FIELDS_BEFORE_UTIME = 11; // after the name in brackets: state is the first
 
     /** A thread and its name, of which the kernel keeps 15 letters. */
@@ -52,13 +53,13 @@
         return (double) (nanos - before.nanos) / (atNanos - before.atNanos);
     }
 
-    /** The same by the names of threads; numbers in names are left out, so that threads of a pool stand together. */
+    /** The same by the names of threads; numbers at the end of names are left out, so that threads of a pool stand together. */
     public Map<String, Double> sharesByThreadSince(ProcessorTimes before) {
         Map<String, Double> shares = new HashMap<>();
         nanosByThread.forEach((thread, spent) -> {
             long spentBefore = before.nanosByThread.getOrDefault(thread, 0L);
             double share = (double) (spent - spentBefore) / (atNanos - before.atNanos);
-            shares.merge(thread.name().replaceAll("[-#]?[0-9]+", ""), share, Double::sum);
+            shares.merge(thread.name().replaceAll(NUMBER_AT_END, ""), share, Double::sum);
         });
         shares.values().removeIf(share -> share == 0);
         return shares;
--- a/src/test/java/linenring/scale/process/ProcessorTimesTest.java
+++ b/src/test/java/linenring/scale/process/ProcessorTimesTest.java
@@ -40,8 +40,9 @@
                 Map.of(
                         new ThreadKey(1, "qtp5-1"), 228L,
                         new ThreadKey(2, "qtp5-2"), 128L,
-                        new ThreadKey(3, "timer"), 0L));
+                        new ThreadKey(3, "timer"), 0L,
+                        new ThreadKey(4, "C1 CompilerThre"), 512L));
         assertEquals(0.5, after.shareSince(before));
-        assertEquals(Map.of("qtp", 0.25), after.sharesByThreadSince(before));
+        assertEquals(Map.of("qtp", 0.25, "C1 CompilerThre", 0.5), after.sharesByThreadSince(before));
     }
 }
