--- a/src/main/java/linenring/scale/run/PointRunner.java
+++ b/src/main/java/linenring/scale/run/PointRunner.java
@@ -62,11 +62,15 @@
     private Point measure(double size, Testbed testbed, long settleSeconds) throws Exception {
         int realStewards = realStewards(testbed.workload());
         testbed.open(realStewards, Math.max(1, testbed.workload().stewards() - realStewards));
-        String failure = settle(testbed, settleSeconds);
-        String hollowFailure = testbed.awaitHollowSettled(System.nanoTime() + TimeUnit.SECONDS.toNanos(settleSeconds));
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(settleSeconds);
+        String failure = settle(testbed, deadline);
+        String hollowFailure = testbed.awaitHollowSettled(deadline);
         if (failure != null || hollowFailure != null) {
             progress.say("real: " + failure + "; hollow: " + hollowFailure);
         }
+        if (failure != null && hollowFailure != null) {
+            return new Point(size, testbed.workload(), null, null, failure);
+        }
         testbed.beginSteadyRates();
         sleep(warmUpSeconds);
         RealWindow real = failure == null ? new RealWindow(testbed.real()) : null;
