--- a/src/main/java/linenring/command/Handover.java
+++ b/src/main/java/linenring/command/Handover.java
@@ -134,11 +134,9 @@
                 return "the listener is at port " + port + ", and the settings say "
                         + instance.plan.listen().getPort();
             }
-            HostList known = told == null
-                            || instance.told.known() != null
-                                    && instance.told.known().version() > told.version()
-                    ? instance.told.known()
-                    : told;
+            HostList configured = instance.takeKnown();
+            boolean isNewer = told == null || configured != null && configured.version() > told.version();
+            HostList known = isNewer ? configured : told;
             if (known != null) {
                 list.listed(known);
             }
--- a/src/main/java/linenring/command/Instance.java
+++ b/src/main/java/linenring/command/Instance.java
@@ -28,6 +28,7 @@
     final FrontPlan plan;
     final Log log;
     private final HangUps hangUps;
+    private HostList known; // null once it is begun with: its memory goes with it
     private final Exchange exchange = new Exchange();
     private final HostBook hosts = new HostBook();
     private final QueuedThreadPool threads = new QueuedThreadPool(THREADS, 2);
@@ -39,7 +40,8 @@
     private final Ending ending = new Ending();
 
     Instance(Assignment told, FrontPlan plan, HangUps hangUps, Log log) {
-        this.told = told;
+        this.told = told.withKnown(null, told.leftOut());
+        known = told.known();
         this.plan = plan;
         this.hangUps = hangUps;
         this.log = log;
@@ -48,9 +50,9 @@
 
     /** Serves from the start; returns the exit code where it can't. */
     int serve() {
-        Handover handover = plan != null && plan.handover() != null ? new Handover(this, exchange, told.known()) : null;
+        Handover handover = plan != null && plan.handover() != null ? new Handover(this, exchange, known) : null;
         try {
-            begin(told.known());
+            begin(takeKnown());
             String fault = openStreams();
             if (fault != null) {
                 System.err.println("linenring: cannot listen at " + at() + ", though " + fault);
@@ -86,7 +88,14 @@
 
     /** Takes over from the process at this socket; returns the exit code where nothing came of it. */
     int takeOver(Path socket) {
-        return new Handover(this, exchange, told.known()).takeOver(socket);
+        return new Handover(this, exchange, known).takeOver(socket);
+    }
+
+    /** The list that the configuration knows, or null; it is given away once. */
+    HostList takeKnown() {
+        HostList taken = known;
+        known = null;
+        return taken;
     }
 
     void saysServes() {
@@ -115,13 +124,21 @@
         threads.setDaemon(true);
         threads.start();
         scheduler.start();
-        HostWatch watch = new HostWatch(told.discovery(), known, codec, exchange, log, threads, scheduler);
+        HostWatch watch = new HostWatch(
+                told.discovery(), told.scope(), known, codec, exchange, log, threads, scheduler, this::endsAsUnfit);
         watch.open();
         hangUps.then(
-                () -> Serve.reload(told, AssignmentReader.read(System.getenv()), watch, log),
+                () -> Serve.reload(told, AssignmentReader.readAgain(System.getenv()), watch, log),
                 log); // before the first PONG
     }
 
+    /** The list of hosts has no room, and there is none to go on with. */
+    private void endsAsUnfit(String why) {
+        log.error("steward", "ends: " + why);
+        new Thread(() -> System.exit(Serve.EXCEEDS_MEMORY), "unfit")
+                .start(); // not on the selector, which the end may wait for
+    }
+
     void decide() {
         steward.run();
     }
--- a/src/main/java/linenring/command/Serve.java
+++ b/src/main/java/linenring/command/Serve.java
@@ -16,7 +16,7 @@
 /** Serves until it is told to end: a steward, and a front beside it where one is asked for. */
 public final class Serve {
     /** Exit codes, beside 0. */
-    static final int CONFIGURATION = 3, CANNOT_START = 4;
+    static final int CONFIGURATION = 3, CANNOT_START = 4, EXCEEDS_MEMORY = 6;
 
     private Serve() {}
 
@@ -28,7 +28,7 @@
         Assignment told = read.assignment();
         if (told == null) {
             System.err.println("linenring: " + read.fault());
-            return CONFIGURATION;
+            return read.exceedsMemory() ? EXCEEDS_MEMORY : CONFIGURATION;
         }
         FrontPlan plan = null;
         if (frontFile != null) {
@@ -64,6 +64,6 @@
                         + (fixed.isEmpty()
                                 ? ""
                                 : "; what can't change while it runs stays: " + String.join(", ", fixed)));
-        watch.moveTo(read.assignment().discovery());
+        watch.moveTo(read.assignment().discovery(), read.assignment().scope());
     }
 }
--- a/src/main/java/linenring/configuration/Assignment.java
+++ b/src/main/java/linenring/configuration/Assignment.java
@@ -5,10 +5,11 @@
 import java.util.List;
 import linenring.figures.Names;
 import linenring.message.HostList;
+import linenring.message.ServiceScope;
 import linenring.plan.StartFigures;
 
 /**
- * What one steward is told at its start. {@code known}: the list as it last had it, or null; {@code leftOut}:
+ * What one steward is told at its start. {@code scope}: whose hosts it serves; {@code known}: the list as it last had it, or null; {@code leftOut}:
  * what of that list can't be used, with its key, or null.
  */
 public record Assignment(
@@ -18,8 +19,14 @@
         int sockets,
         StartFigures figures,
         Names names,
+        ServiceScope scope,
         HostList known,
         String leftOut) {
+    /** The same with this list and what of it can't be used, or null. */
+    public Assignment withKnown(HostList list, String unusable) {
+        return new Assignment(name, listen, discovery, sockets, figures, names, scope, list, unusable);
+    }
+
     /** The keys under which the other tells something that can't change while the steward runs. */
     public List<String> fixedKeysThatDiffer(Assignment other) {
         List<String> keys = new ArrayList<>();
@@ -36,10 +43,13 @@
         }
     }
 
-    /** Reading came to this: an assignment, or the key at fault and what is wrong with it. */
-    public record Outcome(Assignment assignment, String fault) {
+    /**
+     * Reading came to this: an assignment, or the key at fault and what is wrong with it; {@code exceedsMemory}: nothing but
+     * that the list of hosts has no room in the heap.
+     */
+    public record Outcome(Assignment assignment, String fault, boolean exceedsMemory) {
         static Outcome fault(String key, String what) {
-            return new Outcome(null, key + " " + what);
+            return new Outcome(null, key + " " + what, false);
         }
     }
 }
--- a/src/main/java/linenring/configuration/AssignmentReader.java
+++ b/src/main/java/linenring/configuration/AssignmentReader.java
@@ -1,23 +1,24 @@
 package linenring.configuration;
 
-import com.fasterxml.jackson.core.JsonFactory;
-import com.fasterxml.jackson.core.JsonParser;
-import com.fasterxml.jackson.core.JsonToken;
-import java.io.ByteArrayOutputStream;
+import com.fasterxml.jackson.core.JsonProcessingException;
+import java.io.ByteArrayInputStream;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.nio.channels.Channels;
+import java.nio.channels.SeekableByteChannel;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import java.util.TreeMap;
 import linenring.configuration.Assignment.Outcome;
-import linenring.figures.Lookup;
 import linenring.figures.Names;
 import linenring.figures.StartReader;
 import linenring.message.Codec;
 import linenring.message.Decoded;
+import linenring.message.HostCapacity;
 import linenring.message.HostList;
+import linenring.message.HostListFilter;
+import linenring.message.Unreadable;
 
 /**
  * The one place where configuration is read, checked and given defaults. The file that {@code GW_CONFIG} names
@@ -30,113 +31,87 @@
 
     private AssignmentReader() {}
 
-    /** Stops at {@link #read}. */
-    private static final class BadKey extends RuntimeException {
-        private static final long serialVersionUID = 1L;
-
-        BadKey(String key, String what) {
-            super(key + (what.startsWith(":") ? what : " " + what), null, false, false);
-        }
+    public static Outcome read(Map<String, String> environment) {
+        return read(environment, true);
     }
 
-    /** Nested JSON as paths: names joined by dots, lists of objects numbered and counted, plain ones by commas. */
-    private static final class Flat extends Lookup {
-        final Map<String, String> values = new TreeMap<>();
-        private final String within;
-
-        Flat(String within) {
-            this.within = within;
-        }
-
-        @Override
-        public String find(String path) {
-            return values.get(path);
-        }
-
-        @Override
-        protected RuntimeException bad(String path, String what) {
-            return new BadKey(within + path, what);
-        }
-
-        void object(JsonParser in, String path) throws IOException {
-            while (in.nextToken() != JsonToken.END_OBJECT) {
-                String name = in.currentName();
-                in.nextToken();
-                value(in, path.isEmpty() ? name : path + "." + name);
-            }
-        }
-
-        private void value(JsonParser in, String path) throws IOException {
-            switch (in.currentToken()) {
-                case START_OBJECT -> object(in, path);
-                case START_ARRAY -> list(in, path);
-                case VALUE_NULL -> {} // as if it were not there
-                default -> values.put(path, in.getText());
-            }
-        }
-
-        private void list(JsonParser in, String path) throws IOException {
-            StringBuilder plain = new StringBuilder();
-            int items = 0, objects = 0;
-            while (in.nextToken() != JsonToken.END_ARRAY) {
-                if (in.currentToken().isScalarValue()) {
-                    plain.append(items++ > 0 ? "," : "").append(in.getText());
-                } else {
-                    value(in, path + "." + objects++);
-                }
-            }
-            values.put(objects > 0 ? path + ".count" : path, objects > 0 ? "" + objects : plain.toString());
-        }
+    /** As {@link #read}, without the list of hosts that is known: only a start has a use for it. */
+    public static Outcome readAgain(Map<String, String> environment) {
+        return read(environment, false);
     }
 
-    public static Outcome read(Map<String, String> environment) {
+    private static Outcome read(Map<String, String> environment, boolean withKnown) {
         String file = environment.get("GW_CONFIG");
         if (file == null || file.isEmpty()) {
             return Outcome.fault("GW_CONFIG", "is missing");
         }
-        byte[] text;
-        try {
-            text = Files.readAllBytes(Path.of(file));
+        try (SeekableByteChannel channel =
+                Files.newByteChannel(Path.of(file))) { // one file, be its name another's meanwhile
+            boolean[] begun = {false};
+            return read(
+                    environment,
+                    () -> {
+                        if (begun[0]) { // what can be read only once, as a pipe, will do where there is no list
+                            channel.position(0);
+                        }
+                        begun[0] = true;
+                        return Channels.newInputStream(channel);
+                    },
+                    withKnown);
         } catch (IOException | RuntimeException e) {
             return Outcome.fault("GW_CONFIG:", "cannot read " + file);
         }
-        return read(environment, text);
     }
 
     static Outcome read(Map<String, String> environment, byte[] text) {
-        Flat all = new Flat(""), settings = new Flat("settings.");
-        byte[] known = null;
-        JsonFactory json = new JsonFactory();
-        try (JsonParser in = json.createParser(text)) {
-            if (in.nextToken() != JsonToken.START_OBJECT) {
-                return Outcome.fault("GW_CONFIG:", "the file holds no JSON object");
-            }
-            while (in.nextToken() != JsonToken.END_OBJECT) {
-                String name = in.currentName();
-                JsonToken token = in.nextToken();
-                if (token == JsonToken.START_OBJECT && name.equals("settings")) {
-                    settings.object(in, "");
-                } else if (token == JsonToken.START_OBJECT && name.equals("known")) {
-                    ByteArrayOutputStream copy = new ByteArrayOutputStream();
-                    try (var out = json.createGenerator(copy)) {
-                        out.copyCurrentStructure(in);
-                    }
-                    known = copy.toByteArray(); // read below, when the names of zones and kinds are told
-                } else {
-                    all.value(in, name);
-                }
-            }
-        } catch (IOException e) {
-            return Outcome.fault("GW_CONFIG:", "the file is not JSON");
-        }
+        return read(environment, () -> new ByteArrayInputStream(text), true);
+    }
+
+    private static Outcome read(Map<String, String> environment, ConfigurationText.Source source, boolean withKnown) {
+        return read(environment, source, withKnown, HostCapacity.ofThisProcess());
+    }
+
+    static Outcome read(
+            Map<String, String> environment, ConfigurationText.Source source, boolean withKnown, int hostsMost) {
         try {
-            return new Outcome(check(environment, all, settings, known), null);
+            ConfigurationText text = ConfigurationText.read(source);
+            Assignment assignment = check(environment, text);
+            return withKnown ? withKnown(assignment, text, hostsMost) : new Outcome(assignment, null, false);
         } catch (BadKey e) {
-            return new Outcome(null, e.getMessage());
+            return new Outcome(null, e.getMessage(), false);
+        } catch (JsonProcessingException e) {
+            return Outcome.fault("GW_CONFIG:", "the file is not JSON");
+        } catch (IOException e) {
+            return Outcome.fault("GW_CONFIG:", "cannot be read: " + e.getMessage());
         }
     }
 
-    private static Assignment check(Map<String, String> environment, Flat all, Flat settings, byte[] known) {
+    /** Discovery tells the list all the same: what is wrong with this one stops no start, unless it can't be borne. */
+    private static Outcome withKnown(Assignment assignment, ConfigurationText text, int hostsMost) throws IOException {
+        HostListFilter filter = new HostListFilter(assignment.scope(), id -> false, hostsMost);
+        Decoded<HostList> known = text.known(new Codec(assignment.names()), filter);
+        if (known == null) {
+            return new Outcome(assignment, null, false);
+        }
+        HostList list = known.value();
+        if (list == null) {
+            return known.fault().reached() == Unreadable.Reached.SIZE
+                    ? new Outcome(null, "known lists " + known.fault().what(), true)
+                    : new Outcome(
+                            assignment.withKnown(null, "known: " + known.fault().what() + "; begins without it"),
+                            null,
+                            false);
+        }
+        if (list.hasNoneInScope()) {
+            String leftOut = "known lists " + list.outside() + " hosts and scope names none of them; begins without it";
+            return new Outcome(assignment.withKnown(null, leftOut), null, false);
+        }
+        String leftOut = list.leftOut() == null ? null : "known lists " + list.leftOut();
+        return new Outcome(assignment.withKnown(list, leftOut), null, false);
+    }
+
+    private static Assignment check(Map<String, String> environment, ConfigurationText text) {
+        FlatJson all = text.all, settings = text.settings;
         preferred(environment, "GW_NAME", all, "name");
         String listen = preferred(environment, "GW_LISTEN", all, "listen");
         String discovery =
@@ -149,15 +124,6 @@
         if (sockets < SOCKETS_LEAST) {
             throw new BadKey("limits.sockets", ": " + sockets + " is under " + SOCKETS_LEAST);
         }
-        HostList list = null;
-        String leftOut = null; // discovery tells the list all the same: what is wrong with this one stops no start
-        if (known != null) {
-            Decoded<HostList> decoded = new Codec(names).hostList(known, known.length);
-            list = decoded.value();
-            leftOut = list == null
-                    ? "known: " + decoded.fault().what() + "; begins without it"
-                    : list.leftOut() == null ? null : "known lists " + list.leftOut();
-        }
         return new Assignment(
                 all.find("name"),
                 address(listen, all.find("listen")),
@@ -165,12 +131,13 @@
                 sockets,
                 StartReader.read(settings),
                 names,
-                list,
-                leftOut);
+                text.scope(),
+                null,
+                null);
     }
 
     /** Lets the environment's value go before the file's; tells the key that it came from. */
-    private static String preferred(Map<String, String> environment, String variable, Flat all, String key) {
+    private static String preferred(Map<String, String> environment, String variable, FlatJson all, String key) {
         String value = environment.get(variable);
         if (value != null && !value.isEmpty()) {
             all.values.put(key, value);
--- a/src/main/java/linenring/discovery/AgentConnection.java
+++ b/src/main/java/linenring/discovery/AgentConnection.java
@@ -2,13 +2,14 @@
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import java.util.Arrays;
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeoutException;
 import linenring.discovery.HostWatch.Ended;
 import linenring.discovery.HostWatch.Ended.Reached;
 import linenring.message.Decoded;
 import linenring.message.HostList;
+import linenring.message.HostListStream;
+import linenring.message.Unreadable;
 import org.eclipse.jetty.http.HttpException;
 import org.eclipse.jetty.http.HttpField;
 import org.eclipse.jetty.http.HttpFields;
@@ -28,10 +29,10 @@
 final class AgentConnection extends AbstractConnection implements HttpParser.ResponseHandler {
     private static final int READ = 16 * 1024;
     private static final int REQUEST_MOST = 1024; // ours has under 200
-    private static final int BODY_MOST = 8 << 20; // some 60,000 hosts
     private static final long SILENT_MS = 2500; // a blank line is due every 2 s, and half a second is for its way
 
     private static final long LINE_NS = 6_000_000_000L; // bytes alone are no word: what is told is due after so long
+    private static final int ENTRIES_A_WORD = 1000; // so many entries are one: a list may be longer than that takes
 
     private final HostWatch watch;
     private final HostWatch.Source source;
@@ -39,9 +40,12 @@
     private final boolean once;
     private final HttpParser parser = new HttpParser(this);
     private final ByteBuffer read = BufferUtil.allocate(READ);
-    private byte[] line = new byte[4096];
-    private int length, status;
-    private long lineAt; // when the last line had come to its end, be it a blank one
+    private final byte[] bytes = new byte[READ];
+    private HostListStream list; // the line being read; null until it has more than blanks
+    private long revision; // what was held when it began
+    private int entriesTold; // of that line, as far as they counted as a word
+    private int status;
+    private long lineAt; // when the last line or so many entries of it had come to their end, be it a blank one
     private Reached reached = Reached.CONNECTED;
     private String broken;
     private boolean complete, ended;
@@ -190,42 +194,91 @@
     @Override
     public boolean content(ByteBuffer content) {
         while (content.hasRemaining() && broken == null) {
-            byte b = content.get();
-            if (b == '\n' && !once) {
-                lineEnds();
-            } else if (length == BODY_MOST) {
-                broken = "a line of over " + BODY_MOST + " bytes";
+            int got = Math.min(content.remaining(), bytes.length);
+            content.get(bytes, 0, got);
+            if (once) {
+                read(0, got);
             } else {
-                line = length == line.length ? Arrays.copyOf(line, 2 * length) : line;
-                line[length++] = b;
+                lines(got);
             }
         }
         return broken != null;
     }
 
+    private void lines(int got) {
+        int from = 0;
+        for (int i = 0; i < got && broken == null; i++) {
+            if (bytes[i] == '\n') {
+                read(from, i);
+                from = i + 1;
+                if (broken == null) {
+                    lineEnds();
+                }
+            }
+        }
+        if (broken == null) {
+            read(from, got);
+        }
+    }
+
+    /** Reads on in the line. */
+    private void read(int from, int to) {
+        int start = from;
+        while (list == null && start < to && isBlank(bytes[start])) {
+            start++;
+        }
+        if (start == to) {
+            return;
+        }
+        if (list == null) {
+            list = watch.reads(source);
+            revision = watch.revision();
+            entriesTold = 0;
+        }
+        list.feed(bytes, start, to);
+        if (list.result() != null && list.result().value() == null) {
+            broken = unreadable(list.result().fault());
+        } else if (list.entriesRead() - entriesTold >= ENTRIES_A_WORD) {
+            entriesTold = list.entriesRead();
+            lineAt = watch.now();
+        }
+    }
+
+    private boolean isBlank(byte b) {
+        return b == ' ' || b == '\r' || b == '\t' || once && b == '\n';
+    }
+
+    private String unreadable(Unreadable fault) {
+        return fault.reached() == Unreadable.Reached.SIZE
+                ? watch.tooLarge(source, fault.what())
+                : "can't be read, " + fault;
+    }
+
     private void lineEnds() {
-        int whole = length;
-        length = 0;
         lineAt = watch.now();
-        boolean blank = true;
-        for (int i = 0; i < whole && blank; i++) {
-            blank = line[i] == ' ' || line[i] == '\r' || line[i] == '\t';
-        }
-        if (blank) {
+        if (list == null) {
             broken = watch.speaks(source) ? watch.asksAnew(source) : HostWatch.MOVED_ON;
             reached = Reached.TOLD; // that nothing has changed
             return;
         }
-        Decoded<HostList> list = watch.codec.hostList(line, whole);
-        if (list.value() == null) {
-            broken = "can't be read, " + list.fault();
+        Decoded<HostList> read = list.end();
+        letListGo();
+        if (read.value() == null) {
+            broken = unreadable(read.fault());
             return;
         }
-        String fault = watch.told(source, list.value());
+        String fault = watch.told(source, read.value(), revision);
         reached = fault == null ? Reached.TOLD : reached;
         broken = fault;
     }
 
+    private void letListGo() {
+        if (list != null) {
+            list.close();
+            list = null;
+        }
+    }
+
     @Override
     public boolean contentComplete() {
         return false;
@@ -233,7 +286,7 @@
 
     @Override
     public boolean messageComplete() {
-        if (length > 0 && broken == null) {
+        if (list != null && broken == null) {
             lineEnds();
         }
         complete = true;
--- a/src/main/java/linenring/discovery/HostWatch.java
+++ b/src/main/java/linenring/discovery/HostWatch.java
@@ -12,7 +12,11 @@
 import linenring.exchange.Exchange;
 import linenring.log.Log;
 import linenring.message.Codec;
+import linenring.message.HostCapacity;
 import linenring.message.HostList;
+import linenring.message.HostListFilter;
+import linenring.message.HostListStream;
+import linenring.message.ServiceScope;
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.io.ManagedSelector;
@@ -40,15 +44,22 @@
     /** One address of discovery's agent: attempts are made there, one after the other, until it is left. */
     static final class Source {
         final InetSocketAddress at;
+        final ServiceScope scope;
         final Versions.Told told;
         private long wait = REDIAL_LEAST_MS;
         private boolean left;
         SocketChannel dialled; // the last attempt's; guarded by the watch
         private AgentConnection open;
 
-        Source(InetSocketAddress at, boolean movedTo) {
+        Source(InetSocketAddress at, ServiceScope scope, boolean movedTo) {
             this.at = at;
-            told = new Versions.Told(movedTo);
+            this.scope = scope;
+            told = new Versions.Told(movedTo, scope);
+        }
+
+        /** Whether it tells the same as one at that address under that scope. */
+        private boolean isAt(InetSocketAddress address, ServiceScope under) {
+            return at.equals(address) && scope.equals(under);
         }
 
         @Override
@@ -62,38 +73,68 @@
     private static final long REDIAL_LEAST_MS = 20;
     private static final long REDIAL_MOST_MS = 500; // what is not asked for counts as told after 6 s all the same
 
-    final Codec codec;
+    /** So much later a whole list is asked for again that could not be used: reading it costs more than all else here. */
+    private static final long WHOLE_AGAIN_MS = 5000;
+
     final Log log;
+    private final Codec codec;
     private final Exchange exchange;
     private final Scheduler clock;
     private final LongSupplier nanos;
     private final Versions versions;
     private Source serving, next; // next: where discovery has moved to, while it has told nothing; else null
 
+    /** Whom the watch tells that it can't go on: no list is held, and the one that discovery tells does not fit the memory. */
+    public interface Unfit {
+        void unfit(String why);
+    }
+
+    private final Unfit unfit;
+    private final int hostsMost;
+
+    /** Under this scope; {@code known} is the list that is held, read under the same scope or another, or null. */
     public HostWatch(
             InetSocketAddress at,
+            ServiceScope scope,
             HostList known,
             Codec codec,
             Exchange exchange,
             Log log,
             Executor executor,
-            Scheduler scheduler) {
-        this(at, known, codec, exchange, log, executor, scheduler, System::nanoTime);
+            Scheduler scheduler,
+            Unfit unfit) {
+        this(
+                at,
+                scope,
+                known,
+                codec,
+                exchange,
+                log,
+                executor,
+                scheduler,
+                unfit,
+                HostCapacity.ofThisProcess(),
+                System::nanoTime);
     }
 
     HostWatch(
             InetSocketAddress at,
+            ServiceScope scope,
             HostList known,
             Codec codec,
             Exchange exchange,
             Log log,
             Executor executor,
             Scheduler scheduler,
+            Unfit unfit,
+            int hostsMost,
             LongSupplier nanos) {
         super(executor, scheduler, 1);
         this.nanos = nanos;
         this.versions = new Versions(known);
-        this.serving = new Source(at, false);
+        this.serving = new Source(at, scope, false);
+        this.unfit = unfit;
+        this.hostsMost = hostsMost;
         this.codec = codec;
         this.exchange = exchange;
         this.log = log;
@@ -111,20 +152,24 @@
         return serving;
     }
 
-    /** Discovery is to be found there from now on. */
-    public void moveTo(InetSocketAddress at) {
-        Source to = new Source(at, true), given;
-        boolean stays;
+    /**
+     * Discovery is to be found there from now on, and read under this scope. Under another scope than before its whole list
+     * is asked for; until that has come, what was held stays and the old address goes on to serve.
+     */
+    public void moveTo(InetSocketAddress at, ServiceScope scope) {
+        Source to = new Source(at, scope, true), given;
+        boolean stays, sameScope;
         synchronized (this) {
-            if (next != null && next.at.equals(at)) {
+            if (next != null && next.isAt(at, scope)) {
                 return; // under way
             }
             given = next;
-            stays = serving.at.equals(at);
+            stays = serving.isAt(at, scope);
+            sameScope = serving.scope.equals(scope);
             next = stays ? null : to;
         }
         leave(given);
-        log.info("discovery", (stays ? "stays at " : "moves to ") + to);
+        log.info("discovery", (stays ? "stays at " : "moves to ") + to + (sameScope ? "" : ", with " + scope));
         dial(to);
     }
 
@@ -246,10 +291,28 @@
         return true;
     }
 
-    /** Null where the attempt goes on, or why not; what is older than what is held changes nothing. */
-    String told(Source source, HostList list) {
-        if (!list.whole() && holdsNone(source)) {
-            return "changes where no list is held"; // the old address goes on to serve
+    /** A list that is about to be read under the source's scope. */
+    HostListStream reads(Source source) {
+        return codec.hostListStream(new HostListFilter(source.scope, this::holds, hostsMost));
+    }
+
+    private synchronized boolean holds(String host) {
+        return versions.hosts().names(host);
+    }
+
+    /** Grows with each list that is taken, from whichever source. */
+    synchronized long revision() {
+        return versions.hosts().revision();
+    }
+
+    /**
+     * Null where the attempt goes on, or why not; what is older than what is held changes nothing. {@code since} is the
+     * revision that was held when reading began.
+     */
+    String told(Source source, HostList list, long since) {
+        String refusal = refuses(source, list, since);
+        if (refusal != null) {
+            return refusal; // the old address goes on to serve
         }
         if (!speaks(source)) {
             return MOVED_ON;
@@ -271,6 +334,12 @@
                     }
                 }
                 case TAKEN -> {
+                    if (list.whole() && !list.scope().isAll()) {
+                        log.info(
+                                "discovery",
+                                "lists " + list.entries().size() + " hosts in scope and " + list.outside()
+                                        + " outside");
+                    }
                     if (list.leftOut() != null) {
                         log.warn("spoilt", "discovery lists " + list.leftOut());
                     }
@@ -281,8 +350,37 @@
         return asksAnew(source);
     }
 
-    private synchronized boolean holdsNone(Source source) {
-        return versions.asksWhole(source.told);
+    private synchronized String refuses(Source source, HostList list, long since) {
+        boolean mayMissOneThatLeft = !list.whole() && list.outside() > 0 && since != revision();
+        if (mayMissOneThatLeft) {
+            return "another list came while this one was read";
+        }
+        Versions.Refusal refusal = versions.refuses(list, source.told, now());
+        if (refusal == null) {
+            return null;
+        }
+        source.wait = refusal == Versions.Refusal.CHANGES_OF_NOTHING ? source.wait : WHOLE_AGAIN_MS;
+        return switch (refusal) {
+            case CHANGES_OF_NOTHING -> "changes where no list is held";
+            case TOO_OLD_FOR_ITS_SCOPE ->
+                "tells version " + list.version() + ", which is older than " + versions.version()
+                        + " and changes nothing";
+            case NONE_IN_SCOPE ->
+                "scope names none of the " + list.outside() + " hosts listed; the list before it stays in force";
+        };
+    }
+
+    /** Why the attempt ends: its list has more hosts than the memory takes. Where none is held, no other will do. */
+    String tooLarge(Source source, String why) {
+        boolean held;
+        synchronized (this) {
+            held = versions.holds();
+            source.wait = WHOLE_AGAIN_MS;
+        }
+        if (!held) {
+            unfit.unfit("discovery lists " + why);
+        }
+        return "lists " + why + (held ? "; the list before it stays in force" : "");
     }
 
     /** Null, or why the attempt is to end and the whole list to be asked for: the source counts its versions anew. */
@@ -308,7 +406,7 @@
                 source.wait = REDIAL_LEAST_MS;
             }
             wait = source.wait;
-            source.wait = Math.min(REDIAL_MOST_MS, 2 * wait);
+            source.wait = Math.min(REDIAL_MOST_MS, 2 * wait); // once more than that is waited for a whole list
             log.warn(
                     "discovery",
                     "the attempt at " + source + " had "
--- a/src/main/java/linenring/discovery/Versions.java
+++ b/src/main/java/linenring/discovery/Versions.java
@@ -1,6 +1,7 @@
 package linenring.discovery;
 
 import linenring.message.HostList;
+import linenring.message.ServiceScope;
 
 /**
  * Which of the lists that discovery tells count, by their versions. Those of one source only grow, so what is older than
@@ -15,14 +16,28 @@
         CHANGES_OF_NOTHING
     }
 
+    /** Why a list must not be used, before its source takes over from another. */
+    enum Refusal {
+        CHANGES_OF_NOTHING,
+        TOO_OLD_FOR_ITS_SCOPE,
+        NONE_IN_SCOPE
+    }
+
     /** What one source has told so far. */
     static final class Told {
         private final boolean movedTo;
+        private final ServiceScope scope; // what it is read under
         private boolean above, lower, anew; // it has told what we hold, or less; its whole list is asked for
+        private boolean unconfirmed; // its last whole list had none in scope: changes are of a list that is not held
         private long lowerSince;
 
-        Told(boolean movedTo) {
+        Told(boolean movedTo, ServiceScope scope) {
             this.movedTo = movedTo;
+            this.scope = scope;
+        }
+
+        Told(boolean movedTo) {
+            this(movedTo, ServiceScope.ALL);
         }
     }
 
@@ -31,12 +46,48 @@
 
     private long version;
     private boolean held;
+    private final HeldHosts hosts = new HeldHosts();
 
     Versions(HostList known) {
         if (known != null) {
             version = known.version();
             held = true;
+            hosts.taken(known);
+        }
+    }
+
+    /** The hosts of the list that is held. */
+    HeldHosts hosts() {
+        return hosts;
+    }
+
+    /** Whether a list is held. */
+    boolean holds() {
+        return held;
+    }
+
+    /** Null where the list may be used, and its source may take over; what is refused changes nothing that is held. */
+    Refusal refuses(HostList list, Told source, long now) {
+        if (!list.whole()) {
+            return asksWhole(source) ? Refusal.CHANGES_OF_NOTHING : null;
+        }
+        if (!held || source.anew && !list.hasNoneInScope()) {
+            return null;
         }
+        if (isOutOfScope(source) && list.version() < version) {
+            judge(list, source, now); // its versions may count anew
+            countsAnew(source, now);
+            return Refusal.TOO_OLD_FOR_ITS_SCOPE;
+        }
+        if (list.hasNoneInScope() && !hosts.areKnownToBeNone()) {
+            source.unconfirmed = true;
+            return Refusal.NONE_IN_SCOPE;
+        }
+        return null;
+    }
+
+    private boolean isOutOfScope(Told source) {
+        return held && !source.scope.equals(hosts.scope());
     }
 
     /** The one held last; 0 where none is. */
@@ -45,7 +96,7 @@
     }
 
     Verdict judge(HostList list, Told source, long now) {
-        if (!list.whole() && (!held || source.anew)) {
+        if (!list.whole() && asksWhole(source)) {
             return Verdict.CHANGES_OF_NOTHING;
         }
         // a whole list of the version that is held may name whom a spoilt one left out
@@ -56,6 +107,8 @@
             held = true;
             source.above = true;
             source.anew = false;
+            source.unconfirmed = false;
+            hosts.taken(list);
             return Verdict.TAKEN;
         }
         if (list.version() < version && !source.lower) {
@@ -73,6 +126,6 @@
 
     /** Whether the whole list is to be asked for, before any watch. */
     boolean asksWhole(Told source) {
-        return !held || source.anew;
+        return !held || source.anew || source.unconfirmed || isOutOfScope(source);
     }
 }
--- a/src/main/java/linenring/handover/KnownList.java
+++ b/src/main/java/linenring/handover/KnownList.java
@@ -5,15 +5,19 @@
 import java.util.TreeMap;
 import linenring.handover.wire.Wire;
 import linenring.message.HostList;
+import linenring.message.ServiceScope;
+import linenring.message.SpoiltEntries;
 
 /** The list of hosts as it was told, changes and all: what the new process begins with. */
 public final class KnownList {
     private final TreeMap<String, HostList.Entry> entries = new TreeMap<>();
+    private ServiceScope scope = ServiceScope.ALL;
     private long version;
 
     public synchronized void listed(HostList list) {
         if (list.whole()) {
             entries.clear();
+            scope = list.scope();
         }
         for (HostList.Entry e : list.entries()) {
             if (e.state() == HostList.State.GONE) {
@@ -27,7 +31,10 @@
 
     /** As it goes to the new process. */
     public synchronized Wire.HostList told() {
-        Wire.HostList.Builder list = Wire.HostList.newBuilder().setVersion(version);
+        Wire.HostList.Builder list = Wire.HostList.newBuilder()
+                .setVersion(version)
+                .setScoped(!scope.isAll())
+                .addAllServices(scope.services());
         entries.values().forEach(e -> {
             Wire.Host.Builder host = Wire.Host.newBuilder()
                     .setId(e.host())
@@ -66,6 +73,7 @@
                         h.hasCell() ? h.getCell() : -1));
             }
         }
-        return new HostList(told.getVersion(), true, entries);
+        ServiceScope scope = told.getScoped() ? ServiceScope.of(told.getServicesList()) : ServiceScope.ALL;
+        return new HostList(told.getVersion(), true, entries, SpoiltEntries.NONE, scope, 0);
     }
 }
--- a/src/main/java/linenring/message/Codec.java
+++ b/src/main/java/linenring/message/Codec.java
@@ -1,14 +1,25 @@
 package linenring.message;
 
+import static linenring.message.FieldValues.from0;
+import static linenring.message.FieldValues.number;
+import static linenring.message.FieldValues.place;
+import static linenring.message.FieldValues.present;
+import static linenring.message.FieldValues.shown;
+import static linenring.message.FieldValues.text;
+import static linenring.message.FieldValues.truth;
+import static linenring.message.FieldValues.whole;
+
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
+import com.fasterxml.jackson.core.StreamReadConstraints;
+import com.fasterxml.jackson.core.exc.StreamConstraintsException;
 import com.fasterxml.jackson.core.json.JsonReadFeature;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
+import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
 import java.util.List;
 import linenring.figures.Names;
 import linenring.message.Unreadable.Reached;
@@ -24,21 +35,18 @@
     private final JsonFactory json = JsonFactory.builder()
             .enable(JsonReadFeature.ALLOW_NON_NUMERIC_NUMBERS)
             .build(); // out of range, and no reason to stop reading
+    private final JsonFactory hostLists = JsonFactory.builder()
+            .enable(JsonReadFeature.ALLOW_NON_NUMERIC_NUMBERS)
+            .streamReadConstraints(StreamReadConstraints.builder()
+                    .maxStringLength(HostListReader.ENTRY_BYTES_MOST)
+                    .build())
+            .build(); // no text of a list is longer than an entry may be
     private final Names names;
 
     public Codec(Names names) {
         this.names = names;
     }
 
-    /** A field that is missing, of the wrong type or impossible; stops at the decoder. */
-    private static final class BadField extends Exception {
-        private static final long serialVersionUID = 1L;
-
-        BadField(String what) {
-            super(what, null, false, false);
-        }
-    }
-
     /** The fields of one line, as far as any kind of message has them. */
     private static final class Fields {
         String type, site, target, lane;
@@ -87,18 +95,18 @@
 
     private void field(Fields f, String name, JsonParser in) throws IOException, BadField {
         switch (name) {
-            case "@type" -> f.type = word(name, in);
-            case "site" -> f.site = word(name, in);
-            case "target" -> f.target = word(name, in);
-            case "lane" -> f.lane = word(name, in);
-            case "id" -> f.id = figure(name, in);
-            case "count" -> f.count = figure(name, in);
-            case "fail" -> f.fail = figure(name, in);
-            case "mean" -> f.mean = figure(name, in);
-            case "over" -> f.over = figure(name, in);
-            case "rps" -> f.rps = figure(name, in);
-            case "seq" -> f.seq = figure(name, in);
-            case "ms" -> f.ms = figure(name, in);
+            case "@type" -> f.type = text(name, in);
+            case "site" -> f.site = text(name, in);
+            case "target" -> f.target = text(name, in);
+            case "lane" -> f.lane = text(name, in);
+            case "id" -> f.id = number(name, in);
+            case "count" -> f.count = number(name, in);
+            case "fail" -> f.fail = number(name, in);
+            case "mean" -> f.mean = number(name, in);
+            case "over" -> f.over = number(name, in);
+            case "rps" -> f.rps = number(name, in);
+            case "seq" -> f.seq = number(name, in);
+            case "ms" -> f.ms = number(name, in);
             case "new" -> f.fresh = truth(name, in);
             default -> in.skipChildren();
         }
@@ -136,46 +144,6 @@
         return place("site", names.zones(), site); // who lies about it would take the place of a proxy
     }
 
-    /** Its place, which a zone or kind that the list alone names gets now. */
-    private static int grown(String field, List<String> among, String name) throws BadField {
-        int at = Names.place(among, present(field, name));
-        if (at < 0) {
-            throw new BadField("field " + field + ": one name too many, '" + shown(name) + "'");
-        }
-        return at;
-    }
-
-    private static int place(String field, List<String> among, String name) throws BadField {
-        int at = among.indexOf(present(field, name));
-        if (at < 0) {
-            throw new BadField("field " + field + ": unknown '" + shown(name) + "'");
-        }
-        return at;
-    }
-
-    private static <T> T present(String field, T value) throws BadField {
-        if (value == null) {
-            throw new BadField("field " + field + " is missing");
-        }
-        return value;
-    }
-
-    private static int whole(String field, Double value, int most) throws BadField {
-        double v = present(field, value);
-        if (v != Math.rint(v) || v < 0 || v > most) {
-            throw new BadField("field " + field + ": " + v + " is not a whole number from 0 to " + most);
-        }
-        return (int) v;
-    }
-
-    private static double from0(String field, Double value, double most) throws BadField {
-        double v = present(field, value);
-        if (!(v >= 0 && v <= most)) {
-            throw new BadField("field " + field + ": " + v + " is out of range");
-        }
-        return v;
-    }
-
     private static double time(String field, Double value) throws BadField {
         return from0(field, value, LONGEST_MS);
     }
@@ -187,136 +155,40 @@
         return over;
     }
 
-    private static String word(String field, JsonParser in) throws IOException, BadField {
-        if (in.currentToken() != JsonToken.VALUE_STRING) {
-            throw new BadField("field " + field + " is not text");
-        }
-        return in.getText();
-    }
-
-    private static double figure(String field, JsonParser in) throws IOException, BadField {
-        if (!in.currentToken().isNumeric()) {
-            throw new BadField("field " + field + " is not a number");
-        }
-        return in.getDoubleValue();
-    }
-
-    private static boolean truth(String field, JsonParser in) throws IOException, BadField {
-        if (!in.currentToken().isBoolean()) {
-            throw new BadField("field " + field + " is neither true nor false");
-        }
-        return in.getBooleanValue();
-    }
-
-    /** Strangers' words go into the log shortened. */
-    private static String shown(String word) {
-        return word.length() <= 40 ? word : word.substring(0, 40) + "...";
-    }
-
     // ---- from discovery
 
-    public Decoded<HostList> hostList(byte[] line, int length) {
-        try (JsonParser in = json.createParser(line, 0, length)) {
-            if (in.nextToken() != JsonToken.START_OBJECT) {
-                return Decoded.fault(Reached.TEXT, "not a JSON object");
-            }
-            return hostList(in);
-        } catch (IOException e) {
-            return Decoded.fault(Reached.TEXT, "not JSON");
-        }
+    /** Reads a list of hosts as its bytes arrive; what the filter does not keep costs nothing. */
+    public HostListStream hostListStream(HostListFilter filter) {
+        return new HostListStream(hostLists, names, filter);
     }
 
-    /** Reads a list whose opening brace has just been read. */
-    public Decoded<HostList> hostList(JsonParser in) throws IOException {
-        try {
-            Double version = null;
-            Boolean whole = null;
-            List<HostList.Entry> entries = null;
-            List<String> spoilt = new ArrayList<>();
-            while (in.nextToken() != JsonToken.END_OBJECT) {
-                String name = in.currentName();
-                in.nextToken();
-                switch (name) {
-                    case "version" -> version = figure(name, in);
-                    case "full" -> whole = truth(name, in);
-                    case "servers" -> entries = entries(in, spoilt);
-                    default -> in.skipChildren();
-                }
-            }
-            return Decoded.of(new HostList(
-                    (long) from0("version", version, Long.MAX_VALUE),
-                    present("full", whole),
-                    present("servers", entries),
-                    spoilt));
-        } catch (BadField e) {
-            return Decoded.fault(Reached.FIELDS, e.getMessage());
+    public Decoded<HostList> hostList(byte[] line, int length) {
+        try (HostListStream stream = hostListStream(HostListFilter.NONE)) {
+            stream.feed(line, 0, length);
+            return stream.end();
         }
     }
 
-    /** Those that can be used; of each other one it is said why not. */
-    private List<HostList.Entry> entries(JsonParser in, List<String> spoilt) throws IOException, BadField {
-        if (in.currentToken() != JsonToken.START_ARRAY) {
-            throw new BadField("field servers is not a list");
-        }
-        List<HostList.Entry> entries = new ArrayList<>();
-        while (in.nextToken() != JsonToken.END_ARRAY) {
-            try {
-                entries.add(entry(in));
-            } catch (BadField e) {
-                spoilt.add(e.getMessage());
-            }
-        }
-        return entries;
+    /** A parser under whose bounds a list can be read; it leaves its input open. */
+    public JsonParser hostListParser(InputStream in) throws IOException {
+        return hostLists.createParser(in).disable(JsonParser.Feature.AUTO_CLOSE_SOURCE);
     }
 
-    private HostList.Entry entry(JsonParser in) throws IOException, BadField {
-        String id = null, zone = null, kind = null, state = null, address = null;
-        Double weight = null, started = null, cell = null;
-        if (in.currentToken() != JsonToken.START_OBJECT) {
-            in.skipChildren();
-            throw new BadField("field servers holds what is no object");
-        }
-        BadField first = null; // it is read to its end all the same: the next one may be well
-        while (in.nextToken() != JsonToken.END_OBJECT) {
-            String name = in.currentName();
-            in.nextToken();
-            try {
-                switch (name) {
-                    case "id" -> id = word(name, in);
-                    case "addr" -> address = in.currentToken() == JsonToken.VALUE_STRING ? in.getText() : null;
-                    case "cell" -> cell = in.currentToken().isNumeric() ? Double.valueOf(in.getDoubleValue()) : null;
-                    case "zone" -> zone = word(name, in);
-                    case "kind" -> kind = word(name, in);
-                    case "state" -> state = word(name, in);
-                    case "weight" -> weight = figure(name, in);
-                    case "started_ms" -> started = figure(name, in);
-                    default -> {}
-                }
-            } catch (BadField e) {
-                first = first == null ? e : first;
-            }
-            in.skipChildren();
-        }
-        if (first != null) {
-            throw first;
+    /** Reads a list whose opening brace the parser is at, to its closing one, from a parser that waits for its input. */
+    public Decoded<HostList> hostList(JsonParser in, HostListFilter filter) throws IOException {
+        HostListReader reader = new HostListReader(names, filter);
+        int depth = 0;
+        try {
+            do {
+                JsonToken token = in.currentToken();
+                depth += token.isStructStart() ? 1 : token.isStructEnd() ? -1 : 0;
+                reader.token(in);
+            } while (depth > 0 && in.nextToken() != null);
+        } catch (StreamConstraintsException e) {
+            reader.fails(Reached.TEXT, HostListReader.TOO_LONG);
         }
-        HostList.State is = switch (present("state", state)) {
-            case "Ready" -> HostList.State.READY;
-            case "Terminating" -> HostList.State.TERMINATING;
-            case "Gone" -> HostList.State.GONE;
-            default -> throw new BadField("field state: unknown '" + shown(state) + "'");
-        };
-        boolean gone = is == HostList.State.GONE; // of these no more than the id need be told
-        double at = started == null ? 0 : from0("started_ms", started, Long.MAX_VALUE);
-        return new HostList.Entry(
-                present("id", id),
-                gone && zone == null ? 0 : grown("zone", names.zones(), zone),
-                gone && kind == null ? 0 : grown("kind", names.kinds(), kind),
-                is,
-                weight == null ? 1 : from0("weight", weight, Float.MAX_VALUE),
-                at == 0 ? Double.NEGATIVE_INFINITY : at,
-                address,
-                cell == null || !(cell >= 0) ? -1 : cell.intValue()); // only a front needs these two
+        reader.fails(Reached.TEXT, "not JSON"); // changes nothing where it is complete
+        return reader.result();
     }
 
     // ---- to proxies
--- a/src/main/java/linenring/message/HostList.java
+++ b/src/main/java/linenring/message/HostList.java
@@ -2,15 +2,30 @@
 
 import java.util.List;
 
-/** The list of hosts, or what has changed of it since an earlier version; and what was wrong with entries left out. */
-public record HostList(long version, boolean whole, List<Entry> entries, List<String> spoilt) {
+/**
+ * The list of hosts, or what has changed of it since an earlier version; what was wrong with entries left out; the scope
+ * that it was read under, and how many of its entries were outside of that.
+ */
+public record HostList(
+        long version, boolean whole, List<Entry> entries, SpoiltEntries spoilt, ServiceScope scope, int outside) {
     public HostList(long version, boolean whole, List<Entry> entries) {
-        this(version, whole, entries, List.of());
+        this(version, whole, entries, SpoiltEntries.NONE, ServiceScope.ALL, 0);
+    }
+
+    public HostList(long version, boolean whole, List<Entry> entries, List<String> spoilt) {
+        this(version, whole, entries, SpoiltEntries.of(spoilt), ServiceScope.ALL, 0);
     }
 
     /** How many entries were left out and why the first, in words for the log; null where none was. */
     public String leftOut() {
-        return spoilt.isEmpty() ? null : spoilt.size() + " hosts that are left out, the first: " + spoilt.get(0);
+        return spoilt.isEmpty()
+                ? null
+                : spoilt.size() + " hosts that are left out, the first: " + String.join("; ", spoilt.firstReasons());
+    }
+
+    /** Whether it lists hosts, and the scope leaves none of them. */
+    public boolean hasNoneInScope() {
+        return whole && entries.isEmpty() && spoilt.isEmpty() && outside > 0;
     }
 
     /** What a host is listed as. */
@@ -30,5 +45,10 @@
         public Entry(String host, int zone, int kind, State state, double weight, double startedMs) {
             this(host, zone, kind, state, weight, startedMs, null, -1);
         }
+
+        /** One that has left the list, or the scope. */
+        static Entry gone(String host) {
+            return new Entry(host, 0, 0, State.GONE, 1, Double.NEGATIVE_INFINITY);
+        }
     }
 }
--- a/src/test/java/linenring/discovery/HostWatchTest.java
+++ b/src/test/java/linenring/discovery/HostWatchTest.java
@@ -27,6 +27,7 @@
 import linenring.message.Arrival;
 import linenring.message.Codec;
 import linenring.message.HostList;
+import linenring.message.ServiceScope;
 import org.eclipse.jetty.io.ByteArrayEndPoint;
 import org.eclipse.jetty.util.component.AbstractLifeCycle;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
@@ -35,6 +36,9 @@
 import org.junit.jupiter.api.Test;
 
 class HostWatchTest {
+    private static final HostWatch.Unfit NO_END = why -> {
+        throw new AssertionError(why);
+    };
     private static final String OK = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     /** Notes what is put off and does none of it. */
@@ -74,7 +78,15 @@
     private HostWatch watch(long version) {
         HostList known = version < 0 ? null : new HostList(version, true, List.of());
         return new HostWatch(
-                new InetSocketAddress("127.0.0.1", 8500), known, codec, exchange, log, Runnable::run, waits);
+                new InetSocketAddress("127.0.0.1", 8500),
+                ServiceScope.ALL,
+                known,
+                codec,
+                exchange,
+                log,
+                Runnable::run,
+                waits,
+                NO_END);
     }
 
     private static String list(long version, boolean whole, String state) {
@@ -181,19 +193,27 @@
         try (ServerSocket old = agent();
                 ServerSocket mute = agent();
                 ServerSocket now = agent()) {
-            HostWatch watch =
-                    new HostWatch(at(old), new HostList(41, true, List.of()), codec, exchange, log, threads, scheduler);
+            HostWatch watch = new HostWatch(
+                    at(old),
+                    ServiceScope.ALL,
+                    new HostList(41, true, List.of()),
+                    codec,
+                    exchange,
+                    log,
+                    threads,
+                    scheduler,
+                    NO_END);
             watch.open();
             try (Socket served = asked(old, "GET /catalog/members?watch=1&from=41 HTTP/1.1")) {
                 say(served, OK + chunk(list(42, false, "Ready")));
                 until(42);
-                watch.moveTo(at(mute));
-                watch.moveTo(at(old)); // given up at once
-                watch.moveTo(at(mute));
+                watch.moveTo(at(mute), ServiceScope.ALL);
+                watch.moveTo(at(old), ServiceScope.ALL); // given up at once
+                watch.moveTo(at(mute), ServiceScope.ALL);
                 say(served, chunk(list(43, false, "Ready"))); // not a word from there: the old one serves
                 until(43);
-                watch.moveTo(at(now));
-                watch.moveTo(at(now)); // once more changes nothing
+                watch.moveTo(at(now), ServiceScope.ALL);
+                watch.moveTo(at(now), ServiceScope.ALL); // once more changes nothing
                 try (Socket moved = asked(now, "GET /catalog/members?watch=1&from=43 HTTP/1.1")) {
                     say(moved, OK + chunk("\n"));
                     assertEquals(-1, served.getInputStream().read()); // now it is let go
@@ -239,7 +259,8 @@
         threads.start();
         scheduler.start();
         try (ServerSocket agent = agent()) {
-            HostWatch watch = new HostWatch(at(agent), null, codec, exchange, log, threads, scheduler);
+            HostWatch watch =
+                    new HostWatch(at(agent), ServiceScope.ALL, null, codec, exchange, log, threads, scheduler, NO_END);
             watch.open();
             String body = list(7, true, "Ready");
             answer(
@@ -289,12 +310,22 @@
         try (ServerSocket old = agent();
                 ServerSocket now = agent()) {
             HostWatch watch = new HostWatch(
-                    at(old), new HostList(41, true, List.of()), codec, exchange, log, threads, scheduler, nanos::get);
+                    at(old),
+                    ServiceScope.ALL,
+                    new HostList(41, true, List.of()),
+                    codec,
+                    exchange,
+                    log,
+                    threads,
+                    scheduler,
+                    NO_END,
+                    Integer.MAX_VALUE,
+                    nanos::get);
             watch.open();
             try (Socket served = asked(old, "GET /catalog/members?watch=1&from=41 HTTP/1.1")) {
                 say(served, OK + chunk(list(42, false, "Ready")));
                 until(42);
-                watch.moveTo(at(now));
+                watch.moveTo(at(now), ServiceScope.ALL);
                 try (Socket moved = asked(now, "GET /catalog/members?watch=1&from=42 HTTP/1.1")) {
                     say(moved, OK + chunk(list(3, true, "Gone")) + chunk(list(4, false, "Ready")) + chunk("\n"));
                     assertEquals(-1, served.getInputStream().read()); // all of that is read
@@ -351,12 +382,20 @@
         scheduler.start();
         try (ServerSocket old = agent();
                 ServerSocket wrong = agent()) {
-            HostWatch watch =
-                    new HostWatch(at(old), new HostList(41, true, List.of()), codec, exchange, log, threads, scheduler);
+            HostWatch watch = new HostWatch(
+                    at(old),
+                    ServiceScope.ALL,
+                    new HostList(41, true, List.of()),
+                    codec,
+                    exchange,
+                    log,
+                    threads,
+                    scheduler,
+                    NO_END);
             watch.open();
             try (Socket served = asked(old, "GET /catalog/members?watch=1&from=41 HTTP/1.1")) {
                 say(served, OK + chunk("\n"));
-                watch.moveTo(at(wrong));
+                watch.moveTo(at(wrong), ServiceScope.ALL);
                 try (Socket moved = asked(wrong, "GET /catalog/members?watch=1&from=41 HTTP/1.1")) {
                     say(moved, OK + chunk("a page of another service\n"));
                     assertEquals(-1, moved.getInputStream().read());
@@ -376,12 +415,15 @@
         AtomicLong nanos = new AtomicLong();
         HostWatch watch = new HostWatch(
                 new InetSocketAddress("127.0.0.1", 8500),
+                ServiceScope.ALL,
                 new HostList(41, true, List.of()),
                 codec,
                 exchange,
                 log,
                 Runnable::run,
                 waits,
+                NO_END,
+                Integer.MAX_VALUE,
                 nanos::get);
         Agent agent = new Agent(watch, "/", false);
         agent.addInput(OK + chunk("\n") + chunk("{\"vers"));
