--- a/src/main/java/linenring/command/Serve.java
+++ b/src/main/java/linenring/command/Serve.java
@@ -22,20 +22,35 @@
 
     /** With the front's settings or null; returns the exit code where it can't serve, or once it is told to end. */
     public static int run(Path frontFile, boolean json) {
+        Prepared prepared = prepare(frontFile, json); // the list that was read is held by nobody but the instance
+        if (prepared.instance == null) {
+            return prepared.exitCode;
+        }
+        String old = System.getenv("LINENRING_HANDOVER");
+        FrontPlan plan = prepared.instance.plan;
+        return plan != null && plan.handover() != null && old != null
+                ? prepared.instance.takeOver(Path.of(old))
+                : prepared.instance.serve();
+    }
+
+    /** What is to serve, or the exit code where the settings are at fault. */
+    private record Prepared(Instance instance, int exitCode) {}
+
+    private static Prepared prepare(Path frontFile, boolean json) {
         boolean[] ignored = {false};
         HangUps hangUps = HangUps.caught(() -> ignored[0] = true); // before all else: till then one ends the process
         Assignment.Outcome read = AssignmentReader.read(System.getenv());
         Assignment told = read.assignment();
         if (told == null) {
             System.err.println("linenring: " + read.fault());
-            return read.exceedsMemory() ? EXCEEDS_MEMORY : CONFIGURATION;
+            return new Prepared(null, read.exceedsMemory() ? EXCEEDS_MEMORY : CONFIGURATION);
         }
         FrontPlan plan = null;
         if (frontFile != null) {
             FrontPlanReader.Outcome front = FrontPlanReader.read(frontFile, told.names());
             if (front.plan() == null) {
                 front.faults().forEach(f -> System.err.println("linenring: " + f));
-                return CONFIGURATION;
+                return new Prepared(null, CONFIGURATION);
             }
             plan = front.plan();
         }
@@ -44,11 +59,7 @@
         if (ignored[0]) {
             log.warn("reload", "SIGHUP does nothing: whoever started the process has it ignored, as nohup does");
         }
-        Instance instance = new Instance(told, plan, hangUps, log);
-        String old = System.getenv("LINENRING_HANDOVER");
-        return plan != null && plan.handover() != null && old != null
-                ? instance.takeOver(Path.of(old))
-                : instance.serve();
+        return new Prepared(new Instance(told, plan, hangUps, log), 0);
     }
 
     /** Goes on with what is new in the configuration, or with the old one where it is at fault. */
