--- a/src/test/java/linenring/discovery/HostWatchTest.java
+++ b/src/test/java/linenring/discovery/HostWatchTest.java
@@ -1,25 +1,31 @@
 package linenring.discovery;
 
+import static linenring.discovery.AgentFixture.OK;
+import static linenring.discovery.AgentFixture.agent;
+import static linenring.discovery.AgentFixture.answer;
+import static linenring.discovery.AgentFixture.asked;
+import static linenring.discovery.AgentFixture.at;
+import static linenring.discovery.AgentFixture.chunk;
+import static linenring.discovery.AgentFixture.list;
+import static linenring.discovery.AgentFixture.say;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.io.BufferedReader;
 import java.io.ByteArrayOutputStream;
-import java.io.InputStreamReader;
 import java.io.PrintStream;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.concurrent.atomic.AtomicLong;
+import linenring.discovery.AgentFixture.Agent;
+import linenring.discovery.AgentFixture.Waits;
 import linenring.exchange.Exchange;
 import linenring.exchange.Stream;
 import linenring.figures.Names;
@@ -28,46 +34,14 @@
 import linenring.message.Codec;
 import linenring.message.HostList;
 import linenring.message.ServiceScope;
-import org.eclipse.jetty.io.ByteArrayEndPoint;
-import org.eclipse.jetty.util.component.AbstractLifeCycle;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
-import org.eclipse.jetty.util.thread.Scheduler;
 import org.junit.jupiter.api.Test;
 
 class HostWatchTest {
     private static final HostWatch.Unfit NO_END = why -> {
         throw new AssertionError(why);
     };
-    private static final String OK = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-
-    /** Notes what is put off and does none of it. */
-    private static final class Waits extends AbstractLifeCycle implements Scheduler {
-        final List<Long> ms = new ArrayList<>();
-
-        @Override
-        public Task schedule(Runnable task, long delay, TimeUnit unit) {
-            ms.add(unit.toMillis(delay));
-            return () -> true;
-        }
-    }
-
-    private static final class Agent extends ByteArrayEndPoint {
-        final AgentConnection connection;
-
-        Agent(HostWatch watch, String target, boolean once) {
-            super(new Waits(), 0);
-            setGrowOutput(true);
-            connection = new AgentConnection(this, Runnable::run, watch, watch.serving(), target, once);
-            setConnection(connection);
-            connection.onOpen();
-        }
-
-        @Override
-        protected void execute(Runnable task) {
-            task.run();
-        }
-    }
 
     private final Exchange exchange = new Exchange();
     private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
@@ -89,15 +63,6 @@
                 NO_END);
     }
 
-    private static String list(long version, boolean whole, String state) {
-        return "{\"version\":" + version + ",\"full\":" + whole
-                + ",\"servers\":[{\"id\":\"s-1\",\"zone\":\"a\",\"kind\":\"m1\"," + "\"state\":\"" + state + "\"}]}\n";
-    }
-
-    private static String chunk(String text) {
-        return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
-    }
-
     private List<Long> versions() {
         List<Long> versions = new ArrayList<>();
         exchange.drain(new Exchange.Taker() {
@@ -237,16 +202,6 @@
         }
     }
 
-    private static ServerSocket agent() throws Exception {
-        ServerSocket agent = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-        agent.setSoTimeout(20_000);
-        return agent;
-    }
-
-    private static InetSocketAddress at(ServerSocket agent) {
-        return new InetSocketAddress(agent.getInetAddress(), agent.getLocalPort());
-    }
-
     private void until(long version) throws Exception {
         assertTrue(exchange.await(TimeUnit.SECONDS.toNanos(20)));
         assertEquals(List.of(version), versions());
@@ -277,28 +232,6 @@
         }
     }
 
-    private static void answer(ServerSocket agent, String request, String answer) throws Exception {
-        try (Socket socket = asked(agent, request)) {
-            say(socket, answer);
-        }
-    }
-
-    private static Socket asked(ServerSocket agent, String request) throws Exception {
-        Socket socket = agent.accept();
-        socket.setSoTimeout(20_000);
-        BufferedReader in =
-                new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
-        assertEquals(request, in.readLine());
-        while (!in.readLine().isEmpty()) {
-            // headers
-        }
-        return socket;
-    }
-
-    private static void say(Socket socket, String words) throws Exception {
-        socket.getOutputStream().write(words.getBytes(StandardCharsets.US_ASCII));
-    }
-
     /** Whom the settings name may count from one again: what was done there under lower numbers must not be missed for ever. */
     @Test
     void aSourceThatCountsAnewIsPassedOverWhileItMayBeLateAndThenItsWholeListIsTaken() throws Exception {
--- /dev/null
+++ b/src/test/java/linenring/message/HostListStreamTest.java
@@ -0,0 +1,239 @@
+package linenring.message;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Set;
+import linenring.figures.Names;
+import linenring.message.Unreadable.Reached;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.constraints.IntRange;
+import net.jqwik.api.constraints.Size;
+import org.junit.jupiter.api.Test;
+
+class HostListStreamTest {
+    /** Entries in scope and outside, fields of any kind, escapes, a bad entry, fields after the entries. */
+    private static final String LIST = "{\"x\":{\"servers\":[1]},\"version\":43,\"servers\":["
+            + entry("s-1", "svc-1", "Ready") + ",\n"
+            + "{\"service\":\"svc-9\",\"id\":\"s-2\",\"zone\":\"far\",\"kind\":7,\"state\":[{\"a\":null}]},"
+            + "{\"id\":\"s-\\u00e9\",\"zone\":\"b\",\"kind\":\"m1\",\"more\":{\"id\":\"no\",\"b\":[1,{}]},\"state\":\"Ready\","
+            + "\"weight\":1.25e0,\"started_ms\":1700000000123},"
+            + "{\"id\":\"s-4\",\"zone\":\"b\",\"kind\":\"m1\",\"state\":\"Asleep\",\"service\":\"svc-1\"},"
+            + "{\"id\":\"s-é5\",\"zone\":\"b\",\"kind\":\"m1\",\"state\":\"Terminating\",\"service\":null}"
+            + "],\"full\":true}";
+
+    private static final ServiceScope SCOPE = ServiceScope.of(List.of("svc-1", "svc-2"));
+    private final Names names = new Names(List.of("a", "b"), List.of("m1"), List.of("lookup"), 9, 4);
+    private final Codec codec = new Codec(names);
+
+    private static String entry(String id, String service, String state) {
+        return "{\"id\":\"" + id + "\",\"addr\":\"10.0.0.1:1\",\"zone\":\"a\",\"kind\":\"m1\",\"cell\":3,\"state\":\""
+                + state + "\",\"weight\":1.0,\"started_ms\":0,\"service\":\"" + service + "\"}";
+    }
+
+    private static String list(boolean whole, String... entries) {
+        return "{\"version\":44,\"full\":" + whole + ",\"servers\":[" + String.join(",", entries) + "]}";
+    }
+
+    private static HostListFilter scoped(String... held) {
+        return new HostListFilter(SCOPE, Set.of(held)::contains, Integer.MAX_VALUE);
+    }
+
+    /** Feeds the text in parts that end at these places, each in an array that is used again. */
+    private Decoded<HostList> read(HostListFilter filter, String text, int... ends) {
+        byte[] all = text.getBytes(StandardCharsets.UTF_8);
+        byte[] buffer = new byte[all.length];
+        try (HostListStream stream = codec.hostListStream(filter)) {
+            int from = 0;
+            int[] places = Arrays.copyOf(ends, ends.length + 1);
+            places[ends.length] = all.length;
+            for (int end : places) {
+                System.arraycopy(all, from, buffer, 0, end - from);
+                stream.feed(buffer, 0, end - from);
+                Arrays.fill(buffer, (byte) '#');
+                from = end;
+            }
+            return stream.end();
+        }
+    }
+
+    private List<String> told(HostListFilter filter, String text) {
+        return read(filter, text).value().entries().stream()
+                .map(e -> e.host() + " " + e.state())
+                .toList();
+    }
+
+    @Test
+    void readsTheSameListWhereverItIsCutBetweenTwoReads() {
+        HostList once = read(scoped(), LIST).value();
+        assertEquals(
+                List.of("s-1", "s-é", "s-é5"),
+                once.entries().stream().map(HostList.Entry::host).toList());
+        assertEquals(1, once.outside());
+        assertEquals(List.of("field state: unknown 'Asleep'"), once.spoilt().firstReasons());
+        int bytes = LIST.getBytes(StandardCharsets.UTF_8).length;
+        for (int cut = 0; cut <= bytes; cut++) {
+            assertEquals(once, read(scoped(), LIST, cut).value(), "cut at " + cut);
+        }
+    }
+
+    @Property(tries = 300)
+    void readsTheSameListInAnyParts(@ForAll @Size(max = 40) List<@IntRange(max = 900) Integer> cuts) {
+        int bytes = LIST.getBytes(StandardCharsets.UTF_8).length;
+        int[] ends = cuts.stream().mapToInt(c -> Math.min(c, bytes)).sorted().toArray();
+        assertEquals(read(scoped(), LIST).value(), read(scoped(), LIST, ends).value());
+    }
+
+    @Test
+    void aListThatIsCutAnywhereIsNone() {
+        byte[] all = LIST.getBytes(StandardCharsets.UTF_8);
+        for (int length = 0; length < all.length; length++) {
+            try (HostListStream stream = codec.hostListStream(scoped())) {
+                stream.feed(all, 0, length);
+                assertNull(stream.result(), "after " + length);
+                assertEquals(
+                        new Unreadable(Reached.TEXT, "not JSON"), stream.end().fault(), "after " + length);
+            }
+        }
+    }
+
+    @Test
+    void anEntryOutsideTheScopeGrowsNoNames() {
+        read(scoped(), LIST);
+        assertEquals(List.of("a", "b"), names.zones());
+        read(HostListFilter.NONE, LIST.replace("\"kind\":7", "\"kind\":\"m1\"").replace("[{\"a\":null}]", "\"Ready\""));
+        assertEquals(List.of("a", "b", "far"), names.zones());
+    }
+
+    @Test
+    void withoutAScopeAServiceOfAnyKindIsPassedOver() {
+        String odd = list(true, entry("s-1", "svc-9", "Ready").replace("\"svc-9\"", "7"));
+        assertEquals(List.of("s-1 READY"), told(HostListFilter.NONE, odd));
+        assertEquals(
+                List.of("field service is not text"),
+                read(scoped(), odd).value().spoilt().firstReasons());
+    }
+
+    @Test
+    void anEmptyScopeKeepsWhoBelongsToAll() {
+        HostListFilter none = new HostListFilter(ServiceScope.of(List.of()), id -> false, Integer.MAX_VALUE);
+        assertEquals(List.of("s-é READY", "s-é5 TERMINATING"), told(none, LIST));
+    }
+
+    @Test
+    void aHostLeavesTheScopeOnlyWhereItIsHeld() {
+        String changes = list(
+                false,
+                entry("s-1", "svc-9", "Ready"),
+                entry("s-2", "svc-9", "Ready"),
+                entry("s-3", "svc-2", "Ready"),
+                "{\"id\":\"s-4\",\"state\":\"Gone\"}",
+                "{\"id\":\"s-5\",\"state\":\"Gone\"}",
+                "{\"service\":\"svc-9\",\"state\":\"Gone\",\"id\":\"s-6\"}");
+        assertEquals(
+                List.of("s-1 GONE", "s-3 READY", "s-4 GONE", "s-6 GONE"), told(scoped("s-1", "s-4", "s-6"), changes));
+        assertEquals(3, read(scoped(), changes).value().outside());
+    }
+
+    @Test
+    void aHostThatEntersAndLeavesOnOneLineIsOut() {
+        String changes = list(
+                false,
+                entry("s-1", "svc-1", "Ready"),
+                entry("s-1", "svc-9", "Ready"),
+                entry("s-2", "svc-9", "Ready"),
+                entry("s-2", "svc-1", "Ready"));
+        assertEquals(List.of("s-1 READY", "s-1 GONE", "s-2 GONE", "s-2 READY"), told(scoped("s-2"), changes));
+    }
+
+    @Test
+    void whatIsToldAsWholeAfterItsEntriesTakesNobodyOutByName() {
+        String text = "{\"servers\":[" + entry("s-1", "svc-9", "Ready") + "," + entry("s-2", "svc-1", "Ready")
+                + "],\"full\":true,\"version\":44}";
+        assertEquals(List.of("s-2 READY"), told(scoped("s-1"), text));
+        assertEquals(List.of("s-1 GONE", "s-2 READY"), told(scoped("s-1"), text.replace("true", "false")));
+    }
+
+    @Test
+    void aFaultOfAnEntryOutsideTheScopeDoesNotSpoilTheList() {
+        HostList read = read(scoped(), list(true, "{\"id\":7,\"zone\":1,\"service\":\"svc-9\"}"))
+                .value();
+        assertTrue(read.spoilt().isEmpty());
+        assertTrue(read.hasNoneInScope());
+    }
+
+    @Test
+    void badEntriesAmongManyAreCountedAndOnlyTheFirstReasonsKept() {
+        List<String> entries = new ArrayList<>();
+        for (int i = 0; i < 3000; i++) {
+            entries.add(i % 3 == 0 ? entry("s-" + i, "svc-1", "Asleep") : entry("s-" + i, "svc-1", "Ready"));
+        }
+        HostList read = read(HostListFilter.NONE, list(true, entries.toArray(String[]::new)))
+                .value();
+        assertEquals(2000, read.entries().size());
+        assertEquals(1000, read.spoilt().size());
+        assertEquals(3, read.spoilt().firstReasons().size());
+        assertTrue(read.leftOut().startsWith("1000 hosts that are left out, the first: field state: unknown 'Asleep'"));
+        assertTrue(read.leftOut().length() < 200);
+    }
+
+    @Test
+    void anEntryPastItsBoundIsAFaultHoweverItsBytesAreSpent() {
+        int most = HostListReader.ENTRY_BYTES_MOST;
+        String small = entry("s-1", "svc-1", "Ready");
+        for (String more : List.of(
+                "\"more\":\"" + "x".repeat(most) + "\"",
+                "\"more\":\"" + "x".repeat(most / 2) + "\",\"most\":\"" + "x".repeat(most / 2) + "\"",
+                "\"more\":[" + "1,".repeat(most) + "1]",
+                "\"more\":{" + "\"f\":1,".repeat(most) + "\"g\":1}")) {
+            String text = list(true, small, small.replace("\"cell\":3", more));
+            int[] parts = new int[text.length() / 1000];
+            Arrays.setAll(parts, i -> 1000 * (i + 1));
+            assertEquals(
+                    new Unreadable(Reached.TEXT, "an entry of over 65536 bytes"),
+                    read(HostListFilter.NONE, text, parts).fault(),
+                    more.substring(0, 20));
+        }
+        String within = small.replace("\"cell\":3", "\"more\":\"" + "x".repeat(most / 2) + "\"");
+        assertEquals(List.of("s-1 READY"), told(HostListFilter.NONE, list(true, within)));
+    }
+
+    @Test
+    void moreHostsInScopeThanHaveRoomAreAFaultAndThoseOutsideDoNotCount() {
+        HostListFilter two = new HostListFilter(SCOPE, id -> false, 2);
+        String[] entries = {
+            entry("s-1", "svc-1", "Ready"), entry("s-2", "svc-9", "Ready"), entry("s-3", "svc-2", "Ready")
+        };
+        assertEquals(List.of("s-1 READY", "s-3 READY"), told(two, list(true, entries)));
+        entries[1] = entries[1].replace("svc-9", "svc-1");
+        assertEquals(
+                new Unreadable(Reached.SIZE, "over 2 hosts, which is more than fits the heap"),
+                read(two, list(true, entries)).fault());
+    }
+
+    @Test
+    void aHeapTakesTheMoreHostsTheLargerItIsAndNeverFewerThanAStewardMustBear() {
+        assertEquals(HostCapacity.LEAST, HostCapacity.of(1 << 20));
+        assertTrue(HostCapacity.of(64L << 20) > 73_000);
+        assertTrue(HostCapacity.of(48L << 20) < 73_000);
+        assertEquals(Integer.MAX_VALUE, HostCapacity.of(Long.MAX_VALUE));
+    }
+
+    @Test
+    void aFigureThatIsNoneLeavesOutItsEntryAlone() {
+        String odd = list(
+                true,
+                entry("s-1", "svc-1", "Ready").replace("\"weight\":1.0", "\"weight\":NaN"),
+                entry("s-2", "svc-1", "Ready"));
+        assertEquals(List.of("s-2 READY"), told(HostListFilter.NONE, odd));
+        assertEquals(
+                List.of("field weight: NaN is out of range"),
+                read(HostListFilter.NONE, odd).value().spoilt().firstReasons());
+    }
+}
