--- /dev/null
+++ b/src/test/java/linenring/command/LargeCatalogueTest.java
@@ -0,0 +1,252 @@
+package linenring.command;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.BufferedReader;
+import java.io.BufferedWriter;
+import java.io.IOException;
+import java.io.InputStreamReader;
+import java.io.OutputStream;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** Real processes with the heap of the deploy file before a catalogue of 73,000 hosts in 1,300 services. */
+class LargeCatalogueTest {
+    private static final int HOSTS = 73_000, SERVICES = 1300, IN_SCOPE = 20;
+    private static final long PATIENCE_NS = TimeUnit.SECONDS.toNanos(120); // ends the test, and is no measure
+
+    @TempDir
+    Path dir;
+
+    private ServerSocket agent;
+    private int port;
+    private Process process;
+
+    @BeforeEach
+    void listen() throws Exception {
+        agent = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+        agent.setSoTimeout((int) TimeUnit.NANOSECONDS.toMillis(PATIENCE_NS));
+        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+            port = free.getLocalPort();
+        }
+    }
+
+    @AfterEach
+    void end() throws Exception {
+        agent.close();
+        if (process != null) {
+            process.destroyForcibly().waitFor();
+        }
+    }
+
+    private static String entry(int host) {
+        return "{\"id\":\"s-" + String.format("%08x", host * 2654435761L & 0xffffffffL) + "\",\"addr\":\"10."
+                + (host >> 16)
+                + "." + (host >> 8 & 255) + "." + (host & 255) + ":3000\",\"zone\":\"" + (host % 2 == 0 ? "a" : "b")
+                + "\",\"kind\":\"m1\",\"cell\":" + host % 9
+                + ",\"state\":\"Ready\",\"weight\":1.0,\"started_ms\":0,\"service\":\"svc-" + host % SERVICES + "\"}";
+    }
+
+    private interface Out {
+        void write(String text) throws IOException;
+    }
+
+    private static void catalogue(Out out, long version) throws IOException {
+        out.write("{\"version\":" + version + ",\"full\":true,\"servers\":[");
+        for (int h = 0; h < HOSTS; h++) {
+            out.write((h > 0 ? "," : "") + entry(h));
+        }
+        out.write("]}");
+    }
+
+    private static String scope(int first) {
+        List<String> services = new ArrayList<>();
+        for (int s = first; s < first + IN_SCOPE; s++) {
+            services.add("\"svc-" + s + "\"");
+        }
+        return "\"scope\":[" + String.join(",", services) + "],";
+    }
+
+    private void configure(String scope, boolean withKnown) throws IOException {
+        Path file = dir.resolve("next.json");
+        try (BufferedWriter out = Files.newBufferedWriter(file)) {
+            out.write("{" + scope);
+            if (withKnown) {
+                out.write("\"known\":");
+                catalogue(out::write, 41);
+                out.write(",");
+            }
+            out.write(
+                    "\"name\":\"n1\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":\"127.0.0.1:"
+                            + agent.getLocalPort()
+                            + "\",\"settings\":{\"Azs\":[\"a\",\"b\"],\"Kinds\":[\"m1\"],\"Quantum\":4000,"
+                            + "\"Classes\":[{\"Name\":\"lookup\",\"Aim\":750000,\"Points\":2.0}],\"Specifics\":{\"ProxyCount\":6}}}");
+        }
+        Files.move(file, dir.resolve("configuration.json"), java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+    }
+
+    private void start(String heap) throws IOException {
+        ProcessBuilder builder = new ProcessBuilder(
+                System.getProperty("java.home") + "/bin/java",
+                "-XX:+UseSerialGC",
+                "-XX:TieredStopAtLevel=1",
+                "-Xms24m",
+                "-Xmx" + heap,
+                "-Xss512k",
+                "-XX:MaxMetaspaceSize=40m",
+                "-XX:ReservedCodeCacheSize=24m",
+                "-XX:MaxDirectMemorySize=8m",
+                "-XX:-UsePerfData",
+                "-XX:+ExitOnOutOfMemoryError",
+                "-Djava.net.preferIPv4Stack=true",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "linenring.Main",
+                "serve");
+        builder.environment().put("GW_CONFIG", dir.resolve("configuration.json").toString());
+        process = builder.redirectErrorStream(true)
+                .redirectOutput(dir.resolve("log").toFile())
+                .start();
+    }
+
+    private String log() throws IOException {
+        return Files.readString(dir.resolve("log"));
+    }
+
+    private void awaitPong() throws Exception {
+        long end = System.nanoTime() + PATIENCE_NS;
+        while (!answersPing()) {
+            assertTrue(process.isAlive() && System.nanoTime() < end, log());
+            TimeUnit.MILLISECONDS.sleep(50);
+        }
+    }
+
+    private boolean answersPing() {
+        try (Socket socket = new Socket("127.0.0.1", port)) {
+            socket.setSoTimeout(2000);
+            socket.getOutputStream().write("{\"@type\":\"PING\"}\n".getBytes(StandardCharsets.US_ASCII));
+            return "{\"@type\":\"PONG\"}"
+                    .equals(new BufferedReader(new InputStreamReader(socket.getInputStream())).readLine());
+        } catch (IOException e) {
+            return false;
+        }
+    }
+
+    private void awaitLog(String words) throws Exception {
+        long end = System.nanoTime() + PATIENCE_NS;
+        while (!log().contains(words)) {
+            assertTrue(process.isAlive() && System.nanoTime() < end, words + " in\n" + log());
+            TimeUnit.MILLISECONDS.sleep(20);
+        }
+    }
+
+    private Socket asked(String request) throws Exception {
+        Socket socket = agent.accept();
+        socket.setSoTimeout(agent.getSoTimeout());
+        BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream()));
+        assertEquals(request, in.readLine());
+        while (!in.readLine().isEmpty()) {
+            // headers
+        }
+        return socket;
+    }
+
+    private static void answerWhole(Socket socket, long version) throws IOException {
+        OutputStream out = new java.io.BufferedOutputStream(socket.getOutputStream(), 64 * 1024);
+        out.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+        catalogue(text -> out.write(text.getBytes(StandardCharsets.US_ASCII)), version);
+        out.flush();
+        socket.close();
+    }
+
+    private static long count(int firstService) {
+        return java.util.stream.IntStream.range(0, HOSTS)
+                .filter(h -> h % SERVICES >= firstService && h % SERVICES < firstService + IN_SCOPE)
+                .count();
+    }
+
+    @Test
+    void aScopeOfAKnownCatalogueStartsInASmallHeapAndChangesAtAReload() throws Exception {
+        configure(scope(0), true);
+        start("32m");
+        awaitPong();
+        try (Socket watch = asked("GET /catalog/members?watch=1&from=41 HTTP/1.1")) {
+            watch.getOutputStream()
+                    .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n".getBytes());
+            configure(scope(100), true);
+            new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor();
+            answerWhole(asked("GET /catalog/members HTTP/1.1"), 42);
+            awaitLog("lists " + count(100) + " hosts in scope and " + (HOSTS - count(100)) + " outside");
+            assertEquals(-1, watch.getInputStream().read());
+        }
+        asked("GET /catalog/members?watch=1&from=42 HTTP/1.1").close();
+        assertTrue(answersPing());
+        assertFalse(log().contains("ERROR"), log());
+    }
+
+    @Test
+    void aScopeOfACatalogueThatDiscoveryTellsIsReadInASmallHeap() throws Exception {
+        configure(scope(0), false);
+        start("32m");
+        answerWhole(asked("GET /catalog/members HTTP/1.1"), 41);
+        awaitLog("lists " + count(0) + " hosts in scope and " + (HOSTS - count(0)) + " outside");
+        asked("GET /catalog/members?watch=1&from=41 HTTP/1.1").close();
+        awaitPong();
+    }
+
+    @Test
+    void theWholeCatalogueFitsTheDeployedHeapWhenItIsKnownAndToldAgain() throws Exception {
+        configure("", true);
+        start("64m");
+        awaitPong();
+        try (Socket watch = asked("GET /catalog/members?watch=1&from=41 HTTP/1.1")) {
+            OutputStream out = watch.getOutputStream();
+            out.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+            OutputStream buffered = new java.io.BufferedOutputStream(out, 64 * 1024);
+            catalogue(text -> buffered.write(text.getBytes(StandardCharsets.US_ASCII)), 42);
+            buffered.write('\n');
+            buffered.flush();
+        }
+        asked("GET /catalog/members?watch=1&from=42 HTTP/1.1").close();
+        assertTrue(answersPing(), log());
+        assertFalse(log().contains("ERROR"), log());
+    }
+
+    @Test
+    void aKnownCatalogueWithoutRoomEndsTheStartWithOneLineAndItsExitCode() throws Exception {
+        configure("", true);
+        start("40m");
+        assertTrue(process.waitFor(PATIENCE_NS, TimeUnit.NANOSECONDS), log());
+        assertEquals(Serve.EXCEEDS_MEMORY, process.exitValue(), log());
+        assertTrue(log().matches("linenring: known lists over \\d+ hosts, which is more than fits the heap\n"), log());
+    }
+
+    @Test
+    void aToldCatalogueWithoutRoomEndsTheProcessWithOneLineAndItsExitCode() throws Exception {
+        configure("", false);
+        start("40m");
+        try {
+            answerWhole(asked("GET /catalog/members HTTP/1.1"), 41);
+        } catch (IOException e) {
+            // it reads no further
+        }
+        assertTrue(process.waitFor(PATIENCE_NS, TimeUnit.NANOSECONDS), log());
+        assertEquals(Serve.EXCEEDS_MEMORY, process.exitValue(), log());
+        assertEquals(1, log().split("ERROR", -1).length - 1, log());
+        assertTrue(log().contains("ERROR steward ends: discovery lists over "), log());
+        assertFalse(log().contains("\tat "), log());
+    }
+}
--- a/src/test/java/linenring/configuration/AssignmentReaderTest.java
+++ b/src/test/java/linenring/configuration/AssignmentReaderTest.java
@@ -1,11 +1,16 @@
 package linenring.configuration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.ByteArrayInputStream;
 import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
+import linenring.message.ServiceScope;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -139,4 +144,108 @@
                 null,
                 read(GOOD.replace("\"known\"", "\"unknown\"")).assignment().known());
     }
+
+    private static String scoped(String scope) {
+        return GOOD.replace("\"known\"", "\"scope\":" + scope + ",\"known\"");
+    }
+
+    @Test
+    void aScopeNamesServicesAndWithoutOneAllAreServed() {
+        assertEquals(ServiceScope.ALL, read(GOOD).assignment().scope());
+        assertEquals(ServiceScope.ALL, read(scoped("null")).assignment().scope());
+        assertEquals(
+                ServiceScope.of(List.of("a,b", "c")),
+                read(scoped("[\"a,b\",\"c\",\"c\"]")).assignment().scope());
+        ServiceScope none = read(scoped("[]")).assignment().scope();
+        assertFalse(none.isAll());
+        assertTrue(none.includes(null));
+        assertFalse(none.includes("a"));
+        assertEquals(
+                List.of(),
+                read(GOOD)
+                        .assignment()
+                        .fixedKeysThatDiffer(read(scoped("[\"a\"]")).assignment()));
+    }
+
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "\"svc-1\" | scope is not a list of service names",
+                "{\"a\":1} | scope is not a list of service names",
+                "[\"svc-1\",\"\"] | scope: item 2 is empty",
+                "[\" \"] | scope: item 1 is empty",
+                "[7] | scope: item 1 is not text",
+                "[null] | scope: item 1 is not text",
+                "[[\"svc-1\"]] | scope: item 1 is not text"
+            })
+    void aScopeThatIsNoneIsAFaultOfItsKey(String scope, String fault) {
+        assertEquals(fault, read(scoped(scope)).fault());
+    }
+
+    @Test
+    void theKnownListIsReadUnderTheScopeWhereverTheTwoStand() {
+        String two = GOOD.replace(
+                "\"state\":\"Ready\"}",
+                "\"state\":\"Ready\",\"service\":\"svc-1\"},"
+                        + "{\"id\":\"s-2\",\"zone\":\"far\",\"kind\":\"m1\",\"state\":\"Ready\",\"service\":\"svc-2\"}");
+        String first = two.replaceFirst("\\{", "{\"scope\":[\"svc-1\"],");
+        String last = two.substring(0, two.length() - 1) + ",\"scope\":[\"svc-1\"]}";
+        for (String text : List.of(first, last)) {
+            Assignment c = read(text).assignment();
+            assertEquals("s-1", c.known().entries().get(0).host());
+            assertEquals(1, c.known().entries().size());
+            assertEquals(c.scope(), c.known().scope());
+            assertEquals(List.of("a", "b"), c.names().zones());
+        }
+        assertEquals(2, read(two).assignment().known().entries().size());
+        Assignment none = read(first.replace("[\"svc-1\"]", "[\"svc-9\"]")).assignment();
+        assertEquals(null, none.known());
+        assertEquals("known lists 2 hosts and scope names none of them; begins without it", none.leftOut());
+    }
+
+    @Test
+    void aKnownListWithoutRoomIsAFaultOfItsOwnKind() {
+        ConfigurationText.Source text = () -> new ByteArrayInputStream(GOOD.getBytes(StandardCharsets.UTF_8));
+        Assignment.Outcome none = AssignmentReader.read(Map.of(), text, true, 0);
+        assertEquals("known lists over 0 hosts, which is more than fits the heap", none.fault());
+        assertTrue(none.exceedsMemory());
+        assertFalse(read(GOOD.replace("1024", "10")).exceedsMemory());
+        assertEquals(
+                1,
+                AssignmentReader.read(Map.of(), text, true, 1)
+                        .assignment()
+                        .known()
+                        .entries()
+                        .size());
+    }
+
+    @Test
+    void readAgainTheKnownListIsPassedOver() throws Exception {
+        Path file = Files.createTempFile("configuration", ".json");
+        try {
+            Files.writeString(file, GOOD.replace("\"version\":41", "\"version\":\"x\""));
+            Map<String, String> environment = Map.of("GW_CONFIG", file.toString());
+            Assignment again = AssignmentReader.readAgain(environment).assignment();
+            assertEquals(null, again.known());
+            assertEquals(null, again.leftOut());
+            assertEquals(
+                    "known: field version is not a number; begins without it",
+                    AssignmentReader.read(environment).assignment().leftOut());
+            Files.writeString(file, GOOD);
+            assertEquals(
+                    1,
+                    AssignmentReader.read(environment)
+                            .assignment()
+                            .known()
+                            .entries()
+                            .size());
+            Files.writeString(file, GOOD.substring(0, GOOD.indexOf("s-1")));
+            assertEquals(
+                    "GW_CONFIG: the file is not JSON",
+                    AssignmentReader.readAgain(environment).fault());
+        } finally {
+            Files.delete(file);
+        }
+    }
 }
--- /dev/null
+++ b/src/test/java/linenring/handover/KnownListTest.java
@@ -0,0 +1,42 @@
+package linenring.handover;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import linenring.handover.wire.Wire;
+import linenring.message.HostList;
+import linenring.message.ServiceScope;
+import linenring.message.SpoiltEntries;
+import org.junit.jupiter.api.Test;
+
+class KnownListTest {
+    private static HostList.Entry host(String id) {
+        return new HostList.Entry(id, 0, 0, HostList.State.READY, 1, Double.NEGATIVE_INFINITY);
+    }
+
+    private static HostList list(boolean whole, ServiceScope scope, String id) {
+        return new HostList(41, whole, List.of(host(id)), SpoiltEntries.NONE, scope, 0);
+    }
+
+    @Test
+    void theScopeGoesAlongWithTheListThatWasReadUnderIt() throws Exception {
+        ServiceScope one = ServiceScope.of(List.of("svc-1"));
+        KnownList known = new KnownList();
+        known.listed(list(true, one, "s-1"));
+        known.listed(list(false, one, "s-2"));
+        HostList heard = KnownList.heard(Wire.HostList.parseFrom(known.told().toByteArray()), 1, 1);
+        assertEquals(one, heard.scope());
+        assertEquals(2, heard.entries().size());
+        ServiceScope none = ServiceScope.of(List.of());
+        known.listed(list(true, none, "s-3"));
+        assertEquals(none, KnownList.heard(known.told(), 1, 1).scope());
+        known.listed(list(true, ServiceScope.ALL, "s-1"));
+        assertEquals(ServiceScope.ALL, KnownList.heard(known.told(), 1, 1).scope());
+    }
+
+    @Test
+    void aReleaseThatKnowsNoScopeHasReadAll() {
+        Wire.HostList old = Wire.HostList.newBuilder().setVersion(7).build();
+        assertEquals(ServiceScope.ALL, KnownList.heard(old, 1, 1).scope());
+    }
+}
