--- a/src/main/java/linenring/command/Instance.java
+++ b/src/main/java/linenring/command/Instance.java
@@ -125,7 +125,7 @@
         threads.start();
         scheduler.start();
         HostWatch watch = new HostWatch(
-                told.discovery(), told.scope(), known, codec, exchange, log, threads, scheduler, this::endsAsUnfit);
+                told.discovery(), told.scope(), known, codec, exchange, log, threads, scheduler, this::endsForCapacity);
         watch.open();
         hangUps.then(
                 () -> Serve.reload(told, AssignmentReader.readAgain(System.getenv()), watch, log),
@@ -133,9 +133,9 @@
     }
 
     /** The list of hosts has no room, and there is none to go on with. */
-    private void endsAsUnfit(String why) {
+    private void endsForCapacity(String why) {
         log.error("steward", "ends: " + why);
-        new Thread(() -> System.exit(Serve.EXCEEDS_MEMORY), "unfit")
+        new Thread(() -> System.exit(Serve.EXCEEDS_MEMORY), "capacity-exceeded")
                 .start(); // not on the selector, which the end may wait for
     }
 
--- a/src/main/java/linenring/command/Subcommands.java
+++ b/src/main/java/linenring/command/Subcommands.java
@@ -113,7 +113,7 @@
             Assignment.Outcome told = AssignmentReader.read(environment);
             if (told.assignment() == null) {
                 System.err.println("linenring: " + told.fault());
-                return Serve.CONFIGURATION;
+                return told.exceedsMemory() ? Serve.EXCEEDS_MEMORY : Serve.CONFIGURATION;
             }
             names = told.assignment().names();
         }
--- a/src/main/java/linenring/discovery/AgentConnection.java
+++ b/src/main/java/linenring/discovery/AgentConnection.java
@@ -4,8 +4,7 @@
 import java.nio.ByteBuffer;
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeoutException;
-import linenring.discovery.HostWatch.Ended;
-import linenring.discovery.HostWatch.Ended.Reached;
+import linenring.discovery.Ended.Reached;
 import linenring.message.Decoded;
 import linenring.message.HostList;
 import linenring.message.HostListStream;
@@ -35,7 +34,7 @@
     private static final int ENTRIES_A_WORD = 1000; // so many entries are one: a list may be longer than that takes
 
     private final HostWatch watch;
-    private final HostWatch.Source source;
+    private final Source source;
     private final String target;
     private final boolean once;
     private final HttpParser parser = new HttpParser(this);
@@ -50,13 +49,7 @@
     private String broken;
     private boolean complete, ended;
 
-    AgentConnection(
-            EndPoint endPoint,
-            Executor executor,
-            HostWatch watch,
-            HostWatch.Source source,
-            String target,
-            boolean once) {
+    AgentConnection(EndPoint endPoint, Executor executor, HostWatch watch, Source source, String target, boolean once) {
         super(endPoint, executor);
         this.watch = watch;
         this.source = source;
--- a/src/main/java/linenring/discovery/HostWatch.java
+++ b/src/main/java/linenring/discovery/HostWatch.java
@@ -29,48 +29,8 @@
  * moves, the old address serves until the new one has told something; the list and its version go along.
  */
 public final class HostWatch extends SelectorManager {
-    /** An attempt's end: how far it had come, and what ended it. */
-    record Ended(Reached reached, String why) {
-        /** The steps of an attempt. */
-        enum Reached {
-            DIALLED,
-            CONNECTED,
-            ASKED,
-            ANSWERED,
-            TOLD
-        }
-    }
-
-    /** One address of discovery's agent: attempts are made there, one after the other, until it is left. */
-    static final class Source {
-        final InetSocketAddress at;
-        final ServiceScope scope;
-        final Versions.Told told;
-        private long wait = REDIAL_LEAST_MS;
-        private boolean left;
-        SocketChannel dialled; // the last attempt's; guarded by the watch
-        private AgentConnection open;
-
-        Source(InetSocketAddress at, ServiceScope scope, boolean movedTo) {
-            this.at = at;
-            this.scope = scope;
-            told = new Versions.Told(movedTo, scope);
-        }
-
-        /** Whether it tells the same as one at that address under that scope. */
-        private boolean isAt(InetSocketAddress address, ServiceScope under) {
-            return at.equals(address) && scope.equals(under);
-        }
-
-        @Override
-        public String toString() {
-            return at.getAddress().getHostAddress() + ":" + at.getPort();
-        }
-    }
-
     static final String MOVED_ON = "discovery has moved on";
     private static final long CONNECT_MS = 1000; // the agent is on this machine
-    private static final long REDIAL_LEAST_MS = 20;
     private static final long REDIAL_MOST_MS = 500; // what is not asked for counts as told after 6 s all the same
 
     /** So much later a whole list is asked for again that could not be used: reading it costs more than all else here. */
@@ -82,15 +42,9 @@
     private final Scheduler clock;
     private final LongSupplier nanos;
     private final Versions versions;
-    private Source serving, next; // next: where discovery has moved to, while it has told nothing; else null
-
-    /** Whom the watch tells that it can't go on: no list is held, and the one that discovery tells does not fit the memory. */
-    public interface Unfit {
-        void unfit(String why);
-    }
-
-    private final Unfit unfit;
+    private final CapacityListener capacity;
     private final int hostsMost;
+    private Source serving, next; // next: where discovery has moved to, while it has told nothing; else null
 
     /** Under this scope; {@code known} is the list that is held, read under the same scope or another, or null. */
     public HostWatch(
@@ -102,7 +56,7 @@
             Log log,
             Executor executor,
             Scheduler scheduler,
-            Unfit unfit) {
+            CapacityListener capacity) {
         this(
                 at,
                 scope,
@@ -112,7 +66,7 @@
                 log,
                 executor,
                 scheduler,
-                unfit,
+                capacity,
                 HostCapacity.ofThisProcess(),
                 System::nanoTime);
     }
@@ -126,14 +80,14 @@
             Log log,
             Executor executor,
             Scheduler scheduler,
-            Unfit unfit,
+            CapacityListener capacity,
             int hostsMost,
             LongSupplier nanos) {
         super(executor, scheduler, 1);
         this.nanos = nanos;
         this.versions = new Versions(known);
         this.serving = new Source(at, scope, false);
-        this.unfit = unfit;
+        this.capacity = capacity;
         this.hostsMost = hostsMost;
         this.codec = codec;
         this.exchange = exchange;
@@ -378,7 +332,7 @@
             source.wait = WHOLE_AGAIN_MS;
         }
         if (!held) {
-            unfit.unfit("discovery lists " + why);
+            capacity.exceeded("discovery lists " + why);
         }
         return "lists " + why + (held ? "; the list before it stays in force" : "");
     }
@@ -403,7 +357,7 @@
             }
             source.open = null;
             if (how.reached() == Ended.Reached.TOLD) {
-                source.wait = REDIAL_LEAST_MS;
+                source.wait = Source.REDIAL_LEAST_MS;
             }
             wait = source.wait;
             source.wait = Math.min(REDIAL_MOST_MS, 2 * wait); // once more than that is waited for a whole list
--- a/src/test/java/linenring/discovery/HostWatchTest.java
+++ b/src/test/java/linenring/discovery/HostWatchTest.java
@@ -39,7 +39,7 @@
 import org.junit.jupiter.api.Test;
 
 class HostWatchTest {
-    private static final HostWatch.Unfit NO_END = why -> {
+    private static final CapacityListener NO_END = why -> {
         throw new AssertionError(why);
     };
 
