--- a/src/main/java/linenring/message/HostList.java
+++ b/src/main/java/linenring/message/HostList.java
@@ -25,7 +25,7 @@
 
     /** Whether it lists hosts, and the scope leaves none of them. */
     public boolean hasNoneInScope() {
-        return whole && entries.isEmpty() && spoilt.isEmpty() && outside > 0;
+        return whole && entries.isEmpty() && outside > 0;
     }
 
     /** What a host is listed as. */
--- a/src/test/java/linenring/discovery/ScopedWatchFixture.java
+++ b/src/test/java/linenring/discovery/ScopedWatchFixture.java
@@ -108,7 +108,7 @@
     }
 
     void take(HostList list) {
-        if (list.whole()) {
+        if (list.whole() && list.spoilt().isEmpty()) { // as the steward does
             hosts.clear();
         }
         for (HostList.Entry e : list.entries()) {
--- a/src/test/java/linenring/discovery/ScopedWatchTest.java
+++ b/src/test/java/linenring/discovery/ScopedWatchTest.java
@@ -206,4 +206,19 @@
         assertEquals(List.of(20L), waits.ms);
         assertTrue(logged.toString().contains("had answered and ended"));
     }
+
+    /** Such a list takes nobody out: who was held before must be heard of all the same when it drains or goes. */
+    @Test
+    void whoStaysBeyondAWholeListWithASpoiltEntryLeavesByItsOwnChange() {
+        for (ServiceScope before : List.of(ONE, ServiceScope.ALL)) {
+            HostWatch watch = watch(ONE, known(before, "s-1", "s-2", "s-3"), Integer.MAX_VALUE);
+            new Agent(watch, "/", true).addInput(body(list(42, true, "s-1 svc-1 Ready", "s-4 svc-1 Asleep")));
+            assertEquals("s-1 s-2 s-3", hosts());
+            Agent agent = new Agent(watch, "/", false);
+            agent.addInput(OK + chunk(list(43, false, "s-2 svc-9 Terminating", "s-3  Gone")));
+            assertEquals("s-1", hosts());
+            agent.addInput(chunk(list(44, true, "s-5 svc-1 Ready"))); // and one without takes out the rest
+            assertEquals("s-5", hosts());
+        }
+    }
 }
