--- a/src/main/java/linenring/discovery/HostWatch.java
+++ b/src/main/java/linenring/discovery/HostWatch.java
@@ -305,7 +305,7 @@
     }
 
     private synchronized String refuses(Source source, HostList list, long since) {
-        boolean mayMissOneThatLeft = !list.whole() && list.outside() > 0 && since != revision();
+        boolean mayMissOneThatLeft = !list.whole() && !list.scope().isAll() && since != revision();
         if (mayMissOneThatLeft) {
             return "another list came while this one was read";
         }
--- a/src/test/java/linenring/discovery/ScopedWatchTest.java
+++ b/src/test/java/linenring/discovery/ScopedWatchTest.java
@@ -186,17 +186,19 @@
     /** Of two sources the older is taken while the newer one's line is half read: who came by it may leave on that line. */
     @Test
     void changesThatWereBegunBeforeAnotherListWasTakenAreAskedForAgain() {
-        HostWatch watch = watch(ONE, known(ONE, "s-1"), Integer.MAX_VALUE);
-        Agent late = new Agent(watch, "/", false), other = new Agent(watch, "/", false);
-        String line = list(43, false, "s-2 svc-9 Ready");
-        late.addInput(OK + chunk(line.substring(0, line.length() - 3)));
-        other.addInput(OK + chunk(list(42, false, "s-2 svc-1 Ready")));
-        assertEquals("s-1 s-2", hosts());
-        late.addInput(chunk(line.substring(line.length() - 3)));
-        assertFalse(late.isOpen());
-        assertTrue(logged.toString().contains("another list came while this one was read"));
-        new Agent(watch, "/", false).addInput(OK + chunk(line));
-        assertEquals("s-1", hosts());
+        for (String leaves : List.of("s-2 svc-9 Ready", "s-2  Gone")) {
+            HostWatch watch = watch(ONE, known(ONE, "s-1"), Integer.MAX_VALUE);
+            Agent late = new Agent(watch, "/", false), other = new Agent(watch, "/", false);
+            String line = list(43, false, leaves);
+            late.addInput(OK + chunk(line.substring(0, line.length() - 3)));
+            other.addInput(OK + chunk(list(42, false, "s-2 svc-1 Ready")));
+            assertEquals("s-1 s-2", hosts());
+            late.addInput(chunk(line.substring(line.length() - 3)));
+            assertFalse(late.isOpen());
+            assertTrue(logged.toString().contains("another list came while this one was read"));
+            new Agent(watch, "/", false).addInput(OK + chunk(line));
+            assertEquals("s-1", hosts());
+        }
     }
 
     @Test
