--- a/src/main/java/linenring/scale/fleet/HollowSteward.java
+++ b/src/main/java/linenring/scale/fleet/HollowSteward.java
@@ -65,7 +65,16 @@
         Log log = new Log(this::logged);
         thread = named(() -> decide(log), name);
         thread.start();
-        watch = new HostWatch(assignment.discovery(), assignment.known(), codec, exchange, log, executor, scheduler);
+        watch = new HostWatch(
+                assignment.discovery(),
+                assignment.scope(),
+                assignment.known(),
+                codec,
+                exchange,
+                log,
+                executor,
+                scheduler,
+                why -> log.error("steward", "would end: " + why)); // one of many in its process
         watch.open();
     }
 
--- a/src/test/java/linenring/scale/run/CatalogueFaultsTest.java
+++ b/src/test/java/linenring/scale/run/CatalogueFaultsTest.java
@@ -17,6 +17,7 @@
 import linenring.figures.Names;
 import linenring.log.Log;
 import linenring.message.Codec;
+import linenring.message.ServiceScope;
 import linenring.scale.catalogue.Catalogue;
 import linenring.scale.catalogue.CatalogueChange;
 import linenring.scale.catalogue.CatalogueHost;
@@ -53,7 +54,10 @@
         CatalogueLayout layout = catalogue.layout();
         Names names = new Names(layout.zoneNames(), layout.kindNames(), List.of("lookup"), 1, 4);
         Log log = new Log(new PrintStream(logged, true));
-        watch = new HostWatch(server.address(), null, new Codec(names), exchange, log, executor, scheduler);
+        watch = new HostWatch(
+                server.address(), ServiceScope.ALL, null, new Codec(names), exchange, log, executor, scheduler, why -> {
+                    throw new AssertionError(why);
+                });
         watch.open();
     }
 
