--- /dev/null
+++ b/src/test/java/linenring/discovery/DiscoveryMoveTest.java
@@ -0,0 +1,201 @@
+package linenring.discovery;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.io.InputStreamReader;
+import java.io.OutputStream;
+import java.io.PrintStream;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import linenring.exchange.Exchange;
+import linenring.exchange.Stream;
+import linenring.figures.Names;
+import linenring.log.Log;
+import linenring.message.Arrival;
+import linenring.message.Codec;
+import linenring.message.HostList;
+import org.eclipse.jetty.io.ManagedSelector;
+import org.eclipse.jetty.util.thread.QueuedThreadPool;
+import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** Discovery moves to another address while the old one still tells changes; over loopback. */
+class DiscoveryMoveTest {
+    private static final String ANSWER_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private static final long WAIT_SECONDS = 20;
+
+    private final Exchange exchange = new Exchange();
+    private final QueuedThreadPool threads = new QueuedThreadPool(8, 2);
+    private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
+    private final Codec codec = new Codec(new Names(List.of("a"), List.of("m1"), List.of("lookup"), 9, 4));
+
+    @BeforeEach
+    void startThreads() throws Exception {
+        threads.start();
+        scheduler.start();
+    }
+
+    @AfterEach
+    void stopThreads() throws Exception {
+        threads.stop();
+        scheduler.stop();
+    }
+
+    /**
+     * The old address has written a drain, which counts as told from then on, and the new one, which is behind, speaks before
+     * that is read. Which of the two sockets is read first is the selector's choice: hence several rounds.
+     */
+    @Test
+    void takesWhatTheOldAddressHadWrittenBeforeTheNewOneSpoke() throws Exception {
+        for (int round = 0; round < 12; round++) {
+            moveWithAnUnreadChange();
+        }
+    }
+
+    private void moveWithAnUnreadChange() throws Exception {
+        try (ServerSocket oldAgent = listen();
+                ServerSocket newAgent = listen()) {
+            HostWatch watch = new HostWatch(
+                    address(oldAgent),
+                    new HostList(41, true, List.of()),
+                    codec,
+                    exchange,
+                    new Log(new PrintStream(OutputStream.nullOutputStream())),
+                    threads,
+                    scheduler);
+            watch.open();
+            try (Socket old = accept(oldAgent, 41)) {
+                write(old, ANSWER_HEAD + change(42));
+                awaitVersion(42);
+                watch.moveTo(address(newAgent));
+                try (Socket moved = accept(newAgent, 42)) {
+                    CountDownLatch resume = holdSelector(watch);
+                    write(old, change(43));
+                    write(moved, ANSWER_HEAD + chunk("\n"));
+                    TimeUnit.MILLISECONDS.sleep(5); // loopback: both have arrived, and wait to be read
+                    resume.countDown();
+                    assertEquals(-1, old.getInputStream().read(), "the old address is left");
+                    awaitVersion(43);
+                }
+            } finally {
+                watch.stop();
+            }
+        }
+    }
+
+    /** Its connection ends with unread changes in it; the next attempt at the same address asks from the version held. */
+    @Test
+    void asksAgainFromTheVersionHeldWhereTheOldAddressBreaksDuringTheMove() throws Exception {
+        try (ServerSocket oldAgent = listen();
+                ServerSocket newAgent = listen()) {
+            HostWatch watch = new HostWatch(
+                    address(oldAgent),
+                    new HostList(41, true, List.of()),
+                    codec,
+                    exchange,
+                    new Log(new PrintStream(OutputStream.nullOutputStream())),
+                    threads,
+                    scheduler);
+            watch.open();
+            try (Socket old = accept(oldAgent, 41)) {
+                write(old, ANSWER_HEAD + change(42));
+                awaitVersion(42);
+            }
+            watch.moveTo(address(newAgent));
+            try (Socket moved = accept(newAgent, 42);
+                    Socket again = accept(oldAgent, 42)) { // the new address has said nothing: the old one serves still
+                write(again, ANSWER_HEAD + change(43));
+                awaitVersion(43);
+                write(moved, ANSWER_HEAD + change(43) + change(44));
+                awaitVersion(44); // and 43 is told once
+                assertEquals(-1, again.getInputStream().read());
+            } finally {
+                watch.stop();
+            }
+        }
+    }
+
+    private static CountDownLatch holdSelector(HostWatch watch) throws InterruptedException {
+        CountDownLatch held = new CountDownLatch(1), resume = new CountDownLatch(1);
+        watch.getBeans(ManagedSelector.class).iterator().next().submit(selector -> {
+            held.countDown();
+            try {
+                resume.await();
+            } catch (InterruptedException e) {
+                Thread.currentThread().interrupt();
+            }
+        });
+        held.await();
+        return resume;
+    }
+
+    private static ServerSocket listen() throws IOException {
+        ServerSocket agent = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
+        agent.setSoTimeout((int) TimeUnit.SECONDS.toMillis(WAIT_SECONDS));
+        return agent;
+    }
+
+    private static InetSocketAddress address(ServerSocket agent) {
+        return new InetSocketAddress(agent.getInetAddress(), agent.getLocalPort());
+    }
+
+    private static Socket accept(ServerSocket agent, long fromVersion) throws IOException {
+        Socket socket = agent.accept();
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(WAIT_SECONDS));
+        BufferedReader in =
+                new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+        assertEquals("GET /catalog/members?watch=1&from=" + fromVersion + " HTTP/1.1", in.readLine());
+        while (!in.readLine().isEmpty()) {
+            // request headers
+        }
+        return socket;
+    }
+
+    private static void write(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+    }
+
+    private static String chunk(String text) {
+        return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
+    }
+
+    private static String change(long version) {
+        return chunk("{\"version\":" + version + ",\"full\":false,\"servers\":[{\"id\":\"s-1\",\"zone\":\"a\","
+                + "\"kind\":\"m1\",\"state\":\"Terminating\"}]}\n");
+    }
+
+    private void awaitVersion(long version) throws InterruptedException {
+        assertTrue(
+                exchange.await(TimeUnit.SECONDS.toNanos(WAIT_SECONDS)), "version " + version + " reaches the exchange");
+        List<Long> versions = new ArrayList<>();
+        exchange.drain(new Exchange.Taker() {
+            @Override
+            public void arrived(Stream from, Arrival what) {
+                throw new AssertionError("only lists are expected");
+            }
+
+            @Override
+            public void ended(Stream which) {
+                throw new AssertionError("only lists are expected");
+            }
+
+            @Override
+            public void listed(HostList list) {
+                versions.add(list.version());
+            }
+        });
+        assertEquals(List.of(version), versions);
+    }
+}
