--- /dev/null
+++ b/src/test/java/linenring/steward/LateSilenceTest.java
@@ -0,0 +1,175 @@
+package linenring.steward;
+
+import static linenring.steward.StewardFixture.GRACE_MS;
+import static linenring.steward.StewardFixture.LONG_AGO;
+import static linenring.steward.StewardFixture.SOCKET_SLACK_MS;
+import static linenring.steward.StewardFixture.TRANSIT_MS;
+import static linenring.steward.StewardFixture.host;
+import static linenring.steward.StewardFixture.warmHosts;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import linenring.message.HostList;
+import linenring.message.HostList.State;
+import org.junit.jupiter.api.Test;
+
+/** Parties that fall silent after ten minutes of ordinary service, in which hosts were replaced all the time. */
+class LateSilenceTest {
+    private static final int HOSTS = 20, PROXIES = 12;
+    private static final double SERVICE_MS = 600_000;
+    private static final double REPLACEMENT_MS = 4000; // as the rest of the fleet: a drain, its end and a new host
+
+    private final StewardFixture fixture = new StewardFixture(warmHosts(1, HOSTS), PROXIES).joinAll(PROXIES, true);
+    private final Map<String, Double> drained = new TreeMap<>(); // when each host was told as draining
+    private long version = 1;
+    private int next = HOSTS, oldest = 0;
+
+    /** Hosts are replaced one by one for so long; reports of good service come from these zones. */
+    private void serve(double ms, int... zones) {
+        for (double end = fixture.now() + ms; fixture.now() < end; ) {
+            int leaves = oldest++, comes = next++;
+            fixture.exchange.listed(new HostList(
+                    ++version,
+                    false,
+                    List.of(host(leaves, State.TERMINATING, LONG_AGO), host(comes, State.READY, fixture.now()))));
+            drained.put("s-" + leaves, fixture.now());
+            for (double step = 0; step < REPLACEMENT_MS; step += 1000) {
+                for (int zone : zones) {
+                    for (int h = oldest; h < next; h++) {
+                        fixture.report(zone, "s-" + h, 20, 0, 100);
+                    }
+                }
+                fixture.pass(1000);
+            }
+            fixture.exchange.listed(new HostList(++version, false, List.of(host(leaves, State.GONE, LONG_AGO))));
+        }
+    }
+
+    private void assertDrainsInGrace(RecordingProxy proxy, double since) {
+        drained.forEach((host, told) -> {
+            if (told >= since) {
+                double late = proxy.shutOutAt.get(host).get(0) + TRANSIT_MS - told;
+                assertTrue(late <= GRACE_MS + SOCKET_SLACK_MS, host + " at proxy " + proxy.id + " after " + late);
+            }
+        });
+    }
+
+    @Test
+    void aProxyThatFallsSilentHoldsBackNobodyAndIsToldItsDrains() {
+        serve(SERVICE_MS, 0, 1, 2);
+        RecordingProxy silent = fixture.proxies.get(0);
+        silent.silent = true;
+        double since = fixture.now();
+        serve(120_000, 0, 1, 2);
+        for (RecordingProxy proxy : fixture.proxies) {
+            assertDrainsInGrace(proxy, since); // the silent one may read them still
+            assertEquals(null, proxy.closed);
+        }
+        RecordingProxy other = fixture.proxies.get(1);
+        assertEquals(HOSTS, other.pickable().size());
+        assertTrue(other.pickable().containsKey("s-" + (next - 1)), "new hosts come in");
+    }
+
+    /** It dials anew, with a table, while its old stream stays half open and its end is never told. */
+    @Test
+    void aProxyThatComesBackFromSilenceOnANewStreamGetsTheTableOfToday() {
+        serve(SERVICE_MS, 0, 1, 2);
+        RecordingProxy silent = fixture.proxies.get(0);
+        silent.silent = true;
+        serve(60_000, 0, 1, 2);
+        RecordingProxy back = fixture.join(0, false);
+        double since = fixture.now();
+        serve(30_000, 0, 1, 2);
+        assertEquals("has a newer stream", silent.closed);
+        assertEquals(fixture.proxies.get(1).pickable(), back.pickable());
+        assertDrainsInGrace(back, since);
+        int written = silent.messages;
+        serve(10_000, 0, 1, 2);
+        assertEquals(written, silent.messages, "nothing more is written to the old stream");
+    }
+
+    /** All proxies of one steward, as where its own link is cut off: nothing is written over the cap, and all is told after. */
+    @Test
+    void whereAllFallSilentAndAnswerLaterTheOnesThatAnswerAreUpToDate() {
+        serve(SERVICE_MS, 0, 1, 2);
+        fixture.proxies.forEach(proxy -> proxy.silent = true);
+        double since = fixture.now();
+        serve(40_000, 0, 1, 2);
+        fixture.proxies.forEach(proxy -> assertDrainsInGrace(proxy, since));
+        fixture.proxies.forEach(proxy -> proxy.silent = false);
+        serve(40_000, 0, 1, 2);
+        for (RecordingProxy proxy : fixture.proxies) {
+            assertEquals(HOSTS, proxy.pickable().size());
+            assertTrue(proxy.pickable().containsKey("s-" + (next - 2)));
+        }
+    }
+
+    /** No report says nothing, neither good nor bad; those of the other zones count as before. */
+    @Test
+    void aCollectorThatFallsSilentCostsNoHostItsPlaceAndTheOthersReportsCount() {
+        serve(SERVICE_MS, 0, 1, 2);
+        serve(60_000, 1, 2);
+        for (RecordingProxy proxy : fixture.proxies) {
+            assertEquals(HOSTS, proxy.pickable().size());
+        }
+        String failing = "s-" + (next - 5);
+        for (int second = 0; second < 10; second++) {
+            for (int h = oldest; h < next; h++) {
+                fixture.report(1, "s-" + h, 20, ("s-" + h).equals(failing) ? 20 : 0, 100);
+            }
+            fixture.pass(1000);
+        }
+        for (RecordingProxy proxy : fixture.proxies) {
+            assertTrue(proxy.shutOutAt.containsKey(failing), "a failing host is shut out by one zone's reports");
+            List<String> others = new ArrayList<>(proxy.weights.keySet());
+            others.remove(failing);
+            assertEquals(HOSTS - 1, others.size());
+            assertFalse(others.stream().anyMatch(proxy.shutOut::contains), "and nobody else is");
+        }
+    }
+
+    @Test
+    void wholeSilenceOfTheCollectorsChangesNothing() {
+        serve(SERVICE_MS, 0, 1, 2);
+        fixture.pass(30_000);
+        List<Map<String, Double>> before = new ArrayList<>();
+        fixture.proxies.forEach(proxy -> before.add(proxy.pickable()));
+        fixture.pass(300_000);
+        List<Map<String, Double>> after = new ArrayList<>();
+        fixture.proxies.forEach(proxy -> after.add(proxy.pickable()));
+        assertEquals(before, after);
+    }
+
+    /** Discovery says nothing for minutes while hosts fail and go; then it catches up in one whole list. */
+    @Test
+    void afterDiscoverysSilenceTheListThatCatchesUpIsToldInTime() {
+        serve(SERVICE_MS, 0, 1, 2);
+        fixture.pass(180_000);
+        for (RecordingProxy proxy : fixture.proxies) {
+            assertEquals(HOSTS, proxy.pickable().size(), "silence withdraws nobody");
+        }
+        List<HostList.Entry> caughtUp = new ArrayList<>();
+        double told = fixture.now();
+        for (int h = oldest; h < next; h++) {
+            boolean drains = h < oldest + HOSTS / 2;
+            caughtUp.add(host(h, drains ? State.TERMINATING : State.READY, LONG_AGO));
+            if (drains) {
+                drained.put("s-" + h, told);
+            }
+        }
+        for (int h = next; h < next + HOSTS / 2; h++) {
+            caughtUp.add(host(h, State.READY, told - 60_000));
+        }
+        fixture.exchange.listed(new HostList(version + 40, true, caughtUp));
+        fixture.pass(20_000);
+        for (RecordingProxy proxy : fixture.proxies) {
+            assertDrainsInGrace(proxy, told);
+            assertEquals(HOSTS, proxy.pickable().size());
+        }
+    }
+}
