--- /dev/null
+++ b/src/test/java/linenring/steward/ReloadDuringDrainsTest.java
@@ -0,0 +1,247 @@
+package linenring.steward;
+
+import static linenring.steward.StewardFixture.GRACE_MS;
+import static linenring.steward.StewardFixture.LONG_AGO;
+import static linenring.steward.StewardFixture.SOCKET_SLACK_MS;
+import static linenring.steward.StewardFixture.TRANSIT_MS;
+import static linenring.steward.StewardFixture.host;
+import static linenring.steward.StewardFixture.warmHosts;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.io.InputStreamReader;
+import java.io.OutputStream;
+import java.io.PrintStream;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.TreeSet;
+import java.util.concurrent.TimeUnit;
+import java.util.stream.Collectors;
+import java.util.stream.IntStream;
+import linenring.discovery.HostWatch;
+import linenring.figures.Names;
+import linenring.log.Log;
+import linenring.message.Codec;
+import linenring.message.HostList;
+import linenring.message.HostList.State;
+import org.eclipse.jetty.util.thread.QueuedThreadPool;
+import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/**
+ * SIGHUP moves discovery (as {@code Serve.reload} does, by {@link HostWatch#moveTo}) while drains are being told: lists come over
+ * loopback from two agents, the steward's clock is the test's.
+ */
+class ReloadDuringDrainsTest {
+    private static final String ANSWER_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private static final long WAIT_SECONDS = 20;
+    private static final int HOSTS = 24, PROXIES = 40, DRAINS = 6;
+    private static final double LINES_MOST = 280; // the drains find no room together, so that some wait
+
+    private final QueuedThreadPool threads = new QueuedThreadPool(8, 2);
+    private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
+    private final StewardFixture fixture = new StewardFixture(warmHosts(41, HOSTS), PROXIES, LINES_MOST)
+            .joinAll(PROXIES, true)
+            .pass(20_000);
+    private ServerSocket oldAgent, newAgent;
+    private HostWatch watch;
+    private double toldAt;
+
+    @BeforeEach
+    void watchTheOldAgent() throws Exception {
+        threads.start();
+        scheduler.start();
+        oldAgent = listen();
+        newAgent = listen();
+        watch = new HostWatch(
+                address(oldAgent),
+                warmHosts(41, HOSTS),
+                new Codec(new Names(List.of("a", "b", "c"), List.of("m1"), List.of("lookup"), PROXIES, 4)),
+                fixture.exchange,
+                new Log(new PrintStream(OutputStream.nullOutputStream())),
+                threads,
+                scheduler);
+        watch.open();
+    }
+
+    @AfterEach
+    void close() throws Exception {
+        watch.stop();
+        oldAgent.close();
+        newAgent.close();
+        threads.stop();
+        scheduler.stop();
+    }
+
+    /** The new address goes on with changes from the version held. */
+    @Test
+    void drainsToldByTheOldAddressAreToldOnceAndInTimeWhereTheNewOneGoesOnWithChanges() throws Exception {
+        try (Socket old = accept(oldAgent, 41)) {
+            tellDrains(old);
+            watch.moveTo(address(newAgent));
+            try (Socket moved = accept(newAgent, 42)) {
+                write(moved, ANSWER_HEAD + "1\r\n\n\r\n");
+                fixture.pass(150);
+                write(moved, list(43, false, IntStream.range(DRAINS, DRAINS + 1), State.TERMINATING));
+                awaitList();
+                fixture.pass(10_000);
+            }
+        }
+        assertToldOnceAndInGrace(DRAINS + 1);
+    }
+
+    /** The new address begins with its whole list, newer than what is held, in which the same hosts drain. */
+    @Test
+    void drainsToldByTheOldAddressAreToldOnceAndInTimeWhereTheNewOneBeginsWithAWholeList() throws Exception {
+        try (Socket old = accept(oldAgent, 41)) {
+            tellDrains(old);
+            watch.moveTo(address(newAgent));
+            try (Socket moved = accept(newAgent, 42)) {
+                write(moved, ANSWER_HEAD + wholeWithDrains(44, DRAINS));
+                awaitList();
+                fixture.pass(10_000);
+            }
+        }
+        assertToldOnceAndInGrace(DRAINS);
+    }
+
+    /** Its whole list is of before the drains: what is older than what is held calls none of them back. */
+    @Test
+    void drainsToldByTheOldAddressStandWhereTheNewOneIsBehind() throws Exception {
+        try (Socket old = accept(oldAgent, 41)) {
+            tellDrains(old);
+            watch.moveTo(address(newAgent));
+            try (Socket moved = accept(newAgent, 42)) {
+                write(moved, ANSWER_HEAD + wholeWithDrains(41, 0));
+                assertEquals(-1, old.getInputStream().read(), "it has spoken");
+                fixture.pass(1000);
+                write(moved, list(42, false, IntStream.range(0, DRAINS), State.TERMINATING)); // it catches up
+                write(moved, list(43, false, IntStream.range(DRAINS, DRAINS + 1), State.TERMINATING));
+                double told = fixture.now();
+                awaitList();
+                fixture.pass(10_000);
+                assertEquals(DRAINS + 1, fixture.proxies.get(0).shutOut.size());
+                assertTrue(fixture.proxies.get(0).shutOutAt.get("s-" + DRAINS).get(0) - told <= GRACE_MS);
+            }
+        }
+        assertToldOnce(DRAINS + 1);
+    }
+
+    /** Two reloads in a row, the first to an address that accepts and says nothing: the old one goes on telling drains. */
+    @Test
+    void drainsThatTheOldAddressTellsBetweenTwoReloadsAreInTime() throws Exception {
+        try (Socket old = accept(oldAgent, 41);
+                ServerSocket muteAgent = listen()) {
+            watch.moveTo(address(muteAgent));
+            try (Socket mute = accept(muteAgent, 41)) {
+                tellDrains(old);
+                watch.moveTo(address(newAgent));
+                assertEquals(-1, mute.getInputStream().read(), "the first reload's address is left");
+                try (Socket moved = accept(newAgent, 42)) {
+                    write(old, list(43, false, IntStream.range(DRAINS, DRAINS + 1), State.TERMINATING));
+                    awaitList();
+                    fixture.pass(100);
+                    write(moved, ANSWER_HEAD + list(43, false, IntStream.range(DRAINS, DRAINS + 1), State.TERMINATING));
+                    write(moved, list(44, false, IntStream.range(DRAINS + 1, DRAINS + 2), State.TERMINATING));
+                    awaitList();
+                    fixture.pass(10_000);
+                }
+            }
+        }
+        assertToldOnceAndInGrace(DRAINS + 2);
+    }
+
+    private void tellDrains(Socket old) throws Exception {
+        write(old, ANSWER_HEAD + list(42, false, IntStream.range(0, DRAINS), State.TERMINATING));
+        awaitList();
+        toldAt = fixture.now();
+        fixture.pass(StewardFixture.STEP_MS);
+        assertTrue(
+                fixture.proxies.stream().anyMatch(proxy -> proxy.shutOut.size() < DRAINS),
+                "some of the drains wait while discovery moves");
+    }
+
+    private void assertToldOnce(int drains) {
+        TreeSet<String> expected =
+                IntStream.range(0, drains).mapToObj(h -> "s-" + h).collect(Collectors.toCollection(TreeSet::new));
+        for (RecordingProxy proxy : fixture.proxies) {
+            assertEquals(expected, proxy.shutOut, "proxy " + proxy.id);
+            expected.forEach(host -> assertEquals(1, proxy.shutOutAt.get(host).size(), host + " is told once"));
+            assertTrue(proxy.letBackAt.isEmpty(), "none is called back: " + proxy.letBackAt);
+        }
+    }
+
+    /** All that is told here is told within 200 ms of {@link #toldAt}, so that one limit does for all. */
+    private void assertToldOnceAndInGrace(int drains) {
+        assertToldOnce(drains);
+        for (RecordingProxy proxy : fixture.proxies) {
+            proxy.shutOutAt.forEach((host, at) -> {
+                double late = at.get(0) + TRANSIT_MS - toldAt;
+                assertTrue(late <= GRACE_MS + SOCKET_SLACK_MS, host + " at proxy " + proxy.id + " after " + late);
+            });
+        }
+    }
+
+    private void awaitList() throws InterruptedException {
+        assertTrue(fixture.exchange.await(TimeUnit.SECONDS.toNanos(WAIT_SECONDS)), "the list reaches the exchange");
+    }
+
+    private static ServerSocket listen() throws IOException {
+        ServerSocket agent = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
+        agent.setSoTimeout((int) TimeUnit.SECONDS.toMillis(WAIT_SECONDS));
+        return agent;
+    }
+
+    private static InetSocketAddress address(ServerSocket agent) {
+        return new InetSocketAddress(agent.getInetAddress(), agent.getLocalPort());
+    }
+
+    private static Socket accept(ServerSocket agent, long fromVersion) throws IOException {
+        Socket socket = agent.accept();
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(WAIT_SECONDS));
+        BufferedReader in =
+                new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+        assertEquals("GET /catalog/members?watch=1&from=" + fromVersion + " HTTP/1.1", in.readLine());
+        while (!in.readLine().isEmpty()) {
+            // request headers
+        }
+        return socket;
+    }
+
+    private static void write(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+    }
+
+    private static String wholeWithDrains(long version, int drains) {
+        return list(
+                version,
+                true,
+                IntStream.range(0, HOSTS)
+                        .mapToObj(h -> host(h, h < drains ? State.TERMINATING : State.READY, LONG_AGO))
+                        .toList());
+    }
+
+    private static String list(long version, boolean whole, IntStream hosts, State state) {
+        return list(
+                version, whole, hosts.mapToObj(h -> host(h, state, LONG_AGO)).toList());
+    }
+
+    /** One line of a watch, as a chunk. */
+    private static String list(long version, boolean whole, List<HostList.Entry> entries) {
+        String servers = entries.stream()
+                .map(e -> "{\"id\":\"" + e.host() + "\",\"zone\":\"" + "abc".charAt(e.zone())
+                        + "\",\"kind\":\"m1\",\"state\":\"" + (e.state() == State.READY ? "Ready" : "Terminating")
+                        + "\",\"weight\":1,\"started_ms\":0}")
+                .collect(Collectors.joining(","));
+        String line = "{\"version\":" + version + ",\"full\":" + whole + ",\"servers\":[" + servers + "]}\n";
+        return Integer.toHexString(line.length()) + "\r\n" + line + "\r\n";
+    }
+}
