--- a/src/main/java/linenring/front/Drain.java
+++ b/src/main/java/linenring/front/Drain.java
@@ -28,6 +28,7 @@
         int running;
         boolean asked; // a PING stands behind the first GOAWAY, and no answer has come
         boolean named; // the last one was told to the client
+        boolean late; // it came during the drain: none of its streams is accepted
     }
 
     private final double bound;
@@ -42,8 +43,16 @@
 
     /** A session is there; false if it comes too late and is to be told so. */
     synchronized boolean opened(S session) {
-        sessions.put(session, new Of());
-        return stage == Stage.SERVING;
+        Of of = new Of();
+        of.late = stage != Stage.SERVING;
+        sessions.put(session, of);
+        return !of.late;
+    }
+
+    /** Whether the session came during the drain. */
+    synchronized boolean isLate(S session) {
+        Of of = sessions.get(session);
+        return of != null && of.late;
     }
 
     synchronized void closed(S session) {
@@ -53,7 +62,7 @@
     /** A stream has come; false: refuse it as not processed. */
     synchronized boolean accepts(S session, int stream) {
         Of of = sessions.get(session);
-        if (of == null || of.named || stage == Stage.OVER) {
+        if (of == null || of.late || of.named || stage == Stage.OVER) {
             refused++;
             return false;
         }
@@ -103,7 +112,7 @@
 
     /** Serves again; sessions whose last stream was told go on refusing later ones. */
     synchronized void resume() {
-        sessions.values().forEach(of -> of.asked = false);
+        sessions.values().forEach(of -> of.asked = of.late = false);
         stage = Stage.SERVING;
     }
 
@@ -123,11 +132,11 @@
 
     /**
      * The last accepted stream of a session, which is told to its client now, once: later ones are refused. {@link #NAMED}
-     * also while its client may not know yet.
+     * also while its client may not know yet, and for a late one, which is closed by itself.
      */
     synchronized int nameLast(S session) {
         Of of = sessions.get(session);
-        if (of == null || of.named || mayNotKnow(of)) {
+        if (of == null || of.late || of.named || mayNotKnow(of)) {
             return NAMED;
         }
         of.named = true;
--- a/src/main/java/linenring/front/Front.java
+++ b/src/main/java/linenring/front/Front.java
@@ -33,6 +33,7 @@
 import org.eclipse.jetty.http2.frames.HeadersFrame;
 import org.eclipse.jetty.http2.frames.PingFrame;
 import org.eclipse.jetty.http2.frames.ResetFrame;
+import org.eclipse.jetty.http2.frames.SettingsFrame;
 import org.eclipse.jetty.http2.server.RawHTTP2ServerConnectionFactory;
 import org.eclipse.jetty.io.ClientConnector;
 import org.eclipse.jetty.server.HttpConfiguration;
@@ -281,7 +282,13 @@
         @Override
         public void onAccept(Session session) {
             sessions.put(session, this);
-            if (!drain.opened(session)) {
+            drain.opened(session);
+        }
+
+        /** A client that came during a drain is told so behind our own SETTINGS, which go first (RFC 9113, 3.4). */
+        @Override
+        public void onSettings(Session session, SettingsFrame frame) {
+            if (drain.isLate(session)) {
                 session.close(ErrorCode.NO_ERROR.code, "drains", Callback.NOOP);
             }
         }
@@ -397,13 +404,15 @@
 
     // ---- drain
 
-    /** Lets what runs finish and takes nothing new; does nothing where that has begun. */
+    /**
+     * Lets what runs finish and takes nothing new; does nothing where that has begun. Connections are accepted as before, and
+     * told at once that nothing of theirs was processed: in the listener's queue they would hear nothing until the process ends.
+     */
     public void drain() {
         if (!drain.begin(now())) {
             return;
         }
         log.info("front", "drains: " + drain.running() + " invocations run, " + sessions.size() + " clients");
-        connector.setAccepting(false);
         sessions.keySet().forEach(s -> {
             drain.asked(s); // by frames(): after its own goAway() Jetty closes a session at once in which nothing runs
             ((HTTP2Session) s).frames(null, List.of(GoAwayFrame.GRACEFUL), Callback.NOOP);
