--- a/src/test/java/linenring/front/UnansweredRequestsTest.java
+++ b/src/test/java/linenring/front/UnansweredRequestsTest.java
@@ -119,6 +119,8 @@
             for (int i = 0; i < 40; i++) {
                 if (i == 20) {
                     rig.front.drain();
+                } else if (i == 30) {
+                    TimeUnit.MILLISECONDS.sleep(100); // those before met its beginning, the others come well after it
                 }
                 Socket socket = new Socket();
                 try {
