--- a/src/main/java/linenring/front/Front.java
+++ b/src/main/java/linenring/front/Front.java
@@ -10,6 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
+import java.util.function.Supplier;
 import linenring.exchange.Exchange;
 import linenring.front.settings.FrontPlan;
 import linenring.log.Log;
@@ -131,10 +132,23 @@
             ServerSocketChannel listener,
             boolean accepts,
             Log log) {
+        return open(plan, measure, hosts, exchange, listener, accepts, log, HTTP2Client::new);
+    }
+
+    /** The same with a client of the caller's making towards the hosts, so that a test can order what Jetty does. */
+    static Opened open(
+            FrontPlan plan,
+            Measure measure,
+            HostBook hosts,
+            Exchange exchange,
+            ServerSocketChannel listener,
+            boolean accepts,
+            Log log,
+            Supplier<HTTP2Client> clientFactory) {
         Front front = new Front(plan, measure, hosts, System.nanoTime(), log);
         Opened.Reached reached = Opened.Reached.STARTED;
         try {
-            front.start(exchange, listener, accepts);
+            front.start(exchange, listener, accepts, clientFactory);
             reached = Opened.Reached.LISTENING;
             front.membership.join();
             front.membership.report();
@@ -147,7 +161,9 @@
         }
     }
 
-    private void start(Exchange exchange, ServerSocketChannel listener, boolean accepts) throws Exception {
+    private void start(
+            Exchange exchange, ServerSocketChannel listener, boolean accepts, Supplier<HTTP2Client> clientFactory)
+            throws Exception {
         threads = new QueuedThreadPool(THREADS_MOST, 4);
         threads.setName("front");
         threads.setDaemon(true);
@@ -180,11 +196,11 @@
         } // else it is started by the first accept()
         connector.addBean(door); // it is told of each connection's beginning and end
 
-        ClientConnector out = new ClientConnector();
+        client = clientFactory.get();
+        ClientConnector out = client.getClientConnector();
         out.setExecutor(threads);
         out.setScheduler(scheduler);
         out.setSelectors(1);
-        client = new HTTP2Client(out);
         client.setInitialStreamRecvWindow(plan.body().window());
         client.setInitialSessionRecvWindow(session(plan.pool().streams()));
         client.setConnectTimeout((long) Math.ceil(plan.dialMs()));
--- a/src/main/java/linenring/front/Invocation.java
+++ b/src/main/java/linenring/front/Invocation.java
@@ -210,6 +210,7 @@
         private HttpFields answerTrailers;
         private boolean released;
         private volatile boolean resetByHost;
+        private volatile Stream created; // null while Jetty has made no stream, and so written nothing
 
         Try(Tries.Step.Send send) {
             host = send.host();
@@ -264,15 +265,21 @@
             });
         }
 
+        /** Before anything is written; within the call of {@code newStream}. */
         @Override
-        public void failed(Throwable x) { // of a full connection nothing was written; else part of it may have been
-            boolean unsent = x.getClass() == IllegalStateException.class; // none of its kinds, which a write may throw
+        public void onNewStream(Stream opened) {
+            created = opened;
+        }
+
+        /**
+         * The stream was not opened. A connection that is lost while the head is written, or closed by {@link #release},
+         * may tell so here before the stream hears that it is left out by a GOAWAY.
+         */
+        @Override
+        public void failed(Throwable x) {
             then(() -> {
                 release();
-                ended(
-                        unsent
-                                ? new Attempt(Attempt.Proof.NEVER_SENT, Attempt.Why.REFUSED)
-                                : new Attempt(Attempt.Proof.MAY_HAVE_RUN, Attempt.Why.CONNECTION_LOST));
+                ended(created == null ? new Attempt(Attempt.Proof.NEVER_SENT, Attempt.Why.REFUSED) : lost(created));
             });
         }
 
@@ -477,12 +484,8 @@
         @Override
         public void onFailure(Stream from, int error, String reason, Throwable failure, Callback callback) {
             then(() -> {
-                boolean unprocessed = on.isNotProcessed(from.getId());
                 release();
-                ended(
-                        unprocessed
-                                ? new Attempt(Attempt.Proof.NOT_PROCESSED, Attempt.Why.GOING_AWAY)
-                                : new Attempt(Attempt.Proof.MAY_HAVE_RUN, Attempt.Why.CONNECTION_LOST));
+                ended(lost(from));
             });
             callback.succeeded();
         }
@@ -497,6 +500,13 @@
             });
         }
 
+        /** How an attempt ended whose connection took its stream along. */
+        private Attempt lost(Stream of) {
+            return on.isNotProcessed(of.getId())
+                    ? new Attempt(Attempt.Proof.NOT_PROCESSED, Attempt.Why.GOING_AWAY)
+                    : new Attempt(Attempt.Proof.MAY_HAVE_RUN, Attempt.Why.CONNECTION_LOST);
+        }
+
         /** Jetty resets what is no HTTP/2 message, such as a body of another length than was said, and tells nobody. */
         private void resetUntold() {
             if (!resetByHost) {
--- a/src/test/java/linenring/front/Rig.java
+++ b/src/test/java/linenring/front/Rig.java
@@ -6,6 +6,7 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
+import java.util.function.Supplier;
 import java.util.stream.IntStream;
 import linenring.exchange.Exchange;
 import linenring.exchange.Stream;
@@ -21,6 +22,7 @@
 import linenring.routing.HostBook;
 import linenring.standin.Caller;
 import linenring.standin.Node;
+import org.eclipse.jetty.http2.client.HTTP2Client;
 
 /** A front, stand-in nodes of zones a and b by turns, and a steward that orders what the story says. */
 final class Rig implements AutoCloseable, Exchange.Taker {
@@ -58,6 +60,11 @@
 
     /** With further lines of settings. */
     Rig(int count, String more) throws IOException {
+        this(count, more, HTTP2Client::new);
+    }
+
+    /** With a client of the test's making towards the nodes. */
+    Rig(int count, String more, Supplier<HTTP2Client> clientFactory) throws IOException {
         for (int h = 0; h < count; h++) {
             nodes.add(new Node());
         }
@@ -65,7 +72,8 @@
         HostBook book = new HostBook();
         book.listed(list());
         exchange.follow(book::listed);
-        Front.Opened opened = Front.open(plan, Measure.SHARE, book, exchange, new Log(new PrintStream(logged, true)));
+        Log log = new Log(new PrintStream(logged, true));
+        Front.Opened opened = Front.open(plan, Measure.SHARE, book, exchange, null, true, log, clientFactory);
         if (opened.front() == null) {
             throw new IOException(opened.fault());
         }
