--- a/src/main/java/linenring/scale/run/ScenarioPlayer.java
+++ b/src/main/java/linenring/scale/run/ScenarioPlayer.java
@@ -36,10 +36,19 @@
 
     private final long seed;
     private final Progress progress;
+    private final long quietMs;
+    private final long watchMs;
 
     ScenarioPlayer(long seed, Progress progress) {
+        this(seed, progress, QUIET_MS, WATCH_MS);
+    }
+
+    /** With so much time before the event, and so much from it on at least. */
+    ScenarioPlayer(long seed, Progress progress, long quietMs, long watchMs) {
         this.seed = seed;
         this.progress = progress;
+        this.quietMs = quietMs;
+        this.watchMs = watchMs;
     }
 
     static ScenarioOutcome failed(Scenario scenario, Workload workload, String failure) {
@@ -56,7 +65,7 @@
                 return failed(scenario, workload, failure);
             }
             testbed.awaitHollowSettled(System.nanoTime() + TimeUnit.SECONDS.toNanos(SETTLE_S));
-            TimeUnit.MILLISECONDS.sleep(QUIET_MS);
+            TimeUnit.MILLISECONDS.sleep(quietMs);
             return new Play(scenario, testbed, real).play();
         }
     }
@@ -128,7 +137,7 @@
                 }
                 boolean agrees = agreement().isComplete() && holdsPresentList();
                 converged = !agrees ? Double.NaN : Double.isNaN(converged) ? (now - eventEndedAt) / 1e9 : converged;
-                if (agrees && now - begunAt > TimeUnit.MILLISECONDS.toNanos(WATCH_MS)) {
+                if (agrees && now - begunAt > TimeUnit.MILLISECONDS.toNanos(watchMs)) {
                     break;
                 }
             }
@@ -241,7 +250,7 @@
                     .hosts(h -> true)
                     .subList(0, Math.min(SPOILT_ENTRIES, testbed.workload().catalogueHosts()));
             restart();
-            watchFor(WATCH_MS);
+            watchFor(watchMs);
             testbed.script(events -> events.rollingRestart(System.currentTimeMillis(), spoilt, SPOILT_ENTRIES, 1));
         }
 
