--- a/src/main/java/linenring/scale/run/ScenarioPlayer.java
+++ b/src/main/java/linenring/scale/run/ScenarioPlayer.java
@@ -20,7 +20,8 @@
     static final double SECONDS_AT_MOST = 260;
 
     private static final long SETTLE_S = 60, CONVERGE_S = 90;
-    private static final long QUIET_MS = 5000; // before the event: the first tables have gone out
+    private static final long QUIET_MS =
+            15_000; // before the event: the first tables have gone out, what runs often is compiled
     private static final long WATCH_MS = 10_000; // from the event on at least
     private static final long POLL_MS = 100;
     private static final double CHURN_PER_SECOND = 10; // where the workload has no changes of its own
@@ -77,6 +78,7 @@
         private final RealMember real;
         private final boolean whole; // tables hold all hosts that are ready
         private final PeakShare peak = new PeakShare();
+        private final StaleHosts stale = new StaleHosts();
         private final long begunAt = System.nanoTime();
         private final Traffic.Counts trafficBefore;
         private final long hollowNanosBefore;
@@ -125,7 +127,10 @@
             return testbed.agreement(real.fleet().fleet(), whole);
         }
 
-        /** Seconds from the last of the event on; NaN where the tables did not come to agree. */
+        /**
+         * Seconds from the last of the event until the tables agreed, or the longest for which one held a host that was not
+         * ready any more; NaN where they did not come to agree.
+         */
         private double awaitConvergence() throws InterruptedException {
             double converged = Double.NaN;
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(CONVERGE_S);
@@ -141,7 +146,7 @@
                     break;
                 }
             }
-            return Math.max(0, converged);
+            return Math.max(converged, stale.longestSeconds());
         }
 
         private boolean holdsPresentList() {
@@ -270,6 +275,7 @@
                 } catch (IOException e) {
                     return; // it has ended, which is told at the end
                 }
+                stale.seen(testbed.staleHosts(real.fleet().fleet()), System.nanoTime());
                 TimeUnit.MILLISECONDS.sleep(Math.min(ms, POLL_MS));
             } while (System.nanoTime() < end);
         }
--- a/src/main/java/linenring/scale/run/Testbed.java
+++ b/src/main/java/linenring/scale/run/Testbed.java
@@ -24,6 +24,7 @@
 import linenring.scale.fleet.ChannelLimits;
 import linenring.scale.fleet.FleetLayout;
 import linenring.scale.fleet.HollowFleet;
+import linenring.scale.fleet.HollowProxy;
 import linenring.scale.fleet.MemoryFleets;
 import linenring.scale.measurement.Workload;
 import linenring.scale.process.StewardSettings;
@@ -247,6 +248,18 @@
         return without == 0 ? null : without + " of " + fleet.proxies().size() + " proxies have no table";
     }
 
+    /** The ids of hosts that are not ready and that a proxy may still send to. */
+    Set<String> staleHosts(HollowFleet fleet) {
+        Set<String> open = new HashSet<>();
+        for (HollowProxy proxy : fleet.proxies()) {
+            for (int operation = 0; operation < OPERATIONS.size(); operation++) {
+                open.addAll(proxy.openHosts(operation));
+            }
+        }
+        open.removeAll(readyInScope());
+        return open;
+    }
+
     /** How far a fleet agrees with the catalogue. */
     Agreement agreement(HollowFleet fleet, boolean whole) {
         return Agreement.of(fleet.proxies(), OPERATIONS.size(), readyInScope(), whole);
