--- a/src/test/java/linenring/scale/run/ScaleTest.java
+++ b/src/test/java/linenring/scale/run/ScaleTest.java
@@ -18,6 +18,9 @@
 /** A small scale run, on correctness alone: one real steward and two hollow ones under churn, replacements and a lost zone. */
 class ScaleTest {
     private static final Workload SMALL = new Workload(48, 48, 6, 4, 3, 3, 20, 60, 2);
+    /** The same of which two services in four are in scope. */
+    private static final Workload SCOPED = new Workload(48, 24, 6, 4, 3, 3, 20, 60, 2);
+
     private static final long CHURN_MS = 4000, ZONE_AWAY_MS = 1500;
     private static final int FAILING = 5;
     private static final long GIVE_UP_S = 40; // not an assert on time: where it hangs, it ends
@@ -36,7 +39,16 @@
 
     @Test
     void allStewardsAndTheirProxiesComeToHoldWhatTheCatalogueHolds() throws Exception {
-        try (Testbed testbed = new Testbed(SMALL, 5, true)) {
+        playToItsEnd(SMALL);
+    }
+
+    @Test
+    void stewardsUnderAScopeComeToHoldTheHostsOfTheirServicesAndNoOthers() throws Exception {
+        playToItsEnd(SCOPED);
+    }
+
+    private static void playToItsEnd(Workload workload) throws Exception {
+        try (Testbed testbed = new Testbed(workload, 5, true)) {
             testbed.open(1, 2);
             RealMember real = testbed.real().get(0);
             assertNull(testbed.awaitSettled(real, deadline()));
@@ -87,7 +99,7 @@
         assertEquals(1, ledger.wholeLists());
         assertEquals(version - 1, ledger.changes() + ledger.merged()); // all began with the list of version 1
         assertTrue(version > 40, "the catalogue has changed, not stood still");
-        assertEquals(testbed.catalogue().readyIds(), ledger.readyIds());
+        assertEquals(testbed.readyInScope(), ledger.readyIds());
     }
 
     @Test
