--- a/src/main/java/linenring/scale/report/fit/Fit.java
+++ b/src/main/java/linenring/scale/report/fit/Fit.java
@@ -46,6 +46,7 @@
         return switch (shape) {
             case CONSTANT -> intercept;
             case LINEAR -> intercept + weighted(1, "n");
+            case SQUARE_ROOT -> intercept + weighted(1, "sqrt n");
             case N_LOG_N -> intercept + weighted(1, "n log2 n");
             case QUADRATIC -> intercept + weighted(1, "n") + weighted(2, "n^2");
             case POWER -> intercept + weighted(1, "n^" + figure(parameter));
--- a/src/main/java/linenring/scale/report/fit/Shape.java
+++ b/src/main/java/linenring/scale/report/fit/Shape.java
@@ -7,6 +7,8 @@
 public enum Shape {
     CONSTANT("constant", false),
     LINEAR("linear", false),
+    /** Grows ever slower, as where many inputs are taken in one go. */
+    SQUARE_ROOT("square root", false),
     N_LOG_N("n log n", false),
     QUADRATIC("quadratic", false),
     POWER("power", true),
@@ -40,6 +42,7 @@
         return switch (this) {
             case CONSTANT -> new double[] {};
             case LINEAR -> new double[] {size};
+            case SQUARE_ROOT -> new double[] {Math.sqrt(size)};
             case N_LOG_N -> new double[] {nLogN(size)};
             case QUADRATIC -> new double[] {size, size * size};
             case POWER -> new double[] {Math.pow(size, parameter)};
--- a/src/test/java/linenring/scale/report/fit/FitChooserTest.java
+++ b/src/test/java/linenring/scale/report/fit/FitChooserTest.java
@@ -37,7 +37,8 @@
             case LINEAR -> n -> 2 + 0.003 * n;
             case N_LOG_N -> n -> 2 + 0.0002 * n * Math.log(n) / Math.log(2);
             case QUADRATIC -> n -> 2 + 0.001 * n + 4e-8 * n * n;
-            case POWER -> n -> 2 + 0.5 * Math.sqrt(n);
+            case SQUARE_ROOT -> n -> 2 + 0.5 * Math.sqrt(n);
+            case POWER -> n -> 2 + 0.05 * Math.pow(n, 0.75);
             case BROKEN_LINE -> n -> 2 + 0.0005 * n + 0.01 * Math.max(0, n - 20_000);
         };
     }
@@ -54,7 +55,7 @@
     @ParameterizedTest
     @EnumSource(
             value = Shape.class,
-            names = {"CONSTANT", "LINEAR", "POWER", "BROKEN_LINE"})
+            names = {"CONSTANT", "LINEAR", "SQUARE_ROOT", "POWER", "BROKEN_LINE"})
     void tellsShapesApartUnderNoise(Shape shape) {
         long found = java.util.stream.LongStream.range(0, SEEDS)
                 .filter(seed -> fitted(samples(law(shape), NOISE, seed)).fit().shape() == shape)
