--- a/src/main/java/linenring/discovery/AgentConnection.java
+++ b/src/main/java/linenring/discovery/AgentConnection.java
@@ -101,19 +101,32 @@
 
     @Override
     public void onFillable() {
+        try {
+            if (readAvailable()) {
+                fillInterested();
+            }
+        } catch (RuntimeException e) { // no fault here reaches further than this attempt
+            end("fault: " + e);
+        }
+    }
+
+    /**
+     * Reads what has come without waiting for more, on the selector's thread alone. True where the attempt goes on; whether
+     * its endpoint is asked for further bytes is unchanged.
+     */
+    boolean readAvailable() {
         try {
             while (!ended) {
                 BufferUtil.clear(read);
                 int got = getEndPoint().fill(read);
                 if (got == 0) {
-                    fillInterested();
-                    return;
+                    return true;
                 }
                 if (got < 0) {
                     parser.atEOF();
                     parser.parseNext(read);
                     end(broken != null ? broken : "ended by its peer");
-                    return;
+                    return false;
                 }
                 while (read.hasRemaining() && broken == null && !complete) {
                     parser.parseNext(read);
@@ -123,7 +136,6 @@
                 }
                 if (broken != null || complete) {
                     end(broken != null ? broken : "the answer is complete");
-                    return;
                 }
             }
         } catch (IOException e) {
@@ -131,6 +143,7 @@
         } catch (RuntimeException e) { // no fault here reaches further than this attempt
             end("fault: " + e);
         }
+        return false;
     }
 
     @Override
@@ -250,7 +263,7 @@
     private void lineEnds() {
         lineAt = watch.now();
         if (list == null) {
-            broken = watch.speaks(source) ? watch.asksAnew(source) : HostWatch.MOVED_ON;
+            broken = watch.toldOfNoChange(source);
             reached = Reached.TOLD; // that nothing has changed
             return;
         }
--- a/src/main/java/linenring/discovery/HostWatch.java
+++ b/src/main/java/linenring/discovery/HostWatch.java
@@ -26,7 +26,8 @@
 
 /**
  * Keeps a watch on discovery's list from the last version on; what it is told goes to the exchange. Where discovery
- * moves, the old address serves until the new one has told something; the list and its version go along.
+ * moves, the old address serves until the new one has told something, and what it has written by then is read before it is
+ * left; the list and its version go along. One selector's thread reads all connections.
  */
 public final class HostWatch extends SelectorManager {
     static final String MOVED_ON = "discovery has moved on";
@@ -106,6 +107,11 @@
         return serving;
     }
 
+    /** Where discovery has moved to, while that address has told nothing; else null. */
+    synchronized Source next() {
+        return next;
+    }
+
     /**
      * Discovery is to be found there from now on, and read under this scope. Under another scope than before its whole list
      * is asked for; until that has come, what was held stays and the old address goes on to serve.
@@ -226,8 +232,33 @@
         return isMeant(source);
     }
 
+    /**
+     * Where the source is one that discovery has moved to: reads what the address that serves has written so far, since that
+     * counts as told. Read before a line of the new source is judged, it is older than that line, as it would be had the
+     * selector chosen the other order; read later, entries of another scope could undo what a whole list has said. Called on
+     * the selector's thread without a lock: the connection takes its own before the watch's.
+     */
+    private void readServingFirst(Source source) {
+        AgentConnection open;
+        synchronized (this) {
+            if (source.left || source != next) {
+                return;
+            }
+            open = serving.open;
+        }
+        if (open != null) {
+            open.readAvailable();
+        }
+    }
+
+    /** A blank line has come: null where the attempt goes on, or why not. */
+    String toldOfNoChange(Source source) {
+        readServingFirst(source);
+        return speaks(source) ? asksAnew(source) : MOVED_ON;
+    }
+
     /** A line that can be used has come, be it a blank one; false where discovery has moved on: then it changes nothing. */
-    boolean speaks(Source source) {
+    private boolean speaks(Source source) {
         Source old;
         synchronized (this) {
             if (!isMeant(source)) {
@@ -247,6 +278,7 @@
 
     /** A list that is about to be read under the source's scope. */
     HostListStream reads(Source source) {
+        readServingFirst(source); // what is held decides who can leave
         return codec.hostListStream(new HostListFilter(source.scope, this::holds, hostsMost));
     }
 
@@ -264,6 +296,7 @@
      * revision that was held when reading began.
      */
     String told(Source source, HostList list, long since) {
+        readServingFirst(source);
         String refusal = refuses(source, list, since);
         if (refusal != null) {
             return refusal; // the old address goes on to serve
--- a/src/test/java/linenring/discovery/AgentFixture.java
+++ b/src/test/java/linenring/discovery/AgentFixture.java
@@ -35,18 +35,30 @@
 
     static final class Agent extends ByteArrayEndPoint {
         final AgentConnection connection;
+        private boolean unread;
 
         Agent(HostWatch watch, String target, boolean once) {
+            this(watch, watch.serving(), target, once);
+        }
+
+        Agent(HostWatch watch, Source source, String target, boolean once) {
             super(new Waits(), 0);
             setGrowOutput(true);
-            connection = new AgentConnection(this, Runnable::run, watch, watch.serving(), target, once);
+            connection = new AgentConnection(this, Runnable::run, watch, source, target, once);
             setConnection(connection);
             connection.onOpen();
         }
 
+        /** What it writes from now on has arrived, and the selector has not come to it yet. */
+        void leaveUnread() {
+            unread = true;
+        }
+
         @Override
         protected void execute(Runnable task) {
-            task.run();
+            if (!unread) {
+                task.run();
+            }
         }
     }
 
