--- a/src/main/java/linenring/discovery/HostWatch.java
+++ b/src/main/java/linenring/discovery/HostWatch.java
@@ -114,15 +114,26 @@
 
     /**
      * Discovery is to be found there from now on, and read under this scope. Under another scope than before its whole list
-     * is asked for; until that has come, what was held stays and the old address goes on to serve.
+     * is asked for; until that has come, what was held stays and the old address goes on to serve. It is done on the
+     * selector's thread, as an address that is given up before it was heard of is read out first.
      */
     public void moveTo(InetSocketAddress at, ServiceScope scope) {
+        ManagedSelector selector = isStarted() ? getBean(ManagedSelector.class) : null;
+        if (selector == null) {
+            moveNow(at, scope);
+        } else {
+            selector.submit(unused -> moveNow(at, scope));
+        }
+    }
+
+    private void moveNow(InetSocketAddress at, ServiceScope scope) {
+        if (isUnderWay(at, scope)) {
+            return;
+        }
+        readNextOut();
         Source to = new Source(at, scope, true), given;
         boolean stays, sameScope;
         synchronized (this) {
-            if (next != null && next.isAt(at, scope)) {
-                return; // under way
-            }
             given = next;
             stays = serving.isAt(at, scope);
             sameScope = serving.scope.equals(scope);
@@ -133,6 +144,21 @@
         dial(to);
     }
 
+    private synchronized boolean isUnderWay(InetSocketAddress at, ServiceScope scope) {
+        return next != null && next.isAt(at, scope);
+    }
+
+    /** What an address has written counts as told, although it is about to be given up for another one. */
+    private void readNextOut() {
+        AgentConnection open;
+        synchronized (this) {
+            open = next == null ? null : next.open;
+        }
+        if (open != null) {
+            open.readAvailable();
+        }
+    }
+
     private void leave(Source source) {
         AgentConnection open;
         synchronized (this) {
--- a/src/test/java/linenring/discovery/UnreadAtMoveTest.java
+++ b/src/test/java/linenring/discovery/UnreadAtMoveTest.java
@@ -151,4 +151,30 @@
         assertEquals("s-1", hosts());
         assertFalse(old.isOpen());
     }
+
+    /** Discovery moves on before the address it had moved to was heard of: that one takes over first, as it had spoken. */
+    @Test
+    void whatAnAddressHadWrittenThatIsGivenUpForAThirdIsTaken() {
+        serve(ServiceScope.ALL, "s-1");
+        Agent second = move(ServiceScope.ALL, false);
+        second.addUnread(OK + chunk(list(42, false, "s-1  Terminating")));
+        watch.moveTo(new InetSocketAddress("127.0.0.1", 8502), ServiceScope.ALL);
+        hosts();
+        assertEquals(HostList.State.TERMINATING, hosts.get("s-1"));
+        assertEquals(NEW_ADDRESS, watch.serving().at);
+        assertEquals(8502, watch.next().at.getPort());
+        assertFalse(old.isOpen());
+        assertTrue(second.isOpen());
+    }
+
+    @Test
+    void anAddressThatHasWrittenNothingUsableIsGivenUpForAThird() {
+        serve(ServiceScope.ALL, "s-1");
+        Agent second = move(ServiceScope.ALL, false);
+        second.addUnread(OK + chunk(list(42, false, "s-1  Terminating").substring(0, 50)));
+        watch.moveTo(new InetSocketAddress("127.0.0.1", 8502), ServiceScope.ALL);
+        assertTrue(old.isOpen());
+        assertFalse(second.isOpen());
+        assertEquals(8502, watch.next().at.getPort());
+    }
 }
