--- a/src/test/java/linenring/discovery/HostWatchTest.java
+++ b/src/test/java/linenring/discovery/HostWatchTest.java
@@ -1,25 +1,31 @@
 package linenring.discovery;
 
+import static linenring.discovery.AgentFixture.OK;
+import static linenring.discovery.AgentFixture.agent;
+import static linenring.discovery.AgentFixture.answer;
+import static linenring.discovery.AgentFixture.asked;
+import static linenring.discovery.AgentFixture.at;
+import static linenring.discovery.AgentFixture.chunk;
+import static linenring.discovery.AgentFixture.list;
+import static linenring.discovery.AgentFixture.say;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.io.BufferedReader;
 import java.io.ByteArrayOutputStream;
-import java.io.InputStreamReader;
 import java.io.PrintStream;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.concurrent.atomic.AtomicLong;
+import linenring.discovery.AgentFixture.Agent;
+import linenring.discovery.AgentFixture.Waits;
 import linenring.exchange.Exchange;
 import linenring.exchange.Stream;
 import linenring.figures.Names;
@@ -27,43 +33,15 @@
 import linenring.message.Arrival;
 import linenring.message.Codec;
 import linenring.message.HostList;
-import org.eclipse.jetty.io.ByteArrayEndPoint;
-import org.eclipse.jetty.util.component.AbstractLifeCycle;
+import linenring.message.ServiceScope;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
-import org.eclipse.jetty.util.thread.Scheduler;
 import org.junit.jupiter.api.Test;
 
 class HostWatchTest {
-    private static final String OK = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-
-    /** Notes what is put off and does none of it. */
-    private static final class Waits extends AbstractLifeCycle implements Scheduler {
-        final List<Long> ms = new ArrayList<>();
-
-        @Override
-        public Task schedule(Runnable task, long delay, TimeUnit unit) {
-            ms.add(unit.toMillis(delay));
-            return () -> true;
-        }
-    }
-
-    private static final class Agent extends ByteArrayEndPoint {
-        final AgentConnection connection;
-
-        Agent(HostWatch watch, String target, boolean once) {
-            super(new Waits(), 0);
-            setGrowOutput(true);
-            connection = new AgentConnection(this, Runnable::run, watch, watch.serving(), target, once);
-            setConnection(connection);
-            connection.onOpen();
-        }
-
-        @Override
-        protected void execute(Runnable task) {
-            task.run();
-        }
-    }
+    private static final CapacityListener NO_END = why -> {
+        throw new AssertionError(why);
+    };
 
     private final Exchange exchange = new Exchange();
     private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
@@ -74,16 +52,15 @@
     private HostWatch watch(long version) {
         HostList known = version < 0 ? null : new HostList(version, true, List.of());
         return new HostWatch(
-                new InetSocketAddress("127.0.0.1", 8500), known, codec, exchange, log, Runnable::run, waits);
-    }
-
-    private static String list(long version, boolean whole, String state) {
-        return "{\"version\":" + version + ",\"full\":" + whole
-                + ",\"servers\":[{\"id\":\"s-1\",\"zone\":\"a\",\"kind\":\"m1\"," + "\"state\":\"" + state + "\"}]}\n";
-    }
-
-    private static String chunk(String text) {
-        return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
+                new InetSocketAddress("127.0.0.1", 8500),
+                ServiceScope.ALL,
+                known,
+                codec,
+                exchange,
+                log,
+                Runnable::run,
+                waits,
+                NO_END);
     }
 
     private List<Long> versions() {
@@ -181,19 +158,27 @@
         try (ServerSocket old = agent();
                 ServerSocket mute = agent();
                 ServerSocket now = agent()) {
-            HostWatch watch =
-                    new HostWatch(at(old), new HostList(41, true, List.of()), codec, exchange, log, threads, scheduler);
+            HostWatch watch = new HostWatch(
+                    at(old),
+                    ServiceScope.ALL,
+                    new HostList(41, true, List.of()),
+                    codec,
+                    exchange,
+                    log,
+                    threads,
+                    scheduler,
+                    NO_END);
             watch.open();
             try (Socket served = asked(old, "GET /catalog/members?watch=1&from=41 HTTP/1.1")) {
                 say(served, OK + chunk(list(42, false, "Ready")));
                 until(42);
-                watch.moveTo(at(mute));
-                watch.moveTo(at(old)); // given up at once
-                watch.moveTo(at(mute));
+                watch.moveTo(at(mute), ServiceScope.ALL);
+                watch.moveTo(at(old), ServiceScope.ALL); // given up at once
+                watch.moveTo(at(mute), ServiceScope.ALL);
                 say(served, chunk(list(43, false, "Ready"))); // not a word from there: the old one serves
                 until(43);
-                watch.moveTo(at(now));
-                watch.moveTo(at(now)); // once more changes nothing
+                watch.moveTo(at(now), ServiceScope.ALL);
+                watch.moveTo(at(now), ServiceScope.ALL); // once more changes nothing
                 try (Socket moved = asked(now, "GET /catalog/members?watch=1&from=43 HTTP/1.1")) {
                     say(moved, OK + chunk("\n"));
                     assertEquals(-1, served.getInputStream().read()); // now it is let go
@@ -217,16 +202,6 @@
         }
     }
 
-    private static ServerSocket agent() throws Exception {
-        ServerSocket agent = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-        agent.setSoTimeout(20_000);
-        return agent;
-    }
-
-    private static InetSocketAddress at(ServerSocket agent) {
-        return new InetSocketAddress(agent.getInetAddress(), agent.getLocalPort());
-    }
-
     private void until(long version) throws Exception {
         assertTrue(exchange.await(TimeUnit.SECONDS.toNanos(20)));
         assertEquals(List.of(version), versions());
@@ -239,7 +214,8 @@
         threads.start();
         scheduler.start();
         try (ServerSocket agent = agent()) {
-            HostWatch watch = new HostWatch(at(agent), null, codec, exchange, log, threads, scheduler);
+            HostWatch watch =
+                    new HostWatch(at(agent), ServiceScope.ALL, null, codec, exchange, log, threads, scheduler, NO_END);
             watch.open();
             String body = list(7, true, "Ready");
             answer(
@@ -256,28 +232,6 @@
         }
     }
 
-    private static void answer(ServerSocket agent, String request, String answer) throws Exception {
-        try (Socket socket = asked(agent, request)) {
-            say(socket, answer);
-        }
-    }
-
-    private static Socket asked(ServerSocket agent, String request) throws Exception {
-        Socket socket = agent.accept();
-        socket.setSoTimeout(20_000);
-        BufferedReader in =
-                new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
-        assertEquals(request, in.readLine());
-        while (!in.readLine().isEmpty()) {
-            // headers
-        }
-        return socket;
-    }
-
-    private static void say(Socket socket, String words) throws Exception {
-        socket.getOutputStream().write(words.getBytes(StandardCharsets.US_ASCII));
-    }
-
     /** Whom the settings name may count from one again: what was done there under lower numbers must not be missed for ever. */
     @Test
     void aSourceThatCountsAnewIsPassedOverWhileItMayBeLateAndThenItsWholeListIsTaken() throws Exception {
@@ -289,12 +243,22 @@
         try (ServerSocket old = agent();
                 ServerSocket now = agent()) {
             HostWatch watch = new HostWatch(
-                    at(old), new HostList(41, true, List.of()), codec, exchange, log, threads, scheduler, nanos::get);
+                    at(old),
+                    ServiceScope.ALL,
+                    new HostList(41, true, List.of()),
+                    codec,
+                    exchange,
+                    log,
+                    threads,
+                    scheduler,
+                    NO_END,
+                    Integer.MAX_VALUE,
+                    nanos::get);
             watch.open();
             try (Socket served = asked(old, "GET /catalog/members?watch=1&from=41 HTTP/1.1")) {
                 say(served, OK + chunk(list(42, false, "Ready")));
                 until(42);
-                watch.moveTo(at(now));
+                watch.moveTo(at(now), ServiceScope.ALL);
                 try (Socket moved = asked(now, "GET /catalog/members?watch=1&from=42 HTTP/1.1")) {
                     say(moved, OK + chunk(list(3, true, "Gone")) + chunk(list(4, false, "Ready")) + chunk("\n"));
                     assertEquals(-1, served.getInputStream().read()); // all of that is read
@@ -351,12 +315,20 @@
         scheduler.start();
         try (ServerSocket old = agent();
                 ServerSocket wrong = agent()) {
-            HostWatch watch =
-                    new HostWatch(at(old), new HostList(41, true, List.of()), codec, exchange, log, threads, scheduler);
+            HostWatch watch = new HostWatch(
+                    at(old),
+                    ServiceScope.ALL,
+                    new HostList(41, true, List.of()),
+                    codec,
+                    exchange,
+                    log,
+                    threads,
+                    scheduler,
+                    NO_END);
             watch.open();
             try (Socket served = asked(old, "GET /catalog/members?watch=1&from=41 HTTP/1.1")) {
                 say(served, OK + chunk("\n"));
-                watch.moveTo(at(wrong));
+                watch.moveTo(at(wrong), ServiceScope.ALL);
                 try (Socket moved = asked(wrong, "GET /catalog/members?watch=1&from=41 HTTP/1.1")) {
                     say(moved, OK + chunk("a page of another service\n"));
                     assertEquals(-1, moved.getInputStream().read());
@@ -376,12 +348,15 @@
         AtomicLong nanos = new AtomicLong();
         HostWatch watch = new HostWatch(
                 new InetSocketAddress("127.0.0.1", 8500),
+                ServiceScope.ALL,
                 new HostList(41, true, List.of()),
                 codec,
                 exchange,
                 log,
                 Runnable::run,
                 waits,
+                NO_END,
+                Integer.MAX_VALUE,
                 nanos::get);
         Agent agent = new Agent(watch, "/", false);
         agent.addInput(OK + chunk("\n") + chunk("{\"vers"));
