--- a/src/main/java/linenring/scale/report/RunRecords.java
+++ b/src/main/java/linenring/scale/report/RunRecords.java
@@ -18,6 +18,7 @@
 
     private static final ObjectMapper JSON = JsonMapper.builder()
             .enable(SerializationFeature.INDENT_OUTPUT)
+            .enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS) // the same run is the same text
             .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES)
             .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
             .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
--- a/src/main/java/linenring/scale/report/RunReport.java
+++ b/src/main/java/linenring/scale/report/RunReport.java
@@ -21,6 +21,12 @@
     /** The record, the tables and the plots. */
     public void write(ScaleRun run, String name) throws IOException {
         writeRecord(run, name);
+        writeTables(run, name);
+    }
+
+    /** The tables and the plots alone, of a run whose record is there. */
+    public void writeTables(ScaleRun run, String name) throws IOException {
+        Files.createDirectories(directory);
         List<SweepAnalysis> analyses =
                 run.sweeps().stream().map(SweepAnalysis::of).toList();
         Files.writeString(directory.resolve(name + ".md"), new MarkdownReport(run, analyses).page(name));
--- a/src/main/java/linenring/scale/run/ScaleCommand.java
+++ b/src/main/java/linenring/scale/run/ScaleCommand.java
@@ -69,7 +69,7 @@
                 System.err.println("linenring: " + read.fault());
                 return Ending.SETTINGS_AT_FAULT;
             }
-            new RunReport(directory).write(read.run(), name);
+            new RunReport(directory).writeTables(read.run(), name);
             System.out.println(directory.resolve(name + ".md"));
             return Ending.MEASURED;
         } catch (IOException e) {
--- a/src/test/java/linenring/scale/report/RunReportTest.java
+++ b/src/test/java/linenring/scale/report/RunReportTest.java
@@ -146,6 +146,24 @@
                 page);
     }
 
+    @Test
+    void theSameRunIsTheSameTextWhereverItsMapsComeFrom() throws IOException {
+        new RunReport(directory).writeRecord(run(), "r");
+        ScaleRun again = RunRecords.read(directory.resolve("r.json")).run();
+        assertEquals(RunRecords.write(run()), RunRecords.write(again));
+        assertTrue(
+                RunRecords.write(run())
+                        .replaceAll("\\s", "")
+                        .contains("\"shareByThread\":{\"compiler\":1.0E-4,\"steward\""),
+                RunRecords.write(run()));
+    }
+
+    @Test
+    void tablesAreMadeWithoutTouchingTheRecord() throws IOException {
+        new RunReport(directory).writeTables(run(), "r");
+        assertEquals(List.of("r-1-processor.png", "r-1-resident.png", "r.md"), names());
+    }
+
     @Test
     void plotsAreImagesThatCanBeRead() throws IOException {
         new RunReport(directory).write(run(), "r");
