--- a/src/main/java/linenring/plan/Balance.java
+++ b/src/main/java/linenring/plan/Balance.java
@@ -50,7 +50,7 @@
     /** What one proxy was sent at one time, and when it leaves the channel at its stated pace. */
     private static final class Message {
         int mark;
-        double at, lines, leavesBy;
+        double at, lines, leavesBy, slow = 1; // by how much what was sent before it took longer
         boolean left, lost;             // it is out of the channel; its stream has ended
     }
 
@@ -127,10 +127,7 @@
             addTablesFor(k);
         }
         full = tables.size();
-        rules = List.of(this::senseCut,
-                this::dealParts,
-                () -> bindProxies(true),
-                this::withdrawTold,
+        rules = List.of(this::senseCut, this::dealParts, () -> bindProxies(true), this::withdrawTold,
                 each(this::fails, this::markSick),
                 each(this::isSlow, h -> setShare(h, 0.5 * h.share)),
                 each(this::isOfSlowKind, h -> h.share = h.bears = 0.5),
@@ -144,9 +141,7 @@
                 each(h -> h.running && !h.out && keptFromStorm(h) && !tablesWith(h).isEmpty()
                         && mayTrouble(h),
                         h -> withdraw(h, true)),
-                this::cutRestarted,
-                this::placeSlices,
-                this::sendSubUpdate,
+                this::cutRestarted, this::placeSlices, this::sendSubUpdate,
                 () -> bindProxies(false),
                 each(h -> backIn(h) && mayTrouble(h), h -> withdraw(h, false)),
                 this::setLevels);
@@ -264,19 +259,24 @@
                 m.left = true;
             } while (m.mark != answered);
             provenAt = Math.max(provenAt, m.at);
+            double shown = Math.max(1, tookMs / (m.leavesBy - m.at + transitMost)), since = m.at;
+            inChannel.stream().filter(o -> o.at >= since).forEach(o -> o.slow = shown);
             roundTrip += 0.2 * (tookMs - roundTrip); // smoothed over about the last five answers
             reckonChannel();
         }
     }
 
     /**
-     * A message waits until its proxy answers it or a later one. Where no answer comes it has left once the
-     * channel, at its stated pace, has had time for all ahead of it, and its stream has ended or a later
-     * message to another was answered. The order alone proves nothing: what is lost makes way for later ones.
+     * A message waits until its proxy answers it or a later one, and counts until all older ones have left: in
+     * the room of lost ones it may overtake them. Where no answer comes it has left once the channel had time
+     * for all ahead of it, as slow as it last was, and its stream ended or a later message was answered.
      */
     private void reckonChannel() {
-        inChannel.removeIf(m -> m.left || now > m.leavesBy + transitMost && (m.lost || m.at < provenAt)
-                || now > m.at + transitMost + 5 * mostWaiting / pace); // as slow as a channel gets
+        inChannel.removeIf(m -> !m.left && now > m.at + transitMost + (m.lost || m.at < provenAt
+                ? m.slow * (m.leavesBy - m.at) : 5 * mostWaiting / pace)); // as slow as a channel gets
+        double first = inChannel.stream().filter(m -> !m.left && !m.lost).mapToDouble(m -> m.at)
+                .findFirst().orElse(now);
+        inChannel.removeIf(m -> m.left && m.at <= first);
         waiting = inChannel.stream().mapToDouble(m -> m.lines).sum();
     }
 
