--- a/src/main/java/linenring/plan/Balance.java
+++ b/src/main/java/linenring/plan/Balance.java
@@ -272,8 +272,9 @@
      * for all ahead of it, as slow as it last was, and its stream ended or a later message was answered.
      */
     private void reckonChannel() {
+        double slowest = 5 * mostWaiting / pace; // as slow as a channel gets, whatever an answer tells
         inChannel.removeIf(m -> !m.left && now > m.at + transitMost + (m.lost || m.at < provenAt
-                ? m.slow * (m.leavesBy - m.at) : 5 * mostWaiting / pace)); // as slow as a channel gets
+                ? Math.min(slowest, m.slow * (m.leavesBy - m.at)) : slowest));
         double first = inChannel.stream().filter(m -> !m.left && !m.lost).mapToDouble(m -> m.at)
                 .findFirst().orElse(now);
         inChannel.removeIf(m -> m.left && m.at <= first);
--- a/src/test/java/linenring/steward/ChannelAccountTest.java
+++ b/src/test/java/linenring/steward/ChannelAccountTest.java
@@ -321,6 +321,36 @@
         assertTrue(mostWaiting > 0.7 * limit, "the cut came in one: " + mostWaiting);
     }
 
+    /** Answers are the proxies' word: a spoilt time must not keep lines in the account that nobody will ever answer. */
+    @Test
+    void anAnswerOfAnAbsurdTimeKeepsLostLinesNoLongerThanTheSlowestChannel() {
+        double limit = 700;
+        int proxies = 60;
+        Books books = new Books(List.of("quote"), proxies, new Log(new PrintStream(OutputStream.nullOutputStream())));
+        Balance balance = new Balance(figures(1, limit, 16_000), books);
+        begin(books, balance, 60, Double.NEGATIVE_INFINITY, proxies, false);
+        balance.settle();
+        books.send();
+        int fits = channel.size();
+        Sent first = channel.get(0);
+        balance.inForce(first.to().proxy, first.mark(), 1e12);
+        for (int p = 0; p < proxies; p++) {
+            ends(lines.get(p));
+            books.left(p);
+            balance.lost(p);
+        }
+        now += 5 * limit / PACE + 3 * TRANSIT + 200;
+        balance.clock(now);
+        for (int p = 0; p < proxies; p++) {
+            books.joined(p, new Line(p), false);
+            balance.joined(p, p % 3, 1);
+        }
+        balance.settle();
+        books.send();
+        assertTrue(fits < proxies, "the queue is full");
+        assertTrue(channel.size() > fits / 3, channel.size() + " get a table, " + fits + " did at first");
+    }
+
     /** So many hosts are listed, started then, and so many proxies join; not fresh: from another steward. */
     private void begin(Books books, Balance balance, int hosts, double started, int proxies, boolean fresh) {
         balance.clock(now);
