--- a/src/main/java/linenring/front/Front.java
+++ b/src/main/java/linenring/front/Front.java
@@ -10,6 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
+import java.util.function.Supplier;
 import linenring.exchange.Exchange;
 import linenring.front.settings.FrontPlan;
 import linenring.log.Log;
@@ -33,6 +34,7 @@
 import org.eclipse.jetty.http2.frames.HeadersFrame;
 import org.eclipse.jetty.http2.frames.PingFrame;
 import org.eclipse.jetty.http2.frames.ResetFrame;
+import org.eclipse.jetty.http2.frames.SettingsFrame;
 import org.eclipse.jetty.http2.server.RawHTTP2ServerConnectionFactory;
 import org.eclipse.jetty.io.ClientConnector;
 import org.eclipse.jetty.server.HttpConfiguration;
@@ -130,10 +132,23 @@
             ServerSocketChannel listener,
             boolean accepts,
             Log log) {
+        return open(plan, measure, hosts, exchange, listener, accepts, log, HTTP2Client::new);
+    }
+
+    /** The same with a client of the caller's making towards the hosts, so that a test can order what Jetty does. */
+    static Opened open(
+            FrontPlan plan,
+            Measure measure,
+            HostBook hosts,
+            Exchange exchange,
+            ServerSocketChannel listener,
+            boolean accepts,
+            Log log,
+            Supplier<HTTP2Client> clientFactory) {
         Front front = new Front(plan, measure, hosts, System.nanoTime(), log);
         Opened.Reached reached = Opened.Reached.STARTED;
         try {
-            front.start(exchange, listener, accepts);
+            front.start(exchange, listener, accepts, clientFactory);
             reached = Opened.Reached.LISTENING;
             front.membership.join();
             front.membership.report();
@@ -146,7 +161,9 @@
         }
     }
 
-    private void start(Exchange exchange, ServerSocketChannel listener, boolean accepts) throws Exception {
+    private void start(
+            Exchange exchange, ServerSocketChannel listener, boolean accepts, Supplier<HTTP2Client> clientFactory)
+            throws Exception {
         threads = new QueuedThreadPool(THREADS_MOST, 4);
         threads.setName("front");
         threads.setDaemon(true);
@@ -179,11 +196,11 @@
         } // else it is started by the first accept()
         connector.addBean(door); // it is told of each connection's beginning and end
 
-        ClientConnector out = new ClientConnector();
+        client = clientFactory.get();
+        ClientConnector out = client.getClientConnector();
         out.setExecutor(threads);
         out.setScheduler(scheduler);
         out.setSelectors(1);
-        client = new HTTP2Client(out);
         client.setInitialStreamRecvWindow(plan.body().window());
         client.setInitialSessionRecvWindow(session(plan.pool().streams()));
         client.setConnectTimeout((long) Math.ceil(plan.dialMs()));
@@ -281,7 +298,13 @@
         @Override
         public void onAccept(Session session) {
             sessions.put(session, this);
-            if (!drain.opened(session)) {
+            drain.opened(session);
+        }
+
+        /** A client that came during a drain is told so behind our own SETTINGS, which go first (RFC 9113, 3.4). */
+        @Override
+        public void onSettings(Session session, SettingsFrame frame) {
+            if (drain.isLate(session)) {
                 session.close(ErrorCode.NO_ERROR.code, "drains", Callback.NOOP);
             }
         }
@@ -397,13 +420,15 @@
 
     // ---- drain
 
-    /** Lets what runs finish and takes nothing new; does nothing where that has begun. */
+    /**
+     * Lets what runs finish and takes nothing new; does nothing where that has begun. Connections are accepted as before, and
+     * told at once that nothing of theirs was processed: in the listener's queue they would hear nothing until the process ends.
+     */
     public void drain() {
         if (!drain.begin(now())) {
             return;
         }
         log.info("front", "drains: " + drain.running() + " invocations run, " + sessions.size() + " clients");
-        connector.setAccepting(false);
         sessions.keySet().forEach(s -> {
             drain.asked(s); // by frames(): after its own goAway() Jetty closes a session at once in which nothing runs
             ((HTTP2Session) s).frames(null, List.of(GoAwayFrame.GRACEFUL), Callback.NOOP);
