--- a/src/main/java/linenring/Main.java
+++ b/src/main/java/linenring/Main.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import linenring.command.Serve;
 import linenring.command.Subcommands;
-import linenring.wirehost.WireHost;
+import linenring.simulation.WireHost;
 
 /** Where the program begins. The two that the platform runs are called straight: they load nothing that they don't need. */
 public final class Main {
--- a/src/main/java/linenring/command/Handover.java
+++ b/src/main/java/linenring/command/Handover.java
@@ -8,19 +8,19 @@
 import java.util.List;
 import linenring.exchange.Exchange;
 import linenring.front.settings.FrontPlan;
-import linenring.handover.Inheritance;
-import linenring.handover.KnownList;
-import linenring.handover.OldSide;
-import linenring.handover.Successor;
+import linenring.handover.HandoverSender;
+import linenring.handover.HandoverState;
+import linenring.handover.HostSnapshot;
+import linenring.handover.SuccessorProcess;
 import linenring.handover.Upgrades;
 import linenring.handover.wire.Wire;
 import linenring.message.HostList;
 
 /** What an upgrade does to an {@link Instance}, on either side of it. */
-final class Handover implements Upgrades.Served, Successor.Serves {
+final class Handover implements Upgrades.Served, SuccessorProcess.Serves {
     private final Instance instance;
     private final FrontPlan.Handover plan;
-    private final KnownList list = new KnownList();
+    private final HostSnapshot list = new HostSnapshot();
     private Upgrades upgrades;
 
     Handover(Instance instance, Exchange exchange, HostList known) {
@@ -46,7 +46,7 @@
             upgrades = Upgrades.open(
                     plan.dir(),
                     command,
-                    new OldSide.Bounds(plan.greetMs(), plan.prepareMs(), plan.takeMs(), plan.probationMs()),
+                    new HandoverSender.Bounds(plan.greetMs(), plan.prepareMs(), plan.takeMs(), plan.probationMs()),
                     this,
                     instance.log);
             ProcessSignals.handle(ProcessSignals.UPGRADE, upgrades::ask);
@@ -91,7 +91,7 @@
     @Override
     public Wire.Offer offer() {
         return Wire.Offer.newBuilder()
-                .setProtocol(OldSide.PROTOCOL)
+                .setProtocol(HandoverSender.PROTOCOL)
                 .setRelease(Subcommands.release())
                 .setList(list.told())
                 .build();
@@ -106,7 +106,7 @@
 
     int takeOver(Path socket) {
         try {
-            Successor successor = Successor.greet(
+            SuccessorProcess successor = SuccessorProcess.greet(
                     socket,
                     Subcommands.release(),
                     instance.told.names().zones().size(),
@@ -125,7 +125,7 @@
     @Override
     public String prepare(HostList told) {
         try {
-            ServerSocketChannel listener = Inheritance.listener();
+            ServerSocketChannel listener = HandoverState.listener();
             if (listener == null) {
                 return "no listener was handed over";
             }
--- a/src/main/java/linenring/command/Instance.java
+++ b/src/main/java/linenring/command/Instance.java
@@ -13,7 +13,7 @@
 import linenring.log.Log;
 import linenring.message.Codec;
 import linenring.message.HostList;
-import linenring.routing.HostBook;
+import linenring.routing.HostRegistry;
 import linenring.steward.Steward;
 import linenring.streams.StreamServer;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
@@ -27,19 +27,19 @@
     final Assignment told;
     final FrontPlan plan;
     final Log log;
-    private final HangUps hangUps;
+    private final ReloadSignals hangUps;
     private HostList known; // null once it is begun with: its memory goes with it
     private final Exchange exchange = new Exchange();
-    private final HostBook hosts = new HostBook();
+    private final HostRegistry hosts = new HostRegistry();
     private final QueuedThreadPool threads = new QueuedThreadPool(THREADS, 2);
     private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler("timer", true);
     private final Codec codec;
     private Steward steward;
     private StreamServer streams;
     private volatile Front front;
-    private final Ending ending = new Ending();
+    private final Shutdown ending = new Shutdown();
 
-    Instance(Assignment told, FrontPlan plan, HangUps hangUps, Log log) {
+    Instance(Assignment told, FrontPlan plan, ReloadSignals hangUps, Log log) {
         this.told = told.withKnown(null, told.leftOut());
         known = told.known();
         this.plan = plan;
--- a/src/main/java/linenring/command/HangUps.java
+++ b/src/main/java/linenring/command/ReloadSignals.java
@@ -6,15 +6,15 @@
  * SIGHUP, from the first moment on: without a handler it ends the process. What comes before there is anything to do is
  * done once, as soon as there is; then each does it, one at a time.
  */
-final class HangUps {
+final class ReloadSignals {
     private Runnable what;
     private boolean came;
 
-    private HangUps() {}
+    private ReloadSignals() {}
 
     /** Catches them from now on. Where whoever started the process had them ignored, the JVM leaves it so: {@code ignored}. */
-    static HangUps caught(Runnable ignored) {
-        HangUps hangUps = new HangUps();
+    static ReloadSignals caught(Runnable ignored) {
+        ReloadSignals hangUps = new ReloadSignals();
         if (ProcessSignals.handle(ProcessSignals.HANG_UP, hangUps::comes)) {
             ignored.run();
         }
--- a/src/main/java/linenring/command/ScaleSubcommand.java
+++ b/src/main/java/linenring/command/ScaleSubcommand.java
@@ -69,7 +69,8 @@
             throw new CommandLine.ParameterException(
                     spec.commandLine(), "scale: either the settings' FILE or --from RECORD is needed");
         }
-        ScaleCommand.Ending ending = record != null ? ScaleCommand.again(record) : new ScaleCommand(arguments()).run();
+        ScaleCommand.Shutdown ending =
+                record != null ? ScaleCommand.again(record) : new ScaleCommand(arguments()).run();
         return switch (ending) {
             case MEASURED -> 0;
             case SETTINGS_AT_FAULT -> Serve.CONFIGURATION;
--- a/src/main/java/linenring/command/Serve.java
+++ b/src/main/java/linenring/command/Serve.java
@@ -38,7 +38,8 @@
 
     private static Prepared prepare(Path frontFile, boolean json) {
         boolean[] ignored = {false};
-        HangUps hangUps = HangUps.caught(() -> ignored[0] = true); // before all else: till then one ends the process
+        ReloadSignals hangUps =
+                ReloadSignals.caught(() -> ignored[0] = true); // before all else: till then one ends the process
         Assignment.Outcome read = AssignmentReader.read(System.getenv());
         Assignment told = read.assignment();
         if (told == null) {
--- a/src/main/java/linenring/configuration/Assignment.java
+++ b/src/main/java/linenring/configuration/Assignment.java
@@ -3,10 +3,10 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import linenring.figures.Names;
 import linenring.message.HostList;
 import linenring.message.ServiceScope;
-import linenring.plan.StartFigures;
+import linenring.planner.PlannerSettings;
+import linenring.settings.Names;
 
 /**
  * What one steward is told at its start. {@code scope}: whose hosts it serves; {@code known}: the list as it last had it, or null; {@code leftOut}:
@@ -17,7 +17,7 @@
         InetSocketAddress listen,
         InetSocketAddress discovery,
         int sockets,
-        StartFigures figures,
+        PlannerSettings figures,
         Names names,
         ServiceScope scope,
         HostList known,
--- a/src/main/java/linenring/configuration/AssignmentReader.java
+++ b/src/main/java/linenring/configuration/AssignmentReader.java
@@ -11,14 +11,14 @@
 import java.nio.file.Path;
 import java.util.Map;
 import linenring.configuration.Assignment.Outcome;
-import linenring.figures.Names;
-import linenring.figures.StartReader;
 import linenring.message.Codec;
 import linenring.message.Decoded;
 import linenring.message.HostCapacity;
 import linenring.message.HostList;
 import linenring.message.HostListFilter;
 import linenring.message.Unreadable;
+import linenring.settings.Names;
+import linenring.settings.SettingsReader;
 
 /**
  * The one place where configuration is read, checked and given defaults. The file that {@code GW_CONFIG} names
@@ -119,7 +119,7 @@
         if (settings.values.isEmpty()) {
             throw new BadKey("settings", "is missing");
         }
-        Names names = StartReader.names(settings);
+        Names names = SettingsReader.names(settings);
         int sockets = all.index("limits.sockets", SOCKETS);
         if (sockets < SOCKETS_LEAST) {
             throw new BadKey("limits.sockets", ": " + sockets + " is under " + SOCKETS_LEAST);
@@ -129,7 +129,7 @@
                 address(listen, all.find("listen")),
                 address(discovery, all.find("discovery")),
                 sockets,
-                StartReader.read(settings),
+                SettingsReader.read(settings),
                 names,
                 text.scope(),
                 null,
--- a/src/main/java/linenring/configuration/FlatJson.java
+++ b/src/main/java/linenring/configuration/FlatJson.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.util.Map;
 import java.util.TreeMap;
-import linenring.figures.Lookup;
+import linenring.settings.Lookup;
 
 /** Nested JSON as paths: names joined by dots, lists of objects numbered and counted, plain ones by commas. */
 final class FlatJson extends Lookup {
--- a/src/main/java/linenring/front/Room.java
+++ b/src/main/java/linenring/front/BufferBudget.java
@@ -1,11 +1,11 @@
 package linenring.front;
 
 /** Bytes that may be held together; who asks for more than is left gets none. */
-final class Room {
+final class BufferBudget {
     private final long most;
     private long taken;
 
-    Room(long most) {
+    BufferBudget(long most) {
         this.most = most;
     }
 
--- a/src/main/java/linenring/front/Door.java
+++ b/src/main/java/linenring/front/ConnectionAcceptor.java
@@ -18,7 +18,7 @@
  * Lets in who begins with HTTP/2's preface (RFC 9113, 3.4). HTTP/1.1, its obsolete upgrade to h2c included, is answered
  * that this port speaks HTTP/2 alone; whatever else comes, or nothing in time, is closed.
  */
-final class Door extends AbstractConnectionFactory implements Connection.Listener {
+final class ConnectionAcceptor extends AbstractConnectionFactory implements Connection.Listener {
     private static final byte[] PREFACE = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
     private static final long SILENT_MS =
             1000; // as at the steward's own address: who dials says at once what it speaks
@@ -35,7 +35,7 @@
     private int open;
 
     /** Lets in so many connections at most; it is to be told of them as their listener. */
-    Door(ConnectionFactory http2, int most, Log log) {
+    ConnectionAcceptor(ConnectionFactory http2, int most, Log log) {
         super("door");
         this.http2 = http2;
         this.most = most;
--- a/src/main/java/linenring/front/Front.java
+++ b/src/main/java/linenring/front/Front.java
@@ -14,14 +14,14 @@
 import linenring.exchange.Exchange;
 import linenring.front.settings.FrontPlan;
 import linenring.log.Log;
-import linenring.plan.StartFigures.Measure;
+import linenring.planner.PlannerSettings.Measure;
 import linenring.routing.Attempt;
-import linenring.routing.HostBook;
-import linenring.routing.Sums;
+import linenring.routing.HostRegistry;
+import linenring.routing.Limits;
+import linenring.routing.RetryBudget;
+import linenring.routing.RetryDecision;
+import linenring.routing.RollingStatistics;
 import linenring.routing.Tables;
-import linenring.routing.Terms;
-import linenring.routing.Tries;
-import linenring.routing.TryBudget;
 import org.eclipse.jetty.http.MetaData;
 import org.eclipse.jetty.http2.ErrorCode;
 import org.eclipse.jetty.http2.HTTP2Session;
@@ -63,11 +63,11 @@
     private final FrontPlan plan;
     private final Log log;
     private final Routes routes;
-    private final HostBook hosts;
+    private final HostRegistry hosts;
     private final Tables tables;
-    private final Sums sums;
-    private final Tries.Terrain terrain;
-    private final Room keptBodies, buffers;
+    private final RollingStatistics sums;
+    private final RetryDecision.Terrain terrain;
+    private final BufferBudget keptBodies, buffers;
     private final Drain<Session> drain;
     private final Map<Integer, HostLink> links = new ConcurrentHashMap<>();
     private final Set<Invocation> running = ConcurrentHashMap.newKeySet();
@@ -84,31 +84,31 @@
     private ServerConnector connector;
     private Membership membership;
 
-    private Front(FrontPlan plan, Measure measure, HostBook hosts, long seed, Log log) {
+    private Front(FrontPlan plan, Measure measure, HostRegistry hosts, long seed, Log log) {
         this.plan = plan;
         this.hosts = hosts;
         this.log = log;
         routes = new Routes(plan.routes());
         List<String> operations =
-                plan.operations().stream().map(Terms::operation).toList();
+                plan.operations().stream().map(Limits::operation).toList();
         tables = new Tables(
                 operations, hosts, measure, plan.avoid().after(), plan.avoid().forMs());
-        sums = new Sums(plan.proxy(), plan.zone(), hosts, operations.size(), now());
+        sums = new RollingStatistics(plan.proxy(), plan.zone(), hosts, operations.size(), now());
         SplittableRandom seeds = new SplittableRandom(seed);
         chance = ThreadLocal.withInitial(() -> {
             synchronized (seeds) {
                 return seeds.split();
             }
         });
-        terrain = new Tries.Terrain(
+        terrain = new RetryDecision.Terrain(
                 tables,
                 hosts,
-                new TryBudget(
+                new RetryBudget(
                         plan.tries().share(), plan.tries().least(), plan.tries().overMs()),
                 plan.tries().objectives(),
                 () -> chance.get().nextDouble());
-        keptBodies = new Room(plan.body().keptInAll());
-        buffers = new Room(plan.body().inAll());
+        keptBodies = new BufferBudget(plan.body().keptInAll());
+        buffers = new BufferBudget(plan.body().inAll());
         drain = new Drain<>(plan.drainMs());
         counts = new AtomicLong[operations.size()][6];
         for (AtomicLong[] row : counts) {
@@ -119,7 +119,7 @@
     }
 
     /** Listens and joins the steward; {@code hosts} follows the list from its beginning. */
-    public static Opened open(FrontPlan plan, Measure measure, HostBook hosts, Exchange exchange, Log log) {
+    public static Opened open(FrontPlan plan, Measure measure, HostRegistry hosts, Exchange exchange, Log log) {
         return open(plan, measure, hosts, exchange, null, true, log);
     }
 
@@ -127,7 +127,7 @@
     public static Opened open(
             FrontPlan plan,
             Measure measure,
-            HostBook hosts,
+            HostRegistry hosts,
             Exchange exchange,
             ServerSocketChannel listener,
             boolean accepts,
@@ -139,7 +139,7 @@
     static Opened open(
             FrontPlan plan,
             Measure measure,
-            HostBook hosts,
+            HostRegistry hosts,
             Exchange exchange,
             ServerSocketChannel listener,
             boolean accepts,
@@ -181,7 +181,7 @@
         http2.setRateControlFactory(new WindowRateControl.Factory(clients.framesPerSecond()));
         http2.setMaxHeaderBlockFragment(clients.headers());
         server.addBean(http2); // has the life of the server, as it is no connector's own
-        Door door = new Door(http2, clients.connections(), log);
+        ConnectionAcceptor door = new ConnectionAcceptor(http2, clients.connections(), log);
         connector = new ServerConnector(server, 0, 1, door); // no thread waits in accept: it can be stopped
         connector.setHost(plan.listen().getAddress().getHostAddress());
         connector.setPort(plan.listen().getPort());
@@ -239,7 +239,7 @@
         sums.ended(host, well, ms);
     }
 
-    void count(int operation, Tries.Reason reason) {
+    void count(int operation, RetryDecision.Reason reason) {
         counts[operation][
                 switch (reason) {
                     case RATE_LIMITED -> 2;
@@ -248,7 +248,7 @@
                     case TIMED_OUT -> 4;
                 }]
                 .incrementAndGet();
-        if (reason == Tries.Reason.NO_HOST) {
+        if (reason == RetryDecision.Reason.NO_HOST) {
             log.warn("front", "no host can be picked for " + tables.operations().get(operation) + ": 503");
         }
     }
@@ -366,9 +366,16 @@
         }
         sums.asked(operation);
         boolean marked = plan.markHeader() != null && head.getHttpFields().contains(plan.markHeader());
-        Tries tries = new Tries(terrain, operation, plan.operations().get(operation), marked, now());
+        RetryDecision tries =
+                new RetryDecision(terrain, operation, plan.operations().get(operation), marked, now());
         Invocation invocation = new Invocation(
-                this, stream, frame, operation, tries, new KeptBody(plan.body().kept(), keptBodies), reserve);
+                this,
+                stream,
+                frame,
+                operation,
+                tries,
+                new RetainedBody(plan.body().kept(), keptBodies),
+                reserve);
         running.add(invocation);
         invocation.begin();
         return invocation;
@@ -379,7 +386,8 @@
         stream.headers(
                 new HeadersFrame(
                         stream.getId(),
-                        new MetaData.Response(status, null, org.eclipse.jetty.http.HttpVersion.HTTP_2, Answers.empty()),
+                        new MetaData.Response(
+                                status, null, org.eclipse.jetty.http.HttpVersion.HTTP_2, Responses.empty()),
                         null,
                         true),
                 Callback.from(
--- a/src/main/java/linenring/front/HostLink.java
+++ b/src/main/java/linenring/front/HostLink.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleSupplier;
-import linenring.routing.HostBook;
+import linenring.routing.HostRegistry;
 import linenring.routing.Pool;
 import org.eclipse.jetty.http2.ErrorCode;
 import org.eclipse.jetty.http2.HTTP2Session;
@@ -144,7 +144,7 @@
     }
 
     private final HTTP2Client client;
-    private final HostBook.Host host;
+    private final HostRegistry.Host host;
     private final int streamsMost;
     private final long dialMs;
     private final Scheduler scheduler;
@@ -153,7 +153,7 @@
 
     HostLink(
             HTTP2Client client,
-            HostBook.Host host,
+            HostRegistry.Host host,
             Pool.Bounds bounds,
             double dialMs,
             Scheduler scheduler,
--- a/src/main/java/linenring/front/Invocation.java
+++ b/src/main/java/linenring/front/Invocation.java
@@ -2,7 +2,7 @@
 
 import java.nio.ByteBuffer;
 import linenring.routing.Attempt;
-import linenring.routing.Tries;
+import linenring.routing.RetryDecision;
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.HttpVersion;
 import org.eclipse.jetty.http.MetaData;
@@ -17,7 +17,7 @@
 import org.eclipse.jetty.util.thread.SerializedInvoker;
 
 /**
- * One invocation, from the client's stream to its end: does what its {@link Tries} decide. All that happens to it is
+ * One invocation, from the client's stream to its end: does what its {@link RetryDecision} decide. All that happens to it is
  * handled one after the other ({@link #then}); no lock is held while Jetty is called, since Jetty calls back for others.
  */
 final class Invocation implements Stream.Listener {
@@ -27,8 +27,8 @@
     private final Stream client;
     private final HeadersFrame request;
     private final int operation;
-    private final Tries tries;
-    private final KeptBody kept;
+    private final RetryDecision tries;
+    private final RetainedBody kept;
     private final long reserved;
     private final SerializedInvoker line = new SerializedInvoker();
 
@@ -44,8 +44,8 @@
             Stream client,
             HeadersFrame request,
             int operation,
-            Tries tries,
-            KeptBody kept,
+            RetryDecision tries,
+            RetainedBody kept,
             long reserved) {
         this.front = front;
         this.client = client;
@@ -74,13 +74,13 @@
         then(() -> follow(tries.begin(front.now(), kept.isWhole())));
     }
 
-    private void follow(Tries.Step step) {
-        if (step instanceof Tries.Step.Send send) {
+    private void follow(RetryDecision.Step step) {
+        if (step instanceof RetryDecision.Step.Send send) {
             current = new Try(send);
             current.begin();
-        } else if (step instanceof Tries.Step.GiveUp giveUp) {
+        } else if (step instanceof RetryDecision.Step.GiveUp giveUp) {
             front.count(operation, giveUp.reason());
-            answer(Answers.status(giveUp.reason()), Answers.fields(giveUp));
+            answer(Responses.status(giveUp.reason()), Responses.fields(giveUp));
         }
     }
 
@@ -212,7 +212,7 @@
         private volatile boolean resetByHost;
         private volatile Stream created; // null while Jetty has made no stream, and so written nothing
 
-        Try(Tries.Step.Send send) {
+        Try(RetryDecision.Step.Send send) {
             host = send.host();
             link = front.link(host);
             by = send.by();
@@ -370,18 +370,18 @@
         private void head(MetaData.Response head, boolean last) {
             boolean errored = head.getStatus() >= 500;
             front.ended(host, !errored, front.now() - sentAt);
-            Tries.Step step = errored
+            RetryDecision.Step step = errored
                     ? tries.ended(
                             new Attempt(Attempt.Proof.RAN, Attempt.Why.ANSWERED_ERRORED), front.now(), kept.isWhole())
                     : tries.answered(front.now());
             ended = true;
             timer.cancel();
-            if (step instanceof Tries.Step.Send) {
+            if (step instanceof RetryDecision.Step.Send) {
                 if (!last) {
                     cancel();
                 }
                 follow(step);
-            } else if (step instanceof Tries.Step.PassOn) {
+            } else if (step instanceof RetryDecision.Step.PassOn) {
                 begun = true;
                 kept.letGo();
                 front.answered(operation, errored);
@@ -536,7 +536,7 @@
             ended = true;
             timer.cancel();
             front.ended(host, how.why() == Attempt.Why.GOING_AWAY, front.now() - sentAt);
-            Tries.Step step = tries.ended(how, front.now(), kept.isWhole());
+            RetryDecision.Step step = tries.ended(how, front.now(), kept.isWhole());
             current = null;
             follow(step);
         }
--- a/src/main/java/linenring/front/Membership.java
+++ b/src/main/java/linenring/front/Membership.java
@@ -9,7 +9,7 @@
 import linenring.log.Log;
 import linenring.message.Arrival;
 import linenring.message.Order;
-import linenring.routing.Sums;
+import linenring.routing.RollingStatistics;
 import linenring.routing.Tables;
 import org.eclipse.jetty.util.thread.Scheduler;
 import org.eclipse.jetty.util.thread.SerializedInvoker;
@@ -66,7 +66,7 @@
     private final FrontPlan plan;
     private final Exchange exchange;
     private final Tables tables;
-    private final Sums sums;
+    private final RollingStatistics sums;
     private final DoubleSupplier clock;
     private final Executor executor;
     private final Scheduler scheduler;
@@ -80,7 +80,7 @@
             FrontPlan plan,
             Exchange exchange,
             Tables tables,
-            Sums sums,
+            RollingStatistics sums,
             DoubleSupplier clock,
             Executor executor,
             Scheduler scheduler,
--- a/src/main/java/linenring/front/Answers.java
+++ b/src/main/java/linenring/front/Responses.java
@@ -1,15 +1,15 @@
 package linenring.front;
 
-import linenring.routing.Tries;
+import linenring.routing.RetryDecision;
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.HttpHeader;
 import org.eclipse.jetty.http.HttpStatus;
 
 /** What a client hears where no host has answered (RFC 9110, 15; RFC 6585, 4). */
-final class Answers {
-    private Answers() {}
+final class Responses {
+    private Responses() {}
 
-    static int status(Tries.Reason reason) {
+    static int status(RetryDecision.Reason reason) {
         return switch (reason) {
             case RATE_LIMITED -> HttpStatus.TOO_MANY_REQUESTS_429;
             case NO_HOST -> HttpStatus.SERVICE_UNAVAILABLE_503;
@@ -19,7 +19,7 @@
     }
 
     /** With {@code Retry-After} in whole seconds, rounded up, where a time to come back is known. */
-    static HttpFields fields(Tries.Step.GiveUp step) {
+    static HttpFields fields(RetryDecision.Step.GiveUp step) {
         HttpFields.Mutable fields = HttpFields.build().put(HttpHeader.CONTENT_LENGTH, 0L);
         if (!Double.isInfinite(step.backIn())) {
             fields.put(HttpHeader.RETRY_AFTER, Long.toString((long) Math.ceil(step.backIn() / 1000)));
--- a/src/main/java/linenring/front/KeptBody.java
+++ b/src/main/java/linenring/front/RetainedBody.java
@@ -7,15 +7,15 @@
  * The beginning of a request's body, kept so that it can be sent a second time. Past its bound, or that of all bodies
  * together, nothing is kept, and the invocation has the one try that is under way. Files would come here.
  */
-final class KeptBody {
+final class RetainedBody {
     private final int most;
-    private final Room room;
+    private final BufferBudget room;
     private ByteArrayOutputStream kept = new ByteArrayOutputStream(0);
     private int taken;
     private boolean whole = true; // all that was read is kept
     private boolean ended;
 
-    KeptBody(int most, Room room) {
+    RetainedBody(int most, BufferBudget room) {
         this.most = most;
         this.room = room;
     }
--- a/src/main/java/linenring/front/settings/FrontPlan.java
+++ b/src/main/java/linenring/front/settings/FrontPlan.java
@@ -2,8 +2,8 @@
 
 import java.net.InetSocketAddress;
 import java.util.List;
+import linenring.routing.Limits;
 import linenring.routing.Pool;
-import linenring.routing.Terms;
 
 /**
  * What a front is told. Times are ms, sizes bytes.
@@ -19,7 +19,7 @@
         int zone,
         double usual,
         String markHeader,
-        List<Terms> operations,
+        List<Limits> operations,
         List<Route> routes,
         Further tries,
         Avoid avoid,
--- a/src/main/java/linenring/front/settings/FrontPlanReader.java
+++ b/src/main/java/linenring/front/settings/FrontPlanReader.java
@@ -13,13 +13,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import linenring.figures.Names;
 import linenring.kdl.SettingsDocument;
 import linenring.kdl.SettingsSchema;
 import linenring.kdl.Units;
-import linenring.routing.Effect;
+import linenring.routing.Idempotence;
+import linenring.routing.Limits;
 import linenring.routing.Pool;
-import linenring.routing.Terms;
+import linenring.settings.Names;
 
 /**
  * Reads a front's settings: KDL, then the schema, then what a schema can't say. Each fault is one line that names the
@@ -89,12 +89,12 @@
     // ---- what a schema can't say
 
     private FrontPlan plan(JsonNode in) {
-        List<Terms> terms = new ArrayList<>();
+        List<Limits> terms = new ArrayList<>();
         Map<String, Integer> numbers = new HashMap<>();
         for (int k = 0; k < in.get("operation").size(); k++) {
             terms.add(terms(in.get("operation").get(k), "/front/operation/" + k, numbers, in.has("mark-header")));
         }
-        List<Terms> ordered = new ArrayList<>(terms);
+        List<Limits> ordered = new ArrayList<>(terms);
         if (names != null) {
             ordered.sort(Comparator.comparingInt(t -> names.operations().indexOf(t.operation())));
             for (String operation : names.operations()) {
@@ -192,7 +192,7 @@
         return (int) bytes;
     }
 
-    private Terms terms(JsonNode in, String at, Map<String, Integer> numbers, boolean markHeader) {
+    private Limits terms(JsonNode in, String at, Map<String, Integer> numbers, boolean markHeader) {
         String name = in.get("arguments").get(0).asText();
         String key = "operation \"" + name + "\"";
         if (numbers.putIfAbsent(name, numbers.size()) != null) {
@@ -201,12 +201,12 @@
         if (names != null && !names.operations().contains(name)) {
             fault(at, key + ": the steward knows no such operation; it knows " + String.join(", ", names.operations()));
         }
-        Effect effect = Effect.valueOf(
+        Idempotence effect = Idempotence.valueOf(
                 in.get("effect").asText().toUpperCase(java.util.Locale.ROOT).replace('-', '_'));
-        if (effect == Effect.FINGERPRINTED && !in.has("window")) {
+        if (effect == Idempotence.FINGERPRINTED && !in.has("window")) {
             fault(at, key + ": a fingerprinted operation needs the window in which hosts drop a repeat");
         }
-        if (effect == Effect.FINGERPRINTED && !markHeader) {
+        if (effect == Idempotence.FINGERPRINTED && !markHeader) {
             fault(at, key + ": a fingerprinted operation needs mark-header");
         }
         double objective = Units.millis(in.get("objective").asText()),
@@ -215,16 +215,16 @@
             fault(at, key + ": its timeout " + in.get("timeout") + " is under its objective " + in.get("objective"));
             timeout = objective = 1;
         }
-        return new Terms(
+        return new Limits(
                 name,
                 effect,
-                Terms.Group.valueOf(in.path("group").asText("zone").toUpperCase(java.util.Locale.ROOT)),
+                Limits.Group.valueOf(in.path("group").asText("zone").toUpperCase(java.util.Locale.ROOT)),
                 Units.millis(in.path("window").asText("0s")),
                 objective,
                 timeout);
     }
 
-    private FrontPlan.Route route(JsonNode in, String at, List<Terms> operations, List<FrontPlan.Route> before) {
+    private FrontPlan.Route route(JsonNode in, String at, List<Limits> operations, List<FrontPlan.Route> before) {
         String method = in.get("arguments").get(0).asText(),
                 prefix = in.get("arguments").get(1).asText();
         String key = "route \"" + method + "\" \"" + prefix + "\"";
--- a/src/main/java/linenring/handover/Talk.java
+++ b/src/main/java/linenring/handover/HandoverChannel.java
@@ -13,15 +13,15 @@
 import linenring.handover.wire.Wire;
 
 /** One end of the Unix-domain socket between two processes: whole messages, in order. */
-class Talk implements AutoCloseable {
+class HandoverChannel implements AutoCloseable {
     private final SocketChannel channel;
 
-    Talk(SocketChannel channel) {
+    HandoverChannel(SocketChannel channel) {
         this.channel = channel;
     }
 
-    static Talk to(Path socket) throws IOException {
-        return new Talk(SocketChannel.open(UnixDomainSocketAddress.of(socket)));
+    static HandoverChannel to(Path socket) throws IOException {
+        return new HandoverChannel(SocketChannel.open(UnixDomainSocketAddress.of(socket)));
     }
 
     /** Whether the same user is at the other end. */
--- a/src/main/java/linenring/handover/NewSide.java
+++ b/src/main/java/linenring/handover/HandoverReceiver.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** The process that is to take over: each event's effects, in order. No I/O; times are ms on the caller's clock. */
-public final class NewSide {
+public final class HandoverReceiver {
     /** Where it stands. */
     public enum State {
         GREETED,
@@ -15,7 +15,7 @@
     }
 
     /** What is to be done. */
-    public enum Effect {
+    public enum Idempotence {
         SEND_HELLO,
         PREPARE,
         PREPARE_FROM_LIST,
@@ -33,7 +33,7 @@
     private String why = "";
 
     /** {@code waitMost}: ms that it waits for the old side's next word before the port is its own. */
-    public NewSide(double waitMost) {
+    public HandoverReceiver(double waitMost) {
         this.waitMost = waitMost;
     }
 
@@ -49,74 +49,79 @@
         return state == State.OWNING || state == State.ALONE;
     }
 
-    private List<Effect> to(State next, double now, Effect... effects) {
+    private List<Idempotence> to(State next, double now, Idempotence... effects) {
         state = next;
         since = now;
         return List.of(effects);
     }
 
-    public List<Effect> connected(double now) {
-        return to(State.GREETED, now, Effect.SEND_HELLO);
+    public List<Idempotence> connected(double now) {
+        return to(State.GREETED, now, Idempotence.SEND_HELLO);
     }
 
-    public List<Effect> offered(int protocol, double now) {
+    public List<Idempotence> offered(int protocol, double now) {
         if (state != State.GREETED) {
             return List.of();
         }
-        return to(State.PREPARING, now, protocol == OldSide.PROTOCOL ? Effect.PREPARE : Effect.PREPARE_FROM_LIST);
+        return to(
+                State.PREPARING,
+                now,
+                protocol == HandoverSender.PROTOCOL ? Idempotence.PREPARE : Idempotence.PREPARE_FROM_LIST);
     }
 
     /** It could serve now, or not. */
-    public List<Effect> prepared(String fault, double now) {
+    public List<Idempotence> prepared(String fault, double now) {
         if (state != State.PREPARING) {
             return List.of();
         }
         if (fault != null) {
             return ends(fault, now, !oldIsDead);
         }
-        return oldIsDead ? to(State.ALONE, now, Effect.ACCEPT) : to(State.READY, now, Effect.SEND_READY);
+        return oldIsDead ? to(State.ALONE, now, Idempotence.ACCEPT) : to(State.READY, now, Idempotence.SEND_READY);
     }
 
-    public List<Effect> committed(double now) {
-        return state == State.READY ? to(State.OWNING, now, Effect.ACCEPT, Effect.SEND_OWNED) : List.of();
+    public List<Idempotence> committed(double now) {
+        return state == State.READY ? to(State.OWNING, now, Idempotence.ACCEPT, Idempotence.SEND_OWNED) : List.of();
     }
 
-    public List<Effect> retired(double now) {
+    public List<Idempotence> retired(double now) {
         return state == State.OWNING ? to(State.ALONE, now) : List.of();
     }
 
     /** The old side has called it off: it lives and serves, so this one ends, whatever it has. */
-    public List<Effect> aborted(String reason, double now) {
+    public List<Idempotence> aborted(String reason, double now) {
         return state == State.ALONE || state == State.ENDED ? List.of() : ends(reason, now, false);
     }
 
     /** The old process is dead, for certain: nobody else can own the port. */
-    public List<Effect> oldDied(double now) {
+    public List<Idempotence> oldDied(double now) {
         oldIsDead = true;
         return switch (state) {
-            case GREETED -> to(State.PREPARING, now, Effect.PREPARE_FROM_LIST);
-            case READY -> to(State.ALONE, now, Effect.ACCEPT);
+            case GREETED -> to(State.PREPARING, now, Idempotence.PREPARE_FROM_LIST);
+            case READY -> to(State.ALONE, now, Idempotence.ACCEPT);
             case OWNING -> to(State.ALONE, now);
             default -> List.of(); // preparing: accepts once it is prepared
         };
     }
 
     /** The old process lives, but its connection is gone: it will kill this one or has forgotten it. */
-    public List<Effect> cutOff(double now) {
+    public List<Idempotence> cutOff(double now) {
         return state == State.ALONE || state == State.ENDED
                 ? List.of()
                 : ends("the connection to the old process is gone, which lives", now, false);
     }
 
     /** To be called often: what has taken too long. */
-    public List<Effect> tick(double now) {
+    public List<Idempotence> tick(double now) {
         return (state == State.GREETED || state == State.READY) && !oldIsDead && now - since >= waitMost
                 ? ends("the old process says nothing", now, true)
                 : List.of();
     }
 
-    private List<Effect> ends(String reason, double now, boolean tell) {
+    private List<Idempotence> ends(String reason, double now, boolean tell) {
         why = reason;
-        return tell ? to(State.ENDED, now, Effect.SEND_ABORT, Effect.END) : to(State.ENDED, now, Effect.END);
+        return tell
+                ? to(State.ENDED, now, Idempotence.SEND_ABORT, Idempotence.END)
+                : to(State.ENDED, now, Idempotence.END);
     }
 }
--- a/src/main/java/linenring/handover/OldSide.java
+++ b/src/main/java/linenring/handover/HandoverSender.java
@@ -10,7 +10,7 @@
  * Between giving up the port and taking it back stands the new process's certain death: it is killed and waited for. So
  * no two processes accept at a time, and there is always one that does or will within a bound.
  */
-public final class OldSide {
+public final class HandoverSender {
     /** Where it stands. */
     public enum State {
         SERVING,
@@ -24,7 +24,7 @@
     }
 
     /** What is to be done. */
-    public enum Effect {
+    public enum Idempotence {
         SPAWN,
         SEND_OFFER,
         STOP_ACCEPTING,
@@ -50,7 +50,7 @@
     private String why = "";
     private boolean ending;
 
-    public OldSide(Bounds bounds) {
+    public HandoverSender(Bounds bounds) {
         this.bounds = bounds;
     }
 
@@ -68,46 +68,46 @@
         return state.compareTo(State.COMMITTING) < 0 || state == State.GIVING_UP;
     }
 
-    private List<Effect> to(State next, double now, Effect... effects) {
+    private List<Idempotence> to(State next, double now, Idempotence... effects) {
         state = next;
         since = now;
         return List.of(effects);
     }
 
     /** Somebody asks for an upgrade; nothing where one is under way. */
-    public List<Effect> ask(double now) {
-        return state == State.SERVING && !ending ? to(State.SPAWNED, now, Effect.SPAWN) : List.of();
+    public List<Idempotence> ask(double now) {
+        return state == State.SERVING && !ending ? to(State.SPAWNED, now, Idempotence.SPAWN) : List.of();
     }
 
     /** This process is told to end: an upgrade that has not changed hands is called off, and none begins any more. */
-    public List<Effect> ending(double now) {
+    public List<Idempotence> ending(double now) {
         ending = true;
         return state == State.SPAWNED || state == State.OFFERED
                 ? fails("this process was told to end", now)
                 : List.of();
     }
 
-    public List<Effect> hello(int protocol, double now) {
+    public List<Idempotence> hello(int protocol, double now) {
         if (state != State.SPAWNED) {
             return List.of();
         }
         return protocol == PROTOCOL
-                ? to(State.OFFERED, now, Effect.SEND_OFFER)
+                ? to(State.OFFERED, now, Idempotence.SEND_OFFER)
                 : fails("the new release speaks protocol " + protocol + ", this one " + PROTOCOL, now);
     }
 
-    public List<Effect> ready(double now) {
+    public List<Idempotence> ready(double now) {
         return state == State.OFFERED
-                ? to(State.COMMITTING, now, Effect.STOP_ACCEPTING, Effect.SEND_COMMIT)
+                ? to(State.COMMITTING, now, Idempotence.STOP_ACCEPTING, Idempotence.SEND_COMMIT)
                 : List.of();
     }
 
-    public List<Effect> owned(double now) {
-        return state == State.COMMITTING ? to(State.PROBATION, now, Effect.DRAIN) : List.of();
+    public List<Idempotence> owned(double now) {
+        return state == State.COMMITTING ? to(State.PROBATION, now, Idempotence.DRAIN) : List.of();
     }
 
     /** The new process says that it can't, or what it says can't be understood. */
-    public List<Effect> aborted(String reason, double now) {
+    public List<Idempotence> aborted(String reason, double now) {
         return isUnderWay() ? fails(reason, now) : List.of();
     }
 
@@ -115,7 +115,7 @@
      * An effect could not be carried out: what is done instead of those after it, or nothing where they go on. No commit
      * follows a port that was not given up, as two processes would accept at it.
      */
-    public List<Effect> failed(Effect what, String how, double now) {
+    public List<Idempotence> failed(Idempotence what, String how, double now) {
         return switch (what) {
             case SPAWN -> died("it could not be started: " + how, now);
             case STOP_ACCEPTING -> aborted("this process could not stop accepting: " + how, now);
@@ -124,21 +124,21 @@
     }
 
     /** The new process is dead, for certain. */
-    public List<Effect> died(String how, double now) {
+    public List<Idempotence> died(String how, double now) {
         switch (state) {
             case SPAWNED, OFFERED -> {
                 why = how;
-                return to(State.SERVING, now, Effect.TELL_FAILED);
+                return to(State.SERVING, now, Idempotence.TELL_FAILED);
             }
             case GIVING_UP -> {
-                return to(State.SERVING, now, Effect.TELL_FAILED);
+                return to(State.SERVING, now, Idempotence.TELL_FAILED);
             }
             case COMMITTING, PROBATION -> {
                 why = how;
-                return to(State.SERVING, now, Effect.ACCEPT, Effect.TELL_FAILED);
+                return to(State.SERVING, now, Idempotence.ACCEPT, Idempotence.TELL_FAILED);
             }
             case TAKING_BACK -> {
-                return to(State.SERVING, now, Effect.ACCEPT, Effect.TELL_FAILED);
+                return to(State.SERVING, now, Idempotence.ACCEPT, Idempotence.TELL_FAILED);
             }
             default -> {
                 return List.of(); // retired: the port is not ours any more
@@ -147,7 +147,7 @@
     }
 
     /** To be called often: what has taken too long, and the end of the probation. */
-    public List<Effect> tick(double now) {
+    public List<Idempotence> tick(double now) {
         double waited = now - since;
         return switch (state) {
             case SPAWNED -> waited < bounds.greet() ? List.of() : fails("the new process did not greet in time", now);
@@ -157,7 +157,12 @@
             case PROBATION ->
                 waited < bounds.probation()
                         ? List.of()
-                        : to(State.RETIRED, now, Effect.SEND_RETIRE, Effect.TELL_DONE, Effect.END_WHEN_DRAINED);
+                        : to(
+                                State.RETIRED,
+                                now,
+                                Idempotence.SEND_RETIRE,
+                                Idempotence.TELL_DONE,
+                                Idempotence.END_WHEN_DRAINED);
             default -> List.of();
         };
     }
@@ -169,9 +174,9 @@
                 || state == State.PROBATION;
     }
 
-    private List<Effect> fails(String reason, double now) {
+    private List<Idempotence> fails(String reason, double now) {
         why = reason;
-        List<Effect> effects = new ArrayList<>(List.of(Effect.KILL));
+        List<Idempotence> effects = new ArrayList<>(List.of(Idempotence.KILL));
         effects.addAll(to(isAccepting() ? State.GIVING_UP : State.TAKING_BACK, now));
         return effects;
     }
--- a/src/main/java/linenring/handover/Inheritance.java
+++ b/src/main/java/linenring/handover/HandoverState.java
@@ -13,10 +13,10 @@
  * A listening socket that a child process shares as its standard input, where the JDK finds it
  * ({@link System#inheritedChannel}). Both then accept from one queue, which lives on whichever of them dies. Linux alone.
  */
-public final class Inheritance {
+public final class HandoverState {
     private static final String LISTENING = "0A"; // state of /proc/net/tcp
 
-    private Inheritance() {}
+    private HandoverState() {}
 
     /** The listener that this process was started with, or null; it must stay open for as long as anything is logged. */
     public static ServerSocketChannel listener() throws IOException {
--- a/src/main/java/linenring/handover/KnownList.java
+++ b/src/main/java/linenring/handover/HostSnapshot.java
@@ -9,7 +9,7 @@
 import linenring.message.SpoiltEntries;
 
 /** The list of hosts as it was told, changes and all: what the new process begins with. */
-public final class KnownList {
+public final class HostSnapshot {
     private final TreeMap<String, HostList.Entry> entries = new TreeMap<>();
     private ServiceScope scope = ServiceScope.ALL;
     private long version;
--- a/src/main/java/linenring/handover/Successor.java
+++ b/src/main/java/linenring/handover/SuccessorProcess.java
@@ -11,8 +11,8 @@
 import linenring.log.Log;
 import linenring.message.HostList;
 
-/** The new process's side: the way to the old one, and the effects of {@link NewSide}. */
-public final class Successor {
+/** The new process's side: the way to the old one, and the effects of {@link HandoverReceiver}. */
+public final class SuccessorProcess {
     /** What takes over. */
     public interface Serves {
         /** Gets ready with this list, or with what the configuration knows where it is null; a fault, or null. */
@@ -28,13 +28,13 @@
     private static final long DEATH_MS = 2000; // its connection ends some ms before it is seen to be dead
     private static final long TICK_MS = 100;
 
-    private final Talk talk;
+    private final HandoverChannel talk;
     private final long oldPid;
     private final String release;
     private final int zones, kinds;
     private final Serves serves;
     private final Log log;
-    private final NewSide side = new NewSide(WAIT_MS);
+    private final HandoverReceiver side = new HandoverReceiver(WAIT_MS);
     private final CountDownLatch ended = new CountDownLatch(1);
     private final ScheduledExecutorService events = Executors.newSingleThreadScheduledExecutor(r -> {
         Thread t = new Thread(r, "handover-events");
@@ -44,7 +44,8 @@
     private HostList list;
     private boolean alone; // and said so
 
-    private Successor(Talk talk, long oldPid, String release, int zones, int kinds, Serves serves, Log log) {
+    private SuccessorProcess(
+            HandoverChannel talk, long oldPid, String release, int zones, int kinds, Serves serves, Log log) {
         this.talk = talk;
         this.oldPid = oldPid;
         this.release = release;
@@ -55,10 +56,11 @@
     }
 
     /** Greets the old process; what follows happens on threads of its own. */
-    public static Successor greet(Path socket, String release, int zones, int kinds, Serves serves, Log log)
+    public static SuccessorProcess greet(Path socket, String release, int zones, int kinds, Serves serves, Log log)
             throws IOException {
         long parent = ProcessHandle.current().parent().map(ProcessHandle::pid).orElse(-1L);
-        Successor s = new Successor(Talk.to(socket), parent, release, zones, kinds, serves, log);
+        SuccessorProcess s =
+                new SuccessorProcess(HandoverChannel.to(socket), parent, release, zones, kinds, serves, log);
         if (!s.talk.isOurs()) {
             throw new IOException("the process at " + socket + " is another user's");
         }
@@ -82,8 +84,8 @@
         switch (said.getWhatCase()) {
             case OFFER -> {
                 Wire.Offer offer = said.getOffer();
-                boolean understood = offer.getProtocol() == OldSide.PROTOCOL && offer.hasList();
-                list = understood ? KnownList.heard(offer.getList(), zones, kinds) : null;
+                boolean understood = offer.getProtocol() == HandoverSender.PROTOCOL && offer.hasList();
+                list = understood ? HostSnapshot.heard(offer.getList(), zones, kinds) : null;
                 if (!understood) {
                     log.warn(
                             "upgrade",
@@ -117,18 +119,18 @@
         does(dead ? side.oldDied(now()) : side.cutOff(now()));
     }
 
-    private void does(List<NewSide.Effect> effects) {
-        for (NewSide.Effect e : effects) {
+    private void does(List<HandoverReceiver.Idempotence> effects) {
+        for (HandoverReceiver.Idempotence e : effects) {
             switch (e) {
                 case SEND_HELLO ->
                     talk.say(Wire.Said.newBuilder()
                             .setHello(Wire.Hello.newBuilder()
-                                    .setProtocol(OldSide.PROTOCOL)
+                                    .setProtocol(HandoverSender.PROTOCOL)
                                     .setRelease(release)
                                     .setPid(ProcessHandle.current().pid()))
                             .build());
                 case PREPARE, PREPARE_FROM_LIST -> {
-                    String fault = serves.prepare(e == NewSide.Effect.PREPARE ? list : null);
+                    String fault = serves.prepare(e == HandoverReceiver.Idempotence.PREPARE ? list : null);
                     does(side.prepared(fault, now()));
                 }
                 case SEND_READY ->
@@ -147,7 +149,7 @@
                 case END -> ended.countDown();
             }
         }
-        if (side.state() == NewSide.State.ALONE && !alone) {
+        if (side.state() == HandoverReceiver.State.ALONE && !alone) {
             alone = true;
             log.info("upgrade", "the port is this process's alone");
             serves.alone();
--- a/src/main/java/linenring/handover/Upgrades.java
+++ b/src/main/java/linenring/handover/Upgrades.java
@@ -20,7 +20,7 @@
 import linenring.handover.wire.Wire;
 import linenring.log.Log;
 
-/** The serving process's side of upgrades: its socket, the new process, and the effects of {@link OldSide}. */
+/** The serving process's side of upgrades: its socket, the new process, and the effects of {@link HandoverSender}. */
 public final class Upgrades {
     /** The variable by which the new process is told where the old one is. */
     public static final String VARIABLE = "LINENRING_HANDOVER";
@@ -51,7 +51,7 @@
     private final List<String> command;
     private final Served served;
     private final Log log;
-    private final OldSide side;
+    private final HandoverSender side;
     private final ScheduledExecutorService events = Executors.newSingleThreadScheduledExecutor(r -> {
         Thread t = new Thread(r, "upgrade");
         t.setDaemon(true);
@@ -62,21 +62,21 @@
         t.setDaemon(true);
         return t;
     });
-    private final List<Talk> askers = new ArrayList<>();
+    private final List<HandoverChannel> askers = new ArrayList<>();
     private ServerSocketChannel socket;
     private Process process;
-    private Talk talk;
+    private HandoverChannel talk;
 
-    private Upgrades(Path dir, List<String> command, OldSide.Bounds bounds, Served served, Log log) {
+    private Upgrades(Path dir, List<String> command, HandoverSender.Bounds bounds, Served served, Log log) {
         this.dir = dir;
         this.command = command;
         this.served = served;
         this.log = log;
-        side = new OldSide(bounds);
+        side = new HandoverSender(bounds);
     }
 
     /** Opens the socket; throws with words for the staff where the directory is not safe. */
-    public static Upgrades open(Path dir, List<String> command, OldSide.Bounds bounds, Served served, Log log)
+    public static Upgrades open(Path dir, List<String> command, HandoverSender.Bounds bounds, Served served, Log log)
             throws IOException {
         Upgrades u = new Upgrades(dir, command, bounds, served, log);
         Files.createDirectories(
@@ -102,7 +102,7 @@
     private void listen() {
         try {
             while (true) {
-                begin(new Talk(socket.accept()));
+                begin(new HandoverChannel(socket.accept()));
             }
         } catch (IOException e) {
             // closed: retired
@@ -110,7 +110,7 @@
     }
 
     /** Who ends at this very moment ends nothing but this. */
-    private void begin(Talk with) {
+    private void begin(HandoverChannel with) {
         try {
             if (with.isOurs()) {
                 with.hear(
@@ -134,10 +134,10 @@
         events.execute(() -> does(side.ending(now())));
     }
 
-    private void heard(Talk from, Wire.Said said) {
+    private void heard(HandoverChannel from, Wire.Said said) {
         switch (said.getWhatCase()) {
             case ASK -> {
-                List<OldSide.Effect> begins = side.ask(now());
+                List<HandoverSender.Idempotence> begins = side.ask(now());
                 if (begins.isEmpty()) {
                     from.say(ended(false, "an upgrade is under way, or this process ends"));
                     from.close();
@@ -166,22 +166,22 @@
         }
     }
 
-    private void ended(Talk which, String why) {
+    private void ended(HandoverChannel which, String why) {
         askers.remove(which);
         if (which == talk && why != null) {
             does(side.aborted(why, now()));
         } // a plain end without a death is seen by the bounds, a death by the process
     }
 
-    private void does(List<OldSide.Effect> effects) {
-        for (OldSide.Effect e : effects) {
+    private void does(List<HandoverSender.Idempotence> effects) {
+        for (HandoverSender.Idempotence e : effects) {
             try {
                 does(e);
             } catch (IOException | RuntimeException x) {
                 log.error(
                         "upgrade",
                         e.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ') + " failed: " + x.getMessage());
-                List<OldSide.Effect> instead = side.failed(e, String.valueOf(x.getMessage()), now());
+                List<HandoverSender.Idempotence> instead = side.failed(e, String.valueOf(x.getMessage()), now());
                 if (!instead.isEmpty()) {
                     does(instead);
                     return;
@@ -190,7 +190,7 @@
         }
     }
 
-    private void does(OldSide.Effect effect) throws IOException {
+    private void does(HandoverSender.Idempotence effect) throws IOException {
         switch (effect) {
             case SPAWN -> spawn();
             case SEND_OFFER ->
@@ -220,7 +220,7 @@
     }
 
     private void spawn() throws IOException {
-        Inheritance.share(served.listener());
+        HandoverState.share(served.listener());
         ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectInput(ProcessBuilder.Redirect.INHERIT)
                 .redirectOutput(ProcessBuilder.Redirect.INHERIT)
@@ -263,12 +263,12 @@
 
     /** Asks the process that serves for an upgrade, and waits for its end; null where nobody answers. */
     public static Wire.Ended ask(Path dir, long waitMs) throws IOException, InterruptedException {
-        return ask(Talk.to(dir.resolve(SOCKET)), waitMs);
+        return ask(HandoverChannel.to(dir.resolve(SOCKET)), waitMs);
     }
 
-    static Wire.Ended ask(Talk with, long waitMs) throws InterruptedException {
+    static Wire.Ended ask(HandoverChannel with, long waitMs) throws InterruptedException {
         BlockingQueue<Optional<Wire.Ended>> answer = new LinkedBlockingQueue<>(); // it may come before it is waited for
-        try (Talk talk = with) {
+        try (HandoverChannel talk = with) {
             talk.hear(said -> answer.add(Optional.of(said.getEnded())), why -> answer.add(Optional.empty()));
             talk.say(
                     Wire.Said.newBuilder().setAsk(Wire.Ask.getDefaultInstance()).build());
--- a/src/main/java/linenring/message/Codec.java
+++ b/src/main/java/linenring/message/Codec.java
@@ -21,8 +21,8 @@
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import linenring.figures.Names;
 import linenring.message.Unreadable.Reached;
+import linenring.settings.Names;
 
 /** Reads and writes messages: each is decoded once and encoded once. Unknown fields are passed over. */
 public final class Codec {
--- a/src/main/java/linenring/message/FieldValues.java
+++ b/src/main/java/linenring/message/FieldValues.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
 import java.util.List;
-import linenring.figures.Names;
+import linenring.settings.Names;
 
 /** Typed values of fields, checked; each fault names its field. */
 final class FieldValues {
--- a/src/main/java/linenring/message/HostEntryReader.java
+++ b/src/main/java/linenring/message/HostEntryReader.java
@@ -9,7 +9,7 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
-import linenring.figures.Names;
+import linenring.settings.Names;
 
 /** The fields of one entry of a host list as they are read, in any order; the same object serves one entry after another. */
 final class HostEntryReader {
--- a/src/main/java/linenring/message/HostListReader.java
+++ b/src/main/java/linenring/message/HostListReader.java
@@ -7,8 +7,8 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import linenring.figures.Names;
 import linenring.message.Unreadable.Reached;
+import linenring.settings.Names;
 
 /**
  * Builds a host list from JSON tokens, one at a time, so that it does not matter how its bytes come. Only hosts that the
--- a/src/main/java/linenring/message/HostListStream.java
+++ b/src/main/java/linenring/message/HostListStream.java
@@ -6,8 +6,8 @@
 import com.fasterxml.jackson.core.async.ByteArrayFeeder;
 import com.fasterxml.jackson.core.exc.StreamConstraintsException;
 import java.io.IOException;
-import linenring.figures.Names;
 import linenring.message.Unreadable.Reached;
+import linenring.settings.Names;
 
 /** Reads one host list from bytes as they arrive, without waiting and without keeping them. For one thread at a time. */
 public final class HostListStream implements AutoCloseable {
--- a/src/main/java/linenring/plan/Orders.java
+++ b/src/main/java/linenring/planner/Commands.java
@@ -1,11 +1,11 @@
-package linenring.plan;
+package linenring.planner;
 
 /**
  * What the decisions call to give orders. All orders of one input take effect together: each proxy concerned
  * gets them as one message, in the order given. Hosts, proxies, tables and operations are small indices;
  * times are milliseconds on the clock that the inputs carry.
  */
-public interface Orders {
+public interface Commands {
     /** A table number that stands for all proxies, in {@link #level} alone. */
     int EVERY_TABLE = -1;
 
@@ -34,7 +34,7 @@
     int lineBrings(int host, int proxy);
 
     /** Sets how much of the operations is let in, and how proxies try again. */
-    void level(int table, int operations, double letIn, FurtherTries tries);
+    void level(int table, int operations, double letIn, RetryPolicy tries);
 
     /** Asks each proxy that gets a message of this input to answer with this mark once it has applied it. */
     void barrier(int mark, boolean everyProxy);
@@ -48,8 +48,8 @@
     /** Asks a host for a sign of life. */
     void probe(int host);
 
-    /** Asks for a call of {@code alarm} at that time. */
-    void alarm(double at, long handle);
+    /** Asks for a call of {@code timer} at that time. */
+    void timer(double at, long handle);
 
     /** Asks for the whole list once. */
     void askList();
@@ -61,7 +61,7 @@
     void note(String words);
 
     /** When a proxy sends an invocation to another host. */
-    enum FurtherTries {
+    enum RetryPolicy {
         NONE,
         ONE_ON_PROOF,
         ONE,
--- a/src/main/java/linenring/plan/Balance.java
+++ b/src/main/java/linenring/planner/Planner.java
@@ -1,4 +1,4 @@
-package linenring.plan;
+package linenring.planner;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -14,20 +14,20 @@
 import java.util.function.ToDoubleFunction;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import linenring.plan.Orders.FurtherTries;
-import linenring.plan.StartFigures.Measure;
-import linenring.plan.StartFigures.Operation;
+import linenring.planner.Commands.RetryPolicy;
+import linenring.planner.PlannerSettings.Measure;
+import linenring.planner.PlannerSettings.Operation;
 
 /**
  * Every decision of one steward. Called with what is seen: {@code clock}, then any of the calls under
- * "what is seen", then {@code settle}, which goes through the rules until none fires. It orders through
- * {@link Orders} and is told {@link StartFigures} at start. The design is ESPRES: lines are held here; all
+ * "what is seen", then {@code reconcile}, which goes through the rules until none fires. It orders through
+ * {@link Commands} and is told {@link PlannerSettings} at start. The design is ESPRES: lines are held here; all
  * pending changes of a shared table are one sub-update; the smallest goes first, as a batch, once all its
  * proxies have room in their windows of unanswered messages. Beside it stand six mechanisms: 1 health from
  * late sums and trial return; 2 guards of cold and last hosts; 3 levels and further tries; 4 channel
  * ledger; 5 parts of tables for a slow channel and behind a cut; 6 start-over (owners of slices included).
  */
-public final class Balance {
+public final class Planner {
     private static final int ENDED = 0, BAD = 1, SPENT = 2;
     private static final double LINES = 0.5, URGENT = 0.85, DRAINS = 1; // of the queue; it holds drains twice
 
@@ -35,11 +35,11 @@
         int id, zone, kind;
         double weight = 1, started = Double.NEGATIVE_INFINITY;
         boolean running, told, inList;  // listed ready; told it drains or is gone; in the list being read
-        boolean out, sick;              // shut out at the proxies; to be shut out for its health
-        double backAt, trialSince = -1, restUntil; // next trial; start of its step; no judging of lateness
-        int strikes, part = -1;         // failed trials in a row; part that it is dealt to, or -1
+        boolean ejected, unhealthy;              // shut out at the proxies; to be shut out for its health
+        double retryAt, probationSince = -1, restUntil; // next trial; start of its step; no judging of lateness
+        int consecutiveFailures, part = -1;         // failed trials in a row; part that it is dealt to, or -1
         double share = 1, bears = 1;    // part of its weight that health allows, and its end after a trial
-        double[] met = new double[3];   // late sums: ENDED, BAD, SPENT
+        double[] outcomes = new double[3];   // late sums: ENDED, BAD, SPENT
     }
 
     private static final class Zone {
@@ -58,7 +58,7 @@
         int id, zone;
         Table[] bound = {};             // what it is bound to, by shared table; null for none
         final double[] asked = new double[Integer.SIZE]; // invocations a second, by operation
-        double usual, fresh, out;       // asked a second, about; lines of this reply; lines not answered yet
+        double usual, fresh, unansweredLines;       // asked a second, about; lines of this reply; lines not answered yet
         final ArrayDeque<Message> unanswered = new ArrayDeque<>();
         final ArrayDeque<Double> written = new ArrayDeque<>(); // times of the messages that the cap counts
     }
@@ -74,11 +74,11 @@
         double load, sentAt = -1e9;     // what all whom it may be for are asked; when it was last written
         Host owner;                     // slices: the host of its one line
         double weightListed, weightIn, warmIn, ableIn, ownerless; // of its open hosts; since when unowned
-        final double[] letIn = new double[Integer.SIZE]; // by operation
-        FurtherTries tries;
+        final double[] admissionRatio = new double[Integer.SIZE]; // by operation
+        RetryPolicy tries;
     }
 
-    private final Orders orders;
+    private final Commands commands;
     private final Operation[] operations;
     private final Measure measure;
     private final double pace, perMessage, mostWaiting, messagesOver, transitMost, coldShare, warmAfter;
@@ -91,19 +91,19 @@
     private final List<Message> inChannel = new ArrayList<>(); // in the order in which they were sent
     private final List<Table> tables = new ArrayList<>();
     private final List<Zone> zones = new ArrayList<>();
-    private final List<double[]> metBy = new ArrayList<>(); // sums of the warm hosts that are in, by kind
+    private final List<double[]> outcomesByKind = new ArrayList<>(); // sums of the warm hosts that are in, by kind
     private final List<BooleanSupplier> rules;
-    private double now, provenAt, fadedAt, roundTrip, alarmAt = -1, askAt, stormUntil = -1, metAt, drainedAt;
-    private boolean wholeList, drainsWait, bindsWait, rush, stale = true; // stale: sums or hosts have changed
+    private double now, provenAt, fadedAt, roundTrip, timerAt = -1, askAt, retryStormUntil = -1, firstClockAt, drainedAt;
+    private boolean wholeList, drainsWait, bindsWait, joinSurge, stale = true; // stale: sums or hosts have changed
     private double waiting, reckonedAt, usualLate, mostLate, usualBad, ended, bad, rate;
     private int mark, lastNumber, full; // full: number of full tables, which come before all others
     private int parts, span;            // parts that hosts are dealt to; of a table, or 0 for full tables
-    private double letIn = 1, levelAt, forgetAt = Double.POSITIVE_INFINITY;
+    private double admissionRatio = 1, admissionAt, forgetAt = Double.POSITIVE_INFINITY;
     private double objective = 1000, quickest = 0.2, lag; // until the first sums
-    private final double[] opLevel = IntStream.range(0, Integer.SIZE).mapToDouble(k -> 1).toArray();
+    private final double[] operationAdmission = IntStream.range(0, Integer.SIZE).mapToDouble(k -> 1).toArray();
 
-    public Balance(StartFigures start, Orders orders) {
-        this.orders = orders;
+    public Planner(PlannerSettings start, Commands commands) {
+        this.commands = commands;
         operations = start.operations().toArray(new Operation[0]);
         measure = start.measure();
         pace = start.channel().pace() / 1000;
@@ -128,23 +128,23 @@
         }
         full = tables.size();
         rules = List.of(this::senseCut, this::dealParts, () -> bindProxies(true), this::withdrawTold,
-                each(this::fails, this::markSick),
+                each(this::fails, this::markUnhealthy),
                 each(this::isSlow, h -> setShare(h, 0.5 * h.share)),
                 each(this::isOfSlowKind, h -> h.share = h.bears = 0.5),
                 each(this::wasSlow, h -> setShare(h, Math.min(1, 2 * h.share))),
-                each(h -> h.running && h.sick && !h.out && mayTrouble(h) && spared(h),
+                each(h -> h.running && h.unhealthy && !h.ejected && mayTrouble(h) && spared(h),
                         h -> withdraw(h, true)),
-                each(h -> h.sick && h.running && now >= h.backAt,
-                        h -> startTrial(h, h.bears < 1 ? h.bears : 0.15)),
-                each(this::passesTrial, this::growShare),
-                each(h -> h.sick && h.out && isLast(h), h -> startTrial(h, 1)),
-                each(h -> h.running && !h.out && keptFromStorm(h) && !tablesWith(h).isEmpty()
+                each(h -> h.unhealthy && h.running && now >= h.retryAt,
+                        h -> startProbation(h, h.bears < 1 ? h.bears : 0.15)),
+                each(this::passesProbation, this::growShare),
+                each(h -> h.unhealthy && h.ejected && isLast(h), h -> startProbation(h, 1)),
+                each(h -> h.running && !h.ejected && heldBackInRetryStorm(h) && !tablesWith(h).isEmpty()
                         && mayTrouble(h),
                         h -> withdraw(h, true)),
                 this::cutRestarted, this::placeSlices, this::sendSubUpdate,
                 () -> bindProxies(false),
                 each(h -> backIn(h) && mayTrouble(h), h -> withdraw(h, false)),
-                this::setLevels);
+                this::setAdmission);
     }
 
     private BooleanSupplier each(Predicate<Host> when, Consumer<Host> then) {
@@ -159,61 +159,61 @@
     /** Sums fade by half in 1.5 s, or in the span that they come to cover: about as late as they come. */
     public void clock(double at) {
         now = at;
-        metAt = stormUntil < 0 ? now : metAt; // a fresh start knows nothing: in 4 s the first sums come
-        stormUntil = stormUntil < 0 ? now + 4000 : stormUntil;
+        firstClockAt = retryStormUntil < 0 ? now : firstClockAt; // a fresh start knows nothing: in 4 s the first sums come
+        retryStormUntil = retryStormUntil < 0 ? now + 4000 : retryStormUntil;
         if (now - fadedAt >= 100) { // no finer than the alarms
             double keep = Math.pow(0.5, (now - fadedAt) / Math.max(1500, lag));
             fadedAt = now;
             reckonChannel();
             hosts.forEach(h -> fade(h, keep));
             zones.stream().flatMap(z -> Stream.of(z.near, z.far))
-                    .forEach(met -> Arrays.setAll(met, i -> met[i] * keep));
+                    .forEach(outcomes -> Arrays.setAll(outcomes, i -> outcomes[i] * keep));
         }
     }
 
-    public void settle() {
+    public void reconcile() {
         for (long passes = 0, fired = 1; fired > 0 && passes < 1000; passes++) { // none fires for long
             fired = rules.stream().filter(BooleanSupplier::getAsBoolean).count();
         }
         requestBarrier();
         if (now >= askAt) {
             askAt = now + askEvery;
-            orders.followList();
+            commands.followList();
         }
-        if (alarmAt <= now + 1) { // due, but for what rounding took
-            alarmAt = now + 100; // a tenth of a second: shorter than any report or way here
-            orders.alarm(alarmAt, 1);
+        if (timerAt <= now + 1) { // due, but for what rounding took
+            timerAt = now + 100; // a tenth of a second: shorter than any report or way here
+            commands.timer(timerAt, 1);
         }
     }
 
-    public void listOpens(boolean whole) {
+    public void beginHostList(boolean whole) {
         wholeList = whole;
         hosts.forEach(h -> h.inList = false);
     }
 
-    public void running(int id, int zone, int kind, double weight, double started) {
+    public void hostReady(int id, int zone, int kind, double weight, double started) {
         boolean unmet = !wholeList && id >= hosts.size();
         Host h = listed(id, zone, kind, weight);
         if (!h.running || started > h.started) { // a new process: what was seen of the old one tells nothing
-            h.sick = false;
+            h.unhealthy = false;
             h.share = h.bears = 1;
-            h.trialSince = -1;
+            h.probationSince = -1;
             fade(h, 0);
         }
         h.started = started;
         h.running = true;
         h.told = false;
-        if (unmet && isWarm(h) && started < metAt - 20_000) { // may not exist; 20 s: lists are late
-            startTrial(h, 0.15);
-            h.strikes = 3; // 10 s, then 15 s out
+        if (unmet && isWarm(h) && started < firstClockAt - 20_000) { // may not exist; 20 s: lists are late
+            startProbation(h, 0.15);
+            h.consecutiveFailures = 3; // 10 s, then 15 s out
         }
     }
 
-    public void stopping(int id, int zone, int kind, double weight) {
+    public void hostDraining(int id, int zone, int kind, double weight) {
         drop(listed(id, zone, kind, weight));
     }
 
-    public void gone(int id) {
+    public void hostRemoved(int id) {
         Host h = host(id);
         h.inList = true;
         if (!goneNeedNotStop || !h.running) {
@@ -223,12 +223,12 @@
 
     private void drop(Host h) {
         h.running = false;
-        h.out &= joined.stream().noneMatch(this::newcomer); // not there when it was shut out for its health
+        h.ejected &= joined.stream().noneMatch(this::newcomer); // not there when it was shut out for its health
         h.told = stale = true;
     }
 
-    public void listCloses() {
-        hosts.stream().filter(h -> wholeList && !h.inList).forEach(h -> gone(h.id));
+    public void endHostList() {
+        hosts.stream().filter(h -> wholeList && !h.inList).forEach(h -> hostRemoved(h.id));
     }
 
     public void joined(int id, int zone, double usual) {
@@ -245,17 +245,17 @@
         p.unanswered.forEach(m -> m.lost = true);
         p.unanswered.clear();
         IntStream.range(0, p.bound.length).forEach(b -> put(p, b, null));
-        p.fresh = p.out = 0;
+        p.fresh = p.unansweredLines = 0;
         joined.remove(p);
     }
 
-    public void inForce(int id, int answered, double tookMs) {
+    public void barrierAcknowledged(int id, int answered, double tookMs) {
         Proxy p = proxy(id);
         if (p.unanswered.stream().anyMatch(m -> m.mark == answered)) {
             Message m;
             do { // what was sent to it before is applied too
                 m = p.unanswered.poll();
-                p.out -= m.lines;
+                p.unansweredLines -= m.lines;
                 m.left = true;
             } while (m.mark != answered);
             provenAt = Math.max(provenAt, m.at);
@@ -281,19 +281,19 @@
         waiting = inChannel.stream().mapToDouble(m -> m.lines).sum();
     }
 
-    public void tally(int id, int zone, int total, int bad, double meanMs, double span) {
+    public void hostStatistics(int id, int zone, int total, int bad, double meanMs, double span) {
         Host h = host(id);
         lag += 0.05 * (span - lag); // over about the last 20 sums
         Zone from = zone(zone);
         boolean near = zone == h.zone, counts = near || now >= from.cutUntil; // a cut: they tell nothing
         double[] sum = {total, bad, (total - bad) * meanMs}; // ENDED, BAD, SPENT
-        for (double[] met : List.of(near ? from.near : from.far, counts ? h.met : new double[3])) {
-            Arrays.setAll(met, i -> met[i] + sum[i]);
+        for (double[] outcomes : List.of(near ? from.near : from.far, counts ? h.outcomes : new double[3])) {
+            Arrays.setAll(outcomes, i -> outcomes[i] + sum[i]);
         }
         stale = true;
     }
 
-    public void traffic(int id, int operation, double span, int total) {
+    public void requestRate(int id, int operation, double span, int total) {
         double[] asked = proxy(id).asked;
         asked[operation] += 0.3 * (1000 * total / Math.max(1, span) - asked[operation]); // 3 reports
     }
@@ -323,7 +323,7 @@
         stale = true;
         h.zone = zone;
         h.kind = kind;
-        Stream.generate(() -> new double[3]).limit(Math.max(0, kind + 1 - metBy.size())).forEach(metBy::add);
+        Stream.generate(() -> new double[3]).limit(Math.max(0, kind + 1 - outcomesByKind.size())).forEach(outcomesByKind::add);
         h.weight = weight > 0 ? weight : 1;
         return h;
     }
@@ -409,7 +409,7 @@
 
     private void fade(Host h, double keep) {
         stale = true;
-        Arrays.setAll(h.met, i -> h.met[i] * keep);
+        Arrays.setAll(h.outcomes, i -> h.outcomes[i] * keep);
     }
 
     /** The fleet's figures, which no rule works out for each host: once for each input that changes them. */
@@ -418,13 +418,13 @@
             return;
         }
         ended = bad = 0;
-        metBy.forEach(met -> Arrays.fill(met, 0));
+        outcomesByKind.forEach(outcomes -> Arrays.fill(outcomes, 0));
         for (Host h : hosts) {
             if (h.running) {
-                ended += h.met[ENDED];
-                bad += h.met[BAD];
-                double part = h.out || !isWarm(h) ? 0 : 1;
-                Arrays.setAll(metBy.get(h.kind), i -> metBy.get(h.kind)[i] + part * h.met[i]);
+                ended += h.outcomes[ENDED];
+                bad += h.outcomes[BAD];
+                double part = h.ejected || !isWarm(h) ? 0 : 1;
+                Arrays.setAll(outcomesByKind.get(h.kind), i -> outcomesByKind.get(h.kind)[i] + part * h.outcomes[i]);
             }
         }
         for (Table t : tables) {
@@ -433,15 +433,15 @@
             for (Host h : t.members) {
                 double weight = h.running && open(h, t) ? h.weight : 0;
                 t.weightListed += weight;
-                t.weightIn += h.out ? 0 : weight;
-                t.warmIn += h.out || !isWarm(h) ? 0 : weight;
-                t.ableIn += h.out ? 0 : weight * able(h);
+                t.weightIn += h.ejected ? 0 : weight;
+                t.warmIn += h.ejected || !isWarm(h) ? 0 : weight;
+                t.ableIn += h.ejected ? 0 : weight * able(h);
             }
         }
         if (stale) {
-            usualLate = best(0.33, h -> lateness(h.met));
-            usualBad = best(0.33, h -> h.met[BAD] / h.met[ENDED]);
-            mostLate = best(0.62, h -> lateness(h.met)); // a third of them broken or cut off does not move it
+            usualLate = best(0.33, h -> lateness(h.outcomes));
+            usualBad = best(0.33, h -> h.outcomes[BAD] / h.outcomes[ENDED]);
+            mostLate = best(0.62, h -> lateness(h.outcomes)); // a third of them broken or cut off does not move it
         }
         stale = false;
         reckonedAt = now;
@@ -449,20 +449,20 @@
 
     /** Where the best part ends. In a jam all are bad; beside broken hosts the best are not. */
     private double best(double part, ToDoubleFunction<Host> figure) {
-        double[] all = hosts.stream().filter(h -> h.running && !h.out && h.met[ENDED] >= 3)
+        double[] all = hosts.stream().filter(h -> h.running && !h.ejected && h.outcomes[ENDED] >= 3)
                 .mapToDouble(figure).sorted().toArray();
         return all.length > 0 ? all[(int) (all.length * part)] : 0;
     }
 
     private boolean withdrawTold() { // together, as each message has a head, a quarter of the queue at least
-        List<Host> told = hosts.stream().filter(h -> h.told && !h.out).toList();
+        List<Host> told = hosts.stream().filter(h -> h.told && !h.ejected).toList();
         List<Proxy> concerned = told.isEmpty() ? List.of() : joined.stream()
                 .filter(p -> told.stream().anyMatch(h -> holds(p, h))).toList();
         double room = mostWaiting - waiting, need = concerned.stream()
                 .mapToDouble(p -> cost(p, told.stream().filter(h -> holds(p, h)).count())).sum();
         drainsWait = !told.isEmpty() && (bindsWait || need > room && room < 0.25 * mostWaiting
                 || !mayWrite(concerned, 0, DRAINS)); // nothing else is written meanwhile
-        return !drainsWait && !gathers(concerned) && each(h -> h.told && !h.out && waiting + holders(h)
+        return !drainsWait && !gathers(concerned) && each(h -> h.told && !h.ejected && waiting + holders(h)
                 .stream().mapToDouble(p -> cost(p, 1)).sum() <= mostWaiting, h -> withdraw(h, true))
                 .getAsBoolean();
     }
@@ -482,10 +482,10 @@
     }
 
     private void withdraw(Host h, boolean out) {
-        h.out = out;
+        h.ejected = out;
         drainedAt = h.told ? now : drainedAt;
         stale = true;
-        orders.withdraw(h.id, out);
+        commands.withdraw(h.id, out);
         holders(h).forEach(p -> order(p, 1));
         tablesWith(h).forEach(t -> t.sentAt = now);
     }
@@ -496,16 +496,16 @@
 
     // ---- 1 health from late sums and trial return
 
-    private double lateness(double[] met) { // mean, in objectives; a try that failed counts as late by half
-        return (met[SPENT] / objective + 1.5 * met[BAD]) / Math.max(1, met[ENDED]);
+    private double lateness(double[] outcomes) { // mean, in objectives; a try that failed counts as late by half
+        return (outcomes[SPENT] / objective + 1.5 * outcomes[BAD]) / Math.max(1, outcomes[ENDED]);
     }
 
     /** Guards against a host at which tries fail, and not at the best third; a slow one goes when all do. */
     private boolean fails(Host h) {
-        double failed = h.met[BAD], good = h.met[ENDED] - failed;
+        double failed = h.outcomes[BAD], good = h.outcomes[ENDED] - failed;
         reckon();
-        boolean quick = h.met[SPENT] < 1.3 * good * objective * usualLate;
-        return h.running && !h.sick && failed >= (h.trialSince >= 0 ? 2 : 4) // bad tries that prove enough
+        boolean quick = h.outcomes[SPENT] < 1.3 * good * objective * usualLate;
+        return h.running && !h.unhealthy && failed >= (h.probationSince >= 0 ? 2 : 4) // bad tries that prove enough
                 && failed >= (good + failed) * Math.max(quick ? 0.3 : 0.97, 0.15 + 2.2 * usualBad);
     }
 
@@ -535,50 +535,50 @@
                 && t.homeZone == p.zone && t.part < 0 && t.warmIn > 0 && t.length > 0).findAny().orElse(base);
     }
 
-    private void markSick(Host h) {
-        h.sick = true;
-        h.trialSince = -1;
-        h.backAt = now + 3000 * Math.pow(1.5, Math.min(4, h.strikes++)); // 3 s, up to 15 s for what stays bad
+    private void markUnhealthy(Host h) {
+        h.unhealthy = true;
+        h.probationSince = -1;
+        h.retryAt = now + 3000 * Math.pow(1.5, Math.min(4, h.consecutiveFailures++)); // 3 s, up to 15 s for what stays bad
     }
 
-    private void startTrial(Host h, double share) { // 0.15 is a try a second or so: enough to judge by
-        h.sick = false;
-        h.trialSince = now;
+    private void startProbation(Host h, double share) { // 0.15 is a try a second or so: enough to judge by
+        h.unhealthy = false;
+        h.probationSince = now;
         h.share = share;
         fade(h, 0);
     }
 
-    private boolean passesTrial(Host h) {
-        double since = now - h.trialSince; // reports are up to 1.6 s late; after 6 s silence must do
-        return h.trialSince >= 0 && since > 1500 && (h.met[ENDED] >= 2 || since > 6000);
+    private boolean passesProbation(Host h) {
+        double since = now - h.probationSince; // reports are up to 1.6 s late; after 6 s silence must do
+        return h.probationSince >= 0 && since > 1500 && (h.outcomes[ENDED] >= 2 || since > 6000);
     }
 
     private void growShare(Host h) {
         h.share = Math.min(h.bears, 4 * h.share); // two steps at most: few orders
-        h.trialSince = h.share < h.bears ? now : -1;
-        h.strikes = h.share < h.bears ? h.strikes : Math.max(0, h.strikes - 1);
+        h.probationSince = h.share < h.bears ? now : -1;
+        h.consecutiveFailures = h.share < h.bears ? h.consecutiveFailures : Math.max(0, h.consecutiveFailures - 1);
     }
 
     /** Guards against a host too weak for its share. It could harm where a passing jam looks like that. */
     private boolean isSlow(Host h) {
         return steady(h, 4) && now > h.restUntil && h.share > 0.3 && usualLate < 0.5
-                && lateness(h.met) * Math.min(1, h.met[ENDED] / 8) > Math.max(0.55, 1.6 * usualLate);
+                && lateness(h.outcomes) * Math.min(1, h.outcomes[ENDED] / 8) > Math.max(0.55, 1.6 * usualLate);
     }
 
     private boolean isOfSlowKind(Host h) { // where sums are thin, hosts of a kind tell of each other
-        double late = lateness(metBy.get(h.kind));
-        return late > 0.5 && metBy.get(h.kind)[ENDED] >= 50 && steady(h, 0) && h.share == 1
-                && now > h.restUntil && metBy.stream()
+        double late = lateness(outcomesByKind.get(h.kind));
+        return late > 0.5 && outcomesByKind.get(h.kind)[ENDED] >= 50 && steady(h, 0) && h.share == 1
+                && now > h.restUntil && outcomesByKind.stream()
                 .anyMatch(m -> m[ENDED] >= 50 && lateness(m) < Math.min(0.35, late / 2));
     }
 
     private boolean wasSlow(Host h) {
-        return steady(h, 4) && h.share < 1 && now > h.restUntil + 40_000 && lateness(h.met) < usualLate;
+        return steady(h, 4) && h.share < 1 && now > h.restUntil + 40_000 && lateness(h.outcomes) < usualLate;
     }
 
     private boolean steady(Host h, double tries) {
         reckon();
-        return h.running && !h.sick && h.trialSince < 0 && isWarm(h) && h.met[ENDED] >= tries;
+        return h.running && !h.unhealthy && h.probationSince < 0 && isWarm(h) && h.outcomes[ENDED] >= tries;
     }
 
     private void setShare(Host h, double share) {
@@ -612,15 +612,15 @@
     }
 
     /** Guards against a cold host sent all by proxies that shun others: it waits while warm ones are in. */
-    private boolean keptFromStorm(Host h) {
+    private boolean heldBackInRetryStorm(Host h) {
         reckon();
-        return now < stormUntil && !isWarm(h) && load(joined) >= 0.25 * joined.size() * hosts.size()
+        return now < retryStormUntil && !isWarm(h) && load(joined) >= 0.25 * joined.size() * hosts.size()
                 && tables.stream().allMatch(t -> !inUse(t) || !open(h, t) || t.warmIn > 0);
     }
 
     /** Guards against a restarted or weak host that keeps its full weight: cut past the windows. */
     private boolean cutRestarted() {
-        return each(h -> !h.out && h.running && (h.share < 1 || !isWarm(h)) && tables.stream()
+        return each(h -> !h.ejected && h.running && (h.share < 1 || !isWarm(h)) && tables.stream()
                 .anyMatch(t -> wanted(h, t) < 0.6 * laid(h, t))
                 && (isWarm(h) ? mayTrouble(h) : mayWrite(holders(h), 1, URGENT)),
                 h -> tables.forEach(t -> lay(h, t, wanted(h, t)))).getAsBoolean();
@@ -634,32 +634,32 @@
 
     private boolean isLast(Host h) { // of a table left with none but sick hosts: they are let back in
         return h.running && tables.stream().anyMatch(t -> inUse(t) && open(h, t)
-                && hosts.stream().noneMatch(o -> o.running && !o.sick && open(o, t)));
+                && hosts.stream().noneMatch(o -> o.running && !o.unhealthy && open(o, t)));
     }
 
     private boolean due(Host h, Table t) {
         double want = wanted(h, t), has = laid(h, t);
-        return (has > 0 || !keptFromStorm(h)) && ((want == 0) != (has == 0)
+        return (has > 0 || !heldBackInRetryStorm(h)) && ((want == 0) != (has == 0)
                 || Math.abs(want - has) > 0.12 * Math.max(want, has) // a ramp is a dozen steps
                 || want == h.weight && has != want);
     }
 
     private boolean backIn(Host h) { // when every table has its due weight
-        return h.out && h.running && !h.sick && !keptFromStorm(h)
+        return h.ejected && h.running && !h.unhealthy && !heldBackInRetryStorm(h)
                 && tables.stream().noneMatch(t -> due(h, t));
     }
 
-    private boolean levelDue(Table t, int k) {
+    private boolean admissionDue(Table t, int k) {
         return !sliced && (t.operations == 0 || (t.operations >> k & 1) != 0)
-                && (t.tries != tries() || Math.abs(t.letIn[k] - opLevel[k]) > 0.02); // finer: not worth it
+                && (t.tries != tries() || Math.abs(t.admissionRatio[k] - operationAdmission[k]) > 0.02); // finer: not worth it
     }
 
     private boolean cutDue(Table t) { // as urgent as a withdrawal: each moment of a jam lengthens it
-        return IntStream.range(0, operations.length).anyMatch(k -> levelDue(t, k) && opLevel[k] < t.letIn[k]);
+        return IntStream.range(0, operations.length).anyMatch(k -> admissionDue(t, k) && operationAdmission[k] < t.admissionRatio[k]);
     }
 
     private int pending(Table t) {
-        return (int) (IntStream.range(0, operations.length).filter(k -> levelDue(t, k)).count()
+        return (int) (IntStream.range(0, operations.length).filter(k -> admissionDue(t, k)).count()
                 + t.members.stream().filter(h -> due(h, t)).count());
     }
 
@@ -702,15 +702,15 @@
 
     private void lay(Host h, Table t, double weight) {
         if (weight != laid(h, t)) {
-            orders.line(t.number, h.id, weight);
+            commands.line(t.number, h.id, weight);
             setLaid(h, t, weight);
-            users(t).forEach(p -> order(p, 1 + orders.lineBrings(h.id, p.id)));
+            users(t).forEach(p -> order(p, 1 + commands.lineBrings(h.id, p.id)));
         }
     }
 
     private void layDue(Table t) {
         t.members.stream().filter(h -> due(h, t)).limit(piece(t)).forEach(h -> lay(h, t, wanted(h, t)));
-        IntStream.range(0, operations.length).filter(k -> levelDue(t, k)).forEach(k -> layLevel(t, k));
+        IntStream.range(0, operations.length).filter(k -> admissionDue(t, k)).forEach(k -> layAdmission(t, k));
         t.tries = tries();
         t.sentAt = now;
     }
@@ -731,14 +731,14 @@
         for (Table t : tables.stream().allMatch(t -> t.length > 0 || t.weightIn == 0) // first the lines
                 ? List.copyOf(tables.subList(0, full)) : List.<Table>of()) {
             List<Proxy> due = unbound(t).filter(p -> !fresh || p.bound[t.base] == null).toList();
-            List<Table> some = due.isEmpty() ? List.of() : partsOf(t, fresh && rush ? 1 : span);
+            List<Table> some = due.isEmpty() ? List.of() : partsOf(t, fresh && joinSurge ? 1 : span);
             for (Proxy p : due) {
                 Table to = reach(p, t) != t ? reach(p, t) : leastAsked(some, t);
-                double lines = 1 + to.length + operations.length + orders.bindBrings(to.number, p.id)
-                        + to.members.stream().filter(h -> h.out && laid(h, to) > 0).count(); // withdrawn: too
+                double lines = 1 + to.length + operations.length + commands.bindBrings(to.number, p.id)
+                        + to.members.stream().filter(h -> h.ejected && laid(h, to) > 0).count(); // withdrawn: too
                 if (mustMove(p, t) && mayWrite(List.of(p), lines, fresh ? DRAINS : LINES)) {
                     put(p, t.base, to);
-                    orders.bind(to.number, to.operations, p.id);
+                    commands.bind(to.number, to.operations, p.id);
                     order(p, lines);
                     fired = true;
                 } else {
@@ -793,12 +793,12 @@
         double most = 3300 * pace / Math.max(1, joined.size()) - perMessage - 1 - operations.length;
         double lines = tables.subList(0, full).stream().mapToDouble(t -> t.length
                 / (t.homeZone < 0 ? 1.0 : operation(t).zoneCount())).sum(); // of one proxy
-        List<Host> in = parts > 0 ? List.of() : hosts.stream().filter(h -> h.running && !h.out && isWarm(h))
+        List<Host> in = parts > 0 ? List.of() : hosts.stream().filter(h -> h.running && !h.ejected && isWarm(h))
                 .sorted(Comparator.comparingInt((Host h) -> h.zone).thenComparingInt(h -> h.kind)).toList();
         boolean wide = !sliced && lines > (span > 0 ? 1 : 1.25) * most;
-        rush = !sliced && waiting + joined.stream().filter(this::newcomer).count()
+        joinSurge = !sliced && waiting + joined.stream().filter(this::newcomer).count()
                 * Math.min(lines, Math.max(standing, most)) > 1000 * pace;
-        if ((rush || wide) && parts == 0 && !in.isEmpty()) {
+        if ((joinSurge || wide) && parts == 0 && !in.isEmpty()) {
             parts = Math.max(1, in.size() / standing);
             IntStream.range(0, in.size()).forEach(i -> in.get(i).part = i % parts);
         }
@@ -813,10 +813,10 @@
         }
         List<Table> idle = tables.stream().filter(t -> !sliced && !isFull(t) && t.users.isEmpty()
                 && zones.stream().allMatch(z -> now >= z.cutUntil)
-                && (t.part < 0 || !rush && (span == 0 || Math.abs(t.span - span) > 1))).toList();
-        idle.forEach(t -> orders.wipe(t.number));
+                && (t.part < 0 || !joinSurge && (span == 0 || Math.abs(t.span - span) > 1))).toList();
+        idle.forEach(t -> commands.wipe(t.number));
         tables.removeAll(idle);
-        if (!rush && !wide && tables.stream().allMatch(t -> t.part < 0)) {
+        if (!joinSurge && !wide && tables.stream().allMatch(t -> t.part < 0)) {
             hosts.forEach(h -> h.part = -1);
             parts = 0;
         }
@@ -855,7 +855,7 @@
 
     /** The window: a round trip's lines, at least 5 messages. Who is slow or frozen holds up no batch. */
     private boolean hasRoom(Proxy p, double lines, Table t) {
-        return p.unanswered.size() < 5 || p.out + lines <= roundTrip * pace / users(t).size()
+        return p.unanswered.size() < 5 || p.unansweredLines + lines <= roundTrip * pace / users(t).size()
                 || now - p.unanswered.peek().at > Math.max(3 * roundTrip, 2 * transitMost);
     }
 
@@ -868,7 +868,7 @@
     private boolean allHaveRoom(Table t) { // a line may bring one more to who was with another steward
         List<Host> due = t.members.stream().filter(h -> due(h, t)).limit(piece(t)).toList();
         double lines = Math.min(pending(t), piece(t)) + users(t).stream().mapToInt(p -> due.stream()
-                .mapToInt(h -> orders.lineBrings(h.id, p.id)).sum()).max().orElse(0);
+                .mapToInt(h -> commands.lineBrings(h.id, p.id)).sum()).max().orElse(0);
         return mayWrite(users(t), lines, LINES) && users(t).stream().allMatch(p -> hasRoom(p, lines, t));
     }
 
@@ -876,17 +876,17 @@
         List<Proxy> concerned = joined.stream().filter(p -> p.fresh > 0).toList();
         reckonChannel(); // without what was only reckoned with
         if (!concerned.isEmpty()) {
-            orders.barrier(mark = (mark + 1) % 65536, false);
+            commands.barrier(mark = (mark + 1) % 65536, false);
         }
         for (Proxy p : concerned) {
             Message m = new Message();
             m.mark = mark;
             m.at = now;
-            m.lines = orders.lines(p.id, p.fresh) + perMessage; // those that the way adds count too
+            m.lines = commands.lines(p.id, p.fresh) + perMessage; // those that the way adds count too
             waiting += m.lines;
             m.leavesBy = now + waiting / pace;
             inChannel.add(m);
-            p.out += m.lines;
+            p.unansweredLines += m.lines;
             p.unanswered.add(m);
             p.written.add(now);
             p.fresh = 0;
@@ -895,16 +895,16 @@
 
     // ---- 3 levels and further tries
 
-    private FurtherTries tries() { // none where each full host would send on to the next; others feed storms
-        return now < stormUntil && letIn < 0.9 ? FurtherTries.NONE : FurtherTries.ONE_ON_PROOF;
+    private RetryPolicy tries() { // none where each full host would send on to the next; others feed storms
+        return now < retryStormUntil && admissionRatio < 0.9 ? RetryPolicy.NONE : RetryPolicy.ONE_ON_PROOF;
     }
 
-    private void layLevel(Table t, int k) {
-        t.letIn[k] = opLevel[k];
+    private void layAdmission(Table t, int k) {
+        t.admissionRatio[k] = operationAdmission[k];
         double each = users(t).stream().mapToDouble(p -> p.asked[k]).sum() / Math.max(1, users(t).size());
-        double figure = measure != Measure.PER_SECOND ? opLevel[k] : opLevel[k] < 1 ? opLevel[k] * each
+        double figure = measure != Measure.PER_SECOND ? operationAdmission[k] : operationAdmission[k] < 1 ? operationAdmission[k] * each
                 : 1e6; // more than any proxy is asked
-        orders.level(t.number, 1 << k, figure, tries());
+        commands.level(t.number, 1 << k, figure, tries());
         users(t).forEach(p -> order(p, 1));
     }
 
@@ -913,7 +913,7 @@
     }
 
     /** Guards against a fleet too small, whatever made it so: what is let in follows what ends well. */
-    private boolean setLevels() {
+    private boolean setAdmission() {
         rate = IntStream.range(0, operations.length).mapToDouble(this::asked).sum();
         double work = IntStream.range(0, operations.length).mapToDouble(this::work).sum();
         stale |= rate > 0 && objective != work / rate;
@@ -921,40 +921,40 @@
         reckon();
         double good = ended - bad, late = mostLate;
         quickest = ended < 20 || usualLate == 0 ? quickest : Math.min(quickest, usualLate); // unhurried
-        stormUntil = good < ended - 0.3 * Math.max(20, ended) || late > Math.max(0.45, 4 * quickest)
-                ? now + 3000 : stormUntil; // a fifth of the hosts dead makes less of one
+        retryStormUntil = good < ended - 0.3 * Math.max(20, ended) || late > Math.max(0.45, 4 * quickest)
+                ? now + 3000 : retryStormUntil; // a fifth of the hosts dead makes less of one
         if (now >= forgetAt) {
             forgetAt = Double.POSITIVE_INFINITY;
             hosts.forEach(h -> fade(h, 0)); // what ended till now was let in before the cut
             return true;
         }
-        if (ended < 20 || rate <= 0 || now < levelAt) {
+        if (ended < 20 || rate <= 0 || now < admissionAt) {
             return false;
         }
-        double before = letIn;
+        double before = admissionRatio;
         if (late > 0.5 && usualLate > 0.35) {
-            letIn = Math.max(0.1, letIn * Math.max(0.6, Math.min(0.55 / late, 0.95 * good / ended)));
-        } else if (late < 0.4 && letIn < 1) {
-            letIn = Math.min(1, letIn * (1 + (0.45 - late)));
+            admissionRatio = Math.max(0.1, admissionRatio * Math.max(0.6, Math.min(0.55 / late, 0.95 * good / ended)));
+        } else if (late < 0.4 && admissionRatio < 1) {
+            admissionRatio = Math.min(1, admissionRatio * (1 + (0.45 - late)));
         }
-        forgetAt = letIn < before ? now + 2000 + Math.max(1000, lag) : forgetAt; // queues end, sums come
-        levelAt = (letIn < before ? forgetAt : now) + 1500; // and fade
-        spreadLevels((1 - letIn) * work);
-        return letIn != before;
+        forgetAt = admissionRatio < before ? now + 2000 + Math.max(1000, lag) : forgetAt; // queues end, sums come
+        admissionAt = (admissionRatio < before ? forgetAt : now) + 1500; // and fade
+        spreadAdmission((1 - admissionRatio) * work);
+        return admissionRatio != before;
     }
 
     private double work(int k) {
         return asked(k) * operations[k].objective();
     }
 
-    private void spreadLevels(double cut) { // taken where a unit of work (by its objective) earns least
+    private void spreadAdmission(double cut) { // taken where a unit of work (by its objective) earns least
         List<Integer> cheapest = IntStream.range(0, operations.length).boxed().sorted(
                 Comparator.comparingDouble(k -> operations[k].value() / operations[k].objective())).toList();
-        Arrays.fill(opLevel, 1);
+        Arrays.fill(operationAdmission, 1);
         for (double floor : new double[] {0.4, 0.05}) { // first each to 0.4, so that none is given up early
             for (int k : cheapest) {
-                double take = Math.min(cut, Math.max(0, opLevel[k] - floor) * work(k));
-                opLevel[k] -= work(k) > 0 ? take / work(k) : 0;
+                double take = Math.min(cut, Math.max(0, operationAdmission[k] - floor) * work(k));
+                operationAdmission[k] -= work(k) > 0 ? take / work(k) : 0;
                 cut -= take;
             }
         }
@@ -966,7 +966,7 @@
             boolean lost = t.owner != null && !t.owner.running;
             t.ownerless = lost ? now : t.ownerless;
             t.owner = t.owner != null && !lost ? t.owner : now - t.ownerless <= ownerAfter ? null
-                    : hosts.stream().filter(h -> h.running && !h.out).min(Comparator.comparingDouble(h ->
+                    : hosts.stream().filter(h -> h.running && !h.ejected).min(Comparator.comparingDouble(h ->
                     tables.stream().filter(o -> o.owner == h).count() / h.weight)).orElse(null);
         }
         return false; // gone through before the lines are laid, it finds nothing new
--- a/src/main/java/linenring/plan/StartFigures.java
+++ b/src/main/java/linenring/planner/PlannerSettings.java
@@ -1,9 +1,9 @@
-package linenring.plan;
+package linenring.planner;
 
 import java.util.List;
 
 /** What a steward is told at its start and decides by. Times are milliseconds, rates are per second. */
-public record StartFigures(
+public record PlannerSettings(
         List<Operation> operations,
         ColdStart cold,
         Channel channel,
--- a/src/main/java/linenring/routing/LetIn.java
+++ b/src/main/java/linenring/routing/AdmissionControl.java
@@ -1,15 +1,15 @@
 package linenring.routing;
 
-import linenring.plan.StartFigures.Measure;
+import linenring.planner.PlannerSettings.Measure;
 
 /**
  * How much of an operation is let in at one proxy: a share, drawn anew for each invocation, or a rate. A rate is kept
  * by a bucket of tokens that holds a quarter of a second's, one at least: callers' bursts are shorter, and what a
  * steward turns away is meant to be turned away within its next report.
  */
-final class LetIn {
+final class AdmissionControl {
     /** All is let in. */
-    static final LetIn ALL = new LetIn(1, Measure.NONE);
+    static final AdmissionControl ALL = new AdmissionControl(1, Measure.NONE);
 
     private static final double BURST_S = 0.25;
 
@@ -18,7 +18,7 @@
     private double tokens;
     private double filledAt = Double.NaN;
 
-    LetIn(double level, Measure measure) {
+    AdmissionControl(double level, Measure measure) {
         this.level = level;
         this.measure = measure;
         tokens = most();
@@ -51,7 +51,7 @@
     }
 
     /** The same level goes on with the tokens it has. */
-    LetIn next(double level, Measure measure) {
-        return this.level == level && this.measure == measure ? this : new LetIn(level, measure);
+    AdmissionControl next(double level, Measure measure) {
+        return this.level == level && this.measure == measure ? this : new AdmissionControl(level, measure);
     }
 }
--- a/src/main/java/linenring/routing/HostBook.java
+++ b/src/main/java/linenring/routing/HostRegistry.java
@@ -9,7 +9,7 @@
  * Hosts by index: a host keeps the index that it got when it was first listed. One thread writes at a time;
  * any thread reads without a lock.
  */
-public final class HostBook {
+public final class HostRegistry {
     /** One host as it was last listed; {@code address} is {@code IP:PORT} or null where none was told. */
     public record Host(String id, String address, int zone, int cell, HostList.State state) {
         public boolean isListed() {
@@ -49,7 +49,7 @@
     }
 
     /** Whether the two remember the marks of this operation together. */
-    boolean shareMarks(Terms.Group group, int a, int b) {
+    boolean shareMarks(Limits.Group group, int a, int b) {
         Host one = hosts[a], other = hosts[b];
         return switch (group) {
             case ALL -> true;
--- a/src/main/java/linenring/routing/Choice.java
+++ b/src/main/java/linenring/routing/HostSelection.java
@@ -3,14 +3,14 @@
 import java.util.function.IntPredicate;
 
 /** Hosts with weights over 0, to be drawn from by weight. Never changes; a draw takes O(log n). */
-final class Choice {
+final class HostSelection {
     static final int NONE = -1;
 
     private final int[] hosts;
     private final double[] upTo; // sums of the weights so far
 
     /** Of the first {@code count} hosts. */
-    Choice(int[] hosts, double[] weights, int count) {
+    HostSelection(int[] hosts, double[] weights, int count) {
         this.hosts = java.util.Arrays.copyOf(hosts, count);
         upTo = new double[count];
         double sum = 0;
--- a/src/main/java/linenring/routing/Effect.java
+++ b/src/main/java/linenring/routing/Idempotence.java
@@ -1,7 +1,7 @@
 package linenring.routing;
 
 /** What it would do if an invocation ran a second time. */
-public enum Effect {
+public enum Idempotence {
     /** Nothing: it may run again. */
     IDEMPOTENT,
     /** Nothing while its mark is remembered, inside the group of hosts that remember it together. */
--- a/src/main/java/linenring/routing/Terms.java
+++ b/src/main/java/linenring/routing/Limits.java
@@ -5,7 +5,8 @@
  * {@code group} drop a repeat of a fingerprinted invocation; {@code objective}, its latency objective;
  * {@code timeout}, its integration timeout, past which nobody waits for it.
  */
-public record Terms(String operation, Effect effect, Group group, double window, double objective, double timeout) {
+public record Limits(
+        String operation, Idempotence effect, Group group, double window, double objective, double timeout) {
     /** Which hosts remember a mark together. */
     public enum Group {
         ALL,
@@ -13,7 +14,7 @@
         CELL
     }
 
-    public Terms {
+    public Limits {
         if (!(objective > 0) || !(timeout > 0) || !(window >= 0)) {
             throw new IllegalArgumentException(operation + ": times are over 0");
         }
--- a/src/main/java/linenring/routing/Avoidance.java
+++ b/src/main/java/linenring/routing/OutlierEjection.java
@@ -7,7 +7,7 @@
  * proxy: it answers what nobody has reported yet. It does harm where a host errors by what it is asked and not by what
  * it is; then all hosts are avoided in turn, and all are picked again.
  */
-final class Avoidance {
+final class OutlierEjection {
     /** Nobody is avoided, ever. */
     static final int NEVER = 0;
 
@@ -19,7 +19,7 @@
     private volatile int version;
 
     /** {@code inARow} errored tries lead to a {@code span} in ms. */
-    Avoidance(int inARow, double span) {
+    OutlierEjection(int inARow, double span) {
         this.inARow = inARow;
         this.span = span;
     }
--- a/src/main/java/linenring/routing/TryBudget.java
+++ b/src/main/java/linenring/routing/RetryBudget.java
@@ -5,7 +5,7 @@
  * multiply the load just when it can least be borne; the share bounds that whatever the module's orders allow. It also
  * holds against a caller that errors by its own doing; it does harm where few invocations come, so a few are free.
  */
-public final class TryBudget {
+public final class RetryBudget {
     private static final int BUCKETS = 10; // the window slides in tenths: a burst at its edge counts one tenth long
 
     private final double share;
@@ -16,7 +16,7 @@
     private long firsts, furthers;
 
     /** {@code share} of the first tries of the last {@code window} ms, and {@code free} in any case. */
-    public TryBudget(double share, int free, double window) {
+    public RetryBudget(double share, int free, double window) {
         this.share = share;
         this.free = free;
         bucketMs = window / BUCKETS;
--- a/src/main/java/linenring/routing/Tries.java
+++ b/src/main/java/linenring/routing/RetryDecision.java
@@ -2,7 +2,7 @@
 
 import java.util.BitSet;
 import java.util.function.DoubleSupplier;
-import linenring.plan.Orders.FurtherTries;
+import linenring.planner.Commands.RetryPolicy;
 
 /**
  * The tries of one invocation: which host is next, until when, and when it is over. One attempt runs at a time. Calls
@@ -14,9 +14,10 @@
  * no longer held; its integration timeout is over; no other host (of the same group, if one may have run) is open;
  * the budget is spent.
  */
-public final class Tries {
+public final class RetryDecision {
     /** What all invocations of one front share. {@code tryObjectives}: see {@link #giveUpAt}. */
-    public record Terrain(Tables tables, HostBook hosts, TryBudget budget, double tryObjectives, DoubleSupplier draw) {}
+    public record Terrain(
+            Tables tables, HostRegistry hosts, RetryBudget budget, double tryObjectives, DoubleSupplier draw) {}
 
     /** What is to be done next. */
     public sealed interface Step {
@@ -51,7 +52,7 @@
 
     private final Terrain terrain;
     private final int operation;
-    private final Terms terms;
+    private final Limits terms;
     private final boolean marked;
     private final double deadline;
     private final BitSet tried = new BitSet();
@@ -63,7 +64,7 @@
     private boolean over;
 
     /** {@code marked}: it carries the mark by which hosts know a repeat. */
-    public Tries(Terrain terrain, int operation, Terms terms, boolean marked, double now) {
+    public RetryDecision(Terrain terrain, int operation, Limits terms, boolean marked, double now) {
         this.terrain = terrain;
         this.operation = operation;
         this.terms = terms;
@@ -139,7 +140,7 @@
     }
 
     private double sendBy() {
-        return mayHaveRunAt >= 0 && terms.effect() == Effect.FINGERPRINTED
+        return mayHaveRunAt >= 0 && terms.effect() == Idempotence.FINGERPRINTED
                 ? mayHaveRunSince + terms.window() * (1 - WINDOW_MARGIN)
                 : Double.POSITIVE_INFINITY;
     }
@@ -149,7 +150,7 @@
      * any other has all the time there is.
      */
     private double giveUpAt(double now, boolean bodyHeld) {
-        boolean mayFollow = terrain.tables().tries(operation).compareTo(FurtherTries.ONE) >= 0
+        boolean mayFollow = terrain.tables().tries(operation).compareTo(RetryPolicy.ONE) >= 0
                 && further < most()
                 && repeatable()
                 && bodyHeld;
@@ -165,7 +166,7 @@
     }
 
     private boolean repeatable() {
-        return terms.effect() == Effect.IDEMPOTENT || terms.effect() == Effect.FINGERPRINTED && marked;
+        return terms.effect() == Idempotence.IDEMPOTENT || terms.effect() == Idempotence.FINGERPRINTED && marked;
     }
 
     private boolean mayTryAgain(Attempt attempt, double now, boolean bodyHeld) {
@@ -175,15 +176,15 @@
         if (attempt.neverRan() && mayHaveRunAt < 0) {
             return true;
         }
-        return terrain.tables().tries(operation) != FurtherTries.ONE_ON_PROOF
+        return terrain.tables().tries(operation) != RetryPolicy.ONE_ON_PROOF
                 && repeatable()
-                && (terms.effect() == Effect.IDEMPOTENT || now <= sendBy());
+                && (terms.effect() == Idempotence.IDEMPOTENT || now <= sendBy());
     }
 
     private boolean isOpen(int other) {
         return !tried.get(other)
                 && (mayHaveRunAt < 0
-                        || terms.effect() != Effect.FINGERPRINTED
+                        || terms.effect() != Idempotence.FINGERPRINTED
                         || terrain.hosts().shareMarks(terms.group(), mayHaveRunAt, other));
     }
 
--- a/src/main/java/linenring/routing/Sums.java
+++ b/src/main/java/linenring/routing/RollingStatistics.java
@@ -6,19 +6,19 @@
 import linenring.message.Arrival;
 
 /** What a proxy met at each host and was asked of each operation, summed up from one report to the next. */
-public final class Sums {
+public final class RollingStatistics {
     private static final class Met {
         int total, bad;
         double goodMs;
     }
 
     private final int proxy, zone;
-    private final HostBook hosts;
+    private final HostRegistry hosts;
     private final TreeMap<Integer, Met> met = new TreeMap<>(); // by host
     private final int[] asked; // by operation
     private double since;
 
-    public Sums(int proxy, int zone, HostBook hosts, int operations, double now) {
+    public RollingStatistics(int proxy, int zone, HostRegistry hosts, int operations, double now) {
         this.proxy = proxy;
         this.zone = zone;
         this.hosts = hosts;
--- a/src/main/java/linenring/routing/Tables.java
+++ b/src/main/java/linenring/routing/Tables.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.atomic.AtomicReferenceArray;
 import java.util.function.IntPredicate;
 import linenring.message.Order;
-import linenring.plan.Orders.FurtherTries;
-import linenring.plan.StartFigures.Measure;
+import linenring.planner.Commands.RetryPolicy;
+import linenring.planner.PlannerSettings.Measure;
 
 /**
  * The honest reader of a steward's orders: what a proxy holds, and whom it picks. Orders are applied by one thread at a
@@ -19,9 +19,9 @@
  */
 public final class Tables {
     /** No host may be picked. */
-    public static final int NONE = Choice.NONE;
+    public static final int NONE = HostSelection.NONE;
     /** What proxies do until they are told otherwise. */
-    static final FurtherTries UNTOLD = FurtherTries.ONE_ON_PROOF;
+    static final RetryPolicy UNTOLD = RetryPolicy.ONE_ON_PROOF;
 
     /** What came of an order: the marks to answer, in order, or why it can't be used and changed nothing. */
     public record Applied(List<Integer> marks, String unusable) {
@@ -31,28 +31,28 @@
     }
 
     /** One operation's: never changed once it is in {@link #held}. */
-    private record Held(TreeMap<Integer, Double> lines, LetIn letIn, FurtherTries tries) {
-        static final Held NOTHING = new Held(new TreeMap<>(), LetIn.ALL, UNTOLD);
+    private record Held(TreeMap<Integer, Double> lines, AdmissionControl letIn, RetryPolicy tries) {
+        static final Held NOTHING = new Held(new TreeMap<>(), AdmissionControl.ALL, UNTOLD);
     }
 
     /** What may be drawn from: of one state of the tables and of who is avoided. */
-    private record Open(int avoidance, Choice choice, Choice avoidedToo) {}
+    private record Open(int avoidance, HostSelection choice, HostSelection avoidedToo) {}
 
     private final List<String> operations;
-    private final HostBook hosts;
+    private final HostRegistry hosts;
     private final Measure measure;
-    private final Avoidance avoidance;
+    private final OutlierEjection avoidance;
     private final Map<String, Integer> numbers = new HashMap<>();
     private volatile Held[] held;
     private BitSet shutOut = new BitSet(); // kept across streams; replaced, never changed
     private final AtomicReferenceArray<Open> open;
 
     /** {@code avoidAfter} own tries that errored in a row keep it away from a host for {@code avoidFor} ms. */
-    public Tables(List<String> operations, HostBook hosts, Measure measure, int avoidAfter, double avoidFor) {
+    public Tables(List<String> operations, HostRegistry hosts, Measure measure, int avoidAfter, double avoidFor) {
         this.operations = List.copyOf(operations);
         this.hosts = hosts;
         this.measure = measure;
-        avoidance = new Avoidance(avoidAfter, avoidFor);
+        avoidance = new OutlierEjection(avoidAfter, avoidFor);
         held = new Held[operations.size()];
         open = new AtomicReferenceArray<>(operations.size());
         for (int k = 0; k < held.length; k++) {
@@ -109,7 +109,7 @@
         }
         Order.Level level = part.level();
         if (level != null
-                && (!(level.letIn() >= 0) || level.tries() < 0 || level.tries() >= FurtherTries.values().length)) {
+                && (!(level.letIn() >= 0) || level.tries() < 0 || level.tries() >= RetryPolicy.values().length)) {
             return "level " + level.letIn() + " with further tries " + level.tries();
         }
         for (int k = meant.nextSetBit(0); k >= 0; k = meant.nextSetBit(k + 1)) {
@@ -120,10 +120,11 @@
                 lines.putAll(changes);
                 lines.values().removeIf(weight -> weight == 0);
             }
-            LetIn letIn =
-                    level != null ? was.letIn().next(level.letIn(), measure) : part.whole() ? LetIn.ALL : was.letIn();
-            FurtherTries tries =
-                    level != null ? FurtherTries.values()[level.tries()] : part.whole() ? UNTOLD : was.tries();
+            AdmissionControl letIn = level != null
+                    ? was.letIn().next(level.letIn(), measure)
+                    : part.whole() ? AdmissionControl.ALL : was.letIn();
+            RetryPolicy tries =
+                    level != null ? RetryPolicy.values()[level.tries()] : part.whole() ? UNTOLD : was.tries();
             next[k] = new Held(lines, letIn, tries);
         }
         String fault = shut(part.shutOut(), shut, true);
@@ -175,8 +176,8 @@
                 freeWeights[among++] = line.getValue();
             }
         }
-        Choice any = new Choice(all, allWeights, of);
-        Open now = new Open(version, among == 0 ? any : new Choice(free, freeWeights, among), any);
+        HostSelection any = new HostSelection(all, allWeights, of);
+        Open now = new Open(version, among == 0 ? any : new HostSelection(free, freeWeights, among), any);
         open.set(operation, now);
         return now;
     }
@@ -198,7 +199,7 @@
         return held[operation].letIn().wait(now, draw);
     }
 
-    FurtherTries tries(int operation) {
+    RetryPolicy tries(int operation) {
         return held[operation].tries();
     }
 
--- a/src/main/java/linenring/scale/fleet/HollowFleet.java
+++ b/src/main/java/linenring/scale/fleet/HollowFleet.java
@@ -8,7 +8,7 @@
 import java.util.stream.IntStream;
 import linenring.message.Arrival;
 import linenring.message.Order;
-import linenring.routing.HostBook;
+import linenring.routing.HostRegistry;
 import linenring.routing.Tables;
 
 /**
@@ -26,7 +26,7 @@
     private record Due(double at, long order, Runnable what) {}
 
     private final FleetLayout layout;
-    private final HostBook hosts;
+    private final HostRegistry hosts;
     private final RandomGenerator chance;
     private final SimulatedChannel channel;
     private final List<HollowProxy> proxies;
@@ -42,7 +42,7 @@
     private volatile long timesWithoutHost;
     private volatile boolean stopped;
 
-    public HollowFleet(FleetLayout layout, HostBook hosts, RandomGenerator chance) {
+    public HollowFleet(FleetLayout layout, HostRegistry hosts, RandomGenerator chance) {
         this.layout = layout;
         this.hosts = hosts;
         this.chance = chance;
@@ -198,7 +198,7 @@
     }
 
     /** The hosts as the fleet knows them. */
-    public HostBook hosts() {
+    public HostRegistry hosts() {
         return hosts;
     }
 }
--- a/src/main/java/linenring/scale/fleet/HollowProxy.java
+++ b/src/main/java/linenring/scale/fleet/HollowProxy.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Set;
 import linenring.message.Order;
-import linenring.plan.StartFigures.Measure;
-import linenring.routing.HostBook;
+import linenring.planner.PlannerSettings.Measure;
+import linenring.routing.HostRegistry;
 import linenring.routing.Tables;
 
 /** A proxy that keeps its tables as ordered and carries no request. Changed on the fleet's thread, read on any. */
@@ -15,14 +15,14 @@
 
     private final int id;
     private final int zone;
-    private final HostBook hosts;
+    private final HostRegistry hosts;
     private final Tables tables;
     private volatile boolean joined;
     private volatile boolean ordered; // on its present stream
     private volatile boolean served; // it has had a host for each operation
     private int stream; // counts its streams
 
-    HollowProxy(int id, int zone, List<String> operations, HostBook hosts) {
+    HollowProxy(int id, int zone, List<String> operations, HostRegistry hosts) {
         this.id = id;
         this.zone = zone;
         this.hosts = hosts;
--- a/src/main/java/linenring/scale/run/CatalogueDriver.java
+++ b/src/main/java/linenring/scale/run/CatalogueDriver.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
-import linenring.routing.HostBook;
+import linenring.routing.HostRegistry;
 import linenring.scale.catalogue.Catalogue;
 import linenring.scale.catalogue.CatalogueChange;
 import linenring.scale.catalogue.CatalogueEvents;
@@ -16,14 +16,14 @@
     private static final long TICK_NS = 10_000_000;
 
     private final CatalogueEvents events;
-    private final HostBook hosts;
+    private final HostRegistry hosts;
     private final List<CatalogueServer> servers = new CopyOnWriteArrayList<>();
     private final Thread thread = new Thread(this::run, "catalogue-events");
     private volatile long hostsChanged;
     private volatile long lastChangeNanos = System.nanoTime();
     private volatile boolean closed;
 
-    CatalogueDriver(Catalogue catalogue, HostBook hosts, long seed) {
+    CatalogueDriver(Catalogue catalogue, HostRegistry hosts, long seed) {
         this.hosts = hosts;
         events = new CatalogueEvents(catalogue, new Random(seed));
         hosts.listed(catalogue.snapshot().asHostList());
--- a/src/main/java/linenring/scale/run/ScaleCommand.java
+++ b/src/main/java/linenring/scale/run/ScaleCommand.java
@@ -12,7 +12,7 @@
 /** The sub-command {@code scale}: reads the settings, measures, and writes the record. */
 public final class ScaleCommand {
     /** What came of it. */
-    public enum Ending {
+    public enum Shutdown {
         MEASURED,
         SETTINGS_AT_FAULT,
         RECORD_NOT_WRITTEN
@@ -37,11 +37,11 @@
         progress = arguments.progress() ? words -> System.err.println("scale: " + words) : Progress.NONE;
     }
 
-    public Ending run() throws InterruptedException {
+    public Shutdown run() throws InterruptedException {
         ScalePlanReader.Outcome read = ScalePlanReader.read(arguments.settings());
         if (read.plan() == null) {
             read.faults().forEach(System.err::println);
-            return Ending.SETTINGS_AT_FAULT;
+            return Shutdown.SETTINGS_AT_FAULT;
         }
         RunReport report = new RunReport(arguments.directory());
         ScaleRun run = new ScaleRunner(request(read.plan()), progress, soFar -> writeRecord(report, soFar)).run();
@@ -53,28 +53,28 @@
         if (notWritten != null) {
             System.err.println(
                     "linenring: the record can't be written to " + arguments.directory() + ": " + notWritten);
-            return Ending.RECORD_NOT_WRITTEN;
+            return Shutdown.RECORD_NOT_WRITTEN;
         }
         System.out.println(arguments.directory().resolve(arguments.name() + ".md"));
-        return Ending.MEASURED;
+        return Shutdown.MEASURED;
     }
 
     /** Writes the tables, fits and plots of a record again, beside it. */
-    public static Ending again(Path record) {
+    public static Shutdown again(Path record) {
         try {
             String name = record.getFileName().toString().replaceFirst("\\.json$", "");
             Path directory = record.toAbsolutePath().getParent();
             RunRecords.Outcome read = RunRecords.read(record);
             if (read.run() == null) {
                 System.err.println("linenring: " + read.fault());
-                return Ending.SETTINGS_AT_FAULT;
+                return Shutdown.SETTINGS_AT_FAULT;
             }
             new RunReport(directory).writeTables(read.run(), name);
             System.out.println(directory.resolve(name + ".md"));
-            return Ending.MEASURED;
+            return Shutdown.MEASURED;
         } catch (IOException e) {
             System.err.println("linenring: " + record + " can't be read or written again: " + e.getMessage());
-            return Ending.RECORD_NOT_WRITTEN;
+            return Shutdown.RECORD_NOT_WRITTEN;
         }
     }
 
--- a/src/main/java/linenring/scale/run/Testbed.java
+++ b/src/main/java/linenring/scale/run/Testbed.java
@@ -16,7 +16,7 @@
 import java.util.stream.Stream;
 import linenring.configuration.Assignment;
 import linenring.configuration.AssignmentReader;
-import linenring.routing.HostBook;
+import linenring.routing.HostRegistry;
 import linenring.scale.catalogue.Catalogue;
 import linenring.scale.catalogue.CatalogueEvents;
 import linenring.scale.catalogue.CatalogueLayout;
@@ -46,7 +46,7 @@
     private final Path folder;
     private final Catalogue catalogue;
     private final List<String> scope;
-    private final HostBook hosts = new HostBook();
+    private final HostRegistry hosts = new HostRegistry();
     private final CatalogueDriver driver;
     private final CatalogueServer hollowCatalogue;
     private final MemoryFleets memoryFleets = new MemoryFleets();
--- a/src/main/java/linenring/figures/Lookup.java
+++ b/src/main/java/linenring/settings/Lookup.java
@@ -1,4 +1,4 @@
-package linenring.figures;
+package linenring.settings;
 
 /** Figures found by their path, wherever they were read from. Times are told in microseconds. */
 public abstract class Lookup {
--- a/src/main/java/linenring/figures/Names.java
+++ b/src/main/java/linenring/settings/Names.java
@@ -1,4 +1,4 @@
-package linenring.figures;
+package linenring.settings;
 
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
--- a/src/main/java/linenring/figures/StartReader.java
+++ b/src/main/java/linenring/settings/SettingsReader.java
@@ -1,15 +1,15 @@
-package linenring.figures;
+package linenring.settings;
 
 import java.util.ArrayList;
 import java.util.List;
-import linenring.plan.StartFigures;
-import linenring.plan.StartFigures.Measure;
+import linenring.planner.PlannerSettings;
+import linenring.planner.PlannerSettings.Measure;
 
 /** Reads the figures a steward is told at its start. What is absent gets the value that changes nothing. */
-public final class StartReader {
-    private StartReader() {}
+public final class SettingsReader {
+    private SettingsReader() {}
 
-    public static StartFigures read(Lookup in) {
+    public static PlannerSettings read(Lookup in) {
         String[] zones = in.list("Azs");
         String[] kinds = in.list("Kinds");
         String[] home = in.list("Specifics.HomeOnly");
@@ -17,10 +17,10 @@
         if (count > 31) {
             throw in.bad("Classes.count", ": at most 31 operations are understood");
         }
-        List<StartFigures.Operation> operations = new ArrayList<>();
+        List<PlannerSettings.Operation> operations = new ArrayList<>();
         for (int k = 0; k < count; k++) {
             String at = "Classes." + k + ".";
-            operations.add(new StartFigures.Operation(
+            operations.add(new PlannerSettings.Operation(
                     in.positive(at + "Aim", 1_000_000) / 1000,
                     in.amount(at + "Points", 1),
                     mask(in, at + "OnlyZones", zones),
@@ -28,10 +28,10 @@
                     k < home.length && home[k].equals("true"),
                     zones.length));
         }
-        return new StartFigures(
+        return new PlannerSettings(
                 operations,
-                new StartFigures.ColdStart(in.amount("Contract.ColdFrom", 1), in.millis("Contract.Cold", 0)),
-                new StartFigures.Channel(
+                new PlannerSettings.ColdStart(in.amount("Contract.ColdFrom", 1), in.millis("Contract.Cold", 0)),
+                new PlannerSettings.Channel(
                         in.positive("Specifics.PushRate", 1e6),
                         in.amount("Specifics.PerMessage", 0),
                         in.amount("Specifics.MostWaiting", 1e9),
@@ -40,7 +40,7 @@
                         in.millis("Specifics.Propagation", 0),
                         in.millis("Specifics.TransitMax", 0),
                         in.millis("Contract.StopSendingWithin", 1000)),
-                new StartFigures.Slices(
+                new PlannerSettings.Slices(
                         in.index("Specifics.Ranges", 0),
                         in.flag("Specifics.SingleWriter", false),
                         in.millis("Specifics.Lease", 0),
--- a/src/main/java/linenring/wirehost/BadInput.java
+++ b/src/main/java/linenring/simulation/BadInput.java
@@ -1,4 +1,4 @@
-package linenring.wirehost;
+package linenring.simulation;
 
 /** Input that is not the wire; the message names the line and the field. */
 final class BadInput extends RuntimeException {
--- a/src/main/java/linenring/wirehost/Steward.java
+++ b/src/main/java/linenring/simulation/SimulatedSteward.java
@@ -1,26 +1,26 @@
-package linenring.wirehost;
+package linenring.simulation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import linenring.plan.Balance;
-import linenring.plan.Orders;
+import linenring.planner.Commands;
+import linenring.planner.Planner;
 
 /** One instance: its decisions, its own numbering of the hosts, and the orders it has given in this reply. */
-final class Steward implements Orders {
+final class SimulatedSteward implements Commands {
     private static final int WIRE_EVERY_TABLE = 65535;
 
     final int id;
-    Balance balance;
+    Planner planner;
     /** It has had an event in this batch, and may act. */
     boolean told;
 
-    final StringBuilder orders = new StringBuilder();
+    final StringBuilder commands = new StringBuilder();
     private final Map<String, Integer> hosts = new HashMap<>();
     private final List<String> words = new ArrayList<>();
 
-    Steward(int id) {
+    SimulatedSteward(int id) {
         this.id = id;
     }
 
@@ -41,7 +41,7 @@
     }
 
     private StringBuilder order(String name) {
-        return orders.append(name).append(" StewardId=").append(id);
+        return commands.append(name).append(" StewardId=").append(id);
     }
 
     private static String figure(double value) {
@@ -100,7 +100,7 @@
     }
 
     @Override
-    public void level(int table, int operations, double letIn, FurtherTries tries) {
+    public void level(int table, int operations, double letIn, RetryPolicy tries) {
         order("level")
                 .append(" Sheet=")
                 .append(table == EVERY_TABLE ? WIRE_EVERY_TABLE : table)
@@ -134,7 +134,7 @@
     }
 
     @Override
-    public void alarm(double at, long handle) {
+    public void timer(double at, long handle) {
         order("set_alarm")
                 .append(" Time=")
                 .append(Math.round(at * 1000))
@@ -159,7 +159,7 @@
     }
 
     void broken(String cause) {
-        orders.setLength(0);
+        commands.setLength(0);
         order("broken").append(" Words=").append(plain(cause)).append('\n');
     }
 
--- a/src/main/java/linenring/wirehost/WireHost.java
+++ b/src/main/java/linenring/simulation/WireHost.java
@@ -1,4 +1,4 @@
-package linenring.wirehost;
+package linenring.simulation;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -12,8 +12,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import linenring.figures.StartReader;
-import linenring.plan.Balance;
+import linenring.planner.Planner;
+import linenring.settings.SettingsReader;
 
 /** Hosts instances of the decisions on the simulator's wire: reads a batch, calls them, writes the orders. */
 public final class WireHost {
@@ -23,9 +23,9 @@
     private final BufferedReader in;
     private final OutputStream out;
     private final WireLine line = new WireLine();
-    private final Map<Integer, Steward> stewards = new TreeMap<>();
+    private final Map<Integer, SimulatedSteward> stewards = new TreeMap<>();
     private final Map<Integer, List<Entry>> banks = new HashMap<>();
-    private final List<Steward> told = new ArrayList<>();
+    private final List<SimulatedSteward> told = new ArrayList<>();
     private long lines;
     private double now;
 
@@ -83,12 +83,12 @@
             }
         }
         StringBuilder reply = new StringBuilder();
-        for (Steward steward : told) {
-            if (steward.balance != null) {
-                decide(steward, steward.balance::settle);
+        for (SimulatedSteward steward : told) {
+            if (steward.planner != null) {
+                decide(steward, steward.planner::reconcile);
             }
-            reply.append(steward.orders);
-            steward.orders.setLength(0);
+            reply.append(steward.commands);
+            steward.commands.setLength(0);
             steward.told = false;
         }
         told.clear();
@@ -97,7 +97,7 @@
     }
 
     /** Calls into the decisions; whatever fails there is told on the wire with its cause. */
-    private void decide(Steward steward, Runnable call) {
+    private void decide(SimulatedSteward steward, Runnable call) {
         try {
             call.run();
         } catch (BadInput e) {
@@ -105,7 +105,7 @@
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
             steward.broken(e + (trace.length > 0 ? " at " + trace[0] : ""));
-            steward.balance = null;
+            steward.planner = null;
         }
     }
 
@@ -115,16 +115,16 @@
             return;
         }
         int id = line.index("StewardId");
-        Steward steward = stewards.get(id);
+        SimulatedSteward steward = stewards.get(id);
         if (line.name.equals("provision")) {
             if (steward == null) {
-                steward = new Steward(id);
+                steward = new SimulatedSteward(id);
                 stewards.put(id, steward);
             }
-            Steward fresh = steward;
+            SimulatedSteward fresh = steward;
             fresh.forgetHosts();
-            fresh.orders.setLength(0);
-            fresh.balance = new Balance(StartReader.read(line), fresh);
+            fresh.commands.setLength(0);
+            fresh.planner = new Planner(SettingsReader.read(line), fresh);
         }
         if (steward == null) {
             throw line.bad("field StewardId: instance " + id + " was never started");
@@ -134,27 +134,28 @@
             told.add(steward);
         }
         if (line.name.equals("crash_now")) {
-            steward.balance = null;
-            steward.orders.setLength(0);
-        } else if (steward.balance != null) {
-            Steward one = steward;
-            decide(one, () -> one.balance.clock(now));
-            decide(one, () -> call(one, one.balance));
+            steward.planner = null;
+            steward.commands.setLength(0);
+        } else if (steward.planner != null) {
+            SimulatedSteward one = steward;
+            decide(one, () -> one.planner.clock(now));
+            decide(one, () -> call(one, one.planner));
         }
     }
 
-    private void call(Steward steward, Balance balance) {
-        if (balance == null) {
+    private void call(SimulatedSteward steward, Planner planner) {
+        if (planner == null) {
             return;
         }
         switch (line.name) {
             case "provision" -> {}
-            case "registry" -> registry(steward, balance);
-            case "joined" -> balance.joined(line.index("Sidecar"), line.index("Dc", 0), line.number("Heft", 1));
-            case "lost_stream" -> balance.lost(line.index("Sidecar"));
-            case "in_force" -> balance.inForce(line.index("Sidecar"), line.index("Rev"), line.millis("Rtt", 0));
+            case "registry" -> registry(steward, planner);
+            case "joined" -> planner.joined(line.index("Sidecar"), line.index("Dc", 0), line.number("Heft", 1));
+            case "lost_stream" -> planner.lost(line.index("Sidecar"));
+            case "in_force" ->
+                planner.barrierAcknowledged(line.index("Sidecar"), line.index("Rev"), line.millis("Rtt", 0));
             case "tally" ->
-                balance.tally(
+                planner.hostStatistics(
                         steward.host(line.text("Host")),
                         line.index("Dc", 0),
                         line.index("Total"),
@@ -162,17 +163,17 @@
                         line.millis("Rtt", 0),
                         line.millis("Elapsed", 0));
             case "traffic" ->
-                balance.traffic(
+                planner.requestRate(
                         line.index("Sidecar"), line.index("Qos"), line.millis("Elapsed", 0), line.index("Total"));
-            case "mandate" -> balance.charge(line.index("Sheet"), line.flag("Flag"));
-            case "held" -> balance.held(line.index("Sheet"), steward.host(line.text("Host")), line.number("Heft", 1));
+            case "mandate" -> planner.charge(line.index("Sheet"), line.flag("Flag"));
+            case "held" -> planner.held(line.index("Sheet"), steward.host(line.text("Host")), line.number("Heft", 1));
             case "elapsed" -> {} // settling is all it asks for
             case "key_load", "check_result", "heard" -> {} // no decision asks for these yet
             default -> throw line.bad("unknown message");
         }
     }
 
-    private void registry(Steward steward, Balance balance) {
+    private void registry(SimulatedSteward steward, Planner planner) {
         String scope = line.text("Scope");
         if (scope.equals("broken")) {
             return; // it is asked for again in time
@@ -185,16 +186,16 @@
         if (entries == null) {
             throw line.bad("field Bank: no list " + bank + " has come");
         }
-        balance.listOpens(!scope.equals("patch"));
+        planner.beginHostList(!scope.equals("patch"));
         for (Entry entry : entries) {
             int host = steward.host(entry.host);
             switch (entry.mode) {
-                case "Running" -> balance.running(host, entry.zone, entry.kind, entry.weight, entry.started);
-                case "Stopping" -> balance.stopping(host, entry.zone, entry.kind, entry.weight);
-                default -> balance.gone(host);
+                case "Running" -> planner.hostReady(host, entry.zone, entry.kind, entry.weight, entry.started);
+                case "Stopping" -> planner.hostDraining(host, entry.zone, entry.kind, entry.weight);
+                default -> planner.hostRemoved(host);
             }
         }
-        balance.listCloses();
+        planner.endHostList();
     }
 
     private void catalog() throws IOException {
--- a/src/main/java/linenring/wirehost/WireLine.java
+++ b/src/main/java/linenring/simulation/WireLine.java
@@ -1,6 +1,6 @@
-package linenring.wirehost;
+package linenring.simulation;
 
-import linenring.figures.Lookup;
+import linenring.settings.Lookup;
 
 /** One line of the wire, cut into its name and fields. It is used again for each line. */
 final class WireLine extends Lookup {
--- a/src/main/java/linenring/steward/Books.java
+++ b/src/main/java/linenring/steward/FleetState.java
@@ -13,13 +13,13 @@
 import linenring.exchange.Stream;
 import linenring.log.Log;
 import linenring.message.Order;
-import linenring.plan.Orders;
+import linenring.planner.Commands;
 
 /**
  * Remembers what is laid, bound, withdrawn and levelled, and whom it concerns; sends one message to each proxy
  * concerned of all that was ordered since the last {@link #send}.
  */
-final class Books implements Orders {
+final class FleetState implements Commands {
     final List<String> operations;
     final List<String> words = new ArrayList<>(); // by host
     final TreeMap<Integer, Table> tables = new TreeMap<>();
@@ -33,7 +33,7 @@
     private final Set<Proxy> concerned = new LinkedHashSet<>(); // in the order in which they came to be
     private int mark = Order.NO_MARK;
 
-    Books(List<String> operations, int proxies, Log log) {
+    FleetState(List<String> operations, int proxies, Log log) {
         this.operations = operations;
         this.log = log;
         everywhere = new Order.Level[operations.size()];
@@ -186,7 +186,7 @@
     }
 
     @Override
-    public void level(int table, int mask, double letIn, FurtherTries tries) {
+    public void level(int table, int mask, double letIn, RetryPolicy tries) {
         Order.Level level = new Order.Level(letIn, tries.ordinal());
         for (int k = 0; k < operations.size(); k++) {
             if (!meant(mask, k)) {
@@ -232,7 +232,7 @@
     }
 
     @Override
-    public void alarm(double at, long handle) {
+    public void timer(double at, long handle) {
         alarms.add(at);
     }
 
--- a/src/main/java/linenring/steward/Messages.java
+++ b/src/main/java/linenring/steward/Messages.java
@@ -14,10 +14,10 @@
 final class Messages {
     private static final int LINES_MOST = 10_000; // of a part: at some 40 bytes each it has under half a MiB
 
-    private final Books books;
+    private final FleetState fleetState;
 
-    Messages(Books books) {
-        this.books = books;
+    Messages(FleetState fleetState) {
+        this.fleetState = fleetState;
     }
 
     /** All that was ordered since the last send and concerns this proxy, as one message. */
@@ -25,11 +25,11 @@
         List<Order.Part> parts = new ArrayList<>();
         BitSet told = new BitSet();
         BitSet open = new BitSet();
-        open.set(0, books.operations.size());
+        open.set(0, fleetState.operations.size());
         int spare = -1; // lines that the decisions reckon with and no order takes; -1: no whole table is told
         while (!open.isEmpty()) { // the operations by the table that they are on, and whether it is new to them
             int first = open.nextSetBit(0), number = p.bound[first];
-            Table t = number < 0 ? null : books.table(number);
+            Table t = number < 0 ? null : fleetState.table(number);
             boolean whole = t != null && (p.rebound.get(first) || t.wiped);
             BitSet alike = new BitSet();
             open.stream()
@@ -43,15 +43,15 @@
             Set<Integer> hosts = t == null ? Set.of() : whole ? t.lines.keySet() : t.changed;
             hosts.stream()
                     .filter(t == null ? h -> false : t.lines::containsKey)
-                    .filter(h -> !whole || books.out.get(h) || p.holds(h) != Proxy.FOREIGN)
+                    .filter(h -> !whole || fleetState.out.get(h) || p.holds(h) != Proxy.FOREIGN)
                     .forEach(told::set);
         }
-        books.outChanged.stream()
-                .filter(h -> !books.out.get(h) || holdsLine(p, h))
+        fleetState.outChanged.stream()
+                .filter(h -> !fleetState.out.get(h) || holdsLine(p, h))
                 .forEach(told::set);
-        List<String> shutOut = say(p, told.stream().filter(books.out::get).toArray(), Proxy.SHUT);
+        List<String> shutOut = say(p, told.stream().filter(fleetState.out::get).toArray(), Proxy.SHUT);
         List<String> letBack =
-                say(p, told.stream().filter(h -> !books.out.get(h)).toArray(), Proxy.OPEN);
+                say(p, told.stream().filter(h -> !fleetState.out.get(h)).toArray(), Proxy.OPEN);
         if (spare < 0) {
             spare = parts.isEmpty() || !shutOut.isEmpty() ? 0 : 1; // one is no burden, but to drains
         }
@@ -64,12 +64,12 @@
 
     /** The hosts in the proxy's tables that others may have shut out there. */
     private IntStream foreign(Proxy p) {
-        return books.tables.entrySet().stream()
+        return fleetState.tables.entrySet().stream()
                 .filter(e -> p.uses(e.getKey()))
                 .flatMap(e -> e.getValue().lines.keySet().stream())
                 .distinct()
                 .mapToInt(h -> h)
-                .filter(h -> !books.out.get(h) && p.holds(h) == Proxy.FOREIGN);
+                .filter(h -> !fleetState.out.get(h) && p.holds(h) == Proxy.FOREIGN);
     }
 
     /** The words for those of the hosts at which the proxy is not known to do this already; from now on it is. */
@@ -77,7 +77,7 @@
         List<String> said = new ArrayList<>();
         for (int h : hosts) {
             if (p.holds(h) != what) {
-                said.add(books.words.get(h));
+                said.add(fleetState.words.get(h));
                 p.setHolds(h, what);
             }
         }
@@ -87,8 +87,8 @@
     private boolean holdsLine(Proxy p, int host) { // or did until now
         return Arrays.stream(p.bound)
                 .anyMatch(b -> b == -1
-                        || books.table(b).lines.containsKey(host)
-                        || books.table(b).changed.contains(host));
+                        || fleetState.table(b).lines.containsKey(host)
+                        || fleetState.table(b).changed.contains(host));
     }
 
     private static Order.Part part(List<String> operations, boolean whole, List<Order.Line> lines, Order.Level level) {
@@ -99,11 +99,11 @@
     private int tableParts(List<Order.Part> parts, Table t, boolean whole, BitSet alike) {
         List<Order.Line> lines = new ArrayList<>();
         for (int h : t == null ? Set.<Integer>of() : whole ? t.lines.keySet() : t.changed) {
-            lines.add(new Order.Line(books.words.get(h), t.lines.getOrDefault(h, 0.0)));
+            lines.add(new Order.Line(fleetState.words.get(h), t.lines.getOrDefault(h, 0.0)));
         }
         Map<Order.Level, BitSet> levels = new LinkedHashMap<>(); // operations by their level
         alike.stream().filter(k -> whole || t == null || t.levelled.get(k)).forEach(k -> {
-            Order.Level level = lower(t == null ? null : t.levels[k], books.everywhere[k]);
+            Order.Level level = lower(t == null ? null : t.levels[k], fleetState.everywhere[k]);
             if (level != null) {
                 levels.computeIfAbsent(level, l -> new BitSet()).set(k);
             }
@@ -132,8 +132,8 @@
     }
 
     private List<String> names(BitSet mask) {
-        return mask.cardinality() == books.operations.size()
+        return mask.cardinality() == fleetState.operations.size()
                 ? List.of()
-                : mask.stream().mapToObj(books.operations::get).toList();
+                : mask.stream().mapToObj(fleetState.operations::get).toList();
     }
 }
--- a/src/main/java/linenring/steward/Steward.java
+++ b/src/main/java/linenring/steward/Steward.java
@@ -3,12 +3,12 @@
 import java.util.concurrent.locks.LockSupport;
 import linenring.exchange.Exchange;
 import linenring.exchange.Stream;
-import linenring.figures.Names;
 import linenring.log.Log;
 import linenring.message.Arrival;
 import linenring.message.HostList;
-import linenring.plan.Balance;
-import linenring.plan.StartFigures;
+import linenring.planner.Planner;
+import linenring.planner.PlannerSettings;
+import linenring.settings.Names;
 
 /** The one thread that owns the decisions: takes all that has come, calls them, settles once, sends. */
 public final class Steward implements Exchange.Taker {
@@ -16,21 +16,21 @@
     private final Log log;
     private final double quantum;
     private final Clock clock;
-    private final Books books;
-    private final Balance balance;
+    private final FleetState fleetState;
+    private final Planner planner;
 
-    public Steward(StartFigures figures, Names names, HostList known, Exchange exchange, Log log) {
+    public Steward(PlannerSettings figures, Names names, HostList known, Exchange exchange, Log log) {
         this(figures, names, known, exchange, log, new Clock());
     }
 
-    Steward(StartFigures figures, Names names, HostList known, Exchange exchange, Log log, Clock clock) {
+    Steward(PlannerSettings figures, Names names, HostList known, Exchange exchange, Log log, Clock clock) {
         this.exchange = exchange;
         this.log = log;
         this.clock = clock;
         quantum = names.quantum();
-        books = new Books(names.operations(), names.proxies(), log);
-        balance = new Balance(figures, books);
-        balance.clock(clock.now());
+        fleetState = new FleetState(names.operations(), names.proxies(), log);
+        planner = new Planner(figures, fleetState);
+        planner.clock(clock.now());
         if (known != null) {
             listed(known);
         }
@@ -42,7 +42,7 @@
         try {
             while (true) {
                 double last = clock.now();
-                exchange.await((long) (Math.min(1000, books.nextAlarm() - last) * 1e6));
+                exchange.await((long) (Math.min(1000, fleetState.nextAlarm() - last) * 1e6));
                 long early = (long) ((last + quantum - clock.now()) * 1e6); // no closer than the settings say
                 if (early > 0) {
                     LockSupport.parkNanos(early);
@@ -56,8 +56,8 @@
 
     /** Takes in all that has come and acts on it, as of now; a fault at one thing that came leaves out that thing alone. */
     void round(double now) {
-        books.alarmsUpTo(now);
-        decide(() -> balance.clock(now));
+        fleetState.alarmsUpTo(now);
+        decide(() -> planner.clock(now));
         long dropped = exchange.drain(this);
         if (dropped > 0) {
             log.warn("steward", dropped + " sums were dropped, as they came faster than they could be taken");
@@ -66,8 +66,8 @@
     }
 
     private void settle() {
-        decide(balance::settle);
-        decide(books::send);
+        decide(planner::reconcile);
+        decide(fleetState::send);
     }
 
     /** A fault in one decision is told and must not end the others; false where there was one. */
@@ -88,16 +88,16 @@
             if (what instanceof Arrival.Joining j) {
                 joined(from, j);
             } else if (what instanceof Arrival.Applied a) {
-                if (books.isCurrent(a.proxy(), from)) { // an old stream's answer tells nothing of the new one
-                    balance.inForce(a.proxy(), a.mark(), a.tookMs());
+                if (fleetState.isCurrent(a.proxy(), from)) { // an old stream's answer tells nothing of the new one
+                    planner.barrierAcknowledged(a.proxy(), a.mark(), a.tookMs());
                 }
             } else if (what instanceof Arrival.HostSums s) {
-                int host = books.host(s.host());
+                int host = fleetState.host(s.host());
                 if (host >= 0) {
-                    balance.tally(host, s.zone(), s.total(), s.bad(), s.meanMs(), s.spanMs());
+                    planner.hostStatistics(host, s.zone(), s.total(), s.bad(), s.meanMs(), s.spanMs());
                 }
             } else if (what instanceof Arrival.Usage u) {
-                balance.traffic(u.proxy(), u.operation(), u.spanMs(), u.total());
+                planner.requestRate(u.proxy(), u.operation(), u.spanMs(), u.total());
             }
         });
         if (!taken && what instanceof Arrival.Joining) {
@@ -106,24 +106,24 @@
     }
 
     private void joined(Stream from, Arrival.Joining j) {
-        if (books.hasNewer(j.proxy(), from)) { // both were read in one turn, in either order
+        if (fleetState.hasNewer(j.proxy(), from)) { // both were read in one turn, in either order
             log.info("proxy", j.proxy() + " joins on an older stream than it has");
             from.close("has been replaced before it was read");
             return;
         }
         log.info("proxy", j.proxy() + " joins" + (j.fresh() ? "" : " with a table"));
-        books.joined(j.proxy(), from, j.fresh());
-        balance.joined(j.proxy(), j.zone(), j.usual());
+        fleetState.joined(j.proxy(), from, j.fresh());
+        planner.joined(j.proxy(), j.zone(), j.usual());
     }
 
     @Override
     public void ended(Stream which) {
         decide(() -> {
-            int proxy = books.proxyOf(which);
+            int proxy = fleetState.proxyOf(which);
             if (proxy >= 0) { // else it has a newer stream, and this end is late
                 log.info("proxy", proxy + " leaves");
-                books.left(proxy);
-                balance.lost(proxy);
+                fleetState.left(proxy);
+                planner.lost(proxy);
             }
         });
     }
@@ -132,20 +132,20 @@
     @Override
     public void listed(HostList list) {
         boolean opened =
-                decide(() -> balance.listOpens(list.whole() && list.spoilt().isEmpty()));
+                decide(() -> planner.beginHostList(list.whole() && list.spoilt().isEmpty()));
         long faults =
                 list.entries().stream().filter(e -> !decide(() -> listed(e))).count();
         if (opened && faults == 0) {
-            decide(balance::listCloses);
+            decide(planner::endHostList);
         }
     }
 
     private void listed(HostList.Entry e) {
-        int host = books.listed(e.host());
+        int host = fleetState.listed(e.host());
         switch (e.state()) {
-            case READY -> balance.running(host, e.zone(), e.kind(), e.weight(), e.startedMs());
-            case TERMINATING -> balance.stopping(host, e.zone(), e.kind(), e.weight());
-            case GONE -> balance.gone(host);
+            case READY -> planner.hostReady(host, e.zone(), e.kind(), e.weight(), e.startedMs());
+            case TERMINATING -> planner.hostDraining(host, e.zone(), e.kind(), e.weight());
+            case GONE -> planner.hostRemoved(host);
         }
     }
 }
--- a/src/test/java/linenring/command/ServeTest.java
+++ b/src/test/java/linenring/command/ServeTest.java
@@ -31,7 +31,7 @@
     @Test
     void aHangUpIsActedOnAndEndsNothing() throws Exception {
         CountDownLatch both = new CountDownLatch(2);
-        HangUps.caught(() -> {}).then(both::countDown, new Log(System.err));
+        ReloadSignals.caught(() -> {}).then(both::countDown, new Log(System.err));
         ProcessSignals.raise(ProcessSignals.HANG_UP);
         for (int i = 0; i < 2000 && both.getCount() > 1; i++) {
             TimeUnit.MILLISECONDS.sleep(10); // signals of one kind that come at once are one
@@ -44,7 +44,7 @@
     /** One that came while the configuration was read: its file may be newer than what was read of it. */
     @Test
     void aHangUpBeforeThereIsAWatchIsActedOnOnceThereIs() throws Exception {
-        HangUps hangUps = HangUps.caught(() -> {});
+        ReloadSignals hangUps = ReloadSignals.caught(() -> {});
         AtomicInteger times = new AtomicInteger();
         synchronized (hangUps) { // the signal's thread has begun and waits: it comes before the watch, every time
             ProcessSignals.raise(ProcessSignals.HANG_UP);
@@ -64,7 +64,7 @@
     @Test
     void aReloadThatFailsIsToldAndTheNextOneIsActedOn() throws Exception {
         ByteArrayOutputStream logged = new ByteArrayOutputStream();
-        HangUps hangUps = HangUps.caught(() -> {});
+        ReloadSignals hangUps = ReloadSignals.caught(() -> {});
         CountDownLatch came = new CountDownLatch(1), again = new CountDownLatch(2);
         hangUps.then(
                 () -> {
--- a/src/test/java/linenring/command/EndingTest.java
+++ b/src/test/java/linenring/command/ShutdownTest.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class EndingTest {
+class ShutdownTest {
     private final List<String> done = new ArrayList<>();
-    private final Ending ending = new Ending();
+    private final Shutdown ending = new Shutdown();
 
     /** SIGTERM comes between the handler's setting and the accepting, at a start or as a hand-over falls back. */
     @Test
--- a/src/test/java/linenring/front/BesideAStewardTest.java
+++ b/src/test/java/linenring/front/BesideAStewardTest.java
@@ -13,8 +13,8 @@
 import linenring.front.settings.PlanText;
 import linenring.log.Log;
 import linenring.message.HostList;
-import linenring.plan.StartFigures;
-import linenring.routing.HostBook;
+import linenring.planner.PlannerSettings;
+import linenring.routing.HostRegistry;
 import linenring.standin.Caller;
 import linenring.standin.Node;
 import linenring.standin.Node.Deed;
@@ -38,13 +38,13 @@
 
     @BeforeEach
     void opens() throws IOException {
-        StartFigures.Operation open = new StartFigures.Operation(500, 1, -1, -1, false, 2);
-        StartFigures figures = new StartFigures(
+        PlannerSettings.Operation open = new PlannerSettings.Operation(500, 1, -1, -1, false, 2);
+        PlannerSettings figures = new PlannerSettings(
                 List.of(open, open, open),
-                new StartFigures.ColdStart(0.2, 1000),
-                new StartFigures.Channel(5000, 4, 5000, 0, 10_000, 10, 50, 1000),
-                new StartFigures.Slices(0, false, 0, 0),
-                StartFigures.Measure.SHARE,
+                new PlannerSettings.ColdStart(0.2, 1000),
+                new PlannerSettings.Channel(5000, 4, 5000, 0, 10_000, 10, 50, 1000),
+                new PlannerSettings.Slices(0, false, 0, 0),
+                PlannerSettings.Measure.SHARE,
                 false,
                 0,
                 false,
@@ -52,7 +52,7 @@
         for (int h = 0; h < 4; h++) {
             nodes.add(new Node());
         }
-        HostBook book = new HostBook();
+        HostRegistry book = new HostRegistry();
         exchange.follow(book::listed);
         Steward steward = new Steward(figures, Rig.NAMES, null, exchange, log);
         thread = new Thread(steward::run, "steward");
@@ -61,7 +61,7 @@
         list(HostList.State.READY, 0, 1, 2, 3);
         front = Front.open(
                         PlanText.plan(String.format(Rig.PLAN, "avoid after=0"), Rig.NAMES),
-                        StartFigures.Measure.SHARE,
+                        PlannerSettings.Measure.SHARE,
                         book,
                         exchange,
                         log)
--- a/src/test/java/linenring/front/DecisionsTest.java
+++ b/src/test/java/linenring/front/DecisionsTest.java
@@ -28,8 +28,8 @@
 
     @Test
     void aBodyIsKeptUpToItsBoundAndThatOfAll() {
-        Room room = new Room(10);
-        KeptBody one = new KeptBody(8, room), other = new KeptBody(8, room);
+        BufferBudget room = new BufferBudget(10);
+        RetainedBody one = new RetainedBody(8, room), other = new RetainedBody(8, room);
         one.add(ByteBuffer.wrap(new byte[] {1, 2, 3}), false);
         one.add(ByteBuffer.wrap(new byte[] {4, 5}), true);
         assertTrue(one.isWhole() && one.hasEnded());
--- a/src/test/java/linenring/front/FailedStreamsTest.java
+++ b/src/test/java/linenring/front/FailedStreamsTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import linenring.plan.Orders.FurtherTries;
+import linenring.planner.Commands.RetryPolicy;
 import linenring.standin.Caller;
 import linenring.standin.Node.Deed;
 import linenring.standin.Node.Told;
@@ -96,7 +96,7 @@
         };
         try (Rig rig = new Rig(2, "", () -> new HTTP2Client(connector))) {
             rig.nodes.get(0).always("/assign", Told.of(Deed.GO_AWAY_BELOW));
-            rig.table(new int[] {0}, 1, FurtherTries.ONE_ON_PROOF);
+            rig.table(new int[] {0}, 1, RetryPolicy.ONE_ON_PROOF);
             Caller caller = rig.caller();
             assertEquals(200, caller.call("GET", "/quote").status); // so that there is a connection
             caller.until(() -> rig.front.runningNow() == 0, "nothing runs");
@@ -115,7 +115,7 @@
             assertTrue(await(holdsWriting));
             int assign = caller.send("POST", "/assign", "x-mark", "once");
             caller.until(() -> session.getFrameQueueSize() > 0, "its head waits to be written");
-            rig.table(new int[] {1}, 1, FurtherTries.ONE_ON_PROOF);
+            rig.table(new int[] {1}, 1, RetryPolicy.ONE_ON_PROOF);
             mayWrite.countDown();
             assertEquals(200, caller.await(assign).status);
             assertTrue(endPoint.closedWithinWrite, "the order that is meant came about");
@@ -138,11 +138,11 @@
             }
         };
         try (Rig rig = new Rig(2, "avoid after=0\ntries least=40", () -> client)) {
-            rig.table(new int[] {0}, 1, FurtherTries.ONE_ON_PROOF);
+            rig.table(new int[] {0}, 1, RetryPolicy.ONE_ON_PROOF);
             Caller caller = rig.caller();
             assertEquals(200, caller.call("GET", "/quote").status); // so that there is a connection
             caller.until(() -> rig.front.runningNow() == 0, "nothing runs");
-            rig.all(FurtherTries.ONE_ON_PROOF);
+            rig.all(RetryPolicy.ONE_ON_PROOF);
             rig.nodes.get(0).close();
             Runnable tells = ends.get(WAIT_SECONDS, TimeUnit.SECONDS);
             for (int i = 0; i < 30; i++) { // half of them are sent to the first at first
--- a/src/test/java/linenring/front/FrontTest.java
+++ b/src/test/java/linenring/front/FrontTest.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import linenring.message.Arrival;
-import linenring.plan.Orders.FurtherTries;
+import linenring.planner.Commands.RetryPolicy;
 import linenring.standin.Caller;
 import linenring.standin.Node;
 import linenring.standin.Node.Deed;
@@ -108,7 +108,7 @@
     @Test
     void anAssignWhoseClientResetsRunsAtMostOnceWheneverThatIs() throws IOException {
         try (Rig rig = new Rig(3)) {
-            rig.all(FurtherTries.TWO);
+            rig.all(RetryPolicy.TWO);
             rig.nodes.forEach(n -> n.always("/assign", Told.of(Deed.ANSWER).after(100)));
             Caller c = rig.caller();
             for (int i = 0; i < 20; i++) { // before its body has come, at once, while it runs
@@ -134,7 +134,7 @@
     void aHostThatDiesWithAnAssignIsAnsweredAtOnceAndItIsNotSentAgain() throws IOException {
         for (Deed deed : List.of(Deed.DIE, Deed.RESET, Deed.CLOSE)) {
             try (Rig rig = new Rig(3)) {
-                rig.all(FurtherTries.TWO);
+                rig.all(RetryPolicy.TWO);
                 rig.nodes.forEach(n -> n.always("/assign", Told.of(deed)));
                 long from = System.nanoTime();
                 assertEquals(502, rig.caller().call("POST", "/assign").status, deed.toString());
@@ -178,7 +178,7 @@
     void aQuoteRunsAgainElsewhereAndIsAnsweredOnce() throws IOException {
         for (Deed deed : List.of(Deed.RESET, Deed.DIE, Deed.ERROR, Deed.CLOSE, Deed.HANG)) {
             try (Rig rig = new Rig(2)) {
-                rig.all(FurtherTries.ONE);
+                rig.all(RetryPolicy.ONE);
                 rig.nodes.get(0).always("/", Told.of(deed));
                 Caller c = rig.caller();
                 for (int i = 0; i < 6; i++) {
@@ -209,7 +209,7 @@
     @Test
     void aBookGoesAgainWithItsMarkInsideItsZoneAlone() throws IOException {
         try (Rig rig = new Rig(4)) {
-            rig.all(FurtherTries.ONE);
+            rig.all(RetryPolicy.ONE);
             rig.nodes.forEach(n -> n.always("/book", Told.of(Deed.ANSWER)));
             rig.nodes.get(0).always("/book", Told.of(Deed.DIE)); // zone a, as is node 2
             Caller c = rig.caller();
@@ -232,7 +232,7 @@
     @Test
     void aBodyPastWhatIsKeptHasOneTry() throws IOException {
         try (Rig rig = new Rig(2, "body kept=\"1KiB\"")) {
-            rig.all(FurtherTries.ONE);
+            rig.all(RetryPolicy.ONE);
             rig.nodes.forEach(n -> n.always("/", Told.of(Deed.RESET)));
             Caller c = rig.caller();
             int s = c.begin("POST", "/quote", false);
@@ -246,7 +246,7 @@
     void anAnswerThatBreaksOffIsResetAndNeverGluedToAnother() throws IOException {
         for (Deed deed : List.of(Deed.RESET_AFTER_HEAD, Deed.RESET_IN_BODY, Deed.DIE_IN_BODY)) {
             try (Rig rig = new Rig(2)) {
-                rig.all(FurtherTries.TWO);
+                rig.all(RetryPolicy.TWO);
                 rig.nodes.forEach(n -> n.always("/", Told.of(deed).bytes(1000)));
                 Caller.Answer a = rig.caller().call("GET", "/quote");
                 assertTrue(a.reset >= 0, deed.toString());
@@ -275,7 +275,7 @@
     @Test
     void aRetryStormStaysWithinTheBudget() throws IOException {
         try (Rig rig = new Rig(4, "tries budget=\"20%\" over=\"60s\" least=5\navoid after=0")) {
-            rig.all(FurtherTries.TWO);
+            rig.all(RetryPolicy.TWO);
             rig.nodes.forEach(n -> n.always("/", Told.of(Deed.ERROR)));
             Caller c = rig.caller();
             for (int i = 0; i < 500; i++) {
@@ -294,7 +294,7 @@
             rig.shutOut("s-0", "s-1");
             assertEquals(503, rig.caller().call("GET", "/quote").status);
             assertTrue(rig.logged.toString().contains("no host can be picked for quote"));
-            rig.table(new int[0], 1, FurtherTries.ONE);
+            rig.table(new int[0], 1, RetryPolicy.ONE);
             assertEquals(503, rig.caller().call("GET", "/quote").status);
         }
     }
@@ -302,7 +302,7 @@
     @Test
     void aLevelTurnsAwayItsShareAtOnce() throws IOException {
         try (Rig rig = new Rig(2)) {
-            rig.table(new int[] {0, 1}, 0.5, FurtherTries.NONE);
+            rig.table(new int[] {0, 1}, 0.5, RetryPolicy.NONE);
             Caller c = rig.caller();
             int limited = 0;
             for (int i = 0; i < 200; i++) {
--- a/src/test/java/linenring/front/MisbehavingClientsTest.java
+++ b/src/test/java/linenring/front/MisbehavingClientsTest.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import linenring.plan.Orders.FurtherTries;
+import linenring.planner.Commands.RetryPolicy;
 import linenring.standin.Caller;
 import linenring.standin.FrameLink;
 import linenring.standin.Node;
@@ -276,7 +276,7 @@
     @Test
     void noRoomForOneMoreIsSaidAtOnce() throws IOException {
         try (Rig rig = new Rig(1, "clients running=5")) {
-            rig.all(FurtherTries.NONE);
+            rig.all(RetryPolicy.NONE);
             rig.nodes.get(0).always("/assign", Told.of(Deed.HANG));
             Caller c = rig.caller();
             for (int i = 0; i < 5; i++) {
--- a/src/test/java/linenring/front/Rig.java
+++ b/src/test/java/linenring/front/Rig.java
@@ -10,16 +10,16 @@
 import java.util.stream.IntStream;
 import linenring.exchange.Exchange;
 import linenring.exchange.Stream;
-import linenring.figures.Names;
 import linenring.front.settings.FrontPlan;
 import linenring.front.settings.PlanText;
 import linenring.log.Log;
 import linenring.message.Arrival;
 import linenring.message.HostList;
 import linenring.message.Order;
-import linenring.plan.Orders.FurtherTries;
-import linenring.plan.StartFigures.Measure;
-import linenring.routing.HostBook;
+import linenring.planner.Commands.RetryPolicy;
+import linenring.planner.PlannerSettings.Measure;
+import linenring.routing.HostRegistry;
+import linenring.settings.Names;
 import linenring.standin.Caller;
 import linenring.standin.Node;
 import org.eclipse.jetty.http2.client.HTTP2Client;
@@ -69,7 +69,7 @@
             nodes.add(new Node());
         }
         FrontPlan plan = PlanText.plan(String.format(PLAN, more), NAMES);
-        HostBook book = new HostBook();
+        HostRegistry book = new HostRegistry();
         book.listed(list());
         exchange.follow(book::listed);
         Log log = new Log(new PrintStream(logged, true));
@@ -79,7 +79,7 @@
         }
         front = opened.front();
         exchange.drain(this);
-        all(FurtherTries.ONE_ON_PROOF);
+        all(RetryPolicy.ONE_ON_PROOF);
     }
 
     HostList list() {
@@ -100,11 +100,11 @@
     }
 
     /** All nodes with equal weight, and this way to try again, in force when it returns. */
-    void all(FurtherTries tries) {
+    void all(RetryPolicy tries) {
         table(IntStream.range(0, nodes.size()).toArray(), 1, tries);
     }
 
-    void table(int[] hosts, double level, FurtherTries tries) {
+    void table(int[] hosts, double level, RetryPolicy tries) {
         order(new Order.Part(
                 List.of(),
                 true,
--- a/src/test/java/linenring/front/SlowDialsTest.java
+++ b/src/test/java/linenring/front/SlowDialsTest.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import linenring.message.HostList;
-import linenring.plan.Orders.FurtherTries;
-import linenring.routing.HostBook;
+import linenring.planner.Commands.RetryPolicy;
+import linenring.routing.HostRegistry;
 import linenring.routing.Pool;
 import linenring.standin.Caller;
 import linenring.standin.Node.Deed;
@@ -34,12 +34,12 @@
             CountDownLatch greets = new CountDownLatch(1);
             rig.nodes.get(2).greetsOnce(greets);
             rig.nodes.get(0).always("/book", Told.of(Deed.DIE).after(300));
-            rig.table(new int[] {0}, 1, FurtherTries.ONE);
+            rig.table(new int[] {0}, 1, RetryPolicy.ONE);
             Caller c = rig.caller();
             long sent = System.nanoTime();
             int book = c.send("POST", "/book", "x-mark", "once");
             c.until(() -> rig.nodes.get(0).arrived() == 1, "it is at the first");
-            rig.table(new int[] {2}, 1, FurtherTries.ONE);
+            rig.table(new int[] {2}, 1, RetryPolicy.ONE);
             while (System.nanoTime() - sent < 2_200_000_000L) {
                 Thread.onSpinWait(); // four fifths of the window of 2.5 s are over
             }
@@ -75,8 +75,8 @@
         client.start();
         scheduler.start();
         try (ServerSocket host = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) { // it says no SETTINGS
-            HostBook.Host listed =
-                    new HostBook.Host("s-0", "127.0.0.1:" + host.getLocalPort(), 0, -1, HostList.State.READY);
+            HostRegistry.Host listed =
+                    new HostRegistry.Host("s-0", "127.0.0.1:" + host.getLocalPort(), 0, -1, HostList.State.READY);
             HostLink link = new HostLink(
                     client,
                     listed,
--- a/src/test/java/linenring/front/UnansweredRequestsTest.java
+++ b/src/test/java/linenring/front/UnansweredRequestsTest.java
@@ -13,7 +13,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import linenring.plan.Orders.FurtherTries;
+import linenring.planner.Commands.RetryPolicy;
 import linenring.standin.Caller;
 import linenring.standin.FrameLink;
 import linenring.standin.Node.Deed;
@@ -53,7 +53,7 @@
     @Test
     void whereHostsResetIdleConnectionsTheNextRequestsAreAnswered() throws IOException {
         try (Rig rig = new Rig(3)) {
-            rig.all(FurtherTries.ONE);
+            rig.all(RetryPolicy.ONE);
             Caller caller = rig.caller();
             for (int i = 0; i < 30; i++) {
                 assertEquals(200, caller.call("GET", "/quote").status);
--- a/src/test/java/linenring/front/settings/FrontPlanReaderTest.java
+++ b/src/test/java/linenring/front/settings/FrontPlanReaderTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 
 import java.util.List;
-import linenring.figures.Names;
-import linenring.routing.Effect;
-import linenring.routing.Terms;
+import linenring.routing.Idempotence;
+import linenring.routing.Limits;
+import linenring.settings.Names;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -30,10 +30,10 @@
     void aPlanHasTheStewardsOrderOfOperationsAndDefaultsForAllElse() {
         FrontPlan plan = PlanText.plan(GOOD, NAMES);
         assertEquals(
-                new Terms("quote", Effect.IDEMPOTENT, Terms.Group.ZONE, 0, 750, 2000),
+                new Limits("quote", Idempotence.IDEMPOTENT, Limits.Group.ZONE, 0, 750, 2000),
                 plan.operations().get(0));
         assertEquals(
-                new Terms("book", Effect.FINGERPRINTED, Terms.Group.CELL, 2500, 1200, 4000),
+                new Limits("book", Idempotence.FINGERPRINTED, Limits.Group.CELL, 2500, 1200, 4000),
                 plan.operations().get(1));
         assertEquals(new FrontPlan.Route("GET", "/quotes", 0), plan.routes().get(0));
         assertEquals(1, plan.zone());
--- a/src/test/java/linenring/front/settings/PlanText.java
+++ b/src/test/java/linenring/front/settings/PlanText.java
@@ -1,6 +1,6 @@
 package linenring.front.settings;
 
-import linenring.figures.Names;
+import linenring.settings.Names;
 
 /** A plan from a story's text. */
 public final class PlanText {
--- a/src/test/java/linenring/handover/AskTest.java
+++ b/src/test/java/linenring/handover/AskTest.java
@@ -24,29 +24,30 @@
         try (ServerSocketChannel serves = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
             serves.bind(UnixDomainSocketAddress.of(dir.resolve("s")));
             CountDownLatch read = new CountDownLatch(1);
-            Talk asks = new Talk(SocketChannel.open(UnixDomainSocketAddress.of(dir.resolve("s")))) {
-                @Override
-                void hear(Consumer<Wire.Said> each, Consumer<String> ended) {
-                    super.hear(
-                            said -> {
-                                each.accept(said);
-                                read.countDown();
-                            },
-                            ended);
-                }
+            HandoverChannel asks =
+                    new HandoverChannel(SocketChannel.open(UnixDomainSocketAddress.of(dir.resolve("s")))) {
+                        @Override
+                        void hear(Consumer<Wire.Said> each, Consumer<String> ended) {
+                            super.hear(
+                                    said -> {
+                                        each.accept(said);
+                                        read.countDown();
+                                    },
+                                    ended);
+                        }
 
-                @Override
-                synchronized boolean say(Wire.Said what) {
-                    boolean said = super.say(what);
-                    try {
-                        read.await(); // and only then does the asker go on
-                    } catch (InterruptedException e) {
-                        throw new AssertionError(e);
-                    }
-                    return said;
-                }
-            };
-            try (Talk served = new Talk(serves.accept())) {
+                        @Override
+                        synchronized boolean say(Wire.Said what) {
+                            boolean said = super.say(what);
+                            try {
+                                read.await(); // and only then does the asker go on
+                            } catch (InterruptedException e) {
+                                throw new AssertionError(e);
+                            }
+                            return said;
+                        }
+                    };
+            try (HandoverChannel served = new HandoverChannel(serves.accept())) {
                 served.hear(
                         said -> served.say(Wire.Said.newBuilder()
                                 .setEnded(Wire.Ended.newBuilder().setWell(false).setWords("an upgrade is under way"))
--- a/src/test/java/linenring/handover/KnownListTest.java
+++ b/src/test/java/linenring/handover/KnownListTest.java
@@ -21,22 +21,22 @@
     @Test
     void theScopeGoesAlongWithTheListThatWasReadUnderIt() throws Exception {
         ServiceScope one = ServiceScope.of(List.of("svc-1"));
-        KnownList known = new KnownList();
+        HostSnapshot known = new HostSnapshot();
         known.listed(list(true, one, "s-1"));
         known.listed(list(false, one, "s-2"));
-        HostList heard = KnownList.heard(Wire.HostList.parseFrom(known.told().toByteArray()), 1, 1);
+        HostList heard = HostSnapshot.heard(Wire.HostList.parseFrom(known.told().toByteArray()), 1, 1);
         assertEquals(one, heard.scope());
         assertEquals(2, heard.entries().size());
         ServiceScope none = ServiceScope.of(List.of());
         known.listed(list(true, none, "s-3"));
-        assertEquals(none, KnownList.heard(known.told(), 1, 1).scope());
+        assertEquals(none, HostSnapshot.heard(known.told(), 1, 1).scope());
         known.listed(list(true, ServiceScope.ALL, "s-1"));
-        assertEquals(ServiceScope.ALL, KnownList.heard(known.told(), 1, 1).scope());
+        assertEquals(ServiceScope.ALL, HostSnapshot.heard(known.told(), 1, 1).scope());
     }
 
     @Test
     void aReleaseThatKnowsNoScopeHasReadAll() {
         Wire.HostList old = Wire.HostList.newBuilder().setVersion(7).build();
-        assertEquals(ServiceScope.ALL, KnownList.heard(old, 1, 1).scope());
+        assertEquals(ServiceScope.ALL, HostSnapshot.heard(old, 1, 1).scope());
     }
 }
--- a/src/test/java/linenring/handover/SidesTest.java
+++ b/src/test/java/linenring/handover/SidesTest.java
@@ -15,13 +15,13 @@
  * out at any step, a fault in preparing. Every order of these is walked.
  */
 class SidesTest {
-    private static final OldSide.Bounds BOUNDS = new OldSide.Bounds(1, 1, 1, 1);
+    private static final HandoverSender.Bounds BOUNDS = new HandoverSender.Bounds(1, 1, 1, 1);
     private static final double LATE = 1e9;
 
     /** What happened from the start on; the world is built from it anew, as the sides are no values. */
     private static final class World {
-        final OldSide old = new OldSide(BOUNDS);
-        final NewSide young = new NewSide(1);
+        final HandoverSender old = new HandoverSender(BOUNDS);
+        final HandoverReceiver young = new HandoverReceiver(1);
         final ArrayDeque<String> toOld = new ArrayDeque<>(), toNew = new ArrayDeque<>();
         boolean spawned, oldDead, newDead, deathKnown, oldDeathKnown, preparing, killed;
         boolean oldAccepts = true, newAccepts, told, everOwned;
@@ -34,7 +34,7 @@
         List<String> choices() {
             List<String> c = new ArrayList<>();
             boolean news = spawned && !newDead;
-            if (!oldDead && old.state() == OldSide.State.SERVING && !spawned) {
+            if (!oldDead && old.state() == HandoverSender.State.SERVING && !spawned) {
                 c.add("ask");
             }
             if (!oldDead && !toOld.isEmpty()) {
@@ -54,7 +54,7 @@
                 c.add("old dies");
                 c.add("old waits");
             }
-            if (news && young.state() != NewSide.State.ALONE) {
+            if (news && young.state() != HandoverReceiver.State.ALONE) {
                 c.add("new waits");
             }
             if (spawned && newDead && !deathKnown && !oldDead) {
@@ -74,7 +74,7 @@
                     String m = toOld.poll();
                     does(
                             m.equals("hello")
-                                    ? old.hello(OldSide.PROTOCOL, now)
+                                    ? old.hello(HandoverSender.PROTOCOL, now)
                                     : m.equals("ready")
                                             ? old.ready(now)
                                             : m.equals("owned") ? old.owned(now) : old.aborted("abort", now));
@@ -83,7 +83,7 @@
                     String m = toNew.poll();
                     did(
                             m.equals("offer")
-                                    ? young.offered(OldSide.PROTOCOL, now)
+                                    ? young.offered(HandoverSender.PROTOCOL, now)
                                     : m.equals("commit") ? young.committed(now) : young.retired(now));
                 }
                 case "prepared", "can't" -> {
@@ -114,8 +114,8 @@
             newAccepts = false;
         }
 
-        private void does(List<OldSide.Effect> effects) {
-            for (OldSide.Effect e : effects) {
+        private void does(List<HandoverSender.Idempotence> effects) {
+            for (HandoverSender.Idempotence e : effects) {
                 switch (e) {
                     case SPAWN -> {
                         spawned = true;
@@ -133,8 +133,8 @@
             }
         }
 
-        private void did(List<NewSide.Effect> effects) {
-            for (NewSide.Effect e : effects) {
+        private void did(List<HandoverReceiver.Idempotence> effects) {
+            for (HandoverReceiver.Idempotence e : effects) {
                 switch (e) {
                     case SEND_HELLO -> toOld.add("hello");
                     case SEND_READY -> toOld.add("ready");
@@ -168,7 +168,7 @@
                     c.remove("old waits");
                     c.remove("new waits");
                 }
-                if (c.isEmpty() || c.equals(List.of("old waits")) && old.state() == OldSide.State.RETIRED) {
+                if (c.isEmpty() || c.equals(List.of("old waits")) && old.state() == HandoverSender.State.RETIRED) {
                     break;
                 }
                 step(c.get(0));
@@ -177,7 +177,7 @@
             return nobodyLives
                     || oldAccepts ^ newAccepts
                     || !spawned
-                    || newDead && old.state() == OldSide.State.RETIRED; // it died alone, long after
+                    || newDead && old.state() == HandoverSender.State.RETIRED; // it died alone, long after
         }
     }
 
@@ -203,69 +203,84 @@
 
     @Test
     void aGoodUpgradeGoesStepByStep() {
-        OldSide old = new OldSide(new OldSide.Bounds(20_000, 30_000, 5000, 10_000));
-        assertEquals(List.of(OldSide.Effect.SPAWN), old.ask(0));
+        HandoverSender old = new HandoverSender(new HandoverSender.Bounds(20_000, 30_000, 5000, 10_000));
+        assertEquals(List.of(HandoverSender.Idempotence.SPAWN), old.ask(0));
         assertEquals(List.of(), old.ask(1)); // one at a time
-        assertEquals(List.of(OldSide.Effect.SEND_OFFER), old.hello(1, 500));
-        assertEquals(List.of(OldSide.Effect.STOP_ACCEPTING, OldSide.Effect.SEND_COMMIT), old.ready(900));
-        assertEquals(List.of(OldSide.Effect.DRAIN), old.owned(910));
+        assertEquals(List.of(HandoverSender.Idempotence.SEND_OFFER), old.hello(1, 500));
+        assertEquals(
+                List.of(HandoverSender.Idempotence.STOP_ACCEPTING, HandoverSender.Idempotence.SEND_COMMIT),
+                old.ready(900));
+        assertEquals(List.of(HandoverSender.Idempotence.DRAIN), old.owned(910));
         assertEquals(List.of(), old.tick(10_909));
         assertEquals(
-                List.of(OldSide.Effect.SEND_RETIRE, OldSide.Effect.TELL_DONE, OldSide.Effect.END_WHEN_DRAINED),
+                List.of(
+                        HandoverSender.Idempotence.SEND_RETIRE,
+                        HandoverSender.Idempotence.TELL_DONE,
+                        HandoverSender.Idempotence.END_WHEN_DRAINED),
                 old.tick(10_910));
         assertEquals(List.of(), old.died("later", 11_000));
     }
 
     @Test
     void aPortThatCannotBeGivenUpIsNeverCommittedAndIsTakenBackOnceTheNewProcessIsDead() {
-        OldSide old = new OldSide(BOUNDS);
+        HandoverSender old = new HandoverSender(BOUNDS);
         old.ask(0);
         old.hello(1, 0);
         old.ready(0); // stop accepting, then send the commit
-        assertEquals(List.of(OldSide.Effect.KILL), old.failed(OldSide.Effect.STOP_ACCEPTING, "a fault", 0));
-        assertEquals(List.of(OldSide.Effect.ACCEPT, OldSide.Effect.TELL_FAILED), old.died("killed", 0));
+        assertEquals(
+                List.of(HandoverSender.Idempotence.KILL),
+                old.failed(HandoverSender.Idempotence.STOP_ACCEPTING, "a fault", 0));
+        assertEquals(
+                List.of(HandoverSender.Idempotence.ACCEPT, HandoverSender.Idempotence.TELL_FAILED),
+                old.died("killed", 0));
         assertEquals("this process could not stop accepting: a fault", old.why());
         old.ask(0);
-        assertEquals(List.of(OldSide.Effect.TELL_FAILED), old.failed(OldSide.Effect.SPAWN, "no such file", 0));
-        assertEquals(List.of(), old.failed(OldSide.Effect.SEND_RETIRE, "gone", 0)); // what comes after it goes on
+        assertEquals(
+                List.of(HandoverSender.Idempotence.TELL_FAILED),
+                old.failed(HandoverSender.Idempotence.SPAWN, "no such file", 0));
+        assertEquals(
+                List.of(),
+                old.failed(HandoverSender.Idempotence.SEND_RETIRE, "gone", 0)); // what comes after it goes on
     }
 
     @Test
     void whatTakesTooLongIsKilledAndThePortIsTakenBackOnlyOnceItIsDead() {
-        OldSide old = new OldSide(new OldSide.Bounds(20_000, 30_000, 5000, 10_000));
+        HandoverSender old = new HandoverSender(new HandoverSender.Bounds(20_000, 30_000, 5000, 10_000));
         old.ask(0);
         old.hello(1, 1);
         old.ready(2);
-        assertEquals(List.of(OldSide.Effect.KILL), old.tick(5002));
+        assertEquals(List.of(HandoverSender.Idempotence.KILL), old.tick(5002));
         assertEquals(List.of(), old.owned(5003)); // too late: it is being killed
-        assertEquals(List.of(OldSide.Effect.ACCEPT, OldSide.Effect.TELL_FAILED), old.died("killed", 5004));
+        assertEquals(
+                List.of(HandoverSender.Idempotence.ACCEPT, HandoverSender.Idempotence.TELL_FAILED),
+                old.died("killed", 5004));
         assertEquals("the new process did not take the port in time", old.why());
-        assertEquals(List.of(OldSide.Effect.SPAWN), old.ask(6000)); // and may be asked again
+        assertEquals(List.of(HandoverSender.Idempotence.SPAWN), old.ask(6000)); // and may be asked again
     }
 
     @Test
     void anotherProtocolIsRefusedBeforeAnythingIsGivenUp() {
-        OldSide old = new OldSide(BOUNDS);
+        HandoverSender old = new HandoverSender(BOUNDS);
         old.ask(0);
-        assertEquals(List.of(OldSide.Effect.KILL), old.hello(2, 0.5));
+        assertEquals(List.of(HandoverSender.Idempotence.KILL), old.hello(2, 0.5));
         assertTrue(old.isAccepting());
-        assertEquals(List.of(OldSide.Effect.TELL_FAILED), old.died("killed", 0.6));
+        assertEquals(List.of(HandoverSender.Idempotence.TELL_FAILED), old.died("killed", 0.6));
         assertEquals("the new release speaks protocol 2, this one 1", old.why());
     }
 
     @Test
     void aProcessThatIsToldToEndCallsAnUpgradeOffUnlessThePortHasChangedHands() {
-        OldSide old = new OldSide(BOUNDS);
+        HandoverSender old = new HandoverSender(BOUNDS);
         old.ask(0);
-        assertEquals(List.of(OldSide.Effect.KILL), old.ending(0.1));
+        assertEquals(List.of(HandoverSender.Idempotence.KILL), old.ending(0.1));
         old.died("killed", 0.2);
         assertEquals(List.of(), old.ask(0.3)); // none begins any more
-        OldSide late = new OldSide(BOUNDS);
+        HandoverSender late = new HandoverSender(BOUNDS);
         late.ask(0);
-        late.hello(OldSide.PROTOCOL, 0);
+        late.hello(HandoverSender.PROTOCOL, 0);
         late.ready(0);
         late.owned(0);
         assertEquals(List.of(), late.ending(0.1)); // the new one has the port, and this one drains already
-        assertEquals(OldSide.State.PROBATION, late.state());
+        assertEquals(HandoverSender.State.PROBATION, late.state());
     }
 }
--- a/src/test/java/linenring/message/CodecTest.java
+++ b/src/test/java/linenring/message/CodecTest.java
@@ -5,8 +5,8 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import linenring.figures.Names;
 import linenring.message.Unreadable.Reached;
+import linenring.settings.Names;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/src/test/java/linenring/message/MessageSizeMeasurement.java
+++ b/src/test/java/linenring/message/MessageSizeMeasurement.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.stream.IntStream;
-import linenring.figures.Names;
+import linenring.settings.Names;
 
 /** How many bytes each kind of message has, as docs/CAPACITY.md counts them; run by hand. */
 final class MessageSizeMeasurement {
--- a/src/test/java/linenring/plan/FakeHost.java
+++ b/src/test/java/linenring/planner/FakeHost.java
@@ -1,48 +1,48 @@
-package linenring.plan;
+package linenring.planner;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import linenring.plan.StartFigures.Operation;
+import linenring.planner.PlannerSettings.Operation;
 
 /** The tiny fake host that all stories play against: it carries out orders at once and remembers them. */
-final class FakeHost implements Orders {
+final class FakeHost implements Commands {
     static final long ALL = -1;
 
     final TreeMap<Integer, TreeMap<Integer, Double>> tables = new TreeMap<>();
     final TreeMap<Integer, Integer> bound = new TreeMap<>(); // proxy to its latest table
     final TreeMap<Integer, Double> levels = new TreeMap<>(); // by mask
-    final TreeMap<Integer, FurtherTries> tries = new TreeMap<>();
+    final TreeMap<Integer, RetryPolicy> tries = new TreeMap<>();
     final Set<Integer> out = new TreeSet<>();
     final Set<Integer> silent = new TreeSet<>(); // proxies that answer no barrier
     final Set<Integer> joined = new TreeSet<>();
     final List<String> said = new ArrayList<>();
-    final Balance balance;
+    final Planner planner;
     double now = 100_000, answerMs = 200, usual = 1, span = 1000;
     int barriers, bindsBring, wayAdds;
     private final List<Integer> pending = new ArrayList<>(); // marks not answered yet
 
-    FakeHost(StartFigures figures) {
-        balance = new Balance(figures, this);
+    FakeHost(PlannerSettings figures) {
+        planner = new Planner(figures, this);
     }
 
     static Operation operation(double value, long zones) {
         return new Operation(1000, value, zones, ALL, false, 2);
     }
 
-    static StartFigures figures(int messagesMost, Operation... operations) {
-        return figures(messagesMost, new StartFigures.Slices(0, false, 0, 0), operations);
+    static PlannerSettings figures(int messagesMost, Operation... operations) {
+        return figures(messagesMost, new PlannerSettings.Slices(0, false, 0, 0), operations);
     }
 
-    static StartFigures figures(int messagesMost, StartFigures.Slices slices, Operation... operations) {
-        return new StartFigures(
+    static PlannerSettings figures(int messagesMost, PlannerSettings.Slices slices, Operation... operations) {
+        return new PlannerSettings(
                 operations.length > 0 ? List.of(operations) : List.of(operation(1, ALL)),
-                new StartFigures.ColdStart(0.2, 10_000),
-                new StartFigures.Channel(1000, 4, 1500, messagesMost, 10_000, 100, 250, 2000),
+                new PlannerSettings.ColdStart(0.2, 10_000),
+                new PlannerSettings.Channel(1000, 4, 1500, messagesMost, 10_000, 100, 250, 2000),
                 slices,
-                StartFigures.Measure.SHARE,
+                PlannerSettings.Measure.SHARE,
                 false,
                 0,
                 false,
@@ -57,12 +57,12 @@
 
     /** A fleet of warm hosts, the even ones in zone 0 and the odd ones in zone 1, and joined proxies. */
     FakeHost fleet(int hosts, int proxies) {
-        balance.clock(now);
-        balance.listOpens(true);
+        planner.clock(now);
+        planner.beginHostList(true);
         for (int h = 0; h < hosts; h++) {
-            balance.running(h, h % 2, 0, 1, Double.NEGATIVE_INFINITY);
+            planner.hostReady(h, h % 2, 0, 1, Double.NEGATIVE_INFINITY);
         }
-        balance.listCloses();
+        planner.endHostList();
         for (int p = 0; p < proxies; p++) {
             join(p);
         }
@@ -70,25 +70,25 @@
     }
 
     void join(int proxy) {
-        balance.joined(proxy, proxy % 2, usual);
+        planner.joined(proxy, proxy % 2, usual);
         joined.add(proxy);
     }
 
     void starts(int host) {
-        balance.listOpens(false);
-        balance.running(host, host % 2, 0, 1, now);
-        balance.listCloses();
+        planner.beginHostList(false);
+        planner.hostReady(host, host % 2, 0, 1, now);
+        planner.endHostList();
     }
 
     void drains(int host) {
-        balance.listOpens(false);
-        balance.stopping(host, host % 2, 0, 1);
-        balance.listCloses();
+        planner.beginHostList(false);
+        planner.hostDraining(host, host % 2, 0, 1);
+        planner.endHostList();
     }
 
     FakeHost settle() {
         said.clear();
-        balance.settle();
+        planner.reconcile();
         return this;
     }
 
@@ -96,12 +96,14 @@
     FakeHost pass(double ms) {
         for (double end = now + ms; now < end; ) {
             now += 100;
-            balance.clock(now);
+            planner.clock(now);
             for (int mark : pending) {
-                joined.stream().filter(p -> !silent.contains(p)).forEach(p -> balance.inForce(p, mark, answerMs));
+                joined.stream()
+                        .filter(p -> !silent.contains(p))
+                        .forEach(p -> planner.barrierAcknowledged(p, mark, answerMs));
             }
             pending.clear();
-            balance.settle();
+            planner.reconcile();
         }
         return this;
     }
@@ -109,7 +111,7 @@
     /** Reports of one second in which the hosts met these tries, with so many bad ones at some of them. */
     FakeHost second(int hosts, int proxyZone, int total, double ms, int bad, Set<Integer> badHosts) {
         for (int h = 0; h < hosts; h++) {
-            balance.tally(h, proxyZone, total, badHosts.contains(h) ? bad : 0, ms, span);
+            planner.hostStatistics(h, proxyZone, total, badHosts.contains(h) ? bad : 0, ms, span);
         }
         return pass(1000);
     }
@@ -161,7 +163,7 @@
     }
 
     @Override
-    public void level(int table, int operations, double letIn, FurtherTries how) {
+    public void level(int table, int operations, double letIn, RetryPolicy how) {
         levels.put(operations, letIn);
         tries.put(operations, how);
     }
@@ -183,7 +185,7 @@
     }
 
     @Override
-    public void alarm(double at, long handle) {
+    public void timer(double at, long handle) {
         // time passes in the stories' own steps
     }
 
