--- a/src/test/java/linenring/plan/BalanceTest.java
+++ b/src/test/java/linenring/planner/PlannerTest.java
@@ -1,18 +1,18 @@
-package linenring.plan;
+package linenring.planner;
 
-import static linenring.plan.FakeHost.ALL;
-import static linenring.plan.FakeHost.figures;
-import static linenring.plan.FakeHost.operation;
+import static linenring.planner.FakeHost.ALL;
+import static linenring.planner.FakeHost.figures;
+import static linenring.planner.FakeHost.operation;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import java.util.Set;
-import linenring.plan.Orders.FurtherTries;
+import linenring.planner.Commands.RetryPolicy;
 import org.junit.jupiter.api.Test;
 
-class BalanceTest {
+class PlannerTest {
     private static final Set<Integer> NONE = Set.of();
 
     @Test
@@ -52,11 +52,11 @@
     @Test
     void aHostDroppedFromAWholeListIsWithdrawn() {
         FakeHost f = new FakeHost(figures(0)).fleet(6, 2);
-        f.balance.listOpens(true);
+        f.planner.beginHostList(true);
         for (int h = 0; h < 5; h++) {
-            f.balance.running(h, h % 2, 0, 1, Double.NEGATIVE_INFINITY);
+            f.planner.hostReady(h, h % 2, 0, 1, Double.NEGATIVE_INFINITY);
         }
-        f.balance.listCloses();
+        f.planner.endHostList();
         f.settle();
         assertEquals(Set.of(5), f.out);
     }
@@ -79,10 +79,10 @@
     @Test
     void aHostThatIsWarmBeforeTheListTellsOfItGetsItsFullWeightAndOneThatShouldHaveBeenListedIsTriedFirst() {
         FakeHost f = new FakeHost(figures(0)).fleet(6, 2);
-        f.balance.listOpens(false);
-        f.balance.running(6, 0, 0, 1, f.now - 10_001); // warm after 10 s, and started after the first list
-        f.balance.running(7, 1, 0, 1, Double.NEGATIVE_INFINITY);
-        f.balance.listCloses();
+        f.planner.beginHostList(false);
+        f.planner.hostReady(6, 0, 0, 1, f.now - 10_001); // warm after 10 s, and started after the first list
+        f.planner.hostReady(7, 1, 0, 1, Double.NEGATIVE_INFINITY);
+        f.planner.endHostList();
         f.settle();
         assertEquals(1, f.weight(0, 6));
         assertEquals(0.15, f.weight(0, 7));
@@ -152,12 +152,12 @@
     @Test
     void aSlowHostGetsHalfItsShareAndKeepsIt() {
         FakeHost f = new FakeHost(figures(0)).fleet(6, 2);
-        f.balance.traffic(0, 0, 1000, 50);
+        f.planner.requestRate(0, 0, 1000, 50);
         for (int s = 0; s < 3; s++) {
-            f.balance.tally(2, 0, 10, 1, 900, 1000);
+            f.planner.hostStatistics(2, 0, 10, 1, 900, 1000);
             f.second(2, 0, 10, 200, 0, NONE);
-            f.balance.tally(3, 0, 10, 0, 200, 1000);
-            f.balance.tally(4, 0, 10, 0, 200, 1000);
+            f.planner.hostStatistics(3, 0, 10, 0, 200, 1000);
+            f.planner.hostStatistics(4, 0, 10, 0, 200, 1000);
         }
         assertEquals(0.5, f.weight(0, 2));
         f.pass(8000);
@@ -168,11 +168,11 @@
     @Test
     void aHostThatIsFarTooSlowIsToldFromFewTriesAndHalvedOnceMore() {
         FakeHost f = new FakeHost(figures(0)).fleet(12, 2);
-        f.balance.traffic(0, 0, 1000, 50);
+        f.planner.requestRate(0, 0, 1000, 50);
         for (int s = 0; s < 25; s++) { // two tries a second: never eight within what sums remember
-            f.balance.tally(2, 0, 2, 0, 2500, 1000);
+            f.planner.hostStatistics(2, 0, 2, 0, 2500, 1000);
             for (int h = 3; h < 12; h++) {
-                f.balance.tally(h, 0, 2, 0, 200, 1000);
+                f.planner.hostStatistics(h, 0, 2, 0, 200, 1000);
             }
             f.pass(1000);
         }
@@ -192,7 +192,7 @@
         FakeHost f = new FakeHost(figures(0, operation(1, ALL), operation(1, ALL), operation(1, ALL)));
         f.fleet(4, 1);
         assertEquals(Set.of(1, 2, 4), f.tries.keySet());
-        assertEquals(Set.of(FurtherTries.ONE_ON_PROOF), Set.copyOf(f.tries.values()));
+        assertEquals(Set.of(RetryPolicy.ONE_ON_PROOF), Set.copyOf(f.tries.values()));
     }
 
     @Test
@@ -207,7 +207,7 @@
     @Test
     void aLostStreamFreesItsWindowAndTheProxyIsBoundAnewWhenItComesBack() {
         FakeHost f = new FakeHost(figures(0)).fleet(6, 2);
-        f.balance.lost(1);
+        f.planner.lost(1);
         f.bound.remove(1);
         f.settle();
         f.drains(0);
@@ -238,7 +238,7 @@
         int before = f.barriers;
         for (int h = 0; h < 12; h++) { // another one fails every half second
             for (int all = 0; all < 30; all++) {
-                f.balance.tally(all, 0, 10, all <= h ? 10 : 0, 100, 1000);
+                f.planner.hostStatistics(all, 0, 10, all <= h ? 10 : 0, 100, 1000);
             }
             f.pass(500);
         }
@@ -264,10 +264,11 @@
     void proxiesBehindACutWayKeepToTheirZoneAndComeBack() {
         FakeHost f = new FakeHost(figures(0)).fleet(6, 2);
         int full = f.bound.get(1);
-        f.balance.traffic(0, 0, 1000, 2);
+        f.planner.requestRate(0, 0, 1000, 2);
         for (int s = 0; s < 2; s++) {
             for (int h = 0; h < 6; h++) {
-                f.balance.tally(h, 1, 10, h % 2 == 0 ? 10 : 0, 100, 1000); // zone 1 finds the hosts of zone 0 dead
+                f.planner.hostStatistics(
+                        h, 1, 10, h % 2 == 0 ? 10 : 0, 100, 1000); // zone 1 finds the hosts of zone 0 dead
             }
             f.second(6, 0, 10, 100, 0, NONE);
         }
@@ -282,10 +283,10 @@
     @Test
     void aCutIsSensedWhereOperationsHaveTablesOfTheirOwn() {
         FakeHost f = new FakeHost(figures(0, operation(1, ALL), operation(1, 1))).fleet(6, 2);
-        f.balance.traffic(0, 0, 1000, 2);
+        f.planner.requestRate(0, 0, 1000, 2);
         for (int s = 0; s < 2; s++) {
             for (int h = 0; h < 6; h++) {
-                f.balance.tally(h, 1, 10, h % 2 == 0 ? 10 : 0, 100, 1000);
+                f.planner.hostStatistics(h, 1, 10, h % 2 == 0 ? 10 : 0, 100, 1000);
             }
             f.second(6, 0, 10, 100, 0, NONE);
         }
@@ -316,8 +317,8 @@
     void overloadTurnsAwayWhatEarnsLeastAndLetsItInAgain() {
         FakeHost f = new FakeHost(figures(0, operation(1, ALL), operation(3, ALL))).fleet(4, 1);
         for (int s = 0; s < 4; s++) {
-            f.balance.traffic(0, 0, 1000, 50);
-            f.balance.traffic(0, 1, 1000, 20);
+            f.planner.requestRate(0, 0, 1000, 50);
+            f.planner.requestRate(0, 1, 1000, 20);
             f.second(4, 0, 20, 900, 0, NONE);
         }
         assertTrue(f.levels.get(1) < 0.9);
@@ -333,7 +334,7 @@
         FakeHost f = new FakeHost(figures(0)).fleet(6, 2);
         f.span = 5000; // the intake is narrow: each sum has waited while it grew
         for (int s = 0; s < 20; s++) {
-            f.balance.traffic(0, 0, 1000, 100);
+            f.planner.requestRate(0, 0, 1000, 100);
             f.second(6, 0, 20, 200, 0, NONE);
         }
         double once = 1;
@@ -352,23 +353,23 @@
     void nothingIsTriedAgainInAStormUnderLoweredLevels() {
         FakeHost f = new FakeHost(figures(0)).fleet(6, 2);
         for (int s = 0; s < 5; s++) {
-            f.balance.traffic(0, 0, 1000, 100);
+            f.planner.requestRate(0, 0, 1000, 100);
             f.second(6, 0, 30, 800, 20, Set.of(0, 1, 2, 3, 4, 5));
         }
-        assertEquals(FurtherTries.NONE, f.tries.get(1));
+        assertEquals(RetryPolicy.NONE, f.tries.get(1));
         assertEquals(NONE, f.out); // all are as bad: none is withdrawn
         for (int s = 0; s < 30; s++) {
             f.second(6, 0, 20, 100, 0, NONE);
         }
-        assertEquals(FurtherTries.ONE_ON_PROOF, f.tries.get(1));
+        assertEquals(RetryPolicy.ONE_ON_PROOF, f.tries.get(1));
     }
 
     @Test
     void aSliceGetsItsNextOwnerOnlyWhenNoWriteCanBeInTheHandsOfTheLast() {
-        FakeHost f = new FakeHost(figures(0, new StartFigures.Slices(4, true, 2000, 3000)));
+        FakeHost f = new FakeHost(figures(0, new PlannerSettings.Slices(4, true, 2000, 3000)));
         f.fleet(3, 0);
-        f.balance.charge(2, true);
-        f.balance.held(2, 1, 1);
+        f.planner.charge(2, true);
+        f.planner.held(2, 1, 1);
         f.settle();
         f.drains(1);
         f.settle();
@@ -409,13 +410,14 @@
         f.drains(0);
         f.settle(); // 960 of 1500 lines
         for (int p = 1; p < 160; p++) {
-            f.balance.lost(p);
+            f.planner.lost(p);
             f.join(p); // they come back at once, and the channel is no shorter
         }
         f.drains(1);
         f.settle();
         assertEquals(Set.of(0), f.out);
-        f.balance.inForce(0, f.barriers, 200); // its message may have gone first of all: the others may be there yet
+        f.planner.barrierAcknowledged(
+                0, f.barriers, 200); // its message may have gone first of all: the others may be there yet
         f.settle();
         assertEquals(Set.of(0), f.out);
         f.pass(10_000); // at a fifth of the pace it is through by now
@@ -450,7 +452,7 @@
         f.drains(0);
         f.settle(); // 600 of 1500 lines
         for (int p = 80; p < 100; p++) {
-            f.balance.lost(p); // what was on its way to them is lost and makes way
+            f.planner.lost(p); // what was on its way to them is lost and makes way
             f.joined.remove(p);
         }
         f.join(100);
@@ -478,7 +480,7 @@
     void theProxiesThatAreAskedMostAreBoundFirst() {
         FakeHost f = new FakeHost(figures(0)).fleet(6, 0);
         for (int p = 0; p < 200; p++) {
-            f.balance.joined(p, 0, p);
+            f.planner.joined(p, 0, p);
         }
         f.settle();
         assertTrue(f.bound.containsKey(199) && !f.bound.containsKey(0));
@@ -499,7 +501,7 @@
         int wider = f.tables.get(f.bound.get(99)).size();
         assertTrue(wider > 15 && wider < 30, wider + " of 40");
         for (int p = 50; p < 100; p++) { // it is back
-            f.balance.lost(p);
+            f.planner.lost(p);
             f.joined.remove(p);
             f.bound.remove(p);
         }
@@ -604,14 +606,14 @@
     @Test
     void aKindThatIsLateBesideAnUnhurriedOneGetsHalfThoughEachHostsSumsAreThin() {
         FakeHost f = new FakeHost(figures(0)).fleet(40, 2);
-        f.balance.listOpens(false);
+        f.planner.beginHostList(false);
         for (int h = 20; h < 40; h++) {
-            f.balance.running(h, h % 2, 1, 1, Double.NEGATIVE_INFINITY);
+            f.planner.hostReady(h, h % 2, 1, 1, Double.NEGATIVE_INFINITY);
         }
-        f.balance.listCloses();
-        f.balance.traffic(0, 0, 1000, 50);
+        f.planner.endHostList();
+        f.planner.requestRate(0, 0, 1000, 50);
         for (int h = 0; h < 40; h++) {
-            f.balance.tally(h, 0, 4, 0, h < 20 ? 200 : 900, 1000);
+            f.planner.hostStatistics(h, 0, 4, 0, h < 20 ? 200 : 900, 1000);
         }
         f.pass(2000);
         assertEquals(0.5, f.weight(0, 30));
@@ -651,12 +653,12 @@
     @Test
     void aHundredZonesAndKindsAreServed() {
         FakeHost f = new FakeHost(figures(0)).fleet(6, 2);
-        f.balance.listOpens(false);
-        f.balance.running(6, 100, 90, 1, Double.NEGATIVE_INFINITY);
-        f.balance.listCloses();
-        f.balance.joined(2, 99, 1);
+        f.planner.beginHostList(false);
+        f.planner.hostReady(6, 100, 90, 1, Double.NEGATIVE_INFINITY);
+        f.planner.endHostList();
+        f.planner.joined(2, 99, 1);
         f.joined.add(2);
-        f.balance.tally(6, 100, 5, 0, 100, 1000);
+        f.planner.hostStatistics(6, 100, 5, 0, 100, 1000);
         f.settle().pass(20_000);
         assertTrue(f.weight(2, 6) > 0);
     }
--- a/src/test/java/linenring/plan/SettleMeasurement.java
+++ b/src/test/java/linenring/planner/ReconcileMeasurement.java
@@ -1,10 +1,10 @@
-package linenring.plan;
+package linenring.planner;
 
 import java.util.Locale;
 
 /** How long one input takes at size, in milliseconds; run by hand. */
-final class SettleMeasurement {
-    private SettleMeasurement() {}
+final class ReconcileMeasurement {
+    private ReconcileMeasurement() {}
 
     public static void main(String[] args) {
         System.out.println(
@@ -17,57 +17,57 @@
     }
 
     private static String row(int hosts, int proxies, int zones) {
-        StartFigures f = new StartFigures(
+        PlannerSettings f = new PlannerSettings(
                 java.util.List.of(
                         FakeHost.operation(2, FakeHost.ALL),
                         FakeHost.operation(3, FakeHost.ALL),
                         FakeHost.operation(3, FakeHost.ALL)),
-                new StartFigures.ColdStart(0.2, 18_000),
-                new StartFigures.Channel(1200, 4, 22.0 * proxies, 30, 10_000, 200, 500, 16_000),
-                new StartFigures.Slices(0, false, 0, 0),
-                StartFigures.Measure.SHARE,
+                new PlannerSettings.ColdStart(0.2, 18_000),
+                new PlannerSettings.Channel(1200, 4, 22.0 * proxies, 30, 10_000, 200, 500, 16_000),
+                new PlannerSettings.Slices(0, false, 0, 0),
+                PlannerSettings.Measure.SHARE,
                 false,
                 0,
                 false,
                 6);
         FakeHost host = new FakeHost(f);
-        Balance b = host.balance;
-        b.clock(host.now);
-        b.listOpens(true);
+        Planner planner = host.planner;
+        planner.clock(host.now);
+        planner.beginHostList(true);
         for (int h = 0; h < hosts; h++) {
-            b.running(h, h % zones, h / zones % 2, 1, Double.NEGATIVE_INFINITY);
+            planner.hostReady(h, h % zones, h / zones % 2, 1, Double.NEGATIVE_INFINITY);
         }
-        b.listCloses();
+        planner.endHostList();
         host.settle();
         Runnable all = () -> {
             for (int p = 0; p < proxies; p++) {
-                b.joined(p, p % zones, 1 + p % 7);
+                planner.joined(p, p % zones, 1 + p % 7);
             }
-            b.settle();
+            planner.reconcile();
         };
         double join = took(all);
         host.joined.addAll(java.util.stream.IntStream.range(0, proxies).boxed().toList());
         host.pass(20_000);
         int mark = host.barriers;
-        double answer = took(() -> b.inForce(0, mark, 100));
+        double answer = took(() -> planner.barrierAcknowledged(0, mark, 100));
         double sums = 0;
         for (int i = 0; i < 10; i++) {
             sums += took(() -> {
-                        b.clock(host.now += 500);
+                        planner.clock(host.now += 500);
                         for (int h = 0; h < hosts; h++) {
-                            b.tally(h, h % zones, 20, h % 50 == 0 ? 3 : 0, 200, 1000);
+                            planner.hostStatistics(h, h % zones, 20, h % 50 == 0 ? 3 : 0, 200, 1000);
                         }
-                        b.settle();
+                        planner.reconcile();
                     })
                     / 10;
         }
         double drain = took(() -> {
-            b.listOpens(false);
+            planner.beginHostList(false);
             for (int h = 0; h < hosts / 10; h++) {
-                b.stopping(h, h % zones, h / zones % 2, 1);
+                planner.hostDraining(h, h % zones, h / zones % 2, 1);
             }
-            b.listCloses();
-            b.settle();
+            planner.endHostList();
+            planner.reconcile();
         });
         double again = took(all);
         return String.format(
--- a/src/test/java/linenring/routing/Fixture.java
+++ b/src/test/java/linenring/routing/Fixture.java
@@ -7,19 +7,19 @@
 import java.util.stream.IntStream;
 import linenring.message.HostList;
 import linenring.message.Order;
-import linenring.plan.StartFigures.Measure;
+import linenring.planner.PlannerSettings.Measure;
 
 /** Hosts s-0, s-1, ... in zones 0 and 1 by turns, three operations, tables as a steward orders them. */
 final class Fixture {
-    static final Terms QUOTE = new Terms("quote", Effect.IDEMPOTENT, Terms.Group.ALL, 0, 750, 2000);
-    static final Terms BOOK = new Terms("book", Effect.FINGERPRINTED, Terms.Group.ZONE, 2500, 1200, 4000);
-    static final Terms ASSIGN = new Terms("assign", Effect.SIDE_EFFECTING, Terms.Group.ALL, 0, 750, 2000);
-    static final List<Terms> ALL = List.of(QUOTE, BOOK, ASSIGN);
+    static final Limits QUOTE = new Limits("quote", Idempotence.IDEMPOTENT, Limits.Group.ALL, 0, 750, 2000);
+    static final Limits BOOK = new Limits("book", Idempotence.FINGERPRINTED, Limits.Group.ZONE, 2500, 1200, 4000);
+    static final Limits ASSIGN = new Limits("assign", Idempotence.SIDE_EFFECTING, Limits.Group.ALL, 0, 750, 2000);
+    static final List<Limits> ALL = List.of(QUOTE, BOOK, ASSIGN);
 
-    final HostBook hosts = new HostBook();
+    final HostRegistry hosts = new HostRegistry();
     final Tables tables;
     final Random chance = new Random(7);
-    TryBudget budget = new TryBudget(1, 100, 10_000);
+    RetryBudget budget = new RetryBudget(1, 100, 10_000);
 
     Fixture(int count) {
         this(count, Measure.SHARE);
@@ -32,7 +32,7 @@
                     "s-" + h, h % 2, 0, HostList.State.READY, 1, 0, "127.0.0.1:" + (1000 + h), h / 2));
         }
         hosts.listed(new HostList(1, true, entries));
-        tables = new Tables(ALL.stream().map(Terms::operation).toList(), hosts, measure, 3, 5000);
+        tables = new Tables(ALL.stream().map(Limits::operation).toList(), hosts, measure, 3, 5000);
     }
 
     static Order.Line line(int host, double weight) {
@@ -53,16 +53,16 @@
         return this;
     }
 
-    Tries tries(Terms terms, boolean marked, double now) {
-        return new Tries(
-                new Tries.Terrain(tables, hosts, budget, 1.2, chance::nextDouble),
+    RetryDecision tries(Limits terms, boolean marked, double now) {
+        return new RetryDecision(
+                new RetryDecision.Terrain(tables, hosts, budget, 1.2, chance::nextDouble),
                 ALL.indexOf(terms),
                 terms,
                 marked,
                 now);
     }
 
-    static int sentTo(Tries.Step step) {
-        return step instanceof Tries.Step.Send s ? s.host() : -1;
+    static int sentTo(RetryDecision.Step step) {
+        return step instanceof RetryDecision.Step.Send s ? s.host() : -1;
     }
 }
--- a/src/test/java/linenring/routing/TriesTest.java
+++ b/src/test/java/linenring/routing/RetryDecisionTest.java
@@ -12,25 +12,25 @@
 
 import java.util.BitSet;
 import linenring.message.Order;
-import linenring.plan.Orders.FurtherTries;
-import linenring.plan.StartFigures.Measure;
+import linenring.planner.Commands.RetryPolicy;
+import linenring.planner.PlannerSettings.Measure;
 import linenring.routing.Attempt.Proof;
 import linenring.routing.Attempt.Why;
-import linenring.routing.Tries.Reason;
-import linenring.routing.Tries.Step;
+import linenring.routing.RetryDecision.Reason;
+import linenring.routing.RetryDecision.Step;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-class TriesTest {
+class RetryDecisionTest {
     private static final Attempt REFUSED = new Attempt(Proof.NOT_PROCESSED, Why.REFUSED);
     private static final Attempt LOST = new Attempt(Proof.MAY_HAVE_RUN, Why.CONNECTION_LOST);
     private static final Attempt LATE = new Attempt(Proof.MAY_HAVE_RUN, Why.TIMED_OUT);
     private static final Attempt UNREACHABLE = new Attempt(Proof.NEVER_SENT, Why.UNREACHABLE);
     private static final Attempt ERRORED = new Attempt(Proof.RAN, Why.ANSWERED_ERRORED);
 
-    private static Fixture fleet(FurtherTries tries) {
+    private static Fixture fleet(RetryPolicy tries) {
         return new Fixture(6).whole(6, new Order.Level(1, tries.ordinal()));
     }
 
@@ -40,9 +40,9 @@
 
     @Test
     void aSideEffectingOneThatMayHaveRunIsAnsweredAtOnceWhateverTheOrders() {
-        for (FurtherTries orders : FurtherTries.values()) {
+        for (RetryPolicy orders : RetryPolicy.values()) {
             for (Attempt end : new Attempt[] {LOST, LATE}) {
-                Tries t = fleet(orders).tries(ASSIGN, true, 0);
+                RetryDecision t = fleet(orders).tries(ASSIGN, true, 0);
                 t.begin(0, true);
                 assertEquals(end == LATE ? Reason.TIMED_OUT : Reason.ERRORED, reason(t.ended(end, 10, true)));
                 assertInstanceOf(Step.Nothing.class, t.ended(REFUSED, 11, true)); // a late proof changes nothing
@@ -53,7 +53,7 @@
     @Test
     void onProofThatItNeverRanEvenASideEffectingOneGoesElsewhereOnce() {
         for (Attempt end : new Attempt[] {REFUSED, UNREACHABLE, new Attempt(Proof.NOT_PROCESSED, Why.GOING_AWAY)}) {
-            Tries t = fleet(FurtherTries.ONE_ON_PROOF).tries(ASSIGN, false, 0);
+            RetryDecision t = fleet(RetryPolicy.ONE_ON_PROOF).tries(ASSIGN, false, 0);
             int first = sentTo(t.begin(0, true));
             int second = sentTo(t.ended(end, 5, true));
             assertNotEquals(-1, second);
@@ -65,14 +65,14 @@
     /** By then it may still wait for a connection: past its window the host would not know it, and book twice. */
     @Test
     void aRepeatOfAFingerprintedOneSetsOutInsideItsWindowOrNotAtAll() {
-        Tries t = fleet(FurtherTries.ONE).tries(BOOK, true, 100);
+        RetryDecision t = fleet(RetryPolicy.ONE).tries(BOOK, true, 100);
         assertEquals(
                 Double.POSITIVE_INFINITY,
                 assertInstanceOf(Step.Send.class, t.begin(100, true)).by());
         assertEquals(
                 100 + 0.8 * 2500,
                 assertInstanceOf(Step.Send.class, t.ended(LOST, 200, true)).by());
-        Tries quote = fleet(FurtherTries.ONE).tries(QUOTE, false, 0);
+        RetryDecision quote = fleet(RetryPolicy.ONE).tries(QUOTE, false, 0);
         quote.begin(0, true);
         assertEquals(
                 Double.POSITIVE_INFINITY,
@@ -81,14 +81,14 @@
 
     @Test
     void withoutOrdersToTryAgainAProofChangesNothing() {
-        Tries t = fleet(FurtherTries.NONE).tries(QUOTE, false, 0);
+        RetryDecision t = fleet(RetryPolicy.NONE).tries(QUOTE, false, 0);
         t.begin(0, true);
         assertEquals(Reason.ERRORED, reason(t.ended(REFUSED, 5, true)));
     }
 
     @Test
     void anIdempotentOneRunsAgainAfterAnyFailureAsOftenAsOrdered() {
-        Tries t = fleet(FurtherTries.TWO).tries(QUOTE, false, 0);
+        RetryDecision t = fleet(RetryPolicy.TWO).tries(QUOTE, false, 0);
         BitSet hosts = new BitSet();
         hosts.set(sentTo(t.begin(0, true)));
         hosts.set(sentTo(t.ended(LOST, 5, true)));
@@ -100,36 +100,36 @@
 
     @Test
     void anAttemptThatMayBeFollowedGetsSomeObjectivesAndTheLastOneAllTheTimeThereIs() {
-        Tries t = fleet(FurtherTries.ONE).tries(QUOTE, false, 0);
+        RetryDecision t = fleet(RetryPolicy.ONE).tries(QUOTE, false, 0);
         assertEquals(900, ((Step.Send) t.begin(0, true)).until());
         assertEquals(2000, ((Step.Send) t.ended(LATE, 900, true)).until());
-        Tries unsafe = fleet(FurtherTries.ONE).tries(ASSIGN, false, 0);
+        RetryDecision unsafe = fleet(RetryPolicy.ONE).tries(ASSIGN, false, 0);
         assertEquals(2000, ((Step.Send) unsafe.begin(0, true)).until());
-        Tries bodyGone = fleet(FurtherTries.ONE).tries(QUOTE, false, 0);
+        RetryDecision bodyGone = fleet(RetryPolicy.ONE).tries(QUOTE, false, 0);
         assertEquals(2000, ((Step.Send) bodyGone.begin(0, false)).until());
     }
 
     @Test
     void aFingerprintedOneRunsAgainOnlyWithItsMarkInItsGroupAndItsWindow() {
         for (int seed = 0; seed < 50; seed++) {
-            Fixture f = fleet(FurtherTries.ONE);
+            Fixture f = fleet(RetryPolicy.ONE);
             f.chance.setSeed(seed);
-            Tries t = f.tries(BOOK, true, 0);
+            RetryDecision t = f.tries(BOOK, true, 0);
             int first = sentTo(t.begin(0, true));
             assertEquals(first % 2, sentTo(t.ended(LOST, 1000, true)) % 2); // zones go by turns
         }
-        Tries unmarked = fleet(FurtherTries.ONE).tries(BOOK, false, 0);
+        RetryDecision unmarked = fleet(RetryPolicy.ONE).tries(BOOK, false, 0);
         unmarked.begin(0, true);
         assertEquals(Reason.ERRORED, reason(unmarked.ended(LOST, 5, true)));
-        Tries late = fleet(FurtherTries.ONE).tries(BOOK, true, 0);
+        RetryDecision late = fleet(RetryPolicy.ONE).tries(BOOK, true, 0);
         late.begin(0, true);
         assertEquals(Reason.ERRORED, reason(late.ended(LOST, 2001, true))); // 2.5 s less a fifth
     }
 
     @Test
     void aFingerprintedOneWhoseGroupHasNoOtherHostGoesNowhere() {
-        Fixture f = new Fixture(2).whole(2, new Order.Level(1, FurtherTries.TWO.ordinal()));
-        Tries t = f.tries(BOOK, true, 0);
+        Fixture f = new Fixture(2).whole(2, new Order.Level(1, RetryPolicy.TWO.ordinal()));
+        RetryDecision t = f.tries(BOOK, true, 0);
         t.begin(0, true);
         assertEquals(Reason.ERRORED, reason(t.ended(LOST, 5, true)));
     }
@@ -138,9 +138,9 @@
     @Test
     void theGroupIsThatOfTheFirstHostThatMayHaveRunIt() {
         for (int seed = 0; seed < 50; seed++) {
-            Fixture f = fleet(FurtherTries.TWO);
+            Fixture f = fleet(RetryPolicy.TWO);
             f.chance.setSeed(seed);
-            Tries t = f.tries(BOOK, true, 0);
+            RetryDecision t = f.tries(BOOK, true, 0);
             t.begin(0, true);
             int second = sentTo(t.ended(REFUSED, 1, true));
             int third = sentTo(t.ended(LOST, 2, true));
@@ -150,25 +150,25 @@
 
     @Test
     void withoutItsBodyItHasOneTry() {
-        Tries t = fleet(FurtherTries.TWO).tries(QUOTE, false, 0);
+        RetryDecision t = fleet(RetryPolicy.TWO).tries(QUOTE, false, 0);
         t.begin(0, true);
         assertEquals(Reason.ERRORED, reason(t.ended(REFUSED, 5, false)));
     }
 
     @Test
     void pastItsTimeoutNothingIsTried() {
-        Tries t = fleet(FurtherTries.TWO).tries(QUOTE, false, 0);
+        RetryDecision t = fleet(RetryPolicy.TWO).tries(QUOTE, false, 0);
         t.begin(0, true);
         assertEquals(Reason.TIMED_OUT, reason(t.ended(LATE, 2000, true)));
     }
 
     @Test
     void whoIsGoneOrAnsweredCausesNoFurtherTry() {
-        Tries gone = fleet(FurtherTries.TWO).tries(QUOTE, false, 0);
+        RetryDecision gone = fleet(RetryPolicy.TWO).tries(QUOTE, false, 0);
         gone.begin(0, true);
         assertTrue(gone.abandoned());
         assertInstanceOf(Step.Nothing.class, gone.ended(REFUSED, 5, true));
-        Tries answered = fleet(FurtherTries.TWO).tries(QUOTE, false, 0);
+        RetryDecision answered = fleet(RetryPolicy.TWO).tries(QUOTE, false, 0);
         answered.begin(0, true);
         assertInstanceOf(Step.PassOn.class, answered.answered(4));
         assertInstanceOf(Step.Nothing.class, answered.ended(LOST, 5, true));
@@ -177,9 +177,9 @@
 
     @Test
     void anEmptyTableAndALevelAreAnsweredAtOnce() {
-        Tries none = new Fixture(2).tries(QUOTE, false, 0);
+        RetryDecision none = new Fixture(2).tries(QUOTE, false, 0);
         assertEquals(Reason.NO_HOST, reason(none.begin(0, true)));
-        Tries limited = new Fixture(2, Measure.PER_SECOND)
+        RetryDecision limited = new Fixture(2, Measure.PER_SECOND)
                 .whole(2, new Order.Level(0.5, 1))
                 .tries(QUOTE, false, 0);
         limited.begin(0, true);
@@ -192,12 +192,12 @@
 
     @Test
     void aStormOfErrorsStaysWithinTheBudget() {
-        Fixture f = fleet(FurtherTries.TWO);
-        f.budget = new TryBudget(0.2, 10, 10_000);
+        Fixture f = fleet(RetryPolicy.TWO);
+        f.budget = new RetryBudget(0.2, 10, 10_000);
         int further = 0, total = 20_000;
         for (int i = 0; i < total; i++) {
             double now = i; // 1,000 a second, all error
-            Tries t = f.tries(QUOTE, false, now);
+            RetryDecision t = f.tries(QUOTE, false, now);
             t.begin(now, true);
             Step next = t.ended(LOST, now, true);
             while (next instanceof Step.Send) {
@@ -211,7 +211,7 @@
 
     @Test
     void aBudgetThatNobodyUsedIsNoCreditForLater() {
-        TryBudget b = new TryBudget(0.1, 2, 10_000);
+        RetryBudget b = new RetryBudget(0.1, 2, 10_000);
         for (int i = 0; i < 1000; i++) {
             b.first(0);
         }
@@ -229,12 +229,12 @@
      */
     @Property(tries = 2000, seed = "1")
     void noEffectTwice(@ForAll @IntRange(max = 1 << 24) int seed) {
-        Fixture f = fleet(FurtherTries.values()[seed % 4]);
+        Fixture f = fleet(RetryPolicy.values()[seed % 4]);
         f.chance.setSeed(seed);
         Attempt[] ends = {REFUSED, LOST, LATE, UNREACHABLE, ERRORED};
-        Terms terms = Fixture.ALL.get(f.chance.nextInt(3));
+        Limits terms = Fixture.ALL.get(f.chance.nextInt(3));
         boolean marked = f.chance.nextBoolean();
-        Tries t = f.tries(terms, marked, 0);
+        RetryDecision t = f.tries(terms, marked, 0);
         double now = 0, ranAt = -1, sentAt = 0;
         int ran = -1;
         BitSet seen = new BitSet();
--- a/src/test/java/linenring/routing/TablesTest.java
+++ b/src/test/java/linenring/routing/TablesTest.java
@@ -14,8 +14,8 @@
 import java.util.TreeSet;
 import linenring.message.HostList;
 import linenring.message.Order;
-import linenring.plan.Orders.FurtherTries;
-import linenring.plan.StartFigures.Measure;
+import linenring.planner.Commands.RetryPolicy;
+import linenring.planner.PlannerSettings.Measure;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
@@ -44,10 +44,10 @@
         Fixture f = new Fixture(2).whole(2, new Order.Level(0, 2));
         f.tables.apply(new Order(List.of(part(List.of("quote"), false, null, line(0, 0.5)))));
         assertTrue(f.tables.wait(0, 0, 0.5) > 0);
-        assertEquals(FurtherTries.ONE, f.tables.tries(0));
+        assertEquals(RetryPolicy.ONE, f.tables.tries(0));
         f.whole(2, null);
         assertEquals(0, f.tables.wait(0, 0, 0.999));
-        assertEquals(FurtherTries.ONE_ON_PROOF, f.tables.tries(0));
+        assertEquals(RetryPolicy.ONE_ON_PROOF, f.tables.tries(0));
     }
 
     @Test
--- a/src/test/java/linenring/scale/catalogue/CatalogueAnswersTest.java
+++ b/src/test/java/linenring/scale/catalogue/CatalogueAnswersTest.java
@@ -8,10 +8,10 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import linenring.figures.Names;
 import linenring.message.Codec;
 import linenring.message.Decoded;
 import linenring.message.HostList;
+import linenring.settings.Names;
 import org.junit.jupiter.api.Test;
 
 class CatalogueAnswersTest {
--- a/src/test/java/linenring/scale/fleet/HollowFleetTest.java
+++ b/src/test/java/linenring/scale/fleet/HollowFleetTest.java
@@ -11,7 +11,7 @@
 import linenring.message.Arrival;
 import linenring.message.HostList;
 import linenring.message.Order;
-import linenring.routing.HostBook;
+import linenring.routing.HostRegistry;
 import org.junit.jupiter.api.Test;
 
 class HollowFleetTest {
@@ -50,7 +50,7 @@
     }
 
     private final Noted noted = new Noted();
-    private final HostBook hosts = new HostBook();
+    private final HostRegistry hosts = new HostRegistry();
 
     private HollowFleet fleet(int proxies, double reportsPerSecond) {
         hosts.listed(new HostList(
--- a/src/test/java/linenring/scale/fleet/LinesTest.java
+++ b/src/test/java/linenring/scale/fleet/LinesTest.java
@@ -7,10 +7,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import linenring.figures.Names;
 import linenring.message.Arrival;
 import linenring.message.Codec;
 import linenring.message.Order;
+import linenring.settings.Names;
 import org.junit.jupiter.api.Test;
 
 /** What hollow processes write is what a steward reads, and the other way round. */
--- a/src/test/java/linenring/steward/ChannelAccountTest.java
+++ b/src/test/java/linenring/steward/ChannelAccountTest.java
@@ -15,8 +15,8 @@
 import linenring.exchange.Stream;
 import linenring.log.Log;
 import linenring.message.Order;
-import linenring.plan.Balance;
-import linenring.plan.StartFigures;
+import linenring.planner.Planner;
+import linenring.planner.PlannerSettings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -77,19 +77,19 @@
     private double now = 1_000_000, freeAt, slower = 1, mostWaiting, mostCounted;
     private int mostWritten, answered;
 
-    private static StartFigures figures(int operations, double limit, double grace) {
+    private static PlannerSettings figures(int operations, double limit, double grace) {
         return figures(operations, limit, grace, CAP);
     }
 
-    private static StartFigures figures(int operations, double limit, double grace, int cap) {
-        return new StartFigures(
+    private static PlannerSettings figures(int operations, double limit, double grace, int cap) {
+        return new PlannerSettings(
                 IntStream.rangeClosed(1, operations)
-                        .mapToObj(value -> new StartFigures.Operation(1000, value, -1, -1, false, 3))
+                        .mapToObj(value -> new PlannerSettings.Operation(1000, value, -1, -1, false, 3))
                         .toList(),
-                new StartFigures.ColdStart(0.2, 18_000),
-                new StartFigures.Channel(1000 * PACE, 4, limit, cap, 10_000, TRANSIT, 3 * TRANSIT, grace),
-                new StartFigures.Slices(0, false, 0, 0),
-                StartFigures.Measure.SHARE,
+                new PlannerSettings.ColdStart(0.2, 18_000),
+                new PlannerSettings.Channel(1000 * PACE, 4, limit, cap, 10_000, TRANSIT, 3 * TRANSIT, grace),
+                new PlannerSettings.Slices(0, false, 0, 0),
+                PlannerSettings.Measure.SHARE,
                 false,
                 0,
                 false,
@@ -139,25 +139,25 @@
     }
 
     private void playJoinsBreaksSilencesDrainsAndSlowness(int seed, int proxies, int hosts, double limit) {
-        StartFigures figures = figures(2, limit, 16_000);
-        Books books =
-                new Books(List.of("quote", "book"), proxies, new Log(new PrintStream(OutputStream.nullOutputStream())));
-        Balance balance = new Balance(figures, books);
+        PlannerSettings figures = figures(2, limit, 16_000);
+        FleetState fleetState = new FleetState(
+                List.of("quote", "book"), proxies, new Log(new PrintStream(OutputStream.nullOutputStream())));
+        Planner planner = new Planner(figures, fleetState);
         Random chance = new Random(seed);
         IntStream.range(0, proxies).forEach(p -> {
             lines.add(null);
             written.add(new ArrayDeque<>());
         });
-        balance.clock(now);
-        balance.listOpens(true);
+        planner.clock(now);
+        planner.beginHostList(true);
         IntStream.range(0, hosts)
-                .forEach(h -> balance.running(books.listed("s-" + h), h % 3, 0, 1, Double.NEGATIVE_INFINITY));
-        balance.listCloses();
+                .forEach(h -> planner.hostReady(fleetState.listed("s-" + h), h % 3, 0, 1, Double.NEGATIVE_INFINITY));
+        planner.endHostList();
         int next = hosts;
         for (int round = 0; round < 900; round++) { // 45 s
             now += 50;
-            balance.clock(now);
-            deliver(books, balance);
+            planner.clock(now);
+            deliver(fleetState, planner);
             slower = round % 300 < 200 ? 1 : 3; // the channel is slowed at times, and nobody tells
             double joins = round < 10 || round % 250 < 10 ? 0.3 : 0.01, ends = round % 200 == 150 ? 0.7 : 0.003;
             for (int p = 0; p < proxies; p++) {
@@ -165,54 +165,55 @@
                 boolean is = line != null && line.open;
                 if (is && chance.nextDouble() < ends) {
                     ends(line);
-                    books.left(p);
-                    balance.lost(p);
+                    fleetState.left(p);
+                    planner.lost(p);
                 } else if (chance.nextDouble() < (is ? 0.0005 : joins)) { // some before their old end is seen
                     lines.set(p, new Line(p));
-                    books.joined(p, lines.get(p), chance.nextInt(3) == 0);
-                    balance.joined(p, p % 3, 1 + p % 5);
+                    fleetState.joined(p, lines.get(p), chance.nextInt(3) == 0);
+                    planner.joined(p, p % 3, 1 + p % 5);
                 } else if (is && chance.nextDouble() < 0.001) {
                     line.mute = !line.mute;
                 }
             }
             if (round % 40 == 20) { // a tenth drains and as many come
-                balance.listOpens(false);
+                planner.beginHostList(false);
                 for (int h = 0; h < hosts / 10; h++) {
-                    balance.stopping(next - hosts + h, (next - hosts + h) % 3, 0, 1);
-                    balance.running(books.listed("s-" + (next + h)), (next + h) % 3, 0, 1, now);
+                    planner.hostDraining(next - hosts + h, (next - hosts + h) % 3, 0, 1);
+                    planner.hostReady(fleetState.listed("s-" + (next + h)), (next + h) % 3, 0, 1, now);
                 }
                 next += hosts / 10;
-                balance.listCloses();
+                planner.endHostList();
             }
-            balance.settle();
-            books.send();
+            planner.reconcile();
+            fleetState.send();
         }
     }
 
     @ParameterizedTest(name = "grace {0} ms")
     @ValueSource(doubles = {2000, 1500})
     void drainsBehindTheOrdinaryLinesOfADeepQueueArriveWithinTheGrace(double grace) {
-        StartFigures figures = figures(1, 14_100, grace);
-        Books books = new Books(List.of("quote"), 160, new Log(new PrintStream(OutputStream.nullOutputStream())));
-        Balance balance = new Balance(figures, books);
-        begin(books, balance, 60, Double.NEGATIVE_INFINITY, 160, true);
+        PlannerSettings figures = figures(1, 14_100, grace);
+        FleetState fleetState =
+                new FleetState(List.of("quote"), 160, new Log(new PrintStream(OutputStream.nullOutputStream())));
+        Planner planner = new Planner(figures, fleetState);
+        begin(fleetState, planner, 60, Double.NEGATIVE_INFINITY, 160, true);
         Map<String, Double> told = new TreeMap<>();
         for (int round = 0; round < 700; round++) { // 35 s
             now += 50;
-            balance.clock(now);
-            deliver(books, balance);
-            balance.listOpens(false);
+            planner.clock(now);
+            deliver(fleetState, planner);
+            planner.beginHostList(false);
             if (round == 400) { // a release: half as many come, and their ramp fills what ordinary lines may
-                IntStream.range(60, 90).forEach(h -> balance.running(books.listed("s-" + h), h % 3, 0, 1, now));
+                IntStream.range(60, 90).forEach(h -> planner.hostReady(fleetState.listed("s-" + h), h % 3, 0, 1, now));
             } else if (round > 400 && round % 20 == 10) {
                 for (int h = round / 20 * 3 - 60; h < round / 20 * 3 - 57; h++) {
-                    balance.stopping(h, h % 3, 0, 1);
+                    planner.hostDraining(h, h % 3, 0, 1);
                     told.put("s-" + h, now);
                 }
             }
-            balance.listCloses();
-            balance.settle();
-            books.send();
+            planner.endHostList();
+            planner.reconcile();
+            fleetState.send();
         }
         told.forEach((host, at) -> assertTrue(
                 shutAt.get(host) - at <= grace + 300,
@@ -225,22 +226,23 @@
     void drainsThatAreToldOfOneByOneKeepTheirGraceUnderTheCapOfMessages() {
         double grace = 2000;
         int cap = 20;
-        Books books = new Books(List.of("quote"), 20, new Log(new PrintStream(OutputStream.nullOutputStream())));
-        Balance balance = new Balance(figures(1, 14_100, grace, cap), books);
-        begin(books, balance, 90, Double.NEGATIVE_INFINITY, 20, true);
+        FleetState fleetState =
+                new FleetState(List.of("quote"), 20, new Log(new PrintStream(OutputStream.nullOutputStream())));
+        Planner planner = new Planner(figures(1, 14_100, grace, cap), fleetState);
+        begin(fleetState, planner, 90, Double.NEGATIVE_INFINITY, 20, true);
         Map<String, Double> told = new TreeMap<>();
         for (int round = 0; round < 700; round++) { // 35 s
             now += 50;
-            balance.clock(now);
-            deliver(books, balance);
-            balance.listOpens(false);
+            planner.clock(now);
+            deliver(fleetState, planner);
+            planner.beginHostList(false);
             if (round > 400 && round % 5 == 0 && told.size() < 50) { // each 250 ms, as the list's changes may come
-                balance.stopping(told.size(), told.size() % 3, 0, 1);
+                planner.hostDraining(told.size(), told.size() % 3, 0, 1);
                 told.put("s-" + told.size(), now);
             }
-            balance.listCloses();
-            balance.settle();
-            books.send();
+            planner.endHostList();
+            planner.reconcile();
+            fleetState.send();
         }
         assertTrue(mostWritten <= cap, mostWritten + " messages to one proxy of " + cap);
         told.forEach((host, at) -> assertTrue(
@@ -257,37 +259,38 @@
     void drainsArriveWithinTheGraceWhereMoreProxiesJoinThanTheTablesWereDealtFor() {
         double grace = 5400;
         int proxies = 56, first = 30, hosts = 200, replaced = 60;
-        Books books = new Books(List.of("quote"), proxies, new Log(new PrintStream(OutputStream.nullOutputStream())));
-        Balance balance = new Balance(figures(1, 5300, grace), books);
-        begin(books, balance, hosts, Double.NEGATIVE_INFINITY, first, true);
+        FleetState fleetState =
+                new FleetState(List.of("quote"), proxies, new Log(new PrintStream(OutputStream.nullOutputStream())));
+        Planner planner = new Planner(figures(1, 5300, grace), fleetState);
+        begin(fleetState, planner, hosts, Double.NEGATIVE_INFINITY, first, true);
         Map<String, Double> told = new TreeMap<>();
         int next = hosts;
         for (int round = 0; round < 700; round++) { // 35 s
             now += 50;
-            balance.clock(now);
-            deliver(books, balance);
+            planner.clock(now);
+            deliver(fleetState, planner);
             if (round == 20) {
-                join(books, balance, proxies, true);
+                join(fleetState, planner, proxies, true);
             }
-            balance.listOpens(false);
+            planner.beginHostList(false);
             if (round == 360 || round == 420) {
                 for (int h = 0; h < replaced; h++, next++) {
-                    balance.running(books.listed("s-" + next), next % 3, 0, 1, now);
+                    planner.hostReady(fleetState.listed("s-" + next), next % 3, 0, 1, now);
                 }
             } else if (round == 400 || round == 460) {
                 for (int h = next - hosts - replaced; h < next - hosts; h++) {
-                    balance.stopping(h, h % 3, 0, 1);
+                    planner.hostDraining(h, h % 3, 0, 1);
                     told.put("s-" + h, now);
                 }
             }
-            balance.listCloses();
+            planner.endHostList();
             if (round >= 380 && round < 460 && round % 5 == 0) { // a tenth of the hosts fails, each time another
                 for (int h = round / 5 % 10; h < next; h += 10) {
-                    balance.tally(h, h % 3, 10, 10, 500, 1000);
+                    planner.hostStatistics(h, h % 3, 10, 10, 500, 1000);
                 }
             }
-            balance.settle();
-            books.send();
+            planner.reconcile();
+            fleetState.send();
         }
         assertTrue(mostWaiting > 3000, "the channel was busy: " + mostWaiting);
         assertEquals(2 * replaced, told.size());
@@ -304,18 +307,19 @@
     void linesToProxiesThatOthersWereInChargeOfAreReckonedWithAllThatTheyBring() {
         int count = 49, hosts = 50;
         double limit = 22.0 * 240; // most of its proxies are with others
-        Books books = new Books(List.of("quote"), count, new Log(new PrintStream(OutputStream.nullOutputStream())));
-        Balance balance = new Balance(figures(1, limit, 16_000), books);
-        begin(books, balance, hosts, now, count, false);
+        FleetState fleetState =
+                new FleetState(List.of("quote"), count, new Log(new PrintStream(OutputStream.nullOutputStream())));
+        Planner planner = new Planner(figures(1, limit, 16_000), fleetState);
+        begin(fleetState, planner, hosts, now, count, false);
         for (int round = 0; round < 400; round++) { // 20 s
             now += 50;
-            balance.clock(now);
-            deliver(books, balance);
+            planner.clock(now);
+            deliver(fleetState, planner);
             if (round == 81) { // while the step of the ramp before it waits still
-                IntStream.range(0, hosts).forEach(h -> balance.tally(h, h % 3, 10, 8, 100, 1000));
+                IntStream.range(0, hosts).forEach(h -> planner.hostStatistics(h, h % 3, 10, 8, 100, 1000));
             }
-            balance.settle();
-            books.send();
+            planner.reconcile();
+            fleetState.send();
         }
         assertTrue(mostWaiting <= limit, mostWaiting + " lines waited of " + limit);
         assertTrue(mostWaiting > 0.7 * limit, "the cut came in one: " + mostWaiting);
@@ -326,58 +330,59 @@
     void anAnswerOfAnAbsurdTimeKeepsLostLinesNoLongerThanTheSlowestChannel() {
         double limit = 700;
         int proxies = 60;
-        Books books = new Books(List.of("quote"), proxies, new Log(new PrintStream(OutputStream.nullOutputStream())));
-        Balance balance = new Balance(figures(1, limit, 16_000), books);
-        begin(books, balance, 60, Double.NEGATIVE_INFINITY, proxies, false);
-        balance.settle();
-        books.send();
+        FleetState fleetState =
+                new FleetState(List.of("quote"), proxies, new Log(new PrintStream(OutputStream.nullOutputStream())));
+        Planner planner = new Planner(figures(1, limit, 16_000), fleetState);
+        begin(fleetState, planner, 60, Double.NEGATIVE_INFINITY, proxies, false);
+        planner.reconcile();
+        fleetState.send();
         int fits = channel.size();
         Sent first = channel.get(0);
-        balance.inForce(first.to().proxy, first.mark(), 1e12);
+        planner.barrierAcknowledged(first.to().proxy, first.mark(), 1e12);
         for (int p = 0; p < proxies; p++) {
             ends(lines.get(p));
-            books.left(p);
-            balance.lost(p);
+            fleetState.left(p);
+            planner.lost(p);
         }
         now += 5 * limit / PACE + 3 * TRANSIT + 200;
-        balance.clock(now);
+        planner.clock(now);
         for (int p = 0; p < proxies; p++) {
-            books.joined(p, new Line(p), false);
-            balance.joined(p, p % 3, 1);
+            fleetState.joined(p, new Line(p), false);
+            planner.joined(p, p % 3, 1);
         }
-        balance.settle();
-        books.send();
+        planner.reconcile();
+        fleetState.send();
         assertTrue(fits < proxies, "the queue is full");
         assertTrue(channel.size() > fits / 3, channel.size() + " get a table, " + fits + " did at first");
     }
 
     /** So many hosts are listed, started then, and so many proxies join; not fresh: from another steward. */
-    private void begin(Books books, Balance balance, int hosts, double started, int proxies, boolean fresh) {
-        balance.clock(now);
-        balance.listOpens(true);
-        IntStream.range(0, hosts).forEach(h -> balance.running(books.listed("s-" + h), h % 3, 0, 1, started));
-        balance.listCloses();
-        join(books, balance, proxies, fresh);
+    private void begin(FleetState fleetState, Planner planner, int hosts, double started, int proxies, boolean fresh) {
+        planner.clock(now);
+        planner.beginHostList(true);
+        IntStream.range(0, hosts).forEach(h -> planner.hostReady(fleetState.listed("s-" + h), h % 3, 0, 1, started));
+        planner.endHostList();
+        join(fleetState, planner, proxies, fresh);
     }
 
     /** More proxies join, until there are so many. */
-    private void join(Books books, Balance balance, int proxies, boolean fresh) {
+    private void join(FleetState fleetState, Planner planner, int proxies, boolean fresh) {
         for (int p = lines.size(); p < proxies; p++) {
             lines.add(new Line(p));
             written.add(new ArrayDeque<>());
-            books.joined(p, lines.get(p), fresh);
-            balance.joined(p, p % 3, 1);
+            fleetState.joined(p, lines.get(p), fresh);
+            planner.joined(p, p % 3, 1);
         }
     }
 
-    private void deliver(Books books, Balance balance) {
+    private void deliver(FleetState fleetState, Planner planner) {
         channel.removeIf(s -> s.leaves() <= now && travelling.add(s));
         List<Sent> there =
                 travelling.stream().filter(s -> s.leaves() + TRANSIT <= now).toList();
         travelling.removeAll(there);
         for (Sent s : there) {
-            if (s.to().open && !s.to().mute && books.isCurrent(s.to().proxy, s.to())) {
-                balance.inForce(s.to().proxy, s.mark(), now - s.at());
+            if (s.to().open && !s.to().mute && fleetState.isCurrent(s.to().proxy, s.to())) {
+                planner.barrierAcknowledged(s.to().proxy, s.mark(), now - s.at());
                 answered++;
             }
         }
--- a/src/test/java/linenring/steward/StewardFixture.java
+++ b/src/test/java/linenring/steward/StewardFixture.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import java.util.stream.IntStream;
 import linenring.exchange.Exchange;
-import linenring.figures.Names;
 import linenring.log.Log;
 import linenring.message.Arrival;
 import linenring.message.HostList;
 import linenring.message.HostList.State;
-import linenring.plan.StartFigures;
+import linenring.planner.PlannerSettings;
+import linenring.settings.Names;
 
 /**
  * A whole steward (decisions, books, exchange) on a clock that the test moves, beside proxies that record what they are sent and
@@ -42,13 +42,13 @@
 
     /** With a channel in which at most so many lines may wait. */
     StewardFixture(HostList known, int proxyCount, double mostWaiting) {
-        StartFigures figures = new StartFigures(
-                List.of(new StartFigures.Operation(1000, 1, -1, -1, false, ZONES.size())),
-                new StartFigures.ColdStart(0.2, 18_000),
-                new StartFigures.Channel(
+        PlannerSettings figures = new PlannerSettings(
+                List.of(new PlannerSettings.Operation(1000, 1, -1, -1, false, ZONES.size())),
+                new PlannerSettings.ColdStart(0.2, 18_000),
+                new PlannerSettings.Channel(
                         PACE_PER_SECOND, 4, mostWaiting, MESSAGES_MOST, 10_000, TRANSIT_MS, 2 * TRANSIT_MS, GRACE_MS),
-                new StartFigures.Slices(0, false, 0, 0),
-                StartFigures.Measure.SHARE,
+                new PlannerSettings.Slices(0, false, 0, 0),
+                PlannerSettings.Measure.SHARE,
                 false,
                 0,
                 false,
--- a/src/test/java/linenring/steward/StewardTest.java
+++ b/src/test/java/linenring/steward/StewardTest.java
@@ -19,14 +19,14 @@
 import java.util.TreeSet;
 import linenring.exchange.Exchange;
 import linenring.exchange.Stream;
-import linenring.figures.Lookup;
-import linenring.figures.StartReader;
 import linenring.log.Log;
 import linenring.message.Arrival;
 import linenring.message.HostList;
 import linenring.message.HostList.State;
 import linenring.message.Order;
-import linenring.wirehost.WireHost;
+import linenring.settings.Lookup;
+import linenring.settings.SettingsReader;
+import linenring.simulation.WireHost;
 import org.junit.jupiter.api.Test;
 
 class StewardTest {
@@ -177,8 +177,8 @@
 
     private Steward start(Log log) {
         return new Steward(
-                StartReader.read(figures),
-                StartReader.names(figures),
+                SettingsReader.read(figures),
+                SettingsReader.names(figures),
                 null,
                 exchange,
                 log,
--- a/src/test/java/linenring/streams/RareMomentsTest.java
+++ b/src/test/java/linenring/streams/RareMomentsTest.java
@@ -23,12 +23,12 @@
 import java.util.stream.IntStream;
 import linenring.exchange.Exchange;
 import linenring.exchange.Stream;
-import linenring.figures.Names;
 import linenring.log.Log;
 import linenring.message.Arrival;
 import linenring.message.Codec;
 import linenring.message.HostList;
-import linenring.plan.StartFigures;
+import linenring.planner.PlannerSettings;
+import linenring.settings.Names;
 import linenring.steward.Steward;
 import org.eclipse.jetty.io.ManagedSelector;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
@@ -106,12 +106,12 @@
     }
 
     private Steward steward(Exchange exchange) {
-        StartFigures figures = new StartFigures(
-                List.of(new StartFigures.Operation(1000, 1, -1, -1, false, 1)),
-                new StartFigures.ColdStart(0.2, 18_000),
-                new StartFigures.Channel(1200, 4, 1800, 30, 10_000, 100, 300, 2000),
-                new StartFigures.Slices(0, false, 0, 0),
-                StartFigures.Measure.SHARE,
+        PlannerSettings figures = new PlannerSettings(
+                List.of(new PlannerSettings.Operation(1000, 1, -1, -1, false, 1)),
+                new PlannerSettings.ColdStart(0.2, 18_000),
+                new PlannerSettings.Channel(1200, 4, 1800, 30, 10_000, 100, 300, 2000),
+                new PlannerSettings.Slices(0, false, 0, 0),
+                PlannerSettings.Measure.SHARE,
                 false,
                 0,
                 false,
