--- a/src/test/java/linenring/discovery/AgentFixture.java
+++ b/src/test/java/linenring/discovery/AgentFixture.java
@@ -37,16 +37,26 @@
         final AgentConnection connection;
 
         Agent(HostWatch watch, String target, boolean once) {
+            this(watch, watch.serving(), target, once);
+        }
+
+        Agent(HostWatch watch, Source source, String target, boolean once) {
             super(new Waits(), 0);
             setGrowOutput(true);
-            connection = new AgentConnection(this, Runnable::run, watch, watch.serving(), target, once);
+            connection = new AgentConnection(this, Runnable::run, watch, source, target, once);
             setConnection(connection);
             connection.onOpen();
         }
 
+        /** Bytes that have arrived, and that the selector has not come to yet. */
+        void addUnread(String bytes) {
+            addInputAndExecute(bytes);
+        }
+
+        /** Only what is added unread is handed to it. */
         @Override
         protected void execute(Runnable task) {
-            task.run();
+            // not run: nobody is told that bytes are there
         }
     }
 
