--- a/src/main/java/linenring/Main.java
+++ b/src/main/java/linenring/Main.java
@@ -1,25 +1,29 @@
 package linenring;
 
 import java.io.IOException;
-import linenring.command.Serve;
-import linenring.command.Subcommands;
-import linenring.simulation.WireHost;
+import linenring.cli.ServeCommand;
+import linenring.cli.Subcommands;
+import linenring.simulator.SimulatorAdapter;
 
-/** Where the program begins. The two that the platform runs are called straight: they load nothing that they don't need. */
+/**
+ * The program's entry point. {@code serve} and {@code wirehost} are called directly, so that they load none of the classes of the
+ * other subcommands.
+ */
 public final class Main {
     private Main() {}
 
+    /** Runs one subcommand and exits with its code. */
     public static void main(String[] args) throws IOException {
-        String alone = args.length == 1 ? args[0] : "";
-        boolean front = String.join(" ", args).contains("--front");
-        // Jetty's words go nowhere in a steward alone, whose start would otherwise wait for a logging library's
+        String onlyArgument = args.length == 1 ? args[0] : "";
+        boolean hasGateway = String.join(" ", args).contains("--front");
+        // without a gateway Jetty's log is discarded, since loading a logging library would delay the start
         System.setProperty(
                 "slf4j.provider",
-                front ? "ch.qos.logback.classic.spi.LogbackServiceProvider" : "org.slf4j.nop.NOPServiceProvider");
-        System.setProperty("slf4j.internal.verbosity", "WARN"); // it would say which one it took
-        switch (alone) {
-            case "wirehost" -> System.exit(WireHost.run(System.in, System.out, System.err));
-            case "serve" -> System.exit(Serve.run(null, false));
+                hasGateway ? "ch.qos.logback.classic.spi.LogbackServiceProvider" : "org.slf4j.nop.NOPServiceProvider");
+        System.setProperty("slf4j.internal.verbosity", "WARN"); // else it reports which provider it chose
+        switch (onlyArgument) {
+            case "wirehost" -> System.exit(SimulatorAdapter.run(System.in, System.out, System.err));
+            case "serve" -> System.exit(ServeCommand.run(null, false));
             default -> System.exit(Subcommands.run(args));
         }
     }
--- a/src/main/java/linenring/command/Durations.java
+++ b/src/main/java/linenring/cli/Durations.java
@@ -1,4 +1,4 @@
-package linenring.command;
+package linenring.cli;
 
 import linenring.kdl.Units;
 import picocli.CommandLine;
--- a/src/main/java/linenring/command/Handover.java
+++ b/src/main/java/linenring/cli/Handover.java
@@ -1,4 +1,4 @@
-package linenring.command;
+package linenring.cli;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -6,24 +6,24 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import linenring.exchange.Exchange;
-import linenring.front.settings.FrontPlan;
+import linenring.event.EventQueue;
+import linenring.gateway.settings.GatewaySettings;
 import linenring.handover.HandoverSender;
 import linenring.handover.HandoverState;
 import linenring.handover.HostSnapshot;
 import linenring.handover.SuccessorProcess;
 import linenring.handover.Upgrades;
 import linenring.handover.wire.Wire;
-import linenring.message.HostList;
+import linenring.protocol.HostList;
 
 /** What an upgrade does to an {@link Instance}, on either side of it. */
 final class Handover implements Upgrades.Served, SuccessorProcess.Serves {
     private final Instance instance;
-    private final FrontPlan.Handover plan;
+    private final GatewaySettings.Handover plan;
     private final HostSnapshot list = new HostSnapshot();
     private Upgrades upgrades;
 
-    Handover(Instance instance, Exchange exchange, HostList known) {
+    Handover(Instance instance, EventQueue exchange, HostList known) {
         this.instance = instance;
         plan = instance.plan.handover();
         if (known != null) {
--- a/src/main/java/linenring/command/Instance.java
+++ b/src/main/java/linenring/cli/Instance.java
@@ -1,21 +1,21 @@
-package linenring.command;
+package linenring.cli;
 
 import java.lang.management.ManagementFactory;
 import java.nio.channels.ServerSocketChannel;
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
-import linenring.configuration.Assignment;
-import linenring.configuration.AssignmentReader;
+import linenring.configuration.ControllerConfiguration;
+import linenring.configuration.ControllerConfigurationReader;
+import linenring.controller.ControlLoop;
 import linenring.discovery.HostWatch;
-import linenring.exchange.Exchange;
-import linenring.front.Front;
-import linenring.front.settings.FrontPlan;
+import linenring.event.EventQueue;
+import linenring.gateway.Http2Gateway;
+import linenring.gateway.settings.GatewaySettings;
 import linenring.log.Log;
-import linenring.message.Codec;
-import linenring.message.HostList;
+import linenring.protocol.Codec;
+import linenring.protocol.HostList;
 import linenring.routing.HostRegistry;
-import linenring.steward.Steward;
-import linenring.streams.StreamServer;
+import linenring.stream.StreamServer;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 
@@ -24,22 +24,22 @@
     private static final int THREADS = 8; // two selectors, their helpers and some to spare
     private static final long TABLES_MS = 2000; // a steward that knows a list orders within some ms of a joining
 
-    final Assignment told;
-    final FrontPlan plan;
+    final ControllerConfiguration told;
+    final GatewaySettings plan;
     final Log log;
     private final ReloadSignals hangUps;
     private HostList known; // null once it is begun with: its memory goes with it
-    private final Exchange exchange = new Exchange();
+    private final EventQueue exchange = new EventQueue();
     private final HostRegistry hosts = new HostRegistry();
     private final QueuedThreadPool threads = new QueuedThreadPool(THREADS, 2);
     private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler("timer", true);
     private final Codec codec;
-    private Steward steward;
+    private ControlLoop steward;
     private StreamServer streams;
-    private volatile Front front;
+    private volatile Http2Gateway front;
     private final Shutdown ending = new Shutdown();
 
-    Instance(Assignment told, FrontPlan plan, ReloadSignals hangUps, Log log) {
+    Instance(ControllerConfiguration told, GatewaySettings plan, ReloadSignals hangUps, Log log) {
         this.told = told.withKnown(null, told.leftOut());
         known = told.known();
         this.plan = plan;
@@ -56,11 +56,11 @@
             String fault = openStreams();
             if (fault != null) {
                 System.err.println("linenring: cannot listen at " + at() + ", though " + fault);
-                return Serve.CANNOT_START;
+                return ServeCommand.CANNOT_START;
             }
         } catch (Exception e) { // Jetty's start() may throw any
             System.err.println("linenring: cannot start: " + e);
-            return Serve.CANNOT_START;
+            return ServeCommand.CANNOT_START;
         }
         Runtime.getRuntime().addShutdownHook(new Thread(() -> log.info("steward", "is told to end")));
         saysServes();
@@ -70,7 +70,7 @@
                                 String fault = openFront(null, false);
                                 if (fault != null) {
                                     System.err.println("linenring: " + fault);
-                                    System.exit(Serve.CANNOT_START);
+                                    System.exit(ServeCommand.CANNOT_START);
                                 }
                                 onTerm(handover); // before the first invocation: till then SIGTERM ends the process,
                                 // and breaks off none
@@ -114,7 +114,7 @@
         if (told.leftOut() != null) {
             log.warn("spoilt", told.leftOut());
         }
-        steward = new Steward(told.figures(), told.names(), known, exchange, log);
+        steward = new ControlLoop(told.figures(), told.names(), known, exchange, log);
         if (plan != null) { // the front has all that the steward decides by, before the steward does
             if (known != null) {
                 hosts.listed(known);
@@ -128,14 +128,14 @@
                 told.discovery(), told.scope(), known, codec, exchange, log, threads, scheduler, this::endsForCapacity);
         watch.open();
         hangUps.then(
-                () -> Serve.reload(told, AssignmentReader.readAgain(System.getenv()), watch, log),
+                () -> ServeCommand.reload(told, ControllerConfigurationReader.readAgain(System.getenv()), watch, log),
                 log); // before the first PONG
     }
 
     /** The list of hosts has no room, and there is none to go on with. */
     private void endsForCapacity(String why) {
         log.error("steward", "ends: " + why);
-        new Thread(() -> System.exit(Serve.EXCEEDS_MEMORY), "capacity-exceeded")
+        new Thread(() -> System.exit(ServeCommand.EXCEEDS_MEMORY), "capacity-exceeded")
                 .start(); // not on the selector, which the end may wait for
     }
 
@@ -159,7 +159,8 @@
 
     /** Null, or why not. */
     String openFront(ServerSocketChannel listener, boolean accepts) {
-        Front.Opened opened = Front.open(plan, told.figures().measure(), hosts, exchange, listener, accepts, log);
+        Http2Gateway.Opened opened =
+                Http2Gateway.open(plan, told.figures().measure(), hosts, exchange, listener, accepts, log);
         front = opened.front();
         return front != null
                 ? null
@@ -175,7 +176,7 @@
         }
     }
 
-    Front front() {
+    Http2Gateway front() {
         return front;
     }
 
--- a/src/main/java/linenring/command/LoadSubcommand.java
+++ b/src/main/java/linenring/cli/LoadCommand.java
@@ -1,11 +1,11 @@
-package linenring.command;
+package linenring.cli;
 
 import java.io.IOException;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.Callable;
 import linenring.kdl.Units;
-import linenring.load.Load;
+import linenring.load.LoadGenerator;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -18,7 +18,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Call an HTTP/2 port on loopback at a steady rate, or so many calls at a time, and tell latencies.")
-final class LoadSubcommand implements Callable<Integer> {
+final class LoadCommand implements Callable<Integer> {
     private static final long ANSWER_WAIT_MS = 5000; // past any integration timeout in use
     private static final String LOOPBACK_PORT = "127[0-9.]+:[0-9]+";
 
@@ -81,17 +81,17 @@
                     "a duration has its unit, such as 10s, and the port is on loopback: 127.0.0.1:PORT");
         }
         try {
-            System.out.print(Load.table(Load.run(plan())));
+            System.out.print(LoadGenerator.table(LoadGenerator.run(plan())));
             return 0;
         } catch (IOException e) {
             System.err.println("linenring: " + address + ": " + e.getMessage());
-            return Serve.CANNOT_START;
+            return ServeCommand.CANNOT_START;
         }
     }
 
-    private Load.Plan plan() {
+    private LoadGenerator.Plan plan() {
         int colon = address.lastIndexOf(':');
-        return new Load.Plan(
+        return new LoadGenerator.Plan(
                 address.substring(0, colon),
                 Integer.parseInt(address.substring(colon + 1)),
                 calls.entrySet().stream()
@@ -106,10 +106,10 @@
                 seed);
     }
 
-    private Load.Call sort(String name, String described) {
+    private LoadGenerator.Call sort(String name, String described) {
         String[] parts = described.split(":");
         String path = parts.length > 1 ? parts[1] : "/";
         double share = parts.length > 2 ? Double.parseDouble(parts[2]) : 1;
-        return new Load.Call(name, parts[0], path, share, marked.contains(name));
+        return new LoadGenerator.Call(name, parts[0], path, share, marked.contains(name));
     }
 }
--- a/src/main/java/linenring/command/ProcessSignals.java
+++ b/src/main/java/linenring/cli/ProcessSignals.java
@@ -1,4 +1,4 @@
-package linenring.command;
+package linenring.cli;
 
 import java.lang.invoke.MethodHandles;
 import java.lang.reflect.Proxy;
--- a/src/main/java/linenring/command/ReloadSignals.java
+++ b/src/main/java/linenring/cli/ReloadSignals.java
@@ -1,4 +1,4 @@
-package linenring.command;
+package linenring.cli;
 
 import linenring.log.Log;
 
--- a/src/main/java/linenring/command/ScaleSubcommand.java
+++ b/src/main/java/linenring/cli/ScaleSubcommand.java
@@ -1,4 +1,4 @@
-package linenring.command;
+package linenring.cli;
 
 import java.nio.file.Path;
 import java.util.OptionalLong;
@@ -73,8 +73,8 @@
                 record != null ? ScaleCommand.again(record) : new ScaleCommand(arguments()).run();
         return switch (ending) {
             case MEASURED -> 0;
-            case SETTINGS_AT_FAULT -> Serve.CONFIGURATION;
-            case RECORD_NOT_WRITTEN -> Serve.CANNOT_START;
+            case SETTINGS_AT_FAULT -> ServeCommand.CONFIGURATION;
+            case RECORD_NOT_WRITTEN -> ServeCommand.CANNOT_START;
         };
     }
 
--- a/src/main/java/linenring/command/Serve.java
+++ b/src/main/java/linenring/cli/ServeCommand.java
@@ -1,24 +1,24 @@
-package linenring.command;
+package linenring.cli;
 
 import java.io.FileDescriptor;
 import java.io.FileOutputStream;
 import java.io.PrintStream;
 import java.nio.file.Path;
 import java.util.List;
-import linenring.configuration.Assignment;
-import linenring.configuration.AssignmentReader;
+import linenring.configuration.ControllerConfiguration;
+import linenring.configuration.ControllerConfigurationReader;
 import linenring.discovery.HostWatch;
-import linenring.front.settings.FrontPlan;
-import linenring.front.settings.FrontPlanReader;
+import linenring.gateway.settings.GatewaySettings;
+import linenring.gateway.settings.GatewaySettingsReader;
 import linenring.log.JsonSink;
 import linenring.log.Log;
 
 /** Serves until it is told to end: a steward, and a front beside it where one is asked for. */
-public final class Serve {
+public final class ServeCommand {
     /** Exit codes, beside 0. */
     static final int CONFIGURATION = 3, CANNOT_START = 4, EXCEEDS_MEMORY = 6;
 
-    private Serve() {}
+    private ServeCommand() {}
 
     /** With the front's settings or null; returns the exit code where it can't serve, or once it is told to end. */
     public static int run(Path frontFile, boolean json) {
@@ -27,7 +27,7 @@
             return prepared.exitCode;
         }
         String old = System.getenv("LINENRING_HANDOVER");
-        FrontPlan plan = prepared.instance.plan;
+        GatewaySettings plan = prepared.instance.plan;
         return plan != null && plan.handover() != null && old != null
                 ? prepared.instance.takeOver(Path.of(old))
                 : prepared.instance.serve();
@@ -40,15 +40,15 @@
         boolean[] ignored = {false};
         ReloadSignals hangUps =
                 ReloadSignals.caught(() -> ignored[0] = true); // before all else: till then one ends the process
-        Assignment.Outcome read = AssignmentReader.read(System.getenv());
-        Assignment told = read.assignment();
+        ControllerConfiguration.Outcome read = ControllerConfigurationReader.read(System.getenv());
+        ControllerConfiguration told = read.assignment();
         if (told == null) {
             System.err.println("linenring: " + read.fault());
             return new Prepared(null, read.exceedsMemory() ? EXCEEDS_MEMORY : CONFIGURATION);
         }
-        FrontPlan plan = null;
+        GatewaySettings plan = null;
         if (frontFile != null) {
-            FrontPlanReader.Outcome front = FrontPlanReader.read(frontFile, told.names());
+            GatewaySettingsReader.Outcome front = GatewaySettingsReader.read(frontFile, told.names());
             if (front.plan() == null) {
                 front.faults().forEach(f -> System.err.println("linenring: " + f));
                 return new Prepared(null, CONFIGURATION);
@@ -64,7 +64,7 @@
     }
 
     /** Goes on with what is new in the configuration, or with the old one where it is at fault. */
-    static void reload(Assignment held, Assignment.Outcome read, HostWatch watch, Log log) {
+    static void reload(ControllerConfiguration held, ControllerConfiguration.Outcome read, HostWatch watch, Log log) {
         if (read.assignment() == null) {
             log.warn("reload", "goes on as before: " + read.fault());
             return;
--- a/src/main/java/linenring/command/Shutdown.java
+++ b/src/main/java/linenring/cli/Shutdown.java
@@ -1,4 +1,4 @@
-package linenring.command;
+package linenring.cli;
 
 /**
  * Whether the process has been told to end. Accepting and the beginning of the end come one after the other, in either order:
--- a/src/main/java/linenring/command/Subcommands.java
+++ b/src/main/java/linenring/cli/Subcommands.java
@@ -1,14 +1,14 @@
-package linenring.command;
+package linenring.cli;
 
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import linenring.configuration.Assignment;
-import linenring.configuration.AssignmentReader;
-import linenring.front.settings.FrontPlanReader;
+import linenring.configuration.ControllerConfiguration;
+import linenring.configuration.ControllerConfigurationReader;
+import linenring.gateway.settings.GatewaySettingsReader;
 import linenring.settings.Names;
-import linenring.simulation.WireHost;
+import linenring.simulator.SimulatorAdapter;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -24,7 +24,7 @@
         mixinStandardHelpOptions = true,
         versionProvider = Subcommands.Version.class,
         synopsisSubcommandLabel = "SUBCOMMAND",
-        subcommands = {NodeSubcommand.class, UpgradeSubcommand.class, LoadSubcommand.class, ScaleSubcommand.class},
+        subcommands = {TestBackendCommand.class, UpgradeCommand.class, LoadCommand.class, ScaleSubcommand.class},
         description = "A central planner that writes the tables of plain proxies.")
 public final class Subcommands implements Callable<Integer> {
     static final int NOT_UPGRADED = 5;
@@ -74,7 +74,7 @@
                             defaultValue = "text",
                             description = "text or json: how lines are written to standard error (text)")
                     Form log) {
-        return Serve.run(front, log == Form.JSON);
+        return ServeCommand.run(front, log == Form.JSON);
     }
 
     /** How the log is written. */
@@ -88,7 +88,7 @@
             mixinStandardHelpOptions = true,
             description = "Decide over the simulator's wire on standard input and output.")
     int wirehost() throws IOException {
-        return WireHost.run(System.in, System.out, System.err);
+        return SimulatorAdapter.run(System.in, System.out, System.err);
     }
 
     @Command(
@@ -102,17 +102,17 @@
     static int check(Path file, Map<String, String> environment) {
         Names names = null;
         if (environment.containsKey("GW_CONFIG")) {
-            Assignment.Outcome told = AssignmentReader.read(environment);
+            ControllerConfiguration.Outcome told = ControllerConfigurationReader.read(environment);
             if (told.assignment() == null) {
                 System.err.println("linenring: " + told.fault());
-                return told.exceedsMemory() ? Serve.EXCEEDS_MEMORY : Serve.CONFIGURATION;
+                return told.exceedsMemory() ? ServeCommand.EXCEEDS_MEMORY : ServeCommand.CONFIGURATION;
             }
             names = told.assignment().names();
         }
-        FrontPlanReader.Outcome read = FrontPlanReader.read(file, names);
+        GatewaySettingsReader.Outcome read = GatewaySettingsReader.read(file, names);
         read.faults().forEach(System.err::println);
         if (read.plan() == null) {
-            return Serve.CONFIGURATION;
+            return ServeCommand.CONFIGURATION;
         }
         System.out.println(file + ": no fault found"
                 + (names == null ? "; the steward's names were not checked, as" + " GW_CONFIG is not set" : ""));
--- a/src/main/java/linenring/command/NodeSubcommand.java
+++ b/src/main/java/linenring/cli/TestBackendCommand.java
@@ -1,4 +1,4 @@
-package linenring.command;
+package linenring.cli;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
-import linenring.standin.Node;
+import linenring.testserver.TestBackend;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -19,7 +19,7 @@
         name = "node",
         mixinStandardHelpOptions = true,
         description = "Be a stand-in for a host, to try a front by hand: HTTP/2 with prior knowledge on loopback.")
-final class NodeSubcommand implements Callable<Integer> {
+final class TestBackendCommand implements Callable<Integer> {
     private static final int STREAMS_PER_NODE = 1000;
 
     @Spec
@@ -38,7 +38,7 @@
             paramLabel = "DEED",
             defaultValue = "ANSWER",
             description = "what it does with each invocation: ${COMPLETION-CANDIDATES} (${DEFAULT-VALUE})")
-    private Node.Deed fault;
+    private TestBackend.Deed fault;
 
     @Option(
             names = "--path",
@@ -64,31 +64,32 @@
     @Override
     public Integer call() throws InterruptedException {
         Durations.check(spec, "--after", after, "150ms");
-        List<Node> nodes = new ArrayList<>();
+        List<TestBackend> nodes = new ArrayList<>();
         for (int port : ports) {
             try {
                 nodes.add(open(port));
             } catch (IOException e) {
                 System.err.println("linenring: cannot listen at 127.0.0.1:" + port + ": " + e.getMessage());
-                return Serve.CANNOT_START;
+                return ServeCommand.CANNOT_START;
             }
         }
-        Map<Node, Integer> arrivedBefore = new HashMap<>();
+        Map<TestBackend, Integer> arrivedBefore = new HashMap<>();
         while (true) { // until it is ended
             TimeUnit.SECONDS.sleep(1);
             nodes.forEach(node -> report(node, arrivedBefore));
         }
     }
 
-    private Node open(int port) throws IOException {
-        Node node = new Node(port).streams(STREAMS_PER_NODE);
+    private TestBackend open(int port) throws IOException {
+        TestBackend node = new TestBackend(port).streams(STREAMS_PER_NODE);
         node.always(
-                path, Node.Told.of(fault).after(Durations.milliseconds(after)).bytes(bytes));
+                path,
+                TestBackend.Told.of(fault).after(Durations.milliseconds(after)).bytes(bytes));
         System.out.println("node at 127.0.0.1:" + port + ": " + fault.name().toLowerCase(Locale.ROOT));
         return node;
     }
 
-    private static void report(Node node, Map<Node, Integer> arrivedBefore) {
+    private static void report(TestBackend node, Map<TestBackend, Integer> arrivedBefore) {
         int arrived = node.arrived();
         Integer before = arrivedBefore.put(node, arrived);
         if (arrived > (before == null ? 0 : before)) {
--- a/src/main/java/linenring/command/UpgradeSubcommand.java
+++ b/src/main/java/linenring/cli/UpgradeCommand.java
@@ -1,4 +1,4 @@
-package linenring.command;
+package linenring.cli;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -17,7 +17,7 @@
         mixinStandardHelpOptions = true,
         description = "Have the process that serves hand over to"
                 + " a new one; ends with 0 once that one serves, with 5 if the old one goes on.")
-final class UpgradeSubcommand implements Callable<Integer> {
+final class UpgradeCommand implements Callable<Integer> {
     @Spec
     private CommandLine.Model.CommandSpec spec;
 
@@ -39,7 +39,7 @@
             outcome = Upgrades.ask(directory, Durations.milliseconds(wait));
         } catch (IOException e) {
             System.err.println("linenring: nobody can be upgraded at " + directory + ": " + e.getMessage());
-            return Serve.CANNOT_START;
+            return ServeCommand.CANNOT_START;
         }
         if (outcome == null) {
             System.out.println("nothing was heard of it; the log of the old process tells");
--- a/src/main/java/linenring/configuration/ConfigurationText.java
+++ b/src/main/java/linenring/configuration/ConfigurationText.java
@@ -7,11 +7,11 @@
 import java.io.InputStream;
 import java.util.ArrayList;
 import java.util.List;
-import linenring.message.Codec;
-import linenring.message.Decoded;
-import linenring.message.HostList;
-import linenring.message.HostListFilter;
-import linenring.message.ServiceScope;
+import linenring.protocol.Codec;
+import linenring.protocol.DecodeResult;
+import linenring.protocol.HostList;
+import linenring.protocol.HostListFilter;
+import linenring.protocol.ServiceScope;
 
 /**
  * The configuration's text, read as a stream. The list of hosts in it may be far longer than all the rest, and stand before
@@ -32,12 +32,12 @@
         this.source = source;
     }
 
-    /** Reads all but the list of hosts; throws {@link BadKey} where the text is no configuration. */
+    /** Reads all but the list of hosts; throws {@link InvalidSettingException} where the text is no configuration. */
     static ConfigurationText read(Source source) throws IOException {
         ConfigurationText text = new ConfigurationText(source);
         try (JsonParser in = json().createParser(source.fromStart())) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
-                throw new BadKey("GW_CONFIG", ": the file holds no JSON object");
+                throw new InvalidSettingException("GW_CONFIG", ": the file holds no JSON object");
             }
             while (in.nextToken() != JsonToken.END_OBJECT) {
                 String name = in.currentName();
@@ -73,15 +73,15 @@
             return ServiceScope.ALL; // as if it were not there
         }
         if (in.currentToken() != JsonToken.START_ARRAY) {
-            throw new BadKey("scope", "is not a list of service names");
+            throw new InvalidSettingException("scope", "is not a list of service names");
         }
         List<String> services = new ArrayList<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
             if (in.currentToken() != JsonToken.VALUE_STRING) {
-                throw new BadKey("scope", ": item " + (services.size() + 1) + " is not text");
+                throw new InvalidSettingException("scope", ": item " + (services.size() + 1) + " is not text");
             }
             if (in.getText().isBlank()) {
-                throw new BadKey("scope", ": item " + (services.size() + 1) + " is empty");
+                throw new InvalidSettingException("scope", ": item " + (services.size() + 1) + " is empty");
             }
             services.add(in.getText());
         }
@@ -93,11 +93,11 @@
     }
 
     /** The list of hosts that the text names, as far as the filter keeps it; null where it names none. */
-    Decoded<HostList> known(Codec codec, HostListFilter filter) throws IOException {
+    DecodeResult<HostList> known(Codec codec, HostListFilter filter) throws IOException {
         if (!hasKnown) {
             return null;
         }
-        Decoded<HostList> known = null;
+        DecodeResult<HostList> known = null;
         try (JsonParser in = codec.hostListParser(source.fromStart())) {
             in.nextToken();
             while (in.nextToken() != JsonToken.END_OBJECT) {
--- a/src/main/java/linenring/configuration/Assignment.java
+++ b/src/main/java/linenring/configuration/ControllerConfiguration.java
@@ -3,16 +3,16 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import linenring.message.HostList;
-import linenring.message.ServiceScope;
 import linenring.planner.PlannerSettings;
+import linenring.protocol.HostList;
+import linenring.protocol.ServiceScope;
 import linenring.settings.Names;
 
 /**
  * What one steward is told at its start. {@code scope}: whose hosts it serves; {@code known}: the list as it last had it, or null; {@code leftOut}:
  * what of that list can't be used, with its key, or null.
  */
-public record Assignment(
+public record ControllerConfiguration(
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
@@ -23,12 +23,12 @@
         HostList known,
         String leftOut) {
     /** The same with this list and what of it can't be used, or null. */
-    public Assignment withKnown(HostList list, String unusable) {
-        return new Assignment(name, listen, discovery, sockets, figures, names, scope, list, unusable);
+    public ControllerConfiguration withKnown(HostList list, String unusable) {
+        return new ControllerConfiguration(name, listen, discovery, sockets, figures, names, scope, list, unusable);
     }
 
     /** The keys under which the other tells something that can't change while the steward runs. */
-    public List<String> fixedKeysThatDiffer(Assignment other) {
+    public List<String> fixedKeysThatDiffer(ControllerConfiguration other) {
         List<String> keys = new ArrayList<>();
         differs(keys, "name", name, other.name);
         differs(keys, "listen", listen, other.listen);
@@ -47,7 +47,7 @@
      * Reading came to this: an assignment, or the key at fault and what is wrong with it; {@code exceedsMemory}: nothing but
      * that the list of hosts has no room in the heap.
      */
-    public record Outcome(Assignment assignment, String fault, boolean exceedsMemory) {
+    public record Outcome(ControllerConfiguration assignment, String fault, boolean exceedsMemory) {
         static Outcome fault(String key, String what) {
             return new Outcome(null, key + " " + what, false);
         }
--- a/src/main/java/linenring/configuration/AssignmentReader.java
+++ b/src/main/java/linenring/configuration/ControllerConfigurationReader.java
@@ -10,13 +10,13 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import linenring.configuration.Assignment.Outcome;
-import linenring.message.Codec;
-import linenring.message.Decoded;
-import linenring.message.HostCapacity;
-import linenring.message.HostList;
-import linenring.message.HostListFilter;
-import linenring.message.Unreadable;
+import linenring.configuration.ControllerConfiguration.Outcome;
+import linenring.protocol.Codec;
+import linenring.protocol.DecodeError;
+import linenring.protocol.DecodeResult;
+import linenring.protocol.HostCapacity;
+import linenring.protocol.HostList;
+import linenring.protocol.HostListFilter;
 import linenring.settings.Names;
 import linenring.settings.SettingsReader;
 
@@ -25,11 +25,11 @@
  * has all of it; {@code GW_NAME} and {@code GW_LISTEN} go before what the file says. {@code GW_DISCOVERY} only counts
  * where the file names none: the environment stays as it was at the start, and the file is replaced while we run.
  */
-public final class AssignmentReader {
+public final class ControllerConfigurationReader {
     private static final int SOCKETS = 1024; // where no limit is told: the usual limit of a process
     private static final int SOCKETS_LEAST = 48; // the process itself needs about 20
 
-    private AssignmentReader() {}
+    private ControllerConfigurationReader() {}
 
     public static Outcome read(Map<String, String> environment) {
         return read(environment, true);
@@ -75,9 +75,9 @@
             Map<String, String> environment, ConfigurationText.Source source, boolean withKnown, int hostsMost) {
         try {
             ConfigurationText text = ConfigurationText.read(source);
-            Assignment assignment = check(environment, text);
+            ControllerConfiguration assignment = check(environment, text);
             return withKnown ? withKnown(assignment, text, hostsMost) : new Outcome(assignment, null, false);
-        } catch (BadKey e) {
+        } catch (InvalidSettingException e) {
             return new Outcome(null, e.getMessage(), false);
         } catch (JsonProcessingException e) {
             return Outcome.fault("GW_CONFIG:", "the file is not JSON");
@@ -87,15 +87,16 @@
     }
 
     /** Discovery tells the list all the same: what is wrong with this one stops no start, unless it can't be borne. */
-    private static Outcome withKnown(Assignment assignment, ConfigurationText text, int hostsMost) throws IOException {
+    private static Outcome withKnown(ControllerConfiguration assignment, ConfigurationText text, int hostsMost)
+            throws IOException {
         HostListFilter filter = new HostListFilter(assignment.scope(), id -> false, hostsMost);
-        Decoded<HostList> known = text.known(new Codec(assignment.names()), filter);
+        DecodeResult<HostList> known = text.known(new Codec(assignment.names()), filter);
         if (known == null) {
             return new Outcome(assignment, null, false);
         }
         HostList list = known.value();
         if (list == null) {
-            return known.fault().reached() == Unreadable.Reached.SIZE
+            return known.fault().reached() == DecodeError.Reached.SIZE
                     ? new Outcome(null, "known lists " + known.fault().what(), true)
                     : new Outcome(
                             assignment.withKnown(null, "known: " + known.fault().what() + "; begins without it"),
@@ -110,21 +111,21 @@
         return new Outcome(assignment.withKnown(list, leftOut), null, false);
     }
 
-    private static Assignment check(Map<String, String> environment, ConfigurationText text) {
+    private static ControllerConfiguration check(Map<String, String> environment, ConfigurationText text) {
         FlatJson all = text.all, settings = text.settings;
         preferred(environment, "GW_NAME", all, "name");
         String listen = preferred(environment, "GW_LISTEN", all, "listen");
         String discovery =
                 all.find("discovery") != null ? "discovery" : preferred(environment, "GW_DISCOVERY", all, "discovery");
         if (settings.values.isEmpty()) {
-            throw new BadKey("settings", "is missing");
+            throw new InvalidSettingException("settings", "is missing");
         }
         Names names = SettingsReader.names(settings);
         int sockets = all.index("limits.sockets", SOCKETS);
         if (sockets < SOCKETS_LEAST) {
-            throw new BadKey("limits.sockets", ": " + sockets + " is under " + SOCKETS_LEAST);
+            throw new InvalidSettingException("limits.sockets", ": " + sockets + " is under " + SOCKETS_LEAST);
         }
-        return new Assignment(
+        return new ControllerConfiguration(
                 all.find("name"),
                 address(listen, all.find("listen")),
                 address(discovery, all.find("discovery")),
@@ -158,6 +159,6 @@
         } catch (NumberFormatException | java.net.UnknownHostException e) {
             // told below, as for what is no address
         }
-        throw new BadKey(key, ": '" + value + "' is no ADDRESS:PORT");
+        throw new InvalidSettingException(key, ": '" + value + "' is no ADDRESS:PORT");
     }
 }
--- a/src/main/java/linenring/configuration/FlatJson.java
+++ b/src/main/java/linenring/configuration/FlatJson.java
@@ -23,7 +23,7 @@
 
     @Override
     protected RuntimeException bad(String path, String what) {
-        return new BadKey(within + path, what);
+        return new InvalidSettingException(within + path, what);
     }
 
     void object(JsonParser in, String path) throws IOException {
--- a/src/main/java/linenring/steward/Steward.java
+++ b/src/main/java/linenring/controller/ControlLoop.java
@@ -1,22 +1,22 @@
-package linenring.steward;
+package linenring.controller;
 
 import java.util.List;
 import java.util.concurrent.locks.LockSupport;
-import linenring.exchange.Exchange;
-import linenring.exchange.Stream;
+import linenring.event.EventQueue;
+import linenring.event.ProxyStream;
 import linenring.log.Log;
-import linenring.message.Arrival;
-import linenring.message.HostList;
 import linenring.planner.Planner;
 import linenring.planner.PlannerSettings;
+import linenring.protocol.HostList;
+import linenring.protocol.InboundMessage;
 import linenring.settings.Names;
 
 /** The one thread that owns the decisions: takes all that has come, calls them, settles once, sends. */
-public final class Steward implements Exchange.Taker {
+public final class ControlLoop implements EventQueue.EventHandler {
     /** After a fault it decides again so late at most, though nothing arrives. */
     private static final double LONGEST_WAIT_MS = 1000;
 
-    private final Exchange exchange;
+    private final EventQueue exchange;
     private final Log log;
     private final double quantum;
     private final Clock clock;
@@ -24,11 +24,11 @@
     private final Planner planner;
     private boolean settled; // the last round had no fault; after one the planner may have asked for no call
 
-    public Steward(PlannerSettings figures, Names names, HostList known, Exchange exchange, Log log) {
+    public ControlLoop(PlannerSettings figures, Names names, HostList known, EventQueue exchange, Log log) {
         this(figures, names, known, exchange, log, new Clock());
     }
 
-    Steward(PlannerSettings figures, Names names, HostList known, Exchange exchange, Log log, Clock clock) {
+    ControlLoop(PlannerSettings figures, Names names, HostList known, EventQueue exchange, Log log, Clock clock) {
         this.exchange = exchange;
         this.log = log;
         this.clock = clock;
@@ -109,29 +109,29 @@
     }
 
     @Override
-    public void arrived(Stream from, Arrival what) {
+    public void arrived(ProxyStream from, InboundMessage what) {
         boolean taken = decide(() -> {
-            if (what instanceof Arrival.Joining j) {
+            if (what instanceof InboundMessage.Subscribe j) {
                 joined(from, j);
-            } else if (what instanceof Arrival.Applied a) {
+            } else if (what instanceof InboundMessage.Acknowledgement a) {
                 if (fleetState.isCurrent(a.proxy(), from)) { // an old stream's answer tells nothing of the new one
                     planner.barrierAcknowledged(a.proxy(), a.mark(), a.tookMs());
                 }
-            } else if (what instanceof Arrival.HostSums s) {
+            } else if (what instanceof InboundMessage.LoadReport s) {
                 int host = fleetState.hostIds.find(s.host());
                 if (host >= 0) {
                     planner.hostStatistics(host, s.zone(), s.total(), s.bad(), s.meanMs(), s.spanMs());
                 }
-            } else if (what instanceof Arrival.Usage u) {
+            } else if (what instanceof InboundMessage.RequestRateReport u) {
                 planner.requestRate(u.proxy(), u.operation(), u.spanMs(), u.total());
             }
         });
-        if (!taken && what instanceof Arrival.Joining) {
+        if (!taken && what instanceof InboundMessage.Subscribe) {
             decide(() -> from.close("can't be taken in")); // it dials again, here or elsewhere, and is not kept waiting
         }
     }
 
-    private void joined(Stream from, Arrival.Joining j) {
+    private void joined(ProxyStream from, InboundMessage.Subscribe j) {
         if (fleetState.hasNewer(j.proxy(), from)) { // both were read in one turn, in either order
             log.info("proxy", j.proxy() + " joins on an older stream than it has");
             from.close("has been replaced before it was read");
@@ -143,7 +143,7 @@
     }
 
     @Override
-    public void ended(Stream which) {
+    public void ended(ProxyStream which) {
         decide(() -> {
             int proxy = fleetState.proxyOf(which);
             if (proxy >= 0) { // else it has a newer stream, and this end is late
--- a/src/main/java/linenring/steward/FleetState.java
+++ b/src/main/java/linenring/controller/FleetState.java
@@ -1,4 +1,4 @@
-package linenring.steward;
+package linenring.controller;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -8,10 +8,10 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.TreeMap;
-import linenring.exchange.Stream;
+import linenring.event.ProxyStream;
 import linenring.log.Log;
-import linenring.message.Order;
 import linenring.planner.Commands;
+import linenring.protocol.ConfigurationUpdate;
 
 /**
  * Remembers what is laid, bound, withdrawn and levelled, and whom it concerns; sends one message to each proxy
@@ -22,18 +22,18 @@
     final HostIds hostIds = new HostIds();
     final TreeMap<Integer, Table> tables = new TreeMap<>();
     final BitSet out = new BitSet(), outChanged = new BitSet(); // withdrawn hosts; those that changed
-    final Order.Level[] everywhere; // levels for all proxies, by operation
+    final ConfigurationUpdate.Level[] everywhere; // levels for all proxies, by operation
     private final Log log;
     private final List<Proxy> proxies = new ArrayList<>();
     private final Messages messages = new Messages(this);
     private final PriorityQueue<Double> alarms = new PriorityQueue<>();
     private final Set<Proxy> concerned = new LinkedHashSet<>(); // in the order in which they came to be
-    private int mark = Order.NO_MARK;
+    private int mark = ConfigurationUpdate.NO_MARK;
 
     FleetState(List<String> operations, int proxies, Log log) {
         this.operations = operations;
         this.log = log;
-        everywhere = new Order.Level[operations.size()];
+        everywhere = new ConfigurationUpdate.Level[operations.size()];
         for (int id = 0; id < proxies; id++) {
             this.proxies.add(new Proxy(id, operations.size()));
         }
@@ -48,18 +48,18 @@
         hostIds.release(host);
     }
 
-    boolean isCurrent(int proxy, Stream stream) {
+    boolean isCurrent(int proxy, ProxyStream stream) {
         return proxies.get(proxy).stream == stream;
     }
 
     /** Whether the proxy has a stream that was opened after this one. */
-    boolean hasNewer(int proxy, Stream stream) {
-        Stream has = proxies.get(proxy).stream;
+    boolean hasNewer(int proxy, ProxyStream stream) {
+        ProxyStream has = proxies.get(proxy).stream;
         return has != null && has.number() > stream.number();
     }
 
     /** The proxy that speaks on this stream, or -1: it is none's, or that of a proxy that has a newer one. */
-    int proxyOf(Stream stream) {
+    int proxyOf(ProxyStream stream) {
         return proxies.stream()
                 .filter(p -> stream != null && p.stream == stream)
                 .mapToInt(p -> p.id)
@@ -67,8 +67,8 @@
                 .orElse(-1);
     }
 
-    void joined(int proxy, Stream stream, boolean fresh) {
-        Stream old = proxies.get(proxy).stream;
+    void joined(int proxy, ProxyStream stream, boolean fresh) {
+        ProxyStream old = proxies.get(proxy).stream;
         left(proxy);
         proxies.get(proxy).joins(stream, fresh, old == stream);
         if (old != null && old != stream) {
@@ -76,7 +76,7 @@
         }
     }
 
-    private void close(Stream stream, String why) {
+    private void close(ProxyStream stream, String why) {
         try {
             stream.close(why);
         } catch (RuntimeException e) {
@@ -115,7 +115,7 @@
     }
 
     @Override
-    public void line(int table, int host, double weight) {
+    public void setWeight(int table, int host, double weight) {
         Table t = table(table);
         if (weight > 0) {
             t.lines.put(host, weight);
@@ -127,7 +127,7 @@
     }
 
     @Override
-    public void wipe(int table) {
+    public void clearTable(int table) {
         Table t = table(table);
         t.lines.clear();
         Arrays.fill(t.levels, null);
@@ -136,7 +136,7 @@
     }
 
     @Override
-    public void withdraw(int host, boolean shut) {
+    public void setEjected(int host, boolean shut) {
         out.set(host, shut);
         outChanged.set(host);
         for (Proxy p : proxies) { // a standing table may hold any host
@@ -149,7 +149,7 @@
     }
 
     @Override
-    public void bind(int table, int mask, int proxy) {
+    public void bindProxy(int table, int mask, int proxy) {
         Proxy p = proxies.get(proxy);
         if (p.stream == null) {
             return; // it has left
@@ -164,7 +164,7 @@
     }
 
     @Override
-    public int bindBrings(int table, int proxy) {
+    public int extraEntriesOfBind(int table, int proxy) {
         Proxy p = proxies.get(proxy);
         return (int) table(table).lines.keySet().stream()
                 .filter(h -> !out.get(h) && p.mustBeLetBack(h))
@@ -172,13 +172,13 @@
     }
 
     @Override
-    public int lineBrings(int host, int proxy) {
+    public int extraEntriesOfWeight(int host, int proxy) {
         return proxies.get(proxy).holds(host) == (out.get(host) ? Proxy.SHUT : Proxy.OPEN) ? 0 : 1;
     }
 
     @Override
-    public void level(int table, int mask, double letIn, RetryPolicy tries) {
-        Order.Level level = new Order.Level(letIn, tries.ordinal());
+    public void setAdmission(int table, int mask, double admissionRatio, RetryPolicy tries) {
+        ConfigurationUpdate.Level level = new ConfigurationUpdate.Level(admissionRatio, tries.ordinal());
         for (int k = 0; k < operations.size(); k++) {
             if (!meant(mask, k)) {
                 continue;
@@ -200,7 +200,7 @@
     }
 
     @Override
-    public void barrier(int number, boolean everyProxy) {
+    public void requestAcknowledgement(int number, boolean everyProxy) {
         mark = number;
         if (everyProxy) {
             proxies.stream().filter(p -> p.stream != null).forEach(concerned::add);
@@ -208,7 +208,7 @@
     }
 
     @Override
-    public double lines(int proxy, double reckoned) {
+    public double entriesInMessage(int proxy, double reckoned) {
         Proxy p = proxies.get(proxy);
         if (!concerned.contains(p)) {
             return reckoned;
@@ -218,27 +218,27 @@
     }
 
     @Override
-    public void probe(int host) {
+    public void probeHost(int host) {
         log.warn("decision", "asks for a probe, and there is no way to probe here");
     }
 
     @Override
-    public void timer(double at, long handle) {
+    public void requestCall(double at, long handle) {
         alarms.add(at);
     }
 
     @Override
-    public void askList() {
+    public void requestHostList() {
         // discovery is watched all the time
     }
 
     @Override
-    public void followList() {
+    public void watchHostList() {
         // discovery is watched all the time
     }
 
     @Override
-    public void note(String text) {
+    public void logDecision(String text) {
         log.info("decision", text);
     }
 
@@ -255,7 +255,7 @@
                         && proxies.stream().noneMatch(p -> p.uses(e.getKey())));
         outChanged.clear();
         concerned.clear();
-        mark = Order.NO_MARK;
+        mark = ConfigurationUpdate.NO_MARK;
     }
 
     /** What a fault keeps from one proxy keeps nothing from the others; it is let go, joins anew and gets its table whole. */
--- a/src/main/java/linenring/steward/HostIds.java
+++ b/src/main/java/linenring/controller/HostIds.java
@@ -1,4 +1,4 @@
-package linenring.steward;
+package linenring.controller;
 
 import java.util.ArrayList;
 import java.util.BitSet;
--- a/src/main/java/linenring/steward/Messages.java
+++ b/src/main/java/linenring/controller/Messages.java
@@ -1,4 +1,4 @@
-package linenring.steward;
+package linenring.controller;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.IntStream;
-import linenring.message.Order;
+import linenring.protocol.ConfigurationUpdate;
 
 /** Makes one message for a proxy of what the books say has changed for it, and marks what it then knows. */
 final class Messages {
@@ -21,8 +21,8 @@
     }
 
     /** All that was ordered since the last send and concerns this proxy, as one message. */
-    Order to(Proxy p, int mark) {
-        List<Order.Part> parts = new ArrayList<>();
+    ConfigurationUpdate to(Proxy p, int mark) {
+        List<ConfigurationUpdate.Part> parts = new ArrayList<>();
         BitSet told = new BitSet();
         BitSet open = new BitSet();
         open.set(0, fleetState.operations.size());
@@ -49,17 +49,19 @@
         fleetState.outChanged.stream()
                 .filter(h -> !fleetState.out.get(h) || holdsLine(p, h))
                 .forEach(told::set);
-        List<String> shutOut = say(p, told.stream().filter(fleetState.out::get).toArray(), Proxy.SHUT);
-        List<String> letBack =
+        List<String> ejected = say(p, told.stream().filter(fleetState.out::get).toArray(), Proxy.SHUT);
+        List<String> restored =
                 say(p, told.stream().filter(h -> !fleetState.out.get(h)).toArray(), Proxy.OPEN);
         if (spare < 0) {
-            spare = parts.isEmpty() || !shutOut.isEmpty() ? 0 : 1; // one is no burden, but to drains
+            spare = parts.isEmpty() || !ejected.isEmpty() ? 0 : 1; // one is no burden, but to drains
         }
-        letBack.addAll(say(p, foreign(p).limit(spare).toArray(), Proxy.OPEN));
+        restored.addAll(say(p, foreign(p).limit(spare).toArray(), Proxy.OPEN));
         // hosts and the mark go into the last part
-        Order.Part e = parts.isEmpty() ? part(List.of(), false, List.of(), null) : parts.remove(parts.size() - 1);
-        parts.add(new Order.Part(e.operations(), e.whole(), e.lines(), e.level(), shutOut, letBack, mark));
-        return new Order(parts);
+        ConfigurationUpdate.Part e =
+                parts.isEmpty() ? part(List.of(), false, List.of(), null) : parts.remove(parts.size() - 1);
+        parts.add(
+                new ConfigurationUpdate.Part(e.operations(), e.whole(), e.lines(), e.level(), ejected, restored, mark));
+        return new ConfigurationUpdate(parts);
     }
 
     /** The hosts in the proxy's tables that others may have shut out there. */
@@ -91,31 +93,36 @@
                         || fleetState.table(b).changed.contains(host));
     }
 
-    private static Order.Part part(List<String> operations, boolean whole, List<Order.Line> lines, Order.Level level) {
-        return new Order.Part(operations, whole, lines, level, List.of(), List.of(), Order.NO_MARK);
+    private static ConfigurationUpdate.Part part(
+            List<String> operations,
+            boolean whole,
+            List<ConfigurationUpdate.Line> lines,
+            ConfigurationUpdate.Level level) {
+        return new ConfigurationUpdate.Part(
+                operations, whole, lines, level, List.of(), List.of(), ConfigurationUpdate.NO_MARK);
     }
 
     /** Adds the parts that tell of one table; tells how many levels they have. */
-    private int tableParts(List<Order.Part> parts, Table t, boolean whole, BitSet alike) {
-        List<Order.Line> lines = new ArrayList<>();
+    private int tableParts(List<ConfigurationUpdate.Part> parts, Table t, boolean whole, BitSet alike) {
+        List<ConfigurationUpdate.Line> lines = new ArrayList<>();
         for (int h : t == null ? Set.<Integer>of() : whole ? t.lines.keySet() : t.changed) {
-            lines.add(new Order.Line(fleetState.hostIds.name(h), t.lines.getOrDefault(h, 0.0)));
+            lines.add(new ConfigurationUpdate.Line(fleetState.hostIds.name(h), t.lines.getOrDefault(h, 0.0)));
         }
-        Map<Order.Level, BitSet> levels = new LinkedHashMap<>(); // operations by their level
+        Map<ConfigurationUpdate.Level, BitSet> levels = new LinkedHashMap<>(); // operations by their level
         alike.stream().filter(k -> whole || t == null || t.levelled.get(k)).forEach(k -> {
-            Order.Level level = lower(t == null ? null : t.levels[k], fleetState.everywhere[k]);
+            ConfigurationUpdate.Level level = lower(t == null ? null : t.levels[k], fleetState.everywhere[k]);
             if (level != null) {
                 levels.computeIfAbsent(level, l -> new BitSet()).set(k);
             }
         });
-        Order.Level forAll =
+        ConfigurationUpdate.Level forAll =
                 levels.size() == 1 && levels.values().iterator().next().equals(alike)
                         ? levels.keySet().iterator().next()
                         : null;
         for (int from = 0;
                 from == 0 ? whole || !lines.isEmpty() || forAll != null : from < lines.size();
                 from += LINES_MOST) {
-            List<Order.Line> some = lines.subList(from, Math.min(lines.size(), from + LINES_MOST));
+            List<ConfigurationUpdate.Line> some = lines.subList(from, Math.min(lines.size(), from + LINES_MOST));
             parts.add(part(names(alike), whole && from == 0, some, from == 0 ? forAll : null));
         }
         if (forAll == null) {
@@ -125,10 +132,12 @@
     }
 
     /** Beside the table's own level the lower one counts, and the table's way to try again. */
-    private static Order.Level lower(Order.Level own, Order.Level everywhere) {
+    private static ConfigurationUpdate.Level lower(
+            ConfigurationUpdate.Level own, ConfigurationUpdate.Level everywhere) {
         return own == null || everywhere == null
                 ? own == null ? everywhere : own
-                : new Order.Level(Math.min(own.letIn(), everywhere.letIn()), own.tries());
+                : new ConfigurationUpdate.Level(
+                        Math.min(own.admissionRatio(), everywhere.admissionRatio()), own.tries());
     }
 
     private List<String> names(BitSet mask) {
--- a/src/main/java/linenring/steward/Proxy.java
+++ b/src/main/java/linenring/controller/Proxy.java
@@ -1,9 +1,9 @@
-package linenring.steward;
+package linenring.controller;
 
 import java.util.Arrays;
 import java.util.BitSet;
-import linenring.exchange.Stream;
-import linenring.message.Order;
+import linenring.event.ProxyStream;
+import linenring.protocol.ConfigurationUpdate;
 
 /** One proxy: its stream, its tables, and what it was told to shut out. */
 final class Proxy {
@@ -17,8 +17,8 @@
     final int id;
     final int[] bound; // table by operation, or -1 for its standing table
     final BitSet rebound = new BitSet(); // operations that were bound since the last send
-    Stream stream; // null while it has none
-    Order next; // its message, once that is made
+    ProxyStream stream; // null while it has none
+    ConfigurationUpdate next; // its message, once that is made
     private final BitSet everShut = new BitSet(); // hosts that it was ever told to shut out from here
     private boolean foreign; // others may have shut hosts out there
     private boolean forgot; // hosts were forgotten that it may shut out still
@@ -30,7 +30,7 @@
         Arrays.fill(bound, -1);
     }
 
-    void joins(Stream on, boolean fresh, boolean sameStream) {
+    void joins(ProxyStream on, boolean fresh, boolean sameStream) {
         stream = on;
         foreign = forgot || !fresh && (foreign || !sameStream); // it may have been elsewhere meanwhile
         holds = new byte[0];
--- a/src/main/java/linenring/discovery/AgentConnection.java
+++ b/src/main/java/linenring/discovery/AgentConnection.java
@@ -5,10 +5,10 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeoutException;
 import linenring.discovery.Ended.Reached;
-import linenring.message.Decoded;
-import linenring.message.HostList;
-import linenring.message.HostListStream;
-import linenring.message.Unreadable;
+import linenring.protocol.DecodeError;
+import linenring.protocol.DecodeResult;
+import linenring.protocol.HostList;
+import linenring.protocol.HostListStream;
 import org.eclipse.jetty.http.HttpException;
 import org.eclipse.jetty.http.HttpField;
 import org.eclipse.jetty.http.HttpFields;
@@ -254,8 +254,8 @@
         return b == ' ' || b == '\r' || b == '\t' || once && b == '\n';
     }
 
-    private String unreadable(Unreadable fault) {
-        return fault.reached() == Unreadable.Reached.SIZE
+    private String unreadable(DecodeError fault) {
+        return fault.reached() == DecodeError.Reached.SIZE
                 ? watch.tooLarge(source, fault.what())
                 : "can't be read, " + fault;
     }
@@ -267,7 +267,7 @@
             reached = Reached.TOLD; // that nothing has changed
             return;
         }
-        Decoded<HostList> read = list.end();
+        DecodeResult<HostList> read = list.end();
         letListGo();
         if (read.value() == null) {
             broken = unreadable(read.fault());
--- a/src/main/java/linenring/discovery/HeldHosts.java
+++ b/src/main/java/linenring/discovery/HeldHosts.java
@@ -2,8 +2,8 @@
 
 import java.util.HashSet;
 import java.util.Set;
-import linenring.message.HostList;
-import linenring.message.ServiceScope;
+import linenring.protocol.HostList;
+import linenring.protocol.ServiceScope;
 
 /**
  * Which hosts the list that is held names, and the scope it was read under. Ids are kept under a scope alone, where a change
--- a/src/main/java/linenring/discovery/HostWatch.java
+++ b/src/main/java/linenring/discovery/HostWatch.java
@@ -9,14 +9,14 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import linenring.exchange.Exchange;
+import linenring.event.EventQueue;
 import linenring.log.Log;
-import linenring.message.Codec;
-import linenring.message.HostCapacity;
-import linenring.message.HostList;
-import linenring.message.HostListFilter;
-import linenring.message.HostListStream;
-import linenring.message.ServiceScope;
+import linenring.protocol.Codec;
+import linenring.protocol.HostCapacity;
+import linenring.protocol.HostList;
+import linenring.protocol.HostListFilter;
+import linenring.protocol.HostListStream;
+import linenring.protocol.ServiceScope;
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.io.ManagedSelector;
@@ -39,7 +39,7 @@
 
     final Log log;
     private final Codec codec;
-    private final Exchange exchange;
+    private final EventQueue exchange;
     private final Scheduler clock;
     private final LongSupplier nanos;
     private final Versions versions;
@@ -53,7 +53,7 @@
             ServiceScope scope,
             HostList known,
             Codec codec,
-            Exchange exchange,
+            EventQueue exchange,
             Log log,
             Executor executor,
             Scheduler scheduler,
@@ -77,7 +77,7 @@
             ServiceScope scope,
             HostList known,
             Codec codec,
-            Exchange exchange,
+            EventQueue exchange,
             Log log,
             Executor executor,
             Scheduler scheduler,
--- a/src/main/java/linenring/discovery/Source.java
+++ b/src/main/java/linenring/discovery/Source.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 import java.nio.channels.SocketChannel;
-import linenring.message.ServiceScope;
+import linenring.protocol.ServiceScope;
 
 /**
  * One address of discovery's agent, read under one scope: attempts are made there, one after the other, until it is left.
--- a/src/main/java/linenring/discovery/Versions.java
+++ b/src/main/java/linenring/discovery/Versions.java
@@ -1,7 +1,7 @@
 package linenring.discovery;
 
-import linenring.message.HostList;
-import linenring.message.ServiceScope;
+import linenring.protocol.HostList;
+import linenring.protocol.ServiceScope;
 
 /**
  * Which of the lists that discovery tells count, by their versions. Those of one source only grow, so what is older than
--- a/src/main/java/linenring/exchange/Exchange.java
+++ b/src/main/java/linenring/event/EventQueue.java
@@ -1,4 +1,4 @@
-package linenring.exchange;
+package linenring.event;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -8,25 +8,25 @@
 import java.util.concurrent.locks.Condition;
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.Consumer;
-import linenring.message.Arrival;
-import linenring.message.HostList;
+import linenring.protocol.HostList;
+import linenring.protocol.InboundMessage;
 
 /**
  * Where streams and discovery meet the steward: they leave what has come, in order, and never wait; the
  * steward's one thread takes all that is there.
  */
-public class Exchange {
+public class EventQueue {
     /** What the steward does with each thing that was left. */
-    public interface Taker {
-        void arrived(Stream from, Arrival what);
+    public interface EventHandler {
+        void arrived(ProxyStream from, InboundMessage what);
 
-        void ended(Stream which);
+        void ended(ProxyStream which);
 
         void listed(HostList list);
     }
 
     private interface Left {
-        void to(Taker taker);
+        void to(EventHandler taker);
     }
 
     /** What was left, and as the how manieth. */
@@ -52,12 +52,12 @@
         return streams.incrementAndGet();
     }
 
-    public void arrived(Stream from, Arrival what) {
-        boolean isSum = what instanceof Arrival.HostSums || what instanceof Arrival.Usage;
+    public void arrived(ProxyStream from, InboundMessage what) {
+        boolean isSum = what instanceof InboundMessage.LoadReport || what instanceof InboundMessage.RequestRateReport;
         leave(taker -> taker.arrived(from, what), isSum ? sums : others);
     }
 
-    public void ended(Stream which) {
+    public void ended(ProxyStream which) {
         leave(taker -> taker.ended(which), others);
     }
 
@@ -103,7 +103,7 @@
     }
 
     /** Hands over all that is there, in order; tells how many sums were dropped since the last time. */
-    public long drain(Taker taker) {
+    public long drain(EventHandler taker) {
         List<Left> all = new ArrayList<>();
         long lost;
         lock.lock();
--- a/src/main/java/linenring/front/BufferBudget.java
+++ b/src/main/java/linenring/gateway/BufferBudget.java
@@ -1,4 +1,4 @@
-package linenring.front;
+package linenring.gateway;
 
 /** Bytes that may be held together; who asks for more than is left gets none. */
 final class BufferBudget {
--- a/src/main/java/linenring/front/ConnectionAcceptor.java
+++ b/src/main/java/linenring/gateway/ConnectionAcceptor.java
@@ -1,4 +1,4 @@
-package linenring.front;
+package linenring.gateway;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/linenring/front/Drain.java
+++ b/src/main/java/linenring/gateway/Drain.java
@@ -1,4 +1,4 @@
-package linenring.front;
+package linenring.gateway;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/linenring/front/Front.java
+++ b/src/main/java/linenring/gateway/Http2Gateway.java
@@ -1,4 +1,4 @@
-package linenring.front;
+package linenring.gateway;
 
 import java.nio.channels.ServerSocketChannel;
 import java.util.List;
@@ -11,8 +11,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Supplier;
-import linenring.exchange.Exchange;
-import linenring.front.settings.FrontPlan;
+import linenring.event.EventQueue;
+import linenring.gateway.settings.GatewaySettings;
 import linenring.log.Log;
 import linenring.planner.PlannerSettings.Measure;
 import linenring.routing.Attempt;
@@ -45,10 +45,10 @@
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 import org.eclipse.jetty.util.thread.Scheduler;
 
-/** The HTTP/2 port: clients' sessions on one side, hosts' on the other, and one {@link Invocation} for each stream. */
-public final class Front {
+/** The HTTP/2 port: clients' sessions on one side, hosts' on the other, and one {@link ProxiedRequest} for each stream. */
+public final class Http2Gateway {
     /** How far opening came; the front is null where it failed. */
-    public record Opened(Front front, Reached reached, String fault) {
+    public record Opened(Http2Gateway front, Reached reached, String fault) {
         /** The steps of opening. */
         public enum Reached {
             STARTED,
@@ -60,7 +60,7 @@
     private static final long SWEEP_MS = 250;
     private static final long DRAIN_STEP_MS = 20;
 
-    private final FrontPlan plan;
+    private final GatewaySettings plan;
     private final Log log;
     private final Routes routes;
     private final HostRegistry hosts;
@@ -69,8 +69,8 @@
     private final RetryDecision.Terrain terrain;
     private final BufferBudget keptBodies, buffers;
     private final Drain<Session> drain;
-    private final Map<Integer, HostLink> links = new ConcurrentHashMap<>();
-    private final Set<Invocation> running = ConcurrentHashMap.newKeySet();
+    private final Map<Integer, UpstreamConnections> links = new ConcurrentHashMap<>();
+    private final Set<ProxiedRequest> running = ConcurrentHashMap.newKeySet();
     private final Map<Session, Object> sessions = new ConcurrentHashMap<>();
     private final AtomicInteger runningCount = new AtomicInteger();
     private final ThreadLocal<SplittableRandom> chance;
@@ -84,7 +84,7 @@
     private ServerConnector connector;
     private Membership membership;
 
-    private Front(FrontPlan plan, Measure measure, HostRegistry hosts, long seed, Log log) {
+    private Http2Gateway(GatewaySettings plan, Measure measure, HostRegistry hosts, long seed, Log log) {
         this.plan = plan;
         this.hosts = hosts;
         this.log = log;
@@ -119,16 +119,16 @@
     }
 
     /** Listens and joins the steward; {@code hosts} follows the list from its beginning. */
-    public static Opened open(FrontPlan plan, Measure measure, HostRegistry hosts, Exchange exchange, Log log) {
+    public static Opened open(GatewaySettings plan, Measure measure, HostRegistry hosts, EventQueue exchange, Log log) {
         return open(plan, measure, hosts, exchange, null, true, log);
     }
 
     /** The same at a listener that is there already, or null; accepts from the start or once it is told to. */
     public static Opened open(
-            FrontPlan plan,
+            GatewaySettings plan,
             Measure measure,
             HostRegistry hosts,
-            Exchange exchange,
+            EventQueue exchange,
             ServerSocketChannel listener,
             boolean accepts,
             Log log) {
@@ -137,15 +137,15 @@
 
     /** The same with a client of the caller's making towards the hosts, so that a test can order what Jetty does. */
     static Opened open(
-            FrontPlan plan,
+            GatewaySettings plan,
             Measure measure,
             HostRegistry hosts,
-            Exchange exchange,
+            EventQueue exchange,
             ServerSocketChannel listener,
             boolean accepts,
             Log log,
             Supplier<HTTP2Client> clientFactory) {
-        Front front = new Front(plan, measure, hosts, System.nanoTime(), log);
+        Http2Gateway front = new Http2Gateway(plan, measure, hosts, System.nanoTime(), log);
         Opened.Reached reached = Opened.Reached.STARTED;
         try {
             front.start(exchange, listener, accepts, clientFactory);
@@ -162,7 +162,7 @@
     }
 
     private void start(
-            Exchange exchange, ServerSocketChannel listener, boolean accepts, Supplier<HTTP2Client> clientFactory)
+            EventQueue exchange, ServerSocketChannel listener, boolean accepts, Supplier<HTTP2Client> clientFactory)
             throws Exception {
         threads = new QueuedThreadPool(THREADS_MOST, 4);
         threads.setName("front");
@@ -170,7 +170,7 @@
         scheduler = new ScheduledExecutorScheduler("front-timer", true);
         scheduler.start();
         server = new Server(threads, scheduler, null);
-        FrontPlan.Clients clients = plan.clients();
+        GatewaySettings.Clients clients = plan.clients();
         HttpConfiguration http = new HttpConfiguration();
         http.setRequestHeaderSize(clients.headers());
         RawHTTP2ServerConnectionFactory http2 = new RawHTTP2ServerConnectionFactory(http, new Clients());
@@ -230,9 +230,10 @@
         return scheduler.schedule(what, (long) Math.ceil(inMs), TimeUnit.MILLISECONDS);
     }
 
-    HostLink link(int host) {
+    UpstreamConnections link(int host) {
         return links.computeIfAbsent(
-                host, h -> new HostLink(client, hosts.host(h), plan.pool(), plan.dialMs(), scheduler, this::now));
+                host,
+                h -> new UpstreamConnections(client, hosts.host(h), plan.pool(), plan.dialMs(), scheduler, this::now));
     }
 
     void ended(int host, boolean well, double ms) {
@@ -284,7 +285,7 @@
         log.error("fault", e + (trace.length > 0 ? " at " + trace[0] : ""));
     }
 
-    void ended(Invocation invocation, Stream stream, long reserved) {
+    void ended(ProxiedRequest invocation, Stream stream, long reserved) {
         if (running.remove(invocation)) {
             runningCount.decrementAndGet();
             buffers.giveBack(reserved);
@@ -368,7 +369,7 @@
         boolean marked = plan.markHeader() != null && head.getHttpFields().contains(plan.markHeader());
         RetryDecision tries =
                 new RetryDecision(terrain, operation, plan.operations().get(operation), marked, now());
-        Invocation invocation = new Invocation(
+        ProxiedRequest invocation = new ProxiedRequest(
                 this,
                 stream,
                 frame,
@@ -420,7 +421,7 @@
         try {
             long now = System.nanoTime(), longest = (long) (plan.clients().stallMs() * 1e6);
             running.forEach(i -> i.endIfStalled(now, longest));
-            links.values().forEach(HostLink::sweep);
+            links.values().forEach(UpstreamConnections::sweep);
         } finally {
             scheduler.schedule(this::sweep, SWEEP_MS, TimeUnit.MILLISECONDS);
         }
--- a/src/main/java/linenring/front/Membership.java
+++ b/src/main/java/linenring/gateway/Membership.java
@@ -1,14 +1,14 @@
-package linenring.front;
+package linenring.gateway;
 
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleSupplier;
-import linenring.exchange.Exchange;
-import linenring.exchange.Stream;
-import linenring.front.settings.FrontPlan;
+import linenring.event.EventQueue;
+import linenring.event.ProxyStream;
+import linenring.gateway.settings.GatewaySettings;
 import linenring.log.Log;
-import linenring.message.Arrival;
-import linenring.message.Order;
+import linenring.protocol.ConfigurationUpdate;
+import linenring.protocol.InboundMessage;
 import linenring.routing.RollingStatistics;
 import linenring.routing.Tables;
 import org.eclipse.jetty.util.thread.Scheduler;
@@ -22,7 +22,7 @@
     private static final long REJOIN_MS = 200; // as proxies dial again within 0.1 to 2 s
 
     /** One stream to the steward; orders on one that was left change nothing. */
-    private final class Joined implements Stream {
+    private final class Joined implements ProxyStream {
         private final long number = exchange.nextStream();
 
         @Override
@@ -31,7 +31,7 @@
         }
 
         @Override
-        public void write(Order order) {
+        public void write(ConfigurationUpdate order) {
             orders.offer(() -> apply(this, order));
             executor.execute(orders::run);
         }
@@ -63,8 +63,8 @@
         }
     }
 
-    private final FrontPlan plan;
-    private final Exchange exchange;
+    private final GatewaySettings plan;
+    private final EventQueue exchange;
     private final Tables tables;
     private final RollingStatistics sums;
     private final DoubleSupplier clock;
@@ -77,8 +77,8 @@
     private volatile boolean leaving;
 
     Membership(
-            FrontPlan plan,
-            Exchange exchange,
+            GatewaySettings plan,
+            EventQueue exchange,
             Tables tables,
             RollingStatistics sums,
             DoubleSupplier clock,
@@ -103,7 +103,7 @@
         }
         Joined now = new Joined();
         joined = now;
-        exchange.arrived(now, new Arrival.Joining(plan.proxy(), plan.zone(), plan.usual(), tables.isFresh()));
+        exchange.arrived(now, new InboundMessage.Subscribe(plan.proxy(), plan.zone(), plan.usual(), tables.isFresh()));
     }
 
     /** Starts to report every so often. */
@@ -123,7 +123,7 @@
         }
     }
 
-    private void apply(Joined on, Order order) {
+    private void apply(Joined on, ConfigurationUpdate order) {
         if (on != joined) {
             return;
         }
@@ -136,7 +136,8 @@
         }
         changed.run();
         double took = clock.getAsDouble() - from;
-        done.marks().forEach(mark -> exchange.arrived(on, new Arrival.Applied(plan.proxy(), mark, took)));
+        done.marks()
+                .forEach(mark -> exchange.arrived(on, new InboundMessage.Acknowledgement(plan.proxy(), mark, took)));
     }
 
     private void broke(Joined was, String why) {
--- a/src/main/java/linenring/front/Invocation.java
+++ b/src/main/java/linenring/gateway/ProxiedRequest.java
@@ -1,4 +1,4 @@
-package linenring.front;
+package linenring.gateway;
 
 import java.nio.ByteBuffer;
 import linenring.routing.Attempt;
@@ -20,10 +20,10 @@
  * One invocation, from the client's stream to its end: does what its {@link RetryDecision} decide. All that happens to it is
  * handled one after the other ({@link #then}); no lock is held while Jetty is called, since Jetty calls back for others.
  */
-final class Invocation implements Stream.Listener {
+final class ProxiedRequest implements Stream.Listener {
     private static final double UNTOLD_MS = 10; // a host's reset is told within the same call
 
-    private final Front front;
+    private final Http2Gateway front;
     private final Stream client;
     private final HeadersFrame request;
     private final int operation;
@@ -39,8 +39,8 @@
     private volatile long writingSince; // 0, or since when the client has not taken what it was sent
     private volatile long waitingSince; // 0, or since when the host has sent nothing more of its answer
 
-    Invocation(
-            Front front,
+    ProxiedRequest(
+            Http2Gateway front,
             Stream client,
             HeadersFrame request,
             int operation,
@@ -192,12 +192,12 @@
     // ---- one attempt
 
     /** One attempt at one host. */
-    private final class Try implements Stream.Listener, HostLink.Wants, Promise<Stream> {
+    private final class Try implements Stream.Listener, UpstreamConnections.Wants, Promise<Stream> {
         private final int host;
-        private final HostLink link;
+        private final UpstreamConnections link;
         private final double by, until, sentAt = front.now();
         private final Scheduler.Task timer;
-        private HostLink.Connection on; // null until a stream was granted
+        private UpstreamConnections.Connection on; // null until a stream was granted
         private Stream stream; // null until the request's head was sent
         private boolean ended; // told to the tries, or nobody's business any more
         private boolean headSent, writing, demanded;
@@ -226,7 +226,7 @@
         }
 
         @Override
-        public void granted(HostLink.Connection connection) {
+        public void granted(UpstreamConnections.Connection connection) {
             then(() -> {
                 on = connection;
                 if (ended) {
@@ -459,7 +459,7 @@
             if (!over && !requestRead) { // the host needs no more of the request, nor do we
                 client.reset(new ResetFrame(client.getId(), ErrorCode.NO_ERROR.code), Callback.NOOP);
             }
-            Invocation.this.end();
+            ProxiedRequest.this.end();
         }
 
         // -- how it ends without one
--- a/src/main/java/linenring/front/Responses.java
+++ b/src/main/java/linenring/gateway/Responses.java
@@ -1,4 +1,4 @@
-package linenring.front;
+package linenring.gateway;
 
 import linenring.routing.RetryDecision;
 import org.eclipse.jetty.http.HttpFields;
--- a/src/main/java/linenring/front/RetainedBody.java
+++ b/src/main/java/linenring/gateway/RetainedBody.java
@@ -1,4 +1,4 @@
-package linenring.front;
+package linenring.gateway;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
--- a/src/main/java/linenring/front/Routes.java
+++ b/src/main/java/linenring/gateway/Routes.java
@@ -1,10 +1,10 @@
-package linenring.front;
+package linenring.gateway;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import linenring.front.settings.FrontPlan;
+import linenring.gateway.settings.GatewaySettings;
 
 /** Method and path to operation: the longest prefix counts, by whole segments; a query is no part of the path. */
 final class Routes {
@@ -12,7 +12,7 @@
 
     private final Map<String, TreeMap<String, Integer>> byMethod = new HashMap<>();
 
-    Routes(List<FrontPlan.Route> routes) {
+    Routes(List<GatewaySettings.Route> routes) {
         routes.forEach(
                 r -> byMethod.computeIfAbsent(r.method(), m -> new TreeMap<>()).put(r.prefix(), r.operation()));
     }
--- a/src/main/java/linenring/front/HostLink.java
+++ b/src/main/java/linenring/gateway/UpstreamConnections.java
@@ -1,4 +1,4 @@
-package linenring.front;
+package linenring.gateway;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -19,7 +19,7 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /** The connections to one host: does what its {@link Pool} decides. */
-final class HostLink {
+final class UpstreamConnections {
     /** Who wants a stream; called once, by any thread. */
     interface Wants {
         void granted(Connection on);
@@ -56,7 +56,7 @@
         private boolean closeIfFailed() {
             Session open = session;
             boolean given;
-            synchronized (HostLink.this) {
+            synchronized (UpstreamConnections.this) {
                 given = failed;
             }
             if (given && open != null) {
@@ -74,7 +74,7 @@
         }
 
         private void dialFailed() {
-            synchronized (HostLink.this) {
+            synchronized (UpstreamConnections.this) {
                 if (settled) {
                     return;
                 }
@@ -93,7 +93,7 @@
             Map<Integer, Integer> told = frame.getSettings();
             int streams = Math.min(streamsMost, told.getOrDefault(SettingsFrame.MAX_CONCURRENT_STREAMS, streamsMost));
             boolean first;
-            synchronized (HostLink.this) {
+            synchronized (UpstreamConnections.this) {
                 first = !settled;
                 settled = true;
             }
@@ -151,7 +151,7 @@
     private final DoubleSupplier clock;
     private final Pool<Connection, Wants> pool;
 
-    HostLink(
+    UpstreamConnections(
             HTTP2Client client,
             HostRegistry.Host host,
             Pool.Bounds bounds,
--- a/src/main/java/linenring/front/settings/FrontPlan.java
+++ b/src/main/java/linenring/gateway/settings/GatewaySettings.java
@@ -1,4 +1,4 @@
-package linenring.front.settings;
+package linenring.gateway.settings;
 
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -13,7 +13,7 @@
  * @param markHeader the header that carries a fingerprinted invocation's mark, or null
  * @param operations in the order of the steward's operations
  */
-public record FrontPlan(
+public record GatewaySettings(
         InetSocketAddress listen,
         int proxy,
         int zone,
--- a/src/main/java/linenring/front/settings/FrontPlanReader.java
+++ b/src/main/java/linenring/gateway/settings/GatewaySettingsReader.java
@@ -1,4 +1,4 @@
-package linenring.front.settings;
+package linenring.gateway.settings;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
@@ -25,9 +25,9 @@
  * Reads a front's settings: KDL, then the schema, then what a schema can't say. Each fault is one line that names the
  * file, the line, the key and what was expected.
  */
-public final class FrontPlanReader {
+public final class GatewaySettingsReader {
     /** A plan, or the faults; without {@code names} what depends on the steward's configuration is not checked. */
-    public record Outcome(FrontPlan plan, List<String> faults) {}
+    public record Outcome(GatewaySettings plan, List<String> faults) {}
 
     private static final Set<String> LISTS = Set.of("operation", "route");
     // Beside each default, how it was chosen:
@@ -58,7 +58,7 @@
     private final Names names;
     private final SettingsDocument document;
 
-    private FrontPlanReader(Names names, SettingsDocument document) {
+    private GatewaySettingsReader(Names names, SettingsDocument document) {
         this.names = names;
         this.document = document;
     }
@@ -73,12 +73,12 @@
 
     static Outcome read(String file, String text, Names names) {
         SettingsDocument document =
-                new SettingsSchema(FrontPlanReader.class, "front.schema.json", LISTS).read(file, text);
+                new SettingsSchema(GatewaySettingsReader.class, "front.schema.json", LISTS).read(file, text);
         if (!document.isSound()) {
             return new Outcome(null, document.faults());
         }
-        FrontPlan plan =
-                new FrontPlanReader(names, document).plan(document.root().get("front"));
+        GatewaySettings plan =
+                new GatewaySettingsReader(names, document).plan(document.root().get("front"));
         return new Outcome(document.isSound() ? plan : null, document.faults());
     }
 
@@ -88,7 +88,7 @@
 
     // ---- what a schema can't say
 
-    private FrontPlan plan(JsonNode in) {
+    private GatewaySettings plan(JsonNode in) {
         List<Limits> terms = new ArrayList<>();
         Map<String, Integer> numbers = new HashMap<>();
         for (int k = 0; k < in.get("operation").size(); k++) {
@@ -103,7 +103,7 @@
                 }
             }
         }
-        List<FrontPlan.Route> routes = new ArrayList<>();
+        List<GatewaySettings.Route> routes = new ArrayList<>();
         for (int k = 0; k < in.get("route").size(); k++) {
             routes.add(route(in.get("route").get(k), "/front/route/" + k, ordered, routes));
         }
@@ -122,7 +122,7 @@
                     "front.proxy.id: " + proxy.get("id") + " is not under the steward's " + names.proxies()
                             + " proxies");
         }
-        FrontPlan plan = new FrontPlan(
+        GatewaySettings plan = new GatewaySettings(
                 address(in.get("listen").asText()),
                 proxy.get("id").asInt(),
                 zone,
@@ -130,12 +130,12 @@
                 in.path("mark-header").asText(null),
                 ordered,
                 routes,
-                new FrontPlan.Further(
+                new GatewaySettings.Further(
                         Units.share(tries.path("budget").asText(BUDGET)),
                         Units.millis(tries.path("over").asText(BUDGET_OVER)),
                         tries.path("least").asInt(BUDGET_LEAST),
                         tries.path("objectives").asDouble(OBJECTIVES)),
-                new FrontPlan.Avoid(
+                new GatewaySettings.Avoid(
                         avoid.path("after").asInt(AVOID_AFTER),
                         Units.millis(avoid.path("for").asText(AVOID_FOR))),
                 new Pool.Bounds(
@@ -146,7 +146,7 @@
                         REDIAL_LEAST_MS,
                         REDIAL_MOST_MS),
                 Units.millis(hosts.path("dial").asText(DIAL)),
-                new FrontPlan.Clients(
+                new GatewaySettings.Clients(
                         clients.path("connections").asInt(CLIENTS),
                         clients.path("streams").asInt(STREAMS),
                         clients.path("running").asInt(RUNNING),
@@ -154,7 +154,7 @@
                         Units.millis(clients.path("idle").asText(CLIENT_IDLE)),
                         Units.millis(clients.path("stall").asText(STALL)),
                         clients.path("frames-per-second").asInt(FRAMES)),
-                new FrontPlan.Body(
+                new GatewaySettings.Body(
                         size(body, "kept", KEPT, 64 << 20),
                         Units.bytes(body.path("kept-in-all").asText(KEPT_IN_ALL)),
                         size(body, "window", WINDOW, 16 << 20),
@@ -171,8 +171,8 @@
         return plan;
     }
 
-    private static FrontPlan.Handover handover(JsonNode in) {
-        return new FrontPlan.Handover(
+    private static GatewaySettings.Handover handover(JsonNode in) {
+        return new GatewaySettings.Handover(
                 Path.of(in.get("dir").asText()),
                 in.has("command")
                         ? List.of("/bin/sh", "-c", "exec " + in.get("command").asText())
@@ -224,7 +224,8 @@
                 timeout);
     }
 
-    private FrontPlan.Route route(JsonNode in, String at, List<Limits> operations, List<FrontPlan.Route> before) {
+    private GatewaySettings.Route route(
+            JsonNode in, String at, List<Limits> operations, List<GatewaySettings.Route> before) {
         String method = in.get("arguments").get(0).asText(),
                 prefix = in.get("arguments").get(1).asText();
         String key = "route \"" + method + "\" \"" + prefix + "\"";
@@ -243,7 +244,7 @@
                 .anyMatch(r -> r.method().equals(method) && r.prefix().equals(prefix))) {
             fault(at, key + " is told a second time");
         }
-        return new FrontPlan.Route(method, prefix, number);
+        return new GatewaySettings.Route(method, prefix, number);
     }
 
     private InetSocketAddress address(String text) {
--- a/src/main/java/linenring/handover/HostSnapshot.java
+++ b/src/main/java/linenring/handover/HostSnapshot.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.TreeMap;
 import linenring.handover.wire.Wire;
-import linenring.message.HostList;
-import linenring.message.ServiceScope;
-import linenring.message.SpoiltEntries;
+import linenring.protocol.HostList;
+import linenring.protocol.ServiceScope;
+import linenring.protocol.SpoiltEntries;
 
 /** The list of hosts as it was told, changes and all: what the new process begins with. */
 public final class HostSnapshot {
--- a/src/main/java/linenring/handover/SuccessorProcess.java
+++ b/src/main/java/linenring/handover/SuccessorProcess.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import linenring.handover.wire.Wire;
 import linenring.log.Log;
-import linenring.message.HostList;
+import linenring.protocol.HostList;
 
 /** The new process's side: the way to the old one, and the effects of {@link HandoverReceiver}. */
 public final class SuccessorProcess {
--- a/src/main/java/linenring/load/Load.java
+++ b/src/main/java/linenring/load/LoadGenerator.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
-import linenring.standin.FrameLink;
+import linenring.testserver.FrameConnection;
 import org.HdrHistogram.Histogram;
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.MetaData;
@@ -21,7 +21,7 @@
  * A load on an HTTP/2 port: at a steady rate whatever comes back (latency counts from when a call was due, so that a
  * stall is seen by all that it delays), or so many calls at a time.
  */
-public final class Load {
+public final class LoadGenerator {
     /** One sort of call, and its part of all. */
     public record Call(String operation, String method, String path, double part, boolean marked) {}
 
@@ -71,7 +71,7 @@
 
     /** One connection; ends are told to the plan's books. */
     private final class Line {
-        final FrameLink link;
+        final FrameConnection link;
         final Thread reader;
         private long[] due = new long[1024]; // by stream / 2: when it was due, or 0
         private int[] call = new int[1024];
@@ -79,8 +79,8 @@
         private boolean leaving, closed;
 
         Line() throws IOException {
-            link = new FrameLink(new Socket(InetAddress.getByName(plan.address()), plan.port()));
-            link.raw(FrameLink.PREFACE);
+            link = new FrameConnection(new Socket(InetAddress.getByName(plan.address()), plan.port()));
+            link.raw(FrameConnection.PREFACE);
             link.settings(4, WINDOW);
             link.window(0, WINDOW * 8);
             reader = new Thread(this::read, "load");
@@ -108,12 +108,16 @@
             try {
                 Call c = plan.calls().get(which);
                 byte[] block = c.marked()
-                        ? link.block(FrameLink.request(
+                        ? link.block(FrameConnection.request(
                                 c.method(),
                                 c.path(),
                                 HttpFields.build().put("x-mark", Long.toHexString(marks.nextLong()))))
                         : blocks[which];
-                link.write(FrameLink.HEADERS, FrameLink.END_HEADERS | FrameLink.END_STREAM, stream, block);
+                link.write(
+                        FrameConnection.HEADERS,
+                        FrameConnection.END_HEADERS | FrameConnection.END_STREAM,
+                        stream,
+                        block);
             } catch (IOException e) {
                 end(stream, "lost");
             }
@@ -138,7 +142,7 @@
         private void read() {
             Map<Integer, String> statuses = new java.util.HashMap<>();
             try {
-                for (FrameLink.Frame f = link.read(); f != null; f = link.read()) {
+                for (FrameConnection.Frame f = link.read(); f != null; f = link.read()) {
                     took(f, statuses);
                 }
             } catch (IOException | RuntimeException e) {
@@ -156,38 +160,38 @@
             left.forEach(s -> end(s, s > last ? "refused" : "lost"));
         }
 
-        private void took(FrameLink.Frame f, Map<Integer, String> statuses) throws IOException {
+        private void took(FrameConnection.Frame f, Map<Integer, String> statuses) throws IOException {
             switch (f.type()) {
-                case FrameLink.SETTINGS -> {
-                    if (!f.has(FrameLink.ACK)) {
+                case FrameConnection.SETTINGS -> {
+                    if (!f.has(FrameConnection.ACK)) {
                         for (int at = 0; at + 6 <= f.payload().length; at += 6) {
                             streamsMost = f.payload()[at + 1] == 3 ? f.figure(at + 2) : streamsMost;
                         }
-                        link.write(FrameLink.SETTINGS, FrameLink.ACK, 0);
+                        link.write(FrameConnection.SETTINGS, FrameConnection.ACK, 0);
                     }
                 }
-                case FrameLink.PING -> {
-                    if (!f.has(FrameLink.ACK)) {
-                        link.write(FrameLink.PING, FrameLink.ACK, 0, f.payload());
+                case FrameConnection.PING -> {
+                    if (!f.has(FrameConnection.ACK)) {
+                        link.write(FrameConnection.PING, FrameConnection.ACK, 0, f.payload());
                     }
                 }
-                case FrameLink.HEADERS -> {
+                case FrameConnection.HEADERS -> {
                     if (link.decode(f) instanceof MetaData.Response head && head.getStatus() >= 200) {
                         statuses.put(f.stream(), Integer.toString(head.getStatus()));
                     }
                     over(f, statuses);
                 }
-                case FrameLink.DATA -> {
+                case FrameConnection.DATA -> {
                     if (f.payload().length > 0) {
                         link.window(0, f.payload().length);
                     }
                     over(f, statuses);
                 }
-                case FrameLink.RST_STREAM -> {
+                case FrameConnection.RST_STREAM -> {
                     statuses.remove(f.stream());
                     end(f.stream(), f.figure(0) == REFUSED ? "refused" : "reset " + f.figure(0));
                 }
-                case FrameLink.GOAWAY -> {
+                case FrameConnection.GOAWAY -> {
                     leaving = true;
                     last = f.figure(0);
                 }
@@ -195,8 +199,8 @@
             }
         }
 
-        private void over(FrameLink.Frame f, Map<Integer, String> statuses) {
-            if (f.has(FrameLink.END_STREAM)) {
+        private void over(FrameConnection.Frame f, Map<Integer, String> statuses) {
+            if (f.has(FrameConnection.END_STREAM)) {
                 end(f.stream(), statuses.remove(f.stream()));
             }
         }
@@ -214,7 +218,7 @@
     private Line[] lines;
     private long countFrom;
 
-    private Load(Plan plan) {
+    private LoadGenerator(Plan plan) {
         this.plan = plan;
         chance = new SplittableRandom(plan.seed());
         marks = chance.split();
@@ -224,7 +228,7 @@
 
     /** Runs it to its end. */
     public static Outcomes run(Plan plan) throws IOException, InterruptedException {
-        return new Load(plan).run();
+        return new LoadGenerator(plan).run();
     }
 
     private Outcomes run() throws IOException, InterruptedException {
@@ -235,7 +239,7 @@
         for (int k = 0; k < blocks.length; k++) {
             Call c = plan.calls().get(k);
             outcomes.add(new Outcome());
-            blocks[k] = lines[0].link.block(FrameLink.request(c.method(), c.path(), HttpFields.EMPTY));
+            blocks[k] = lines[0].link.block(FrameConnection.request(c.method(), c.path(), HttpFields.EMPTY));
         }
         long start = System.nanoTime(), end = start + (long) ((plan.warmSeconds() + plan.seconds()) * 1e9);
         countFrom = start + (long) (plan.warmSeconds() * 1e9);
--- a/src/main/java/linenring/planner/Planner.java
+++ b/src/main/java/linenring/planner/Planner.java
@@ -131,11 +131,11 @@
         requestBarrier();
         if (now >= askAt) {
             askAt = now + askEvery;
-            commands.followList();
+            commands.watchHostList();
         }
         double callAt = timer.ask(now, nextDue());
         if (callAt < Double.POSITIVE_INFINITY) {
-            commands.timer(callAt, 1);
+            commands.requestCall(callAt, 1);
         }
     }
 
@@ -386,7 +386,7 @@
         h.ejected = out;
         drainedAt = h.told ? now : drainedAt;
         stale = true;
-        commands.withdraw(h.id, out);
+        commands.setEjected(h.id, out);
         holders(h).forEach(p -> order(p, 1));
         registry.holding(h).forEach(t -> t.sentAt = now);
     }
@@ -656,9 +656,9 @@
 
     private void lay(Host h, Table t, double weight) {
         if (weight != t.weight(h)) {
-            commands.line(t.number, h.id, weight);
+            commands.setWeight(t.number, h.id, weight);
             t.setWeight(h, weight);
-            users(t).forEach(p -> order(p, 1 + commands.lineBrings(h.id, p.id)));
+            users(t).forEach(p -> order(p, 1 + commands.extraEntriesOfWeight(h.id, p.id)));
         }
     }
 
@@ -694,10 +694,11 @@
                 long withdrawn = to.members.stream()
                         .filter(h -> h.ejected && to.holds(h))
                         .count();
-                double lines = 1 + to.length + operations.size() + commands.bindBrings(to.number, p.id) + withdrawn;
+                double lines =
+                        1 + to.length + operations.size() + commands.extraEntriesOfBind(to.number, p.id) + withdrawn;
                 if (mustMove(p, t) && mayWrite(List.of(p), lines, fresh ? DRAINS : LINES)) {
                     p.bind(t.base, to);
-                    commands.bind(to.number, to.operations, p.id);
+                    commands.bindProxy(to.number, to.operations, p.id);
                     order(p, lines);
                     fired = true;
                 } else {
@@ -775,7 +776,7 @@
         span = fits == 0 || span == 0 || fits > 2 * span || 2 * fits < span ? fits : span;
         fleet.forEachHost(h -> parts > 0 && h.running && h.part < 0, this::dealNew);
         List<Table> idle = tables.stream().filter(this::isIdle).toList();
-        idle.forEach(t -> commands.wipe(t.number));
+        idle.forEach(t -> commands.clearTable(t.number));
         tables.removeAll(idle);
         if (!joinSurge && !wide && tables.stream().allMatch(t -> t.part < 0)) {
             hosts.forEach(h -> h.part = -1);
@@ -859,17 +860,20 @@
     }
 
     private int brought(List<Host> due, Proxy p) {
-        return due.stream().mapToInt(h -> commands.lineBrings(h.id, p.id)).sum();
+        return due.stream()
+                .mapToInt(h -> commands.extraEntriesOfWeight(h.id, p.id))
+                .sum();
     }
 
     private void requestBarrier() { // one for all messages of this reply; each proxy concerned answers it
         List<Proxy> concerned = joined.stream().filter(p -> p.freshLines > 0).toList();
         ledger.update(now); // without what was only reckoned with
         if (!concerned.isEmpty()) {
-            commands.barrier(mark = (mark + 1) % 65536, false);
+            commands.requestAcknowledgement(mark = (mark + 1) % 65536, false);
         }
         for (Proxy p : concerned) {
-            double lines = commands.lines(p.id, p.freshLines) + perMessage; // those that the way adds count too
+            double lines =
+                    commands.entriesInMessage(p.id, p.freshLines) + perMessage; // those that the way adds count too
             p.sent(ledger.send(mark, now, lines));
         }
     }
@@ -877,7 +881,7 @@
     // ---- 3 levels and further tries
 
     private RetryPolicy tries() { // none where each full host would send on to the next; others feed storms
-        return now < retryStormUntil && admissionRatio < 0.9 ? RetryPolicy.NONE : RetryPolicy.ONE_ON_PROOF;
+        return now < retryStormUntil && admissionRatio < 0.9 ? RetryPolicy.NONE : RetryPolicy.ONE_IF_NOT_EXECUTED;
     }
 
     private void layAdmission(Table t, int k) {
@@ -886,7 +890,7 @@
         double figure = settings.measure() != Measure.PER_SECOND
                 ? operationAdmission[k]
                 : operationAdmission[k] < 1 ? operationAdmission[k] * each : 1e6; // more than any proxy is asked
-        commands.level(t.number, 1 << k, figure, tries());
+        commands.setAdmission(t.number, 1 << k, figure, tries());
         users(t).forEach(p -> order(p, 1));
     }
 
--- a/src/main/java/linenring/message/Codec.java
+++ b/src/main/java/linenring/protocol/Codec.java
@@ -1,13 +1,13 @@
-package linenring.message;
+package linenring.protocol;
 
-import static linenring.message.FieldValues.from0;
-import static linenring.message.FieldValues.number;
-import static linenring.message.FieldValues.place;
-import static linenring.message.FieldValues.present;
-import static linenring.message.FieldValues.shown;
-import static linenring.message.FieldValues.text;
-import static linenring.message.FieldValues.truth;
-import static linenring.message.FieldValues.whole;
+import static linenring.protocol.FieldValues.from0;
+import static linenring.protocol.FieldValues.number;
+import static linenring.protocol.FieldValues.place;
+import static linenring.protocol.FieldValues.present;
+import static linenring.protocol.FieldValues.shown;
+import static linenring.protocol.FieldValues.text;
+import static linenring.protocol.FieldValues.truth;
+import static linenring.protocol.FieldValues.whole;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -21,7 +21,7 @@
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import linenring.message.Unreadable.Reached;
+import linenring.protocol.DecodeError.Reached;
 import linenring.settings.Names;
 
 /** Reads and writes messages: each is decoded once and encoded once. Unknown fields are passed over. */
@@ -56,44 +56,45 @@
 
     // ---- from proxies and collectors
 
-    public Decoded<Arrival> arrival(byte[] line, int length) {
+    public DecodeResult<InboundMessage> arrival(byte[] line, int length) {
         Fields f = new Fields();
         try (JsonParser in = json.createParser(line, 0, length)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
-                return Decoded.fault(Reached.TEXT, "not a JSON object");
+                return DecodeResult.fault(Reached.TEXT, "not a JSON object");
             }
-            BadField first = null; // the rest is read all the same: only what is JSON to its end is a message
+            InvalidFieldException first =
+                    null; // the rest is read all the same: only what is JSON to its end is a message
             while (in.nextToken() != JsonToken.END_OBJECT) {
                 String name = in.currentName();
                 in.nextToken();
                 try {
                     field(f, name, in);
-                } catch (BadField e) {
+                } catch (InvalidFieldException e) {
                     first = first == null ? e : first;
                     in.skipChildren();
                 }
             }
             if (in.nextToken() != null) {
-                return Decoded.fault(Reached.TEXT, "more than one JSON object on a line");
+                return DecodeResult.fault(Reached.TEXT, "more than one JSON object on a line");
             }
             if (first != null) {
-                return Decoded.fault(Reached.FIELDS, first.getMessage());
+                return DecodeResult.fault(Reached.FIELDS, first.getMessage());
             }
             if (f.type == null) {
-                return Decoded.fault(Reached.KIND, "field @type is missing");
+                return DecodeResult.fault(Reached.KIND, "field @type is missing");
             }
-            Arrival arrival = arrival(f);
+            InboundMessage arrival = arrival(f);
             return arrival == null
-                    ? Decoded.fault(Reached.KIND, "unknown @type '" + shown(f.type) + "'")
-                    : Decoded.of(arrival);
-        } catch (BadField e) {
-            return Decoded.fault(Reached.FIELDS, e.getMessage());
+                    ? DecodeResult.fault(Reached.KIND, "unknown @type '" + shown(f.type) + "'")
+                    : DecodeResult.of(arrival);
+        } catch (InvalidFieldException e) {
+            return DecodeResult.fault(Reached.FIELDS, e.getMessage());
         } catch (IOException e) {
-            return Decoded.fault(Reached.TEXT, "not JSON");
+            return DecodeResult.fault(Reached.TEXT, "not JSON");
         }
     }
 
-    private void field(Fields f, String name, JsonParser in) throws IOException, BadField {
+    private void field(Fields f, String name, JsonParser in) throws IOException, InvalidFieldException {
         switch (name) {
             case "@type" -> f.type = text(name, in);
             case "site" -> f.site = text(name, in);
@@ -112,45 +113,46 @@
         }
     }
 
-    private Arrival arrival(Fields f) throws BadField {
+    private InboundMessage arrival(Fields f) throws InvalidFieldException {
         return switch (f.type) {
-            case "PING" -> new Arrival.Ping();
-            case "SOURCE" -> new Arrival.Collector(zone(f.site));
+            case "PING" -> new InboundMessage.Ping();
+            case "SOURCE" -> new InboundMessage.Collector(zone(f.site));
             case "SUBSCRIBE" ->
-                new Arrival.Joining(
+                new InboundMessage.Subscribe(
                         proxy(f.id), zone(f.site), from0("rps", f.rps, COUNT_MOST), present("new", f.fresh));
-            case "ACK" -> new Arrival.Applied(proxy(f.id), whole("seq", f.seq, 65535), time("ms", f.ms));
+            case "ACK" -> new InboundMessage.Acknowledgement(proxy(f.id), whole("seq", f.seq, 65535), time("ms", f.ms));
             case "LOAD" -> {
                 int count = whole("count", f.count, COUNT_MOST);
                 int fail = whole("fail", f.fail, count);
                 Double mean = fail == count && f.mean == null ? Double.valueOf(0) : f.mean; // there is none of none
-                yield new Arrival.HostSums(
+                yield new InboundMessage.LoadReport(
                         present("target", f.target), zone(f.site), count, fail, time("mean", mean), span(f.over));
             }
             case "RATE" -> {
                 int count = whole("count", f.count, COUNT_MOST);
                 whole("fail", f.fail, COUNT_MOST); // those that came in an earlier span may be among them
-                yield new Arrival.Usage(proxy(f.id), place("lane", names.operations(), f.lane), count, span(f.over));
+                yield new InboundMessage.RequestRateReport(
+                        proxy(f.id), place("lane", names.operations(), f.lane), count, span(f.over));
             }
             default -> null;
         };
     }
 
-    private int proxy(Double id) throws BadField {
+    private int proxy(Double id) throws InvalidFieldException {
         return whole("id", id, names.proxies() - 1);
     }
 
-    private int zone(String site) throws BadField {
+    private int zone(String site) throws InvalidFieldException {
         return place("site", names.zones(), site); // who lies about it would take the place of a proxy
     }
 
-    private static double time(String field, Double value) throws BadField {
+    private static double time(String field, Double value) throws InvalidFieldException {
         return from0(field, value, LONGEST_MS);
     }
 
-    private static double span(Double over) throws BadField {
+    private static double span(Double over) throws InvalidFieldException {
         if (time("over", over) == 0) {
-            throw new BadField("field over: nothing is counted over no time");
+            throw new InvalidFieldException("field over: nothing is counted over no time");
         }
         return over;
     }
@@ -162,7 +164,7 @@
         return new HostListStream(hostLists, names, filter);
     }
 
-    public Decoded<HostList> hostList(byte[] line, int length) {
+    public DecodeResult<HostList> hostList(byte[] line, int length) {
         try (HostListStream stream = hostListStream(HostListFilter.NONE)) {
             stream.feed(line, 0, length);
             return stream.end();
@@ -175,7 +177,7 @@
     }
 
     /** Reads a list whose opening brace the parser is at, to its closing one, from a parser that waits for its input. */
-    public Decoded<HostList> hostList(JsonParser in, HostListFilter filter) throws IOException {
+    public DecodeResult<HostList> hostList(JsonParser in, HostListFilter filter) throws IOException {
         HostListReader reader = new HostListReader(names, filter);
         int depth = 0;
         try {
@@ -197,7 +199,7 @@
         return PONG.clone();
     }
 
-    public byte[] order(Order order) {
+    public byte[] order(ConfigurationUpdate order) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
         try (JsonGenerator out = json.createGenerator(bytes)) {
             out.setRootValueSeparator(null);
@@ -211,7 +213,7 @@
         return bytes.toByteArray();
     }
 
-    private static void part(JsonGenerator out, Order.Part part, boolean continued) throws IOException {
+    private static void part(JsonGenerator out, ConfigurationUpdate.Part part, boolean continued) throws IOException {
         out.writeStartObject();
         out.writeStringField("@type", "CONFIG");
         if (!part.operations().isEmpty()) {
@@ -222,7 +224,7 @@
         }
         if (part.whole() || !part.lines().isEmpty()) {
             out.writeArrayFieldStart("endpoints");
-            for (Order.Line line : part.lines()) {
+            for (ConfigurationUpdate.Line line : part.lines()) {
                 out.writeStartArray();
                 out.writeString(line.host());
                 figure(out, line.weight());
@@ -232,16 +234,16 @@
         }
         if (part.level() != null) {
             out.writeFieldName("admit");
-            figure(out, part.level().letIn());
+            figure(out, part.level().admissionRatio());
             out.writeNumberField("policy", part.level().tries());
         }
-        if (!part.shutOut().isEmpty()) {
-            names(out, "eject", part.shutOut());
+        if (!part.ejected().isEmpty()) {
+            names(out, "eject", part.ejected());
         }
-        if (!part.letBack().isEmpty()) {
-            names(out, "restore", part.letBack());
+        if (!part.restored().isEmpty()) {
+            names(out, "restore", part.restored());
         }
-        if (part.mark() != Order.NO_MARK) {
+        if (part.mark() != ConfigurationUpdate.NO_MARK) {
             out.writeNumberField("nonce_out", part.mark());
         }
         if (continued) {
--- a/src/main/java/linenring/message/Order.java
+++ b/src/main/java/linenring/protocol/ConfigurationUpdate.java
@@ -1,9 +1,9 @@
-package linenring.message;
+package linenring.protocol;
 
 import java.util.List;
 
 /** One message to one proxy: its parts stand on lines of their own and take effect together. */
-public record Order(List<Part> parts) {
+public record ConfigurationUpdate(List<Part> parts) {
     /** More are not understood as one message. */
     public static final int PARTS_MOST = 64;
 
@@ -14,7 +14,7 @@
     public record Line(String host, double weight) {}
 
     /** How much is let in, and the way to try again (0 to 3). */
-    public record Level(double letIn, int tries) {}
+    public record Level(double admissionRatio, int tries) {}
 
     /**
      * One part. {@code operations}: names of those meant, empty for all. {@code whole}: the lines are the whole
@@ -25,11 +25,11 @@
             boolean whole,
             List<Line> lines,
             Level level,
-            List<String> shutOut,
-            List<String> letBack,
+            List<String> ejected,
+            List<String> restored,
             int mark) {
         int count() {
-            return (whole ? 1 : 0) + lines.size() + (level == null ? 0 : 1) + shutOut.size() + letBack.size();
+            return (whole ? 1 : 0) + lines.size() + (level == null ? 0 : 1) + ejected.size() + restored.size();
         }
     }
 
--- a/src/main/java/linenring/message/FieldValues.java
+++ b/src/main/java/linenring/protocol/FieldValues.java
@@ -1,4 +1,4 @@
-package linenring.message;
+package linenring.protocol;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -10,66 +10,66 @@
 final class FieldValues {
     private FieldValues() {}
 
-    static String text(String field, JsonParser in) throws IOException, BadField {
+    static String text(String field, JsonParser in) throws IOException, InvalidFieldException {
         if (in.currentToken() != JsonToken.VALUE_STRING) {
-            throw new BadField("field " + field + " is not text");
+            throw new InvalidFieldException("field " + field + " is not text");
         }
         return in.getText();
     }
 
-    static double number(String field, JsonParser in) throws IOException, BadField {
+    static double number(String field, JsonParser in) throws IOException, InvalidFieldException {
         if (!in.currentToken().isNumeric()) {
-            throw new BadField("field " + field + " is not a number");
+            throw new InvalidFieldException("field " + field + " is not a number");
         }
         return in.getDoubleValue();
     }
 
-    static boolean truth(String field, JsonParser in) throws IOException, BadField {
+    static boolean truth(String field, JsonParser in) throws IOException, InvalidFieldException {
         if (!in.currentToken().isBoolean()) {
-            throw new BadField("field " + field + " is neither true nor false");
+            throw new InvalidFieldException("field " + field + " is neither true nor false");
         }
         return in.getBooleanValue();
     }
 
-    static <T> T present(String field, T value) throws BadField {
+    static <T> T present(String field, T value) throws InvalidFieldException {
         if (value == null) {
-            throw new BadField("field " + field + " is missing");
+            throw new InvalidFieldException("field " + field + " is missing");
         }
         return value;
     }
 
     /** A whole number from 0 to the most. */
-    static int whole(String field, Double value, int most) throws BadField {
+    static int whole(String field, Double value, int most) throws InvalidFieldException {
         double v = present(field, value);
         if (v != Math.rint(v) || v < 0 || v > most) {
-            throw new BadField("field " + field + ": " + v + " is not a whole number from 0 to " + most);
+            throw new InvalidFieldException("field " + field + ": " + v + " is not a whole number from 0 to " + most);
         }
         return (int) v;
     }
 
     /** A number from 0 to the most. */
-    static double from0(String field, Double value, double most) throws BadField {
+    static double from0(String field, Double value, double most) throws InvalidFieldException {
         double v = present(field, value);
         if (!(v >= 0 && v <= most)) {
-            throw new BadField("field " + field + ": " + v + " is out of range");
+            throw new InvalidFieldException("field " + field + ": " + v + " is out of range");
         }
         return v;
     }
 
     /** Its place, which must exist. */
-    static int place(String field, List<String> among, String name) throws BadField {
+    static int place(String field, List<String> among, String name) throws InvalidFieldException {
         int at = among.indexOf(present(field, name));
         if (at < 0) {
-            throw new BadField("field " + field + ": unknown '" + shown(name) + "'");
+            throw new InvalidFieldException("field " + field + ": unknown '" + shown(name) + "'");
         }
         return at;
     }
 
     /** Its place, which a zone or kind that the list alone names gets now. */
-    static int grown(String field, List<String> among, String name) throws BadField {
+    static int grown(String field, List<String> among, String name) throws InvalidFieldException {
         int at = Names.place(among, present(field, name));
         if (at < 0) {
-            throw new BadField("field " + field + ": one name too many, '" + shown(name) + "'");
+            throw new InvalidFieldException("field " + field + ": one name too many, '" + shown(name) + "'");
         }
         return at;
     }
--- a/src/main/java/linenring/message/HostCapacity.java
+++ b/src/main/java/linenring/protocol/HostCapacity.java
@@ -1,4 +1,4 @@
-package linenring.message;
+package linenring.protocol;
 
 /** How many hosts a heap has room for, so that a list that does not fit is refused while it is read. */
 public final class HostCapacity {
--- a/src/main/java/linenring/message/HostEntryReader.java
+++ b/src/main/java/linenring/protocol/HostEntryReader.java
@@ -1,10 +1,10 @@
-package linenring.message;
+package linenring.protocol;
 
-import static linenring.message.FieldValues.from0;
-import static linenring.message.FieldValues.grown;
-import static linenring.message.FieldValues.number;
-import static linenring.message.FieldValues.present;
-import static linenring.message.FieldValues.text;
+import static linenring.protocol.FieldValues.from0;
+import static linenring.protocol.FieldValues.grown;
+import static linenring.protocol.FieldValues.number;
+import static linenring.protocol.FieldValues.present;
+import static linenring.protocol.FieldValues.text;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -17,7 +17,7 @@
     private final ServiceScope scope;
     private String id, zone, kind, state, address;
     private Double weight, started, cell;
-    private BadField firstFault; // an entry is read to its end all the same: the next one may be well
+    private InvalidFieldException firstFault; // an entry is read to its end all the same: the next one may be well
     private boolean outside;
 
     HostEntryReader(Names names, ServiceScope scope) {
@@ -50,13 +50,13 @@
                 case "started_ms" -> started = number(name, in);
                 default -> {}
             }
-        } catch (BadField e) {
+        } catch (InvalidFieldException e) {
             firstFault = firstFault == null ? e : firstFault;
         }
     }
 
     /** Without a scope it is passed over as an unknown field is. */
-    private void service(String name, JsonParser in) throws IOException, BadField {
+    private void service(String name, JsonParser in) throws IOException, InvalidFieldException {
         if (!scope.isAll() && in.currentToken() != JsonToken.VALUE_NULL) {
             outside = !scope.includes(text(name, in));
         }
@@ -73,7 +73,7 @@
     }
 
     /** The entry, once all of it is read. */
-    HostList.Entry end() throws BadField {
+    HostList.Entry end() throws InvalidFieldException {
         if (firstFault != null) {
             throw firstFault;
         }
@@ -91,12 +91,12 @@
                 cell == null || !(cell >= 0) ? -1 : cell.intValue()); // only a front needs these two
     }
 
-    private HostList.State state() throws BadField {
+    private HostList.State state() throws InvalidFieldException {
         return switch (present("state", state)) {
             case "Ready" -> HostList.State.READY;
             case "Terminating" -> HostList.State.TERMINATING;
             case "Gone" -> HostList.State.GONE;
-            default -> throw new BadField("field state: unknown '" + FieldValues.shown(state) + "'");
+            default -> throw new InvalidFieldException("field state: unknown '" + FieldValues.shown(state) + "'");
         };
     }
 }
--- a/src/main/java/linenring/message/HostListReader.java
+++ b/src/main/java/linenring/protocol/HostListReader.java
@@ -1,4 +1,4 @@
-package linenring.message;
+package linenring.protocol;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -7,7 +7,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import linenring.message.Unreadable.Reached;
+import linenring.protocol.DecodeError.Reached;
 import linenring.settings.Names;
 
 /**
@@ -45,7 +45,7 @@
             new HashSet<>(); // by changes under a scope: one may leave again on the same line
     private final List<String> spoiltReasons = new ArrayList<>();
     private int spoilt, outside, entriesRead;
-    private Decoded<HostList> result;
+    private DecodeResult<HostList> result;
 
     HostListReader(Names names, HostListFilter filter) {
         this.filter = filter;
@@ -53,7 +53,7 @@
     }
 
     /** The list or the fault; null while it is being read. */
-    Decoded<HostList> result() {
+    DecodeResult<HostList> result() {
         return result;
     }
 
@@ -64,7 +64,7 @@
 
     void fails(Reached reached, String what) {
         if (result == null) {
-            result = Decoded.fault(reached, what);
+            result = DecodeResult.fault(reached, what);
             release();
         }
     }
@@ -97,7 +97,7 @@
                 case ENTRY -> entryToken(token, in);
                 case AFTER -> {}
             }
-        } catch (BadField e) {
+        } catch (InvalidFieldException e) {
             fails(Reached.FIELDS, e.getMessage());
         }
     }
@@ -109,7 +109,7 @@
         place = Place.LIST;
     }
 
-    private void listToken(JsonToken token, JsonParser in) throws IOException, BadField {
+    private void listToken(JsonToken token, JsonParser in) throws IOException, InvalidFieldException {
         if (token == JsonToken.FIELD_NAME) {
             field = in.currentName();
             return;
@@ -123,7 +123,7 @@
             case "full" -> whole = FieldValues.truth(field, in);
             case "servers" -> {
                 if (token != JsonToken.START_ARRAY) {
-                    throw new BadField("field servers is not a list");
+                    throw new InvalidFieldException("field servers is not a list");
                 }
                 entries = new ArrayList<>();
                 place = Place.ENTRIES;
@@ -171,7 +171,7 @@
         HostList.Entry read;
         try {
             read = entry.end();
-        } catch (BadField e) {
+        } catch (InvalidFieldException e) {
             spoilt(e.getMessage());
             return;
         }
@@ -213,7 +213,7 @@
         }
     }
 
-    private void endList() throws BadField {
+    private void endList() throws InvalidFieldException {
         place = Place.AFTER;
         long number = (long) FieldValues.from0("version", version, Long.MAX_VALUE);
         boolean isWhole = FieldValues.present("full", whole);
@@ -221,7 +221,7 @@
         if (isWhole && !filter.scope().isAll()) { // told as whole only after its entries: nobody leaves by name
             kept.removeIf(e -> e.state() == HostList.State.GONE);
         }
-        result = Decoded.of(
+        result = DecodeResult.of(
                 new HostList(number, isWhole, kept, new SpoiltEntries(spoilt, spoiltReasons), filter.scope(), outside));
         release();
     }
--- a/src/main/java/linenring/message/HostListStream.java
+++ b/src/main/java/linenring/protocol/HostListStream.java
@@ -1,4 +1,4 @@
-package linenring.message;
+package linenring.protocol;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.core.async.ByteArrayFeeder;
 import com.fasterxml.jackson.core.exc.StreamConstraintsException;
 import java.io.IOException;
-import linenring.message.Unreadable.Reached;
+import linenring.protocol.DecodeError.Reached;
 import linenring.settings.Names;
 
 /** Reads one host list from bytes as they arrive, without waiting and without keeping them. For one thread at a time. */
@@ -50,7 +50,7 @@
     }
 
     /** The list, or why there is none; null while it goes on. */
-    public Decoded<HostList> result() {
+    public DecodeResult<HostList> result() {
         return reader.result();
     }
 
@@ -60,7 +60,7 @@
     }
 
     /** No more comes: the list, or why there is none. */
-    public Decoded<HostList> end() {
+    public DecodeResult<HostList> end() {
         reader.fails(Reached.TEXT, "not JSON"); // changes nothing where it is complete
         return reader.result();
     }
--- a/src/main/java/linenring/message/BadField.java
+++ b/src/main/java/linenring/protocol/InvalidFieldException.java
@@ -1,10 +1,10 @@
-package linenring.message;
+package linenring.protocol;
 
 /** A field that is missing, of the wrong type or impossible; stops at the decoder. */
-final class BadField extends Exception {
+final class InvalidFieldException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    BadField(String what) {
+    InvalidFieldException(String what) {
         super(what, null, false, false);
     }
 }
--- a/src/main/java/linenring/message/ServiceScope.java
+++ b/src/main/java/linenring/protocol/ServiceScope.java
@@ -1,4 +1,4 @@
-package linenring.message;
+package linenring.protocol;
 
 import java.util.Collection;
 import java.util.Set;
--- a/src/main/java/linenring/routing/HostRegistry.java
+++ b/src/main/java/linenring/routing/HostRegistry.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
-import linenring.message.HostList;
+import linenring.protocol.HostList;
 
 /**
  * Hosts by index: a host keeps the index that it got when it was first listed. One thread writes at a time;
--- a/src/main/java/linenring/routing/RetryDecision.java
+++ b/src/main/java/linenring/routing/RetryDecision.java
@@ -160,7 +160,7 @@
     private int most() {
         return switch (terrain.tables().tries(operation)) {
             case NONE -> 0;
-            case ONE_ON_PROOF, ONE -> 1;
+            case ONE_IF_NOT_EXECUTED, ONE -> 1;
             case TWO -> 2;
         };
     }
@@ -176,7 +176,7 @@
         if (attempt.neverRan() && mayHaveRunAt < 0) {
             return true;
         }
-        return terrain.tables().tries(operation) != RetryPolicy.ONE_ON_PROOF
+        return terrain.tables().tries(operation) != RetryPolicy.ONE_IF_NOT_EXECUTED
                 && repeatable()
                 && (terms.effect() == Idempotence.IDEMPOTENT || now <= sendBy());
     }
--- a/src/main/java/linenring/routing/RollingStatistics.java
+++ b/src/main/java/linenring/routing/RollingStatistics.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
-import linenring.message.Arrival;
+import linenring.protocol.InboundMessage;
 
 /** What a proxy met at each host and was asked of each operation, summed up from one report to the next. */
 public final class RollingStatistics {
@@ -39,13 +39,13 @@
     }
 
     /** All since the last report, as a collector and a proxy would say it. */
-    public synchronized List<Arrival> report(double now) {
+    public synchronized List<InboundMessage> report(double now) {
         double span = now - since;
-        List<Arrival> said = new ArrayList<>();
+        List<InboundMessage> said = new ArrayList<>();
         if (!(span > 0)) {
             return said;
         }
-        met.forEach((host, m) -> said.add(new Arrival.HostSums(
+        met.forEach((host, m) -> said.add(new InboundMessage.LoadReport(
                 hosts.host(host).id(),
                 zone,
                 m.total,
@@ -53,7 +53,7 @@
                 m.total == m.bad ? 0 : m.goodMs / (m.total - m.bad),
                 span)));
         for (int k = 0; k < asked.length; k++) {
-            said.add(new Arrival.Usage(proxy, k, asked[k], span));
+            said.add(new InboundMessage.RequestRateReport(proxy, k, asked[k], span));
             asked[k] = 0;
         }
         met.clear();
--- a/src/main/java/linenring/routing/Tables.java
+++ b/src/main/java/linenring/routing/Tables.java
@@ -8,9 +8,9 @@
 import java.util.TreeMap;
 import java.util.concurrent.atomic.AtomicReferenceArray;
 import java.util.function.IntPredicate;
-import linenring.message.Order;
 import linenring.planner.Commands.RetryPolicy;
 import linenring.planner.PlannerSettings.Measure;
+import linenring.protocol.ConfigurationUpdate;
 
 /**
  * The honest reader of a steward's orders: what a proxy holds, and whom it picks. Orders are applied by one thread at a
@@ -21,7 +21,7 @@
     /** No host may be picked. */
     public static final int NONE = HostSelection.NONE;
     /** What proxies do until they are told otherwise. */
-    static final RetryPolicy UNTOLD = RetryPolicy.ONE_ON_PROOF;
+    static final RetryPolicy UNTOLD = RetryPolicy.ONE_IF_NOT_EXECUTED;
 
     /** What came of an order: the marks to answer, in order, or why it can't be used and changed nothing. */
     public record Applied(List<Integer> marks, String unusable) {
@@ -31,7 +31,7 @@
     }
 
     /** One operation's: never changed once it is in {@link #held}. */
-    private record Held(TreeMap<Integer, Double> lines, AdmissionControl letIn, RetryPolicy tries) {
+    private record Held(TreeMap<Integer, Double> lines, AdmissionControl admissionRatio, RetryPolicy tries) {
         static final Held NOTHING = new Held(new TreeMap<>(), AdmissionControl.ALL, UNTOLD);
     }
 
@@ -44,7 +44,7 @@
     private final OutlierEjection avoidance;
     private final Map<String, Integer> numbers = new HashMap<>();
     private volatile Held[] held;
-    private BitSet shutOut = new BitSet(); // kept across streams; replaced, never changed
+    private BitSet ejected = new BitSet(); // kept across streams; replaced, never changed
     private final AtomicReferenceArray<Open> open;
 
     /** {@code avoidAfter} own tries that errored in a row keep it away from a host for {@code avoidFor} ms. */
@@ -64,28 +64,28 @@
     // ---- orders
 
     /** Applies all parts of an order, or none of them where one can't be used. */
-    public synchronized Applied apply(Order order) {
+    public synchronized Applied apply(ConfigurationUpdate order) {
         Held[] next = held.clone();
-        BitSet shut = (BitSet) shutOut.clone();
+        BitSet shut = (BitSet) ejected.clone();
         List<Integer> marks = new ArrayList<>();
-        for (Order.Part part : order.parts()) {
+        for (ConfigurationUpdate.Part part : order.parts()) {
             String fault = apply(part, next, shut);
             if (fault != null) {
                 return new Applied(List.of(), fault);
             }
-            if (part.mark() != Order.NO_MARK) {
+            if (part.mark() != ConfigurationUpdate.NO_MARK) {
                 marks.add(part.mark());
             }
         }
         held = next;
-        shutOut = shut;
+        ejected = shut;
         for (int k = 0; k < next.length; k++) {
             open.set(k, null);
         }
         return new Applied(marks, null);
     }
 
-    private String apply(Order.Part part, Held[] next, BitSet shut) {
+    private String apply(ConfigurationUpdate.Part part, Held[] next, BitSet shut) {
         BitSet meant = new BitSet();
         for (String operation : part.operations()) {
             Integer k = numbers.get(operation);
@@ -98,7 +98,7 @@
             meant.set(0, next.length);
         }
         TreeMap<Integer, Double> changes = new TreeMap<>();
-        for (Order.Line line : part.lines()) {
+        for (ConfigurationUpdate.Line line : part.lines()) {
             int host = hosts.index(line.host());
             if (host < 0) {
                 return "host '" + line.host() + "' was never listed";
@@ -107,10 +107,12 @@
             }
             changes.put(host, line.weight());
         }
-        Order.Level level = part.level();
+        ConfigurationUpdate.Level level = part.level();
         if (level != null
-                && (!(level.letIn() >= 0) || level.tries() < 0 || level.tries() >= RetryPolicy.values().length)) {
-            return "level " + level.letIn() + " with further tries " + level.tries();
+                && (!(level.admissionRatio() >= 0)
+                        || level.tries() < 0
+                        || level.tries() >= RetryPolicy.values().length)) {
+            return "level " + level.admissionRatio() + " with further tries " + level.tries();
         }
         for (int k = meant.nextSetBit(0); k >= 0; k = meant.nextSetBit(k + 1)) {
             Held was = next[k];
@@ -120,15 +122,15 @@
                 lines.putAll(changes);
                 lines.values().removeIf(weight -> weight == 0);
             }
-            AdmissionControl letIn = level != null
-                    ? was.letIn().next(level.letIn(), measure)
-                    : part.whole() ? AdmissionControl.ALL : was.letIn();
+            AdmissionControl admissionRatio = level != null
+                    ? was.admissionRatio().next(level.admissionRatio(), measure)
+                    : part.whole() ? AdmissionControl.ALL : was.admissionRatio();
             RetryPolicy tries =
                     level != null ? RetryPolicy.values()[level.tries()] : part.whole() ? UNTOLD : was.tries();
-            next[k] = new Held(lines, letIn, tries);
+            next[k] = new Held(lines, admissionRatio, tries);
         }
-        String fault = shut(part.shutOut(), shut, true);
-        return fault != null ? fault : shut(part.letBack(), shut, false);
+        String fault = shut(part.ejected(), shut, true);
+        return fault != null ? fault : shut(part.restored(), shut, false);
     }
 
     private String shut(List<String> words, BitSet shut, boolean out) {
@@ -166,7 +168,7 @@
         double[] allWeights = new double[lines.size()], freeWeights = new double[lines.size()];
         int of = 0, among = 0;
         for (Map.Entry<Integer, Double> line : lines.entrySet()) {
-            if (shutOut.get(line.getKey())) {
+            if (ejected.get(line.getKey())) {
                 continue;
             }
             all[of] = line.getKey();
@@ -196,7 +198,7 @@
 
     /** 0 if an invocation is let in now, else ms until it is worth coming back, infinity where nobody knows. */
     double wait(int operation, double now, double draw) {
-        return held[operation].letIn().wait(now, draw);
+        return held[operation].admissionRatio().wait(now, draw);
     }
 
     RetryPolicy tries(int operation) {
@@ -205,13 +207,13 @@
 
     /** Whether a host is in a table of this operation and not shut out. */
     public synchronized boolean isOpen(int operation, int host) {
-        return held[operation].lines().containsKey(host) && !shutOut.get(host);
+        return held[operation].lines().containsKey(host) && !ejected.get(host);
     }
 
     /** Whether a host is in any table and not shut out there. */
     public synchronized boolean isUsed(int host) {
         for (Held h : held) {
-            if (h.lines().containsKey(host) && !shutOut.get(host)) {
+            if (h.lines().containsKey(host) && !ejected.get(host)) {
                 return true;
             }
         }
--- a/src/main/java/linenring/scale/catalogue/Catalogue.java
+++ b/src/main/java/linenring/scale/catalogue/Catalogue.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
-import linenring.message.HostList;
+import linenring.protocol.HostList;
 
 /**
  * The state of the catalogue without I/O: hosts, versions, and the changes that are kept for watchers that come late. All
--- a/src/main/java/linenring/scale/catalogue/CatalogueChange.java
+++ b/src/main/java/linenring/scale/catalogue/CatalogueChange.java
@@ -1,7 +1,7 @@
 package linenring.scale.catalogue;
 
 import java.util.List;
-import linenring.message.HostList;
+import linenring.protocol.HostList;
 
 /** What one version of the catalogue changed, or the whole of it at that version; encoded once for all watchers. */
 public final class CatalogueChange {
--- a/src/main/java/linenring/scale/catalogue/CatalogueHost.java
+++ b/src/main/java/linenring/scale/catalogue/CatalogueHost.java
@@ -1,6 +1,6 @@
 package linenring.scale.catalogue;
 
-import linenring.message.HostList;
+import linenring.protocol.HostList;
 
 /**
  * One entry of the catalogue.
--- a/src/main/java/linenring/scale/fleet/ArrivalJson.java
+++ b/src/main/java/linenring/scale/fleet/ArrivalJson.java
@@ -5,7 +5,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
-import linenring.message.Arrival;
+import linenring.protocol.InboundMessage;
 
 /** Encodes what proxies and collectors say, one line each. */
 final class ArrivalJson {
@@ -17,7 +17,7 @@
         this.layout = layout;
     }
 
-    byte[] line(Arrival what) {
+    byte[] line(InboundMessage what) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(160);
         try (JsonGenerator out = JSON.createGenerator(bytes)) {
             out.writeStartObject();
@@ -30,29 +30,29 @@
         return bytes.toByteArray();
     }
 
-    private void fields(JsonGenerator out, Arrival what) throws IOException {
-        if (what instanceof Arrival.Joining joining) {
+    private void fields(JsonGenerator out, InboundMessage what) throws IOException {
+        if (what instanceof InboundMessage.Subscribe joining) {
             out.writeStringField("@type", "SUBSCRIBE");
             out.writeNumberField("id", joining.proxy());
             out.writeStringField("site", layout.zones().get(joining.zone()));
             out.writeNumberField("rps", joining.usual());
             out.writeBooleanField("new", joining.fresh());
-        } else if (what instanceof Arrival.Collector collector) {
+        } else if (what instanceof InboundMessage.Collector collector) {
             out.writeStringField("@type", "SOURCE");
             out.writeStringField("site", layout.zones().get(collector.zone()));
-        } else if (what instanceof Arrival.Applied applied) {
+        } else if (what instanceof InboundMessage.Acknowledgement applied) {
             out.writeStringField("@type", "ACK");
             out.writeNumberField("id", applied.proxy());
             out.writeNumberField("seq", applied.mark());
             out.writeNumberField("ms", Math.round(applied.tookMs() * 10) / 10.0);
-        } else if (what instanceof Arrival.Usage usage) {
+        } else if (what instanceof InboundMessage.RequestRateReport usage) {
             out.writeStringField("@type", "RATE");
             out.writeNumberField("id", usage.proxy());
             out.writeStringField("lane", layout.operations().get(usage.operation()));
             out.writeNumberField("count", usage.total());
             out.writeNumberField("fail", 0);
             out.writeNumberField("over", usage.spanMs());
-        } else if (what instanceof Arrival.HostSums sums) {
+        } else if (what instanceof InboundMessage.LoadReport sums) {
             out.writeStringField("@type", "LOAD");
             out.writeStringField("site", layout.zones().get(sums.zone()));
             out.writeStringField("target", sums.host());
--- a/src/main/java/linenring/scale/fleet/HollowFleet.java
+++ b/src/main/java/linenring/scale/fleet/HollowFleet.java
@@ -6,8 +6,8 @@
 import java.util.PriorityQueue;
 import java.util.random.RandomGenerator;
 import java.util.stream.IntStream;
-import linenring.message.Arrival;
-import linenring.message.Order;
+import linenring.protocol.ConfigurationUpdate;
+import linenring.protocol.InboundMessage;
 import linenring.routing.HostRegistry;
 import linenring.routing.Tables;
 
@@ -68,7 +68,7 @@
         }
         boolean fresh = proxy.isFresh();
         int stream = proxy.joins();
-        uplink.join(stream, new Arrival.Joining(proxy.id(), proxy.zone(), layout.requestsPerSecond(), fresh));
+        uplink.join(stream, new InboundMessage.Subscribe(proxy.id(), proxy.zone(), layout.requestsPerSecond(), fresh));
     }
 
     /** Nobody joins any more. */
@@ -99,12 +99,12 @@
     }
 
     /** An order has come whole on a stream; it takes effect when the channel has delivered it. */
-    void ordered(int id, int stream, Order order, double now) {
+    void ordered(int id, int stream, ConfigurationUpdate order, double now) {
         double at = channel.deliveredAt(now, order.lineCount());
         at(at, () -> apply(proxies.get(id), stream, order, now, at));
     }
 
-    private void apply(HollowProxy proxy, int stream, Order order, double sentAt, double now) {
+    private void apply(HollowProxy proxy, int stream, ConfigurationUpdate order, double sentAt, double now) {
         if (proxy.stream() != stream) {
             return; // lost with its stream
         }
@@ -122,7 +122,7 @@
             fault("proxy " + proxy.id() + " has no host");
         }
         for (int mark : applied.marks()) {
-            uplink.say(proxy.id(), new Arrival.Applied(proxy.id(), mark, now - sentAt));
+            uplink.say(proxy.id(), new InboundMessage.Acknowledgement(proxy.id(), mark, now - sentAt));
         }
     }
 
@@ -156,14 +156,14 @@
         if (number % 2 == 0) {
             int operation = (int) (number / 2 / proxies.size() % operations);
             int count = (int) Math.round(layout.requestsPerSecond() / operations * SPAN_MS / 1000);
-            uplink.say(proxy.id(), new Arrival.Usage(proxy.id(), operation, count, SPAN_MS));
+            uplink.say(proxy.id(), new InboundMessage.RequestRateReport(proxy.id(), operation, count, SPAN_MS));
             return;
         }
         String host = proxy.pick(chance.nextInt(operations), chance.nextDouble());
         if (host != null) {
             int count = (int) Math.max(
                     1, proxies.size() * layout.requestsPerSecond() / Math.max(1, layout.reportsPerSecond() / 2));
-            uplink.report(new Arrival.HostSums(host, proxy.zone(), count, 0, MEAN_MS, SPAN_MS));
+            uplink.report(new InboundMessage.LoadReport(host, proxy.zone(), count, 0, MEAN_MS, SPAN_MS));
         }
     }
 
--- a/src/main/java/linenring/scale/fleet/HollowProxy.java
+++ b/src/main/java/linenring/scale/fleet/HollowProxy.java
@@ -4,8 +4,8 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import linenring.message.Order;
 import linenring.planner.PlannerSettings.Measure;
+import linenring.protocol.ConfigurationUpdate;
 import linenring.routing.HostRegistry;
 import linenring.routing.Tables;
 
@@ -61,7 +61,7 @@
         stream++;
     }
 
-    Tables.Applied apply(Order order) {
+    Tables.Applied apply(ConfigurationUpdate order) {
         Tables.Applied applied = tables.apply(order);
         ordered |= applied.isUsable();
         return applied;
--- a/src/main/java/linenring/scale/fleet/HollowSteward.java
+++ b/src/main/java/linenring/scale/fleet/HollowSteward.java
@@ -11,12 +11,12 @@
 import java.util.concurrent.ThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
-import linenring.configuration.Assignment;
+import linenring.configuration.ControllerConfiguration;
+import linenring.controller.ControlLoop;
 import linenring.discovery.HostWatch;
-import linenring.exchange.Exchange;
+import linenring.event.EventQueue;
 import linenring.log.Log;
-import linenring.message.Codec;
-import linenring.steward.Steward;
+import linenring.protocol.Codec;
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
@@ -27,9 +27,9 @@
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
     private final String name;
-    private final Assignment assignment;
+    private final ControllerConfiguration assignment;
     private final Scheduler scheduler;
-    private final Exchange exchange = new Exchange();
+    private final EventQueue exchange = new EventQueue();
     private final ListLedger ledger;
     private final Queue<Thread> threads = new ConcurrentLinkedQueue<>();
     private final ExecutorService executor;
@@ -39,7 +39,7 @@
     private Thread thread;
 
     /** With a ledger of what it is told where {@code keepsLedger}, which costs time and memory. */
-    public HollowSteward(String name, Assignment assignment, Scheduler scheduler, boolean keepsLedger) {
+    public HollowSteward(String name, ControllerConfiguration assignment, Scheduler scheduler, boolean keepsLedger) {
         this.name = name;
         this.assignment = assignment;
         this.scheduler = scheduler;
@@ -80,7 +80,7 @@
 
     private void decide(Log log) {
         try {
-            new Steward(assignment.figures(), assignment.names(), assignment.known(), exchange, log).run();
+            new ControlLoop(assignment.figures(), assignment.names(), assignment.known(), exchange, log).run();
         } catch (Throwable e) { // memory above all: it ends this steward and is told
             failure.compareAndSet(null, e.toString());
         }
@@ -97,7 +97,7 @@
         return failure.get();
     }
 
-    public Exchange exchange() {
+    public EventQueue exchange() {
         return exchange;
     }
 
--- a/src/main/java/linenring/scale/fleet/ListLedger.java
+++ b/src/main/java/linenring/scale/fleet/ListLedger.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import linenring.message.HostList;
+import linenring.protocol.HostList;
 
 /** What a steward was told of the catalogue, line by line: whether versions came once and in order, and whom they leave ready. */
 public final class ListLedger {
--- a/src/main/java/linenring/scale/fleet/MemoryFleets.java
+++ b/src/main/java/linenring/scale/fleet/MemoryFleets.java
@@ -5,11 +5,11 @@
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.locks.LockSupport;
-import linenring.exchange.Exchange;
-import linenring.exchange.Stream;
-import linenring.message.Arrival;
-import linenring.message.Codec;
-import linenring.message.Order;
+import linenring.event.EventQueue;
+import linenring.event.ProxyStream;
+import linenring.protocol.Codec;
+import linenring.protocol.ConfigurationUpdate;
+import linenring.protocol.InboundMessage;
 
 /** Hollow fleets that speak with hollow stewards in this process, through their exchanges; one thread for all of them. */
 public final class MemoryFleets implements AutoCloseable {
@@ -26,9 +26,9 @@
         private final Codec codec;
         private final Traffic traffic = new Traffic();
         private final MemoryStream[] streams;
-        private Exchange exchange; // null once it has ended
+        private EventQueue exchange; // null once it has ended
 
-        private Connection(HollowFleet fleet, Codec codec, Exchange exchange) {
+        private Connection(HollowFleet fleet, Codec codec, EventQueue exchange) {
             this.fleet = fleet;
             this.codec = codec;
             this.exchange = exchange;
@@ -36,7 +36,7 @@
         }
 
         @Override
-        public void join(int stream, Arrival.Joining joining) {
+        public void join(int stream, InboundMessage.Subscribe joining) {
             if (exchange != null) {
                 streams[joining.proxy()] = new MemoryStream(this, joining.proxy(), stream, exchange.nextStream());
                 say(joining.proxy(), joining);
@@ -52,7 +52,7 @@
         }
 
         @Override
-        public void say(int proxy, Arrival what) {
+        public void say(int proxy, InboundMessage what) {
             if (exchange != null && streams[proxy] != null) {
                 traffic.messagesIn.increment();
                 exchange.arrived(streams[proxy], what);
@@ -60,7 +60,7 @@
         }
 
         @Override
-        public void report(Arrival.HostSums sums) {
+        public void report(InboundMessage.LoadReport sums) {
             if (exchange != null) {
                 traffic.messagesIn.increment();
                 exchange.arrived(null, sums);
@@ -91,7 +91,7 @@
     }
 
     /** Where a hollow steward writes its orders. They are encoded as by a real one, and then handed over. */
-    private final class MemoryStream implements Stream {
+    private final class MemoryStream implements ProxyStream {
         private final Connection of;
         private final int proxy;
         private final int fleetsNumber;
@@ -105,7 +105,7 @@
         }
 
         @Override
-        public void write(Order order) {
+        public void write(ConfigurationUpdate order) {
             of.traffic.bytesOut.add(of.codec.order(order).length);
             of.traffic.messagesOut.increment();
             tasks.add(() -> of.fleet.ordered(proxy, fleetsNumber, order, now()));
@@ -128,7 +128,7 @@
     }
 
     /** Has a fleet join through that exchange. */
-    public Connection join(HollowFleet fleet, Codec codec, Exchange exchange) {
+    public Connection join(HollowFleet fleet, Codec codec, EventQueue exchange) {
         Connection connection = new Connection(fleet, codec, exchange);
         tasks.add(() -> {
             fleets.add(fleet);
--- a/src/main/java/linenring/scale/fleet/OrderReader.java
+++ b/src/main/java/linenring/scale/fleet/OrderReader.java
@@ -6,28 +6,28 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import linenring.message.Order;
+import linenring.protocol.ConfigurationUpdate;
 
 /** Reads the lines of orders as a proxy does, and puts continued ones together. One for each stream. */
 final class OrderReader {
     private static final JsonFactory JSON = new JsonFactory();
 
-    private final List<Order.Part> parts = new ArrayList<>();
+    private final List<ConfigurationUpdate.Part> parts = new ArrayList<>();
 
     /** The fields of one line. */
     private static final class Fields {
         String type;
         List<String> operations = List.of();
-        List<Order.Line> lines = new ArrayList<>();
-        List<String> shutOut = List.of(), letBack = List.of();
+        List<ConfigurationUpdate.Line> lines = new ArrayList<>();
+        List<String> ejected = List.of(), restored = List.of();
         boolean whole, continued;
-        double letIn = Double.NaN;
+        double admissionRatio = Double.NaN;
         int tries;
-        int mark = Order.NO_MARK;
+        int mark = ConfigurationUpdate.NO_MARK;
     }
 
     /** The order that this line completes, or null where more of it comes. */
-    Order line(byte[] bytes, int from, int length) throws IOException {
+    ConfigurationUpdate line(byte[] bytes, int from, int length) throws IOException {
         Fields fields = new Fields();
         try (JsonParser in = JSON.createParser(bytes, from, length)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
@@ -42,13 +42,15 @@
         if (!"CONFIG".equals(fields.type)) {
             return null; // a PONG
         }
-        Order.Level level = Double.isNaN(fields.letIn) ? null : new Order.Level(fields.letIn, fields.tries);
-        parts.add(new Order.Part(
-                fields.operations, fields.whole, fields.lines, level, fields.shutOut, fields.letBack, fields.mark));
+        ConfigurationUpdate.Level level = Double.isNaN(fields.admissionRatio)
+                ? null
+                : new ConfigurationUpdate.Level(fields.admissionRatio, fields.tries);
+        parts.add(new ConfigurationUpdate.Part(
+                fields.operations, fields.whole, fields.lines, level, fields.ejected, fields.restored, fields.mark));
         if (fields.continued) {
             return null;
         }
-        Order order = new Order(List.copyOf(parts));
+        ConfigurationUpdate order = new ConfigurationUpdate(List.copyOf(parts));
         parts.clear();
         return order;
     }
@@ -59,10 +61,10 @@
             case "routes" -> fields.operations = words(in);
             case "full" -> fields.whole = in.getBooleanValue();
             case "endpoints" -> fields.lines = lines(in);
-            case "admit" -> fields.letIn = in.getDoubleValue();
+            case "admit" -> fields.admissionRatio = in.getDoubleValue();
             case "policy" -> fields.tries = in.getIntValue();
-            case "eject" -> fields.shutOut = words(in);
-            case "restore" -> fields.letBack = words(in);
+            case "eject" -> fields.ejected = words(in);
+            case "restore" -> fields.restored = words(in);
             case "nonce_out" -> fields.mark = in.getIntValue();
             case "continued" -> fields.continued = in.getBooleanValue();
             default -> in.skipChildren();
@@ -77,13 +79,13 @@
         return words;
     }
 
-    private static List<Order.Line> lines(JsonParser in) throws IOException {
-        List<Order.Line> lines = new ArrayList<>();
+    private static List<ConfigurationUpdate.Line> lines(JsonParser in) throws IOException {
+        List<ConfigurationUpdate.Line> lines = new ArrayList<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
             in.nextToken();
             String host = in.getText();
             in.nextToken();
-            lines.add(new Order.Line(host, in.getDoubleValue()));
+            lines.add(new ConfigurationUpdate.Line(host, in.getDoubleValue()));
             in.nextToken(); // its end
         }
         return lines;
--- a/src/main/java/linenring/scale/fleet/SocketFleet.java
+++ b/src/main/java/linenring/scale/fleet/SocketFleet.java
@@ -6,8 +6,8 @@
 import java.nio.ByteBuffer;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import linenring.message.Arrival;
-import linenring.message.Order;
+import linenring.protocol.ConfigurationUpdate;
+import linenring.protocol.InboundMessage;
 import linenring.scale.sockets.SocketLink;
 import linenring.scale.sockets.SocketLoop;
 
@@ -26,10 +26,10 @@
 
     /** A connection that says something once it is up. */
     private abstract class Peer implements SocketLink.Handler {
-        private final Arrival first;
+        private final InboundMessage first;
         SocketLink link;
 
-        Peer(Arrival first) {
+        Peer(InboundMessage first) {
             this.first = first;
         }
 
@@ -43,7 +43,7 @@
             say(first);
         }
 
-        void say(Arrival what) {
+        void say(InboundMessage what) {
             if (link != null && !link.isClosed()) {
                 byte[] line = json.line(what);
                 traffic.messagesIn.increment();
@@ -65,7 +65,7 @@
         private final OrderReader reader = new OrderReader();
         private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
-        ProxyStream(int number, Arrival.Joining joining) {
+        ProxyStream(int number, InboundMessage.Subscribe joining) {
             super(joining);
             this.proxy = joining.proxy();
             this.number = number;
@@ -89,7 +89,7 @@
             line.reset();
             traffic.messagesOut.increment();
             try {
-                Order order = reader.line(whole, 0, whole.length);
+                ConfigurationUpdate order = reader.line(whole, 0, whole.length);
                 if (order != null) {
                     fleet.ordered(proxy, number, order, now());
                 }
@@ -109,7 +109,7 @@
         private double redialAt = Double.POSITIVE_INFINITY;
 
         Collector(int zone) {
-            super(new Arrival.Collector(zone));
+            super(new InboundMessage.Collector(zone));
         }
 
         @Override
@@ -167,7 +167,7 @@
     }
 
     @Override
-    public void join(int stream, Arrival.Joining joining) {
+    public void join(int stream, InboundMessage.Subscribe joining) {
         ProxyStream opened = new ProxyStream(stream, joining);
         streams[joining.proxy()] = opened;
         opened.dial();
@@ -183,14 +183,14 @@
     }
 
     @Override
-    public void say(int proxy, Arrival what) {
+    public void say(int proxy, InboundMessage what) {
         if (streams[proxy] != null) {
             streams[proxy].say(what);
         }
     }
 
     @Override
-    public void report(Arrival.HostSums sums) {
+    public void report(InboundMessage.LoadReport sums) {
         collectors[sums.zone()].say(sums);
     }
 
--- a/src/main/java/linenring/scale/run/HollowMember.java
+++ b/src/main/java/linenring/scale/run/HollowMember.java
@@ -1,6 +1,6 @@
 package linenring.scale.run;
 
-import linenring.configuration.Assignment;
+import linenring.configuration.ControllerConfiguration;
 import linenring.scale.fleet.HollowFleet;
 import linenring.scale.fleet.HollowSteward;
 import linenring.scale.fleet.MemoryFleets;
@@ -16,7 +16,7 @@
     /** {@code keepsLedger}: of what the catalogue tells it, which takes time and memory. */
     HollowMember(
             String name,
-            Assignment assignment,
+            ControllerConfiguration assignment,
             Scheduler scheduler,
             HollowFleet fleet,
             MemoryFleets fleets,
--- a/src/main/java/linenring/scale/run/Testbed.java
+++ b/src/main/java/linenring/scale/run/Testbed.java
@@ -14,8 +14,8 @@
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import linenring.configuration.Assignment;
-import linenring.configuration.AssignmentReader;
+import linenring.configuration.ControllerConfiguration;
+import linenring.configuration.ControllerConfigurationReader;
 import linenring.routing.HostRegistry;
 import linenring.scale.catalogue.Catalogue;
 import linenring.scale.catalogue.CatalogueEvents;
@@ -129,10 +129,10 @@
         return new HollowFleet(layout, hosts, new Random(seed + 1 + number));
     }
 
-    private Assignment assignment(int number) throws IOException {
+    private ControllerConfiguration assignment(int number) throws IOException {
         Path file = folder.resolve("hollow-" + number + ".json");
         Files.write(file, settings().json("hollow-" + number, RealMember.nowhere(), hollowCatalogue.address()));
-        Assignment.Outcome read = AssignmentReader.read(Map.of("GW_CONFIG", file.toString()));
+        ControllerConfiguration.Outcome read = ControllerConfigurationReader.read(Map.of("GW_CONFIG", file.toString()));
         if (read.assignment() == null) {
             throw new IllegalStateException("the configuration that was generated is at fault: " + read.fault());
         }
--- a/src/main/java/linenring/simulation/SimulatedSteward.java
+++ b/src/main/java/linenring/simulator/SimulatedController.java
@@ -1,4 +1,4 @@
-package linenring.simulation;
+package linenring.simulator;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,7 +8,7 @@
 import linenring.planner.Planner;
 
 /** One instance: its decisions, its own numbering of the hosts, and the orders it has given in this reply. */
-final class SimulatedSteward implements Commands {
+final class SimulatedController implements Commands {
     private static final int WIRE_EVERY_TABLE = 65535;
 
     final int id;
@@ -20,7 +20,7 @@
     private final Map<String, Integer> hosts = new HashMap<>();
     private final List<String> words = new ArrayList<>();
 
-    SimulatedSteward(int id) {
+    SimulatedController(int id) {
         this.id = id;
     }
 
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public void line(int table, int host, double weight) {
+    public void setWeight(int table, int host, double weight) {
         order("set_line")
                 .append(" Sheet=")
                 .append(table)
@@ -63,12 +63,12 @@
     }
 
     @Override
-    public void wipe(int table) {
+    public void clearTable(int table) {
         order("wipe").append(" Sheet=").append(table).append('\n');
     }
 
     @Override
-    public void withdraw(int host, boolean out) {
+    public void setEjected(int host, boolean out) {
         order("cordon")
                 .append(" Host=")
                 .append(words.get(host))
@@ -78,7 +78,7 @@
     }
 
     @Override
-    public void bind(int table, int operations, int proxy) {
+    public void bindProxy(int table, int operations, int proxy) {
         order("subscribe_to")
                 .append(" Sheet=")
                 .append(table)
@@ -90,31 +90,31 @@
     }
 
     @Override
-    public int bindBrings(int table, int proxy) {
+    public int extraEntriesOfBind(int table, int proxy) {
         return 0; // there a bind ends the withdrawals of others by itself
     }
 
     @Override
-    public int lineBrings(int host, int proxy) {
+    public int extraEntriesOfWeight(int host, int proxy) {
         return 0; // nor does a line say more than its weight
     }
 
     @Override
-    public void level(int table, int operations, double letIn, RetryPolicy tries) {
+    public void setAdmission(int table, int operations, double admissionRatio, RetryPolicy tries) {
         order("level")
                 .append(" Sheet=")
                 .append(table == EVERY_TABLE ? WIRE_EVERY_TABLE : table)
                 .append(" Mask=")
                 .append(operations)
                 .append(" Level=")
-                .append(figure(letIn))
+                .append(figure(admissionRatio))
                 .append(" OnFailure=")
                 .append(tries.ordinal())
                 .append('\n');
     }
 
     @Override
-    public void barrier(int mark, boolean everyProxy) {
+    public void requestAcknowledgement(int mark, boolean everyProxy) {
         order("stamp")
                 .append(" Rev=")
                 .append(mark)
@@ -124,17 +124,17 @@
     }
 
     @Override
-    public double lines(int proxy, double reckoned) {
+    public double entriesInMessage(int proxy, double reckoned) {
         return reckoned; // the wire adds none
     }
 
     @Override
-    public void probe(int host) {
+    public void probeHost(int host) {
         order("test").append(" Host=").append(words.get(host)).append('\n');
     }
 
     @Override
-    public void timer(double at, long handle) {
+    public void requestCall(double at, long handle) {
         order("set_alarm")
                 .append(" Time=")
                 .append(Math.round(at * 1000))
@@ -144,17 +144,17 @@
     }
 
     @Override
-    public void askList() {
+    public void requestHostList() {
         order("get_list").append('\n');
     }
 
     @Override
-    public void followList() {
+    public void watchHostList() {
         order("keep_informed").append(" Flag=1\n");
     }
 
     @Override
-    public void note(String text) {
+    public void logDecision(String text) {
         order("write_log").append(" Words=").append(plain(text)).append('\n');
     }
 
--- a/src/main/java/linenring/simulation/WireHost.java
+++ b/src/main/java/linenring/simulator/SimulatorAdapter.java
@@ -1,4 +1,4 @@
-package linenring.simulation;
+package linenring.simulator;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -16,20 +16,20 @@
 import linenring.settings.SettingsReader;
 
 /** Hosts instances of the decisions on the simulator's wire: reads a batch, calls them, writes the orders. */
-public final class WireHost {
+public final class SimulatorAdapter {
     /** One host's entry of a numbered list, kept until a newer list takes the number. */
     private record Entry(String host, double weight, int zone, int kind, double started, String mode) {}
 
     private final BufferedReader in;
     private final OutputStream out;
-    private final WireLine line = new WireLine();
-    private final Map<Integer, SimulatedSteward> stewards = new TreeMap<>();
+    private final SimulatorMessage line = new SimulatorMessage();
+    private final Map<Integer, SimulatedController> stewards = new TreeMap<>();
     private final Map<Integer, List<Entry>> banks = new HashMap<>();
-    private final List<SimulatedSteward> told = new ArrayList<>();
+    private final List<SimulatedController> told = new ArrayList<>();
     private long lines;
     private double now;
 
-    private WireHost(InputStream in, OutputStream out) {
+    private SimulatorAdapter(InputStream in, OutputStream out) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         this.out = out;
     }
@@ -37,12 +37,12 @@
     /** Serves until the input ends; returns the exit code. */
     public static int run(InputStream in, PrintStream out, PrintStream err) throws IOException {
         try {
-            WireHost host = new WireHost(in, out);
+            SimulatorAdapter host = new SimulatorAdapter(in, out);
             while (host.batch()) {
                 out.flush();
             }
             return 0;
-        } catch (BadInput e) {
+        } catch (SimulatorInputException e) {
             err.println("linenring: " + e.getMessage());
             return 1;
         }
@@ -73,7 +73,7 @@
         now = line.millis("Now");
         while (true) {
             if (!next()) {
-                throw new BadInput(lines, "the input ends inside a batch");
+                throw new SimulatorInputException(lines, "the input ends inside a batch");
             }
             if (line.name.equals("eob")) {
                 break;
@@ -83,7 +83,7 @@
             }
         }
         StringBuilder reply = new StringBuilder();
-        for (SimulatedSteward steward : told) {
+        for (SimulatedController steward : told) {
             if (steward.planner != null) {
                 decide(steward, steward.planner::reconcile);
             }
@@ -97,10 +97,10 @@
     }
 
     /** Calls into the decisions; whatever fails there is told on the wire with its cause. */
-    private void decide(SimulatedSteward steward, Runnable call) {
+    private void decide(SimulatedController steward, Runnable call) {
         try {
             call.run();
-        } catch (BadInput e) {
+        } catch (SimulatorInputException e) {
             throw e;
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
@@ -115,13 +115,13 @@
             return;
         }
         int id = line.index("StewardId");
-        SimulatedSteward steward = stewards.get(id);
+        SimulatedController steward = stewards.get(id);
         if (line.name.equals("provision")) {
             if (steward == null) {
-                steward = new SimulatedSteward(id);
+                steward = new SimulatedController(id);
                 stewards.put(id, steward);
             }
-            SimulatedSteward fresh = steward;
+            SimulatedController fresh = steward;
             fresh.forgetHosts();
             fresh.commands.setLength(0);
             fresh.planner = new Planner(SettingsReader.read(line), fresh);
@@ -137,13 +137,13 @@
             steward.planner = null;
             steward.commands.setLength(0);
         } else if (steward.planner != null) {
-            SimulatedSteward one = steward;
+            SimulatedController one = steward;
             decide(one, () -> one.planner.clock(now));
             decide(one, () -> call(one, one.planner));
         }
     }
 
-    private void call(SimulatedSteward steward, Planner planner) {
+    private void call(SimulatedController steward, Planner planner) {
         if (planner == null) {
             return;
         }
@@ -173,7 +173,7 @@
         }
     }
 
-    private void registry(SimulatedSteward steward, Planner planner) {
+    private void registry(SimulatedController steward, Planner planner) {
         String scope = line.text("Scope");
         if (scope.equals("broken")) {
             return; // it is asked for again in time
@@ -204,7 +204,7 @@
         List<Entry> entries = new ArrayList<>();
         for (int i = 0; i < items; i++) {
             if (!next()) {
-                throw new BadInput(lines, "the input ends inside a list");
+                throw new SimulatorInputException(lines, "the input ends inside a list");
             }
             if (!line.name.equals("entry")) {
                 throw line.bad("expected an entry");
--- a/src/main/java/linenring/simulation/BadInput.java
+++ b/src/main/java/linenring/simulator/SimulatorInputException.java
@@ -1,10 +1,10 @@
-package linenring.simulation;
+package linenring.simulator;
 
 /** Input that is not the wire; the message names the line and the field. */
-final class BadInput extends RuntimeException {
+final class SimulatorInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    BadInput(long line, String what) {
+    SimulatorInputException(long line, String what) {
         super("line " + line + ": " + what, null, false, false);
     }
 }
--- a/src/main/java/linenring/simulation/WireLine.java
+++ b/src/main/java/linenring/simulator/SimulatorMessage.java
@@ -1,9 +1,9 @@
-package linenring.simulation;
+package linenring.simulator;
 
 import linenring.settings.Lookup;
 
 /** One line of the wire, cut into its name and fields. It is used again for each line. */
-final class WireLine extends Lookup {
+final class SimulatorMessage extends Lookup {
     private String[] names = new String[256];
     private String[] values = new String[256];
     private int count;
@@ -35,12 +35,12 @@
         }
     }
 
-    BadInput bad(String what) {
-        return new BadInput(number, (name.isEmpty() ? "" : name + ": ") + what);
+    SimulatorInputException bad(String what) {
+        return new SimulatorInputException(number, (name.isEmpty() ? "" : name + ": ") + what);
     }
 
     @Override
-    protected BadInput bad(String field, String what) {
+    protected SimulatorInputException bad(String field, String what) {
         return bad("field " + field + (what.startsWith(":") ? what : " " + what));
     }
 
--- a/src/main/java/linenring/streams/PeerConnection.java
+++ b/src/main/java/linenring/stream/PeerConnection.java
@@ -1,15 +1,15 @@
-package linenring.streams;
+package linenring.stream;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 import java.util.Arrays;
 import java.util.concurrent.Executor;
-import linenring.exchange.Stream;
-import linenring.message.Arrival;
-import linenring.message.Codec;
-import linenring.message.Decoded;
-import linenring.message.Order;
-import linenring.message.Unreadable;
+import linenring.event.ProxyStream;
+import linenring.protocol.Codec;
+import linenring.protocol.ConfigurationUpdate;
+import linenring.protocol.DecodeError;
+import linenring.protocol.DecodeResult;
+import linenring.protocol.InboundMessage;
 import org.eclipse.jetty.io.AbstractConnection;
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.BufferUtil;
@@ -17,7 +17,7 @@
 import org.eclipse.jetty.util.thread.Invocable;
 
 /** One connection at the steward's address: cuts what comes into lines, writes what is ordered, in order. */
-final class PeerConnection extends AbstractConnection implements Stream {
+final class PeerConnection extends AbstractConnection implements ProxyStream {
     /** How far it has come. */
     enum Stage {
         STRANGER,
@@ -47,7 +47,7 @@
     private int length;
     private long begunAt; // when the line that is not at its end began
     private volatile Stage stage = Stage.STRANGER;
-    private Arrival.Joining joining; // what a proxy said first
+    private InboundMessage.Subscribe joining; // what a proxy said first
     private final ArrayDeque<Mark> unanswered = new ArrayDeque<>(); // oldest first
     private volatile boolean ending;
 
@@ -212,19 +212,19 @@
     }
 
     /** False once the connection is done with. */
-    private boolean took(Decoded<Arrival> decoded) {
+    private boolean took(DecodeResult<InboundMessage> decoded) {
         boolean known = stage != Stage.STRANGER;
-        Arrival a = decoded.value();
+        InboundMessage a = decoded.value();
         if (a == null) {
-            return known && decoded.fault().reached() != Unreadable.Reached.TEXT
+            return known && decoded.fault().reached() != DecodeError.Reached.TEXT
                     ? spoilt(decoded.fault().toString())
                     : end("sends what can't be read, " + decoded.fault(), true);
         }
-        if (a instanceof Arrival.Ping) {
+        if (a instanceof InboundMessage.Ping) {
             send(Codec.pong());
             return !ending;
         }
-        boolean says = a instanceof Arrival.Joining || a instanceof Arrival.Collector;
+        boolean says = a instanceof InboundMessage.Subscribe || a instanceof InboundMessage.Collector;
         if (!known && !says) {
             return end("sends reports or answers before it says who is there", true);
         }
@@ -233,20 +233,20 @@
             return spoilt(wrong);
         }
         if (!known) {
-            joining = a instanceof Arrival.Joining j ? j : null;
+            joining = a instanceof InboundMessage.Subscribe j ? j : null;
             stage = joining != null ? Stage.PROXY : Stage.COLLECTOR;
         }
-        if (!(a instanceof Arrival.Collector)) {
+        if (!(a instanceof InboundMessage.Collector)) {
             server.exchange.arrived(this, a);
         }
         return true;
     }
 
     /** What is wrong with it on this connection, or null; an answer frees its mark and those before it. */
-    private String outOfPlace(Arrival a) {
+    private String outOfPlace(InboundMessage a) {
         if (joining == null) {
-            return a instanceof Arrival.Applied ? "a collector answers no order" : null;
-        } else if (a instanceof Arrival.Applied answer) {
+            return a instanceof InboundMessage.Acknowledgement ? "a collector answers no order" : null;
+        } else if (a instanceof InboundMessage.Acknowledgement answer) {
             Mark open = answer.proxy() != joining.proxy()
                     ? null
                     : unanswered.stream()
@@ -263,7 +263,7 @@
             }
             return null;
         }
-        return a instanceof Arrival.Usage usage && usage.proxy() == joining.proxy()
+        return a instanceof InboundMessage.RequestRateReport usage && usage.proxy() == joining.proxy()
                 ? null
                 : "it is not for proxy " + joining.proxy() + " to report";
     }
@@ -275,10 +275,10 @@
     }
 
     @Override
-    public void write(Order order) {
+    public void write(ConfigurationUpdate order) {
         int mark = order.parts().get(order.parts().size() - 1).mark();
         synchronized (this) {
-            if (mark != Order.NO_MARK) {
+            if (mark != ConfigurationUpdate.NO_MARK) {
                 if (unanswered.size() == MARKS_MOST) {
                     unanswered.poll();
                 }
--- a/src/main/java/linenring/streams/StreamServer.java
+++ b/src/main/java/linenring/stream/StreamServer.java
@@ -1,4 +1,4 @@
-package linenring.streams;
+package linenring.stream;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -13,9 +13,9 @@
 import java.util.Set;
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
-import linenring.exchange.Exchange;
+import linenring.event.EventQueue;
 import linenring.log.Log;
-import linenring.message.Codec;
+import linenring.protocol.Codec;
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.io.ManagedSelector;
@@ -47,7 +47,7 @@
     private static final long SWEEP_MS = 250;
     private static final int HELD_MOST = 16 << 20; // bytes of begun lines, of all connections: a third of the heap
 
-    final Exchange exchange;
+    final EventQueue exchange;
     final Codec codec;
     final Log log;
     private final int most;
@@ -59,7 +59,7 @@
     private boolean closed;
     private final Set<SelectableChannel> accepting = new HashSet<>(); // accepted, and not among the connections yet
 
-    StreamServer(Executor executor, Scheduler scheduler, int sockets, Codec codec, Exchange exchange, Log log) {
+    StreamServer(Executor executor, Scheduler scheduler, int sockets, Codec codec, EventQueue exchange, Log log) {
         super(executor, scheduler, 1);
         this.clock = scheduler;
         this.most = sockets - OWN_SOCKETS;
@@ -73,7 +73,7 @@
             InetSocketAddress at,
             int sockets,
             Codec codec,
-            Exchange exchange,
+            EventQueue exchange,
             Log log,
             Executor executor,
             Scheduler scheduler) {
--- a/src/main/java/linenring/standin/FrameLink.java
+++ b/src/main/java/linenring/testserver/FrameConnection.java
@@ -1,4 +1,4 @@
-package linenring.standin;
+package linenring.testserver;
 
 import java.io.BufferedInputStream;
 import java.io.DataInputStream;
@@ -19,7 +19,7 @@
  * HTTP/2 frames (RFC 9113, 4.1 and 6) over a blocking socket, one by one and unchecked, so that a stand-in can send
  * what no library would. One thread reads; any thread writes.
  */
-public final class FrameLink implements AutoCloseable {
+public final class FrameConnection implements AutoCloseable {
     /** Frame types. */
     public static final int DATA = 0,
             HEADERS = 1,
@@ -54,7 +54,7 @@
     private final HpackEncoder encoder = new HpackEncoder();
     private final HpackDecoder decoder = new HpackDecoder(HEADERS_MOST, System::nanoTime);
 
-    public FrameLink(Socket socket) throws IOException {
+    public FrameConnection(Socket socket) throws IOException {
         this.socket = socket;
         socket.setTcpNoDelay(true);
         in = new DataInputStream(new BufferedInputStream(socket.getInputStream(), 1 << 16));
--- a/src/main/java/linenring/standin/Caller.java
+++ b/src/main/java/linenring/testserver/LoadClient.java
@@ -1,4 +1,4 @@
-package linenring.standin;
+package linenring.testserver;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -16,7 +16,7 @@
  * A stand-in for a client: one HTTP/2 connection of raw frames, which behaves unless it is told to misbehave through
  * {@link #link}. It keeps what came back for each stream.
  */
-public final class Caller implements AutoCloseable {
+public final class LoadClient implements AutoCloseable {
     /** What has come back on one stream. */
     public static final class Answer {
         public volatile int status;
@@ -35,19 +35,19 @@
     private static final long WAIT_MS = 15_000; // past any bound in the stories; a story that waits so long has failed
 
     private final Socket socket;
-    public final FrameLink link;
+    public final FrameConnection link;
     private final Map<Integer, Answer> answers = new ConcurrentHashMap<>();
-    private final List<FrameLink.Frame> goAways = new ArrayList<>();
+    private final List<FrameConnection.Frame> goAways = new ArrayList<>();
     private final Thread reader;
-    private final List<FrameLink.Frame> heldPings = new ArrayList<>();
+    private final List<FrameConnection.Frame> heldPings = new ArrayList<>();
     private volatile boolean opensWindows = true, answersPings = true, closed;
     private int nextStream = 1;
 
     /** Connects and says its preface; {@code settings} as pairs. */
-    public Caller(int port, int... settings) throws IOException {
+    public LoadClient(int port, int... settings) throws IOException {
         socket = new Socket(InetAddress.getByName("127.0.0.1"), port);
-        link = new FrameLink(socket);
-        link.raw(FrameLink.PREFACE);
+        link = new FrameConnection(socket);
+        link.raw(FrameConnection.PREFACE);
         link.settings(settings);
         reader = new Thread(this::read, "caller");
         reader.setDaemon(true);
@@ -55,7 +55,7 @@
     }
 
     /** From now on it answers no PING, as one whose way or reading is slow, until it is told to. */
-    public Caller holdingPings() {
+    public LoadClient holdingPings() {
         answersPings = false;
         return this;
     }
@@ -63,8 +63,8 @@
     /** Answers those that it held, and later ones at once. */
     public synchronized void answerPings() throws IOException {
         answersPings = true;
-        for (FrameLink.Frame f : heldPings) {
-            link.write(FrameLink.PING, FrameLink.ACK, 0, f.payload());
+        for (FrameConnection.Frame f : heldPings) {
+            link.write(FrameConnection.PING, FrameConnection.ACK, 0, f.payload());
         }
         heldPings.clear();
     }
@@ -74,7 +74,7 @@
     }
 
     /** From now on it never opens a window. */
-    public Caller ignoringWindows() {
+    public LoadClient ignoringWindows() {
         opensWindows = false;
         return this;
     }
@@ -93,12 +93,12 @@
         int stream = nextStream;
         nextStream += 2;
         answers.put(stream, new Answer());
-        link.headers(stream, FrameLink.request(method, path, all), end);
+        link.headers(stream, FrameConnection.request(method, path, all), end);
         return stream;
     }
 
     public void body(int stream, int bytes, boolean end) throws IOException {
-        link.write(FrameLink.DATA, end ? FrameLink.END_STREAM : 0, stream, new byte[bytes]);
+        link.write(FrameConnection.DATA, end ? FrameConnection.END_STREAM : 0, stream, new byte[bytes]);
     }
 
     public Answer answer(int stream) {
@@ -139,7 +139,7 @@
     }
 
     /** Frames of GOAWAY that came, oldest first. */
-    public synchronized List<FrameLink.Frame> goAways() {
+    public synchronized List<FrameConnection.Frame> goAways() {
         return List.copyOf(goAways);
     }
 
@@ -150,7 +150,7 @@
     private void read() {
         Map<Integer, ByteArrayOutputStream> blocks = new ConcurrentHashMap<>();
         try {
-            for (FrameLink.Frame f = link.read(); f != null; f = link.read()) {
+            for (FrameConnection.Frame f = link.read(); f != null; f = link.read()) {
                 synchronized (this) {
                     took(f, blocks);
                     notifyAll();
@@ -166,36 +166,36 @@
         }
     }
 
-    private void took(FrameLink.Frame f, Map<Integer, ByteArrayOutputStream> blocks) throws IOException {
+    private void took(FrameConnection.Frame f, Map<Integer, ByteArrayOutputStream> blocks) throws IOException {
         Answer a = answers.get(f.stream());
         switch (f.type()) {
-            case FrameLink.SETTINGS -> {
-                if (!f.has(FrameLink.ACK)) {
-                    link.write(FrameLink.SETTINGS, FrameLink.ACK, 0);
+            case FrameConnection.SETTINGS -> {
+                if (!f.has(FrameConnection.ACK)) {
+                    link.write(FrameConnection.SETTINGS, FrameConnection.ACK, 0);
                 }
             }
-            case FrameLink.PING -> {
-                if (!f.has(FrameLink.ACK) && answersPings) {
-                    link.write(FrameLink.PING, FrameLink.ACK, 0, f.payload());
-                } else if (!f.has(FrameLink.ACK)) {
+            case FrameConnection.PING -> {
+                if (!f.has(FrameConnection.ACK) && answersPings) {
+                    link.write(FrameConnection.PING, FrameConnection.ACK, 0, f.payload());
+                } else if (!f.has(FrameConnection.ACK)) {
                     heldPings.add(f);
                 }
             }
-            case FrameLink.GOAWAY -> goAways.add(f);
-            case FrameLink.HEADERS -> head(f, a);
-            case FrameLink.DATA -> {
+            case FrameConnection.GOAWAY -> goAways.add(f);
+            case FrameConnection.HEADERS -> head(f, a);
+            case FrameConnection.DATA -> {
                 if (f.payload().length > 0 && opensWindows) {
                     link.window(0, f.payload().length);
-                    if (!f.has(FrameLink.END_STREAM)) {
+                    if (!f.has(FrameConnection.END_STREAM)) {
                         link.window(f.stream(), f.payload().length);
                     }
                 }
                 if (a != null) {
                     a.bytes += f.payload().length;
-                    end(a, f.has(FrameLink.END_STREAM));
+                    end(a, f.has(FrameConnection.END_STREAM));
                 }
             }
-            case FrameLink.RST_STREAM -> {
+            case FrameConnection.RST_STREAM -> {
                 if (a != null) {
                     a.reset = f.figure(0);
                     a.endedAt = a.endedAt == 0 ? System.nanoTime() : a.endedAt;
@@ -205,7 +205,7 @@
         }
     }
 
-    private void head(FrameLink.Frame f, Answer a) throws IOException {
+    private void head(FrameConnection.Frame f, Answer a) throws IOException {
         MetaData decoded = link.decode(f);
         if (a == null) {
             return;
@@ -218,7 +218,7 @@
             a.status = head.getStatus();
             a.fields = head.getHttpFields();
         }
-        end(a, f.has(FrameLink.END_STREAM));
+        end(a, f.has(FrameConnection.END_STREAM));
     }
 
     private static void end(Answer a, boolean ends) {
--- a/src/main/java/linenring/standin/Node.java
+++ b/src/main/java/linenring/testserver/TestBackend.java
@@ -1,4 +1,4 @@
-package linenring.standin;
+package linenring.testserver;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -21,7 +21,7 @@
  * A stand-in for a dispatch node: HTTP/2 with prior knowledge on loopback. It does what it is told, and counts what it
  * ran by path and by mark. What it is told for the next invocations goes first, then what it always does.
  */
-public final class Node implements AutoCloseable {
+public final class TestBackend implements AutoCloseable {
     /** What it does with an invocation. All but the first four run it; those that run it count it. */
     public enum Deed {
         /** Says REFUSED_STREAM. */
@@ -90,11 +90,11 @@
     private volatile CountDownLatch greets = new CountDownLatch(0);
     private int arrived, running;
 
-    public Node() throws IOException {
+    public TestBackend() throws IOException {
         this(0);
     }
 
-    public Node(int port) throws IOException {
+    public TestBackend(int port) throws IOException {
         server = new ServerSocket(port, 512, InetAddress.getByName("127.0.0.1"));
         threads.execute(this::accept);
     }
@@ -108,7 +108,7 @@
     }
 
     /** What it does with the next invocation that comes and was not told of yet. */
-    public Node next(Told... told) {
+    public TestBackend next(Told... told) {
         synchronized (next) {
             next.addAll(java.util.List.of(told));
         }
@@ -116,19 +116,19 @@
     }
 
     /** What it does with those whose path begins so. */
-    public Node always(String prefix, Told told) {
+    public TestBackend always(String prefix, Told told) {
         always.put(prefix, told);
         return this;
     }
 
     /** How many streams a connection may have, for connections from now on. */
-    public Node streams(int most) {
+    public TestBackend streams(int most) {
         streams = most;
         return this;
     }
 
     /** Says its SETTINGS on connections from now on once it is told to, as a host that is slow to accept. */
-    public Node greetsOnce(CountDownLatch told) {
+    public TestBackend greetsOnce(CountDownLatch told) {
         greets = told;
         return this;
     }
@@ -221,7 +221,7 @@
         private final Map<Integer, Told> open = new ConcurrentHashMap<>();
         private final Map<Integer, String> paths = new ConcurrentHashMap<>();
         private final Map<Integer, Integer> windows = new ConcurrentHashMap<>(); // what the peer still takes, by stream
-        private FrameLink link;
+        private FrameConnection link;
         private int window = 65_535, initial = 65_535;
         private boolean goingAway;
 
@@ -242,11 +242,11 @@
 
         void run() {
             try (socket) {
-                link = new FrameLink(socket);
-                link.readFully(FrameLink.PREFACE.length);
+                link = new FrameConnection(socket);
+                link.readFully(FrameConnection.PREFACE.length);
                 greets.await();
                 link.settings(3, streams);
-                for (FrameLink.Frame f = link.read(); f != null; f = link.read()) {
+                for (FrameConnection.Frame f = link.read(); f != null; f = link.read()) {
                     took(f);
                 }
             } catch (IOException | RuntimeException | InterruptedException e) {
@@ -257,20 +257,20 @@
             }
         }
 
-        private void took(FrameLink.Frame f) throws IOException {
+        private void took(FrameConnection.Frame f) throws IOException {
             switch (f.type()) {
-                case FrameLink.SETTINGS -> {
-                    if (!f.has(FrameLink.ACK)) {
+                case FrameConnection.SETTINGS -> {
+                    if (!f.has(FrameConnection.ACK)) {
                         settings(f);
-                        link.write(FrameLink.SETTINGS, FrameLink.ACK, 0);
+                        link.write(FrameConnection.SETTINGS, FrameConnection.ACK, 0);
                     }
                 }
-                case FrameLink.PING -> {
-                    if (!f.has(FrameLink.ACK)) {
-                        link.write(FrameLink.PING, FrameLink.ACK, 0, f.payload());
+                case FrameConnection.PING -> {
+                    if (!f.has(FrameConnection.ACK)) {
+                        link.write(FrameConnection.PING, FrameConnection.ACK, 0, f.payload());
                     }
                 }
-                case FrameLink.WINDOW_UPDATE -> {
+                case FrameConnection.WINDOW_UPDATE -> {
                     synchronized (this) {
                         if (f.stream() == 0) {
                             window += f.figure(0);
@@ -280,14 +280,14 @@
                         notifyAll();
                     }
                 }
-                case FrameLink.RST_STREAM -> gone(f.stream());
-                case FrameLink.HEADERS -> head(f);
-                case FrameLink.DATA -> data(f);
+                case FrameConnection.RST_STREAM -> gone(f.stream());
+                case FrameConnection.HEADERS -> head(f);
+                case FrameConnection.DATA -> data(f);
                 default -> {}
             }
         }
 
-        private synchronized void settings(FrameLink.Frame f) {
+        private synchronized void settings(FrameConnection.Frame f) {
             for (int at = 0; at + 6 <= f.payload().length; at += 6) {
                 if (f.payload()[at + 1] == 4) {
                     int value = f.figure(at + 2), by = value - initial;
@@ -305,7 +305,7 @@
             }
         }
 
-        private void head(FrameLink.Frame f) throws IOException {
+        private void head(FrameConnection.Frame f) throws IOException {
             MetaData decoded = link.decode(f);
             if (!(decoded instanceof MetaData.Request request)) {
                 trailers = decoded.getHttpFields();
@@ -314,7 +314,7 @@
             }
             String path = request.getHttpURI().getPath();
             Told told = told(path);
-            synchronized (Node.this) {
+            synchronized (TestBackend.this) {
                 arrived++;
                 String mark = request.getHttpFields().get("x-mark");
                 if (told.runs() && !goingAway && mark != null) {
@@ -338,7 +338,7 @@
                         paths.put(f.stream(), path);
                     }
                     if (told.runs()) {
-                        synchronized (Node.this) {
+                        synchronized (TestBackend.this) {
                             ran.merge(path, 1, Integer::sum);
                         }
                     }
@@ -347,12 +347,12 @@
             }
         }
 
-        private void data(FrameLink.Frame f) throws IOException {
+        private void data(FrameConnection.Frame f) throws IOException {
             Told told = open.get(f.stream());
             bodies.merge(paths.getOrDefault(f.stream(), ""), (long) f.payload().length, Long::sum);
             if (f.payload().length > 0 && (told == null || told.deed() != Deed.NO_WINDOW)) {
                 link.window(0, f.payload().length);
-                if (told != null && !f.has(FrameLink.END_STREAM)) {
+                if (told != null && !f.has(FrameConnection.END_STREAM)) {
                     link.window(f.stream(), f.payload().length);
                 }
             }
@@ -360,12 +360,12 @@
         }
 
         /** The request is whole where this frame ends it. */
-        private void whole(FrameLink.Frame f) {
+        private void whole(FrameConnection.Frame f) {
             Told told = open.get(f.stream());
-            if (!f.has(FrameLink.END_STREAM) || told == null || !told.runs() || told.deed() == Deed.HANG) {
+            if (!f.has(FrameConnection.END_STREAM) || told == null || !told.runs() || told.deed() == Deed.HANG) {
                 return;
             }
-            synchronized (Node.this) {
+            synchronized (TestBackend.this) {
                 running++;
             }
             if (told.afterMs() > 0) {
@@ -387,7 +387,7 @@
                 Thread.currentThread().interrupt();
             } finally {
                 gone(stream);
-                synchronized (Node.this) {
+                synchronized (TestBackend.this) {
                     running--;
                 }
             }
@@ -403,7 +403,7 @@
                 case RESET -> link.reset(stream, 2);
                 case DIE -> end();
                 case RESET_AFTER_HEAD, RESET_IN_BODY, DIE_IN_BODY, HANG_IN_BODY -> {
-                    link.headers(stream, FrameLink.response(200, fields), false);
+                    link.headers(stream, FrameConnection.response(200, fields), false);
                     if (told.deed() != Deed.RESET_AFTER_HEAD) {
                         body(stream, told.bytes() / 2, false, FRAME, 0);
                     }
@@ -414,13 +414,15 @@
                     }
                 }
                 case TRICKLE -> {
-                    link.headers(stream, FrameLink.response(200, fields), false);
+                    link.headers(stream, FrameConnection.response(200, fields), false);
                     body(stream, told.bytes(), true, 1, TRICKLE_MS);
                 }
                 case EARLY_HINTS_AND_TRAILERS -> {
                     link.headers(
-                            stream, FrameLink.response(103, HttpFields.build().put("link", "</a>")), false);
-                    link.headers(stream, FrameLink.response(200, fields), false);
+                            stream,
+                            FrameConnection.response(103, HttpFields.build().put("link", "</a>")),
+                            false);
+                    link.headers(stream, FrameConnection.response(200, fields), false);
                     body(stream, told.bytes(), false, FRAME, 0);
                     link.headers(
                             stream,
@@ -432,13 +434,13 @@
                 case LIE_ABOUT_LENGTH -> {
                     link.headers(
                             stream,
-                            FrameLink.response(
+                            FrameConnection.response(
                                     200, HttpFields.build(fields).put("content-length", "" + (told.bytes() + 1))),
                             false);
                     body(stream, told.bytes(), true, FRAME, 0);
                 }
                 default -> {
-                    link.headers(stream, FrameLink.response(told.status(), fields), empty);
+                    link.headers(stream, FrameConnection.response(told.status(), fields), empty);
                     if (!empty) {
                         body(stream, told.bytes(), true, FRAME, 0);
                     }
@@ -463,8 +465,12 @@
                     windows.merge(stream, -size, Integer::sum);
                 }
                 sent += size;
-                Node.this.sent.addAndGet(size);
-                link.write(FrameLink.DATA, end && sent == bytes ? FrameLink.END_STREAM : 0, stream, new byte[size]);
+                TestBackend.this.sent.addAndGet(size);
+                link.write(
+                        FrameConnection.DATA,
+                        end && sent == bytes ? FrameConnection.END_STREAM : 0,
+                        stream,
+                        new byte[size]);
                 if (every > 0) {
                     TimeUnit.MILLISECONDS.sleep(every);
                 }
--- a/src/test/java/linenring/build/KnownRedTest.java
+++ b/src/test/java/linenring/build/KnownRedTest.java
@@ -16,7 +16,7 @@
 
 /** What CI does with tests that are known to be red; a stand-in for mvn notes how it was called and ends as it is told. */
 class KnownRedTest {
-    private static final String RED = "linenring.front.FrontTest#aStory, the cause in words, issue 31\n";
+    private static final String RED = "linenring.gateway.Http2GatewayTest#aStory, the cause in words, issue 31\n";
     private static final String MVN = """
             #!/bin/sh
             echo "$@" >> calls
@@ -66,26 +66,26 @@
 
     @Test
     void listedTestsAreLeftOutRunApartAndPrinted() throws Exception {
-        String two = RED + "linenring.streams.OtherTest#another, also a cause, with a comma, issue 28\n";
+        String two = RED + "linenring.stream.OtherTest#another, also a cause, with a comma, issue 28\n";
         assertEquals(0, run(two), () -> said);
         assertEquals(
                 List.of(
-                        "-B test -Dtest=!linenring.front.FrontTest#aStory,!linenring.streams.OtherTest#another",
-                        "-B test -Dtest=linenring.front.FrontTest#aStory",
-                        "-B test -Dtest=linenring.streams.OtherTest#another"),
+                        "-B test -Dtest=!linenring.gateway.Http2GatewayTest#aStory,!linenring.stream.OtherTest#another",
+                        "-B test -Dtest=linenring.gateway.Http2GatewayTest#aStory",
+                        "-B test -Dtest=linenring.stream.OtherTest#another"),
                 calls());
         assertTrue(said.contains(two), said);
     }
 
     @Test
     void aListedTestThatPassesFailsTheRun() throws Exception {
-        assertNotEquals(0, run("linenring.front.FrontTest#green, a cause, issue 31\n"));
+        assertNotEquals(0, run("linenring.gateway.Http2GatewayTest#green, a cause, issue 31\n"));
         assertTrue(said.contains("passes, so take its line away"), said);
     }
 
     @Test
     void aListedTestThatIsNotThereFailsTheRun() throws Exception {
-        assertNotEquals(0, run("linenring.front.FrontTest#absent, a cause, issue 31\n"));
+        assertNotEquals(0, run("linenring.gateway.Http2GatewayTest#absent, a cause, issue 31\n"));
         assertTrue(said.contains("did not run"), said);
     }
 
--- a/src/test/java/linenring/command/LargeCatalogueTest.java
+++ b/src/test/java/linenring/cli/LargeCatalogueTest.java
@@ -1,4 +1,4 @@
-package linenring.command;
+package linenring.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -230,7 +230,7 @@
         configure("", true);
         start("40m");
         assertTrue(process.waitFor(PATIENCE_NS, TimeUnit.NANOSECONDS), log());
-        assertEquals(Serve.EXCEEDS_MEMORY, process.exitValue(), log());
+        assertEquals(ServeCommand.EXCEEDS_MEMORY, process.exitValue(), log());
         assertTrue(log().matches("linenring: known lists over \\d+ hosts, which is more than fits the heap\n"), log());
     }
 
@@ -244,7 +244,7 @@
             // it reads no further
         }
         assertTrue(process.waitFor(PATIENCE_NS, TimeUnit.NANOSECONDS), log());
-        assertEquals(Serve.EXCEEDS_MEMORY, process.exitValue(), log());
+        assertEquals(ServeCommand.EXCEEDS_MEMORY, process.exitValue(), log());
         assertEquals(1, log().split("ERROR", -1).length - 1, log());
         assertTrue(log().contains("ERROR steward ends: discovery lists over "), log());
         assertFalse(log().contains("\tat "), log());
--- a/src/test/java/linenring/command/ScaleSubcommandTest.java
+++ b/src/test/java/linenring/cli/ScaleSubcommandTest.java
@@ -1,4 +1,4 @@
-package linenring.command;
+package linenring.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
