--- a/src/test/java/linenring/command/ServeTest.java
+++ b/src/test/java/linenring/cli/ServeCommandTest.java
@@ -1,4 +1,4 @@
-package linenring.command;
+package linenring.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,17 +9,17 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import linenring.configuration.AssignmentReader;
+import linenring.configuration.ControllerConfigurationReader;
 import linenring.log.Log;
 import org.junit.jupiter.api.Test;
 
-class ServeTest {
+class ServeCommandTest {
     @Test
     void aFaultyConfigurationIsOneLineAndTheOldOneGoesOn() {
         ByteArrayOutputStream logged = new ByteArrayOutputStream();
-        Serve.reload(
+        ServeCommand.reload(
                 null,
-                AssignmentReader.read(Map.of("GW_CONFIG", "/nowhere/at/all")),
+                ControllerConfigurationReader.read(Map.of("GW_CONFIG", "/nowhere/at/all")),
                 null, // neither is touched
                 new Log(new PrintStream(logged, true)));
         assertEquals(1, logged.toString().lines().count());
--- a/src/test/java/linenring/configuration/AssignmentReaderTest.java
+++ b/src/test/java/linenring/configuration/ControllerConfigurationReaderTest.java
@@ -10,12 +10,12 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import linenring.message.ServiceScope;
+import linenring.protocol.ServiceScope;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class AssignmentReaderTest {
+class ControllerConfigurationReaderTest {
     private static final String GOOD = """
             {"name":"n3","listen":"127.0.0.4:3000","discovery":"127.0.0.1:8500","seed":"8c1f","extra":{"a":[{"b":1}]},
              "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"peers":["10.3.0.1:7946"],
@@ -26,13 +26,13 @@
               "Specifics":{"ProxyCount":6,"PushRate":1200.0,"MostWaiting":1800.0,"UpdateCap":30,"HomeOnly":[false,true],
                "ThrottleBy":"fraction"}}}""";
 
-    private static Assignment.Outcome read(String text) {
-        return AssignmentReader.read(Map.of(), text.getBytes(StandardCharsets.UTF_8));
+    private static ControllerConfiguration.Outcome read(String text) {
+        return ControllerConfigurationReader.read(Map.of(), text.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
     void nestedSettingsBecomeTheSameFiguresInMilliseconds() {
-        Assignment c = read(GOOD).assignment();
+        ControllerConfiguration c = read(GOOD).assignment();
         assertEquals(750, c.figures().operations().get(0).objective());
         assertEquals(2, c.figures().operations().get(0).zones()); // the second zone alone
         assertEquals(-1, c.figures().operations().get(1).zones());
@@ -49,14 +49,14 @@
         Map<String, String> stale = Map.of("GW_DISCOVERY", "127.0.0.1:8600");
         assertEquals(
                 8500,
-                AssignmentReader.read(stale, GOOD.getBytes(StandardCharsets.UTF_8))
+                ControllerConfigurationReader.read(stale, GOOD.getBytes(StandardCharsets.UTF_8))
                         .assignment()
                         .discovery()
                         .getPort());
         String none = GOOD.replace("\"discovery\"", "\"was\"");
         assertEquals(
                 8600,
-                AssignmentReader.read(stale, none.getBytes(StandardCharsets.UTF_8))
+                ControllerConfigurationReader.read(stale, none.getBytes(StandardCharsets.UTF_8))
                         .assignment()
                         .discovery()
                         .getPort());
@@ -64,7 +64,7 @@
 
     @Test
     void keysThatCannotChangeWhileItRunsAreNamed() {
-        Assignment held = read(GOOD).assignment();
+        ControllerConfiguration held = read(GOOD).assignment();
         assertEquals(
                 List.of(),
                 held.fixedKeysThatDiffer(read(GOOD.replace("127.0.0.1:8500", "127.0.0.1:9")
@@ -82,14 +82,15 @@
 
     @Test
     void theEnvironmentGoesBeforeTheFile() {
-        Assignment c = AssignmentReader.read(
+        ControllerConfiguration c = ControllerConfigurationReader.read(
                         Map.of("GW_LISTEN", "127.0.0.9:4000"), GOOD.getBytes(StandardCharsets.UTF_8))
                 .assignment();
         assertEquals(4000, c.listen().getPort());
         assertEquals(8500, c.discovery().getPort());
-        assertTrue(AssignmentReader.read(Map.of("GW_LISTEN", "here"), GOOD.getBytes(StandardCharsets.UTF_8))
-                .fault()
-                .startsWith("GW_LISTEN:"));
+        assertTrue(
+                ControllerConfigurationReader.read(Map.of("GW_LISTEN", "here"), GOOD.getBytes(StandardCharsets.UTF_8))
+                        .fault()
+                        .startsWith("GW_LISTEN:"));
     }
 
     @ParameterizedTest
@@ -117,21 +118,24 @@
 
     @Test
     void aFileThatIsMissingOrNoJsonIsToldInOneLine() {
-        assertEquals("GW_CONFIG is missing", AssignmentReader.read(Map.of()).fault());
+        assertEquals(
+                "GW_CONFIG is missing",
+                ControllerConfigurationReader.read(Map.of()).fault());
         assertEquals(
                 "GW_CONFIG: cannot read /nowhere/at/all",
-                AssignmentReader.read(Map.of("GW_CONFIG", "/nowhere/at/all")).fault());
+                ControllerConfigurationReader.read(Map.of("GW_CONFIG", "/nowhere/at/all"))
+                        .fault());
         assertEquals("GW_CONFIG: the file is not JSON", read("{\"name\":").fault());
         assertEquals("GW_CONFIG: the file holds no JSON object", read("[]").fault());
     }
 
     @Test
     void aKnownListThatCannotBeUsedStopsNoStartAndIsTold() {
-        Assignment none =
+        ControllerConfiguration none =
                 read(GOOD.replace("\"version\":41", "\"version\":\"x\"")).assignment();
         assertEquals(null, none.known());
         assertEquals("known: field version is not a number; begins without it", none.leftOut());
-        Assignment some =
+        ControllerConfiguration some =
                 read(GOOD.replace("\"servers\":[", "\"servers\":[{\"id\":7},")).assignment();
         assertEquals(1, some.known().entries().size());
         assertTrue(some.leftOut().startsWith("known lists 1 hosts that are left out, the first: "), some.leftOut());
@@ -192,14 +196,15 @@
         String first = two.replaceFirst("\\{", "{\"scope\":[\"svc-1\"],");
         String last = two.substring(0, two.length() - 1) + ",\"scope\":[\"svc-1\"]}";
         for (String text : List.of(first, last)) {
-            Assignment c = read(text).assignment();
+            ControllerConfiguration c = read(text).assignment();
             assertEquals("s-1", c.known().entries().get(0).host());
             assertEquals(1, c.known().entries().size());
             assertEquals(c.scope(), c.known().scope());
             assertEquals(List.of("a", "b"), c.names().zones());
         }
         assertEquals(2, read(two).assignment().known().entries().size());
-        Assignment none = read(first.replace("[\"svc-1\"]", "[\"svc-9\"]")).assignment();
+        ControllerConfiguration none =
+                read(first.replace("[\"svc-1\"]", "[\"svc-9\"]")).assignment();
         assertEquals(null, none.known());
         assertEquals("known lists 2 hosts and scope names none of them; begins without it", none.leftOut());
     }
@@ -207,13 +212,13 @@
     @Test
     void aKnownListWithoutRoomIsAFaultOfItsOwnKind() {
         ConfigurationText.Source text = () -> new ByteArrayInputStream(GOOD.getBytes(StandardCharsets.UTF_8));
-        Assignment.Outcome none = AssignmentReader.read(Map.of(), text, true, 0);
+        ControllerConfiguration.Outcome none = ControllerConfigurationReader.read(Map.of(), text, true, 0);
         assertEquals("known lists over 0 hosts, which is more than fits the heap", none.fault());
         assertTrue(none.exceedsMemory());
         assertFalse(read(GOOD.replace("1024", "10")).exceedsMemory());
         assertEquals(
                 1,
-                AssignmentReader.read(Map.of(), text, true, 1)
+                ControllerConfigurationReader.read(Map.of(), text, true, 1)
                         .assignment()
                         .known()
                         .entries()
@@ -226,16 +231,17 @@
         try {
             Files.writeString(file, GOOD.replace("\"version\":41", "\"version\":\"x\""));
             Map<String, String> environment = Map.of("GW_CONFIG", file.toString());
-            Assignment again = AssignmentReader.readAgain(environment).assignment();
+            ControllerConfiguration again =
+                    ControllerConfigurationReader.readAgain(environment).assignment();
             assertEquals(null, again.known());
             assertEquals(null, again.leftOut());
             assertEquals(
                     "known: field version is not a number; begins without it",
-                    AssignmentReader.read(environment).assignment().leftOut());
+                    ControllerConfigurationReader.read(environment).assignment().leftOut());
             Files.writeString(file, GOOD);
             assertEquals(
                     1,
-                    AssignmentReader.read(environment)
+                    ControllerConfigurationReader.read(environment)
                             .assignment()
                             .known()
                             .entries()
@@ -243,7 +249,7 @@
             Files.writeString(file, GOOD.substring(0, GOOD.indexOf("s-1")));
             assertEquals(
                     "GW_CONFIG: the file is not JSON",
-                    AssignmentReader.readAgain(environment).fault());
+                    ControllerConfigurationReader.readAgain(environment).fault());
         } finally {
             Files.delete(file);
         }
--- a/src/test/java/linenring/steward/ChannelAccountTest.java
+++ b/src/test/java/linenring/controller/ChannelAccountTest.java
@@ -1,4 +1,4 @@
-package linenring.steward;
+package linenring.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,11 +12,11 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.stream.IntStream;
-import linenring.exchange.Stream;
+import linenring.event.ProxyStream;
 import linenring.log.Log;
-import linenring.message.Order;
 import linenring.planner.Planner;
 import linenring.planner.PlannerSettings;
+import linenring.protocol.ConfigurationUpdate;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -34,7 +34,7 @@
     private record Sent(Line to, double lines, double leaves, int mark, double at) {}
 
     /** One proxy's stream. */
-    private final class Line implements Stream {
+    private final class Line implements ProxyStream {
         final int proxy;
         boolean open = true, mute;
 
@@ -43,10 +43,10 @@
         }
 
         @Override
-        public void write(Order order) {
+        public void write(ConfigurationUpdate order) {
             double lines = HEAD + order.lineCount();
             freeAt = Math.max(now, freeAt) + lines / (PACE / slower);
-            order.parts().forEach(part -> part.shutOut().forEach(h -> shutAt.merge(h, freeAt + TRANSIT, Math::max)));
+            order.parts().forEach(part -> part.ejected().forEach(h -> shutAt.merge(h, freeAt + TRANSIT, Math::max)));
             Sent sent = new Sent(
                     this,
                     lines,
--- a/src/test/java/linenring/steward/ColdFleetStartTest.java
+++ b/src/test/java/linenring/controller/ColdFleetStartTest.java
@@ -1,15 +1,15 @@
-package linenring.steward;
+package linenring.controller;
 
-import static linenring.steward.StewardFixture.STEP_MS;
-import static linenring.steward.StewardFixture.host;
+import static linenring.controller.ControlLoopFixture.STEP_MS;
+import static linenring.controller.ControlLoopFixture.host;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.Arrays;
 import java.util.List;
 import java.util.stream.IntStream;
-import linenring.message.HostList;
-import linenring.message.HostList.State;
+import linenring.protocol.HostList;
+import linenring.protocol.HostList.State;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -26,7 +26,7 @@
     /** What all proxies ask together, of what all hosts can do once they are warm. */
     private static final double UTILISATION = 0.6;
 
-    private final List<StewardFixture> stewards;
+    private final List<ControlLoopFixture> stewards;
     private final int hosts;
     private final double[] startedAt, overloadedSince;
 
@@ -41,7 +41,7 @@
     @ParameterizedTest(name = "{0} stewards of {1} proxies each, the list known beforehand: {2}")
     @CsvSource({"36, 22, true", "36, 22, false", "24, 6, true", "5, 160, true", "5, 160, false"})
     void leavesNoProxyWithoutAHostAndPushesNoColdHostOver(int count, int proxies, boolean known) {
-        Arrays.fill(startedAt, StewardFixture.START_MS - 200);
+        Arrays.fill(startedAt, ControlLoopFixture.START_MS - 200);
         HostList list = new HostList(
                 1,
                 true,
@@ -49,7 +49,7 @@
                         .mapToObj(h -> host(h, State.READY, startedAt[h]))
                         .toList());
         for (int s = 0; s < count; s++) {
-            StewardFixture steward = new StewardFixture(known ? list : null, proxies);
+            ControlLoopFixture steward = new ControlLoopFixture(known ? list : null, proxies);
             if (!known) {
                 steward.exchange.listed(list);
             }
@@ -63,7 +63,7 @@
     @CsvSource({"36, 22", "24, 6", "5, 160"})
     void pushesNobodyOverWhereHalfOfTheHostsStartLater(int count, int proxies) {
         int first = hosts / 2;
-        Arrays.fill(startedAt, 0, first, StewardFixture.START_MS - 200);
+        Arrays.fill(startedAt, 0, first, ControlLoopFixture.START_MS - 200);
         HostList list = new HostList(
                 1,
                 true,
@@ -71,7 +71,7 @@
                         .mapToObj(h -> host(h, State.READY, startedAt[h]))
                         .toList());
         for (int s = 0; s < count; s++) {
-            stewards.add(new StewardFixture(list, proxies).joinAll(proxies, true));
+            stewards.add(new ControlLoopFixture(list, proxies).joinAll(proxies, true));
         }
         Arrays.fill(startedAt, first, hosts, Double.POSITIVE_INFINITY);
         play(5000, list);
@@ -91,11 +91,11 @@
         for (double step = 0; step < ms; step += STEP_MS) {
             stewards.forEach(steward -> steward.pass(STEP_MS));
             double now = stewards.get(0).now();
-            if (now - StewardFixture.START_MS >= JOIN_LIMIT_MS) {
-                for (StewardFixture steward : stewards) {
+            if (now - ControlLoopFixture.START_MS >= JOIN_LIMIT_MS) {
+                for (ControlLoopFixture steward : stewards) {
                     assertFalse(
                             steward.proxies.stream().anyMatch(p -> p.pickable().isEmpty()),
-                            "a proxy has no host " + (now - StewardFixture.START_MS) + " ms after the start");
+                            "a proxy has no host " + (now - ControlLoopFixture.START_MS) + " ms after the start");
                 }
             }
             assertNobodyIsPushedOver(now);
@@ -112,7 +112,7 @@
             assertTrue(
                     now - overloadedSince[h] < OVERLOAD_MS,
                     "host " + h + " is sent " + load[h] / capacity + " times what it can do, "
-                            + (now - StewardFixture.START_MS) + " ms after the start");
+                            + (now - ControlLoopFixture.START_MS) + " ms after the start");
         }
     }
 
@@ -126,7 +126,7 @@
                         .filter(at -> at < Double.POSITIVE_INFINITY)
                         .count()
                 / proxies;
-        for (StewardFixture steward : stewards) {
+        for (ControlLoopFixture steward : stewards) {
             for (RecordingProxy proxy : steward.proxies) {
                 double sum =
                         proxy.pickable().values().stream().mapToDouble(w -> w).sum();
--- a/src/test/java/linenring/steward/StewardFixture.java
+++ b/src/test/java/linenring/controller/ControlLoopFixture.java
@@ -1,4 +1,4 @@
-package linenring.steward;
+package linenring.controller;
 
 import java.io.OutputStream;
 import java.io.PrintStream;
@@ -6,19 +6,19 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.IntStream;
-import linenring.exchange.Exchange;
+import linenring.event.EventQueue;
 import linenring.log.Log;
-import linenring.message.Arrival;
-import linenring.message.HostList;
-import linenring.message.HostList.State;
 import linenring.planner.PlannerSettings;
+import linenring.protocol.HostList;
+import linenring.protocol.HostList.State;
+import linenring.protocol.InboundMessage;
 import linenring.settings.Names;
 
 /**
  * A whole steward (decisions, books, exchange) on a clock that the test moves, beside proxies that record what they are sent and
  * answer each mark after the channel's transit time.
  */
-final class StewardFixture {
+final class ControlLoopFixture {
     static final double START_MS = 1_700_000_000_000.0;
     static final double STEP_MS = 50;
     static final double TRANSIT_MS = 150;
@@ -31,17 +31,17 @@
     private static final double PACE_PER_SECOND = 1200;
     private static final List<String> ZONES = List.of("a", "b", "c");
 
-    final Exchange exchange = new Exchange();
+    final EventQueue exchange = new EventQueue();
     final List<RecordingProxy> proxies = new ArrayList<>(); // the latest stream of each, by id
-    private final Steward steward;
+    private final ControlLoop steward;
     private double now = START_MS;
 
-    StewardFixture(HostList known, int proxyCount) {
+    ControlLoopFixture(HostList known, int proxyCount) {
         this(known, proxyCount, 22.0 * proxyCount + 1000);
     }
 
     /** With a channel in which at most so many lines may wait. */
-    StewardFixture(HostList known, int proxyCount, double mostWaiting) {
+    ControlLoopFixture(HostList known, int proxyCount, double mostWaiting) {
         PlannerSettings figures = new PlannerSettings(
                 List.of(new PlannerSettings.Operation(1000, 1, -1, -1, false, ZONES.size())),
                 new PlannerSettings.ColdStart(0.2, 18_000),
@@ -54,7 +54,7 @@
                 false,
                 6);
         Names names = new Names(ZONES, List.of("m1"), List.of("lookup"), proxyCount, 4);
-        steward = new Steward(
+        steward = new ControlLoop(
                 figures,
                 names,
                 known,
@@ -68,7 +68,7 @@
     }
 
     /** All proxies up to this number join at once. */
-    StewardFixture joinAll(int count, boolean fresh) {
+    ControlLoopFixture joinAll(int count, boolean fresh) {
         IntStream.range(0, count).forEach(id -> join(id, fresh));
         return this;
     }
@@ -81,12 +81,12 @@
         } else {
             proxies.add(proxy);
         }
-        exchange.arrived(proxy, new Arrival.Joining(id, id % ZONES.size(), 5, fresh));
+        exchange.arrived(proxy, new InboundMessage.Subscribe(id, id % ZONES.size(), 5, fresh));
         return proxy;
     }
 
     /** Lets time pass in steps; whoever is not silent answers its marks. */
-    StewardFixture pass(double ms) {
+    ControlLoopFixture pass(double ms) {
         for (double end = now + ms; now < end; ) {
             now += STEP_MS;
             proxies.stream().filter(proxy -> !proxy.silent).forEach(this::answer);
@@ -98,7 +98,8 @@
     private void answer(RecordingProxy proxy) {
         while (!proxy.unanswered.isEmpty() && proxy.unanswered.peek().writtenAt() + TRANSIT_MS <= now) {
             RecordingProxy.Mark mark = proxy.unanswered.poll();
-            exchange.arrived(proxy, new Arrival.Applied(proxy.id, mark.number(), now - mark.writtenAt()));
+            exchange.arrived(
+                    proxy, new InboundMessage.Acknowledgement(proxy.id, mark.number(), now - mark.writtenAt()));
         }
     }
 
@@ -108,7 +109,7 @@
 
     /** What the proxies of a zone met at a host within the last second. */
     void report(int zone, String host, int total, int failed, double meanMs) {
-        exchange.arrived(null, new Arrival.HostSums(host, zone, total, failed, meanMs, 1000));
+        exchange.arrived(null, new InboundMessage.LoadReport(host, zone, total, failed, meanMs, 1000));
     }
 
     static HostList.Entry host(int number, State state, double startedMs) {
--- a/src/test/java/linenring/steward/StewardTest.java
+++ b/src/test/java/linenring/controller/ControlLoopTest.java
@@ -1,4 +1,4 @@
-package linenring.steward;
+package linenring.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -17,19 +17,19 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import linenring.exchange.Exchange;
-import linenring.exchange.Stream;
+import linenring.event.EventQueue;
+import linenring.event.ProxyStream;
 import linenring.log.Log;
-import linenring.message.Arrival;
-import linenring.message.HostList;
-import linenring.message.HostList.State;
-import linenring.message.Order;
+import linenring.protocol.ConfigurationUpdate;
+import linenring.protocol.HostList;
+import linenring.protocol.HostList.State;
+import linenring.protocol.InboundMessage;
 import linenring.settings.Lookup;
 import linenring.settings.SettingsReader;
-import linenring.simulation.WireHost;
+import linenring.simulator.SimulatorAdapter;
 import org.junit.jupiter.api.Test;
 
-class StewardTest {
+class ControlLoopTest {
     private static final String START =
             "Azs=a,b Classes.count=2 Classes.0.Aim=750000 Classes.0.Name=lookup Classes.0.Points=2.0"
                     + " Classes.1.Aim=1200000 Classes.1.Name=order Classes.1.Points=3.0 Contract.Cold=18000000 Contract.ColdFrom=0.18"
@@ -40,16 +40,16 @@
     private static final double T0 = 1_700_000_000_000.0;
 
     /** What one proxy makes of its orders: the same for both ways of telling it. */
-    private static final class Seen implements Stream {
+    private static final class Seen implements ProxyStream {
         final TreeMap<String, TreeMap<String, Double>> lines = new TreeMap<>(); // by operation
-        final TreeMap<String, Order.Level> levels = new TreeMap<>();
+        final TreeMap<String, ConfigurationUpdate.Level> levels = new TreeMap<>();
         final TreeSet<String> out = new TreeSet<>();
         final List<Integer> marks = new ArrayList<>();
         String closed;
 
         @Override
-        public void write(Order order) {
-            for (Order.Part part : order.parts()) {
+        public void write(ConfigurationUpdate order) {
+            for (ConfigurationUpdate.Part part : order.parts()) {
                 for (String op : part.operations().isEmpty() ? List.of("lookup", "order") : part.operations()) {
                     TreeMap<String, Double> table = lines.computeIfAbsent(op, o -> new TreeMap<>());
                     if (part.whole()) {
@@ -61,14 +61,14 @@
                     if (part.level() != null) {
                         levels.put(
                                 op,
-                                new Order.Level(
-                                        rounded(part.level().letIn()),
+                                new ConfigurationUpdate.Level(
+                                        rounded(part.level().admissionRatio()),
                                         part.level().tries()));
                     }
                 }
-                out.addAll(part.shutOut());
-                out.removeAll(part.letBack());
-                if (part.mark() != Order.NO_MARK) {
+                out.addAll(part.ejected());
+                out.removeAll(part.restored());
+                if (part.mark() != ConfigurationUpdate.NO_MARK) {
                     marks.add(part.mark());
                 }
             }
@@ -94,7 +94,7 @@
     /** Carries a reply of the simulator's wire out, as its page words it. */
     private static final class WireFleet {
         final Map<String, TreeMap<String, Double>> tables = new HashMap<>();
-        final Map<String, TreeMap<String, Order.Level>> levels = new HashMap<>();
+        final Map<String, TreeMap<String, ConfigurationUpdate.Level>> levels = new HashMap<>();
         final Map<Integer, String> bound = new TreeMap<>();
         final TreeSet<String> out = new TreeSet<>();
 
@@ -128,7 +128,7 @@
                 levels.computeIfAbsent(table, t -> new TreeMap<>())
                         .put(
                                 op,
-                                new Order.Level(
+                                new ConfigurationUpdate.Level(
                                         Double.parseDouble(field(line, "Level")),
                                         Integer.parseInt(field(line, "OnFailure"))));
             }
@@ -137,7 +137,7 @@
         String seen(int proxy) {
             String table = bound.get(proxy);
             TreeMap<String, TreeMap<String, Double>> lines = new TreeMap<>();
-            TreeMap<String, Order.Level> level = new TreeMap<>();
+            TreeMap<String, ConfigurationUpdate.Level> level = new TreeMap<>();
             if (table != null) {
                 lines.put("lookup", tables.get(table));
                 lines.put("order", tables.get(table));
@@ -150,12 +150,12 @@
     }
 
     private String start = START;
-    private final Exchange exchange = new Exchange();
+    private final EventQueue exchange = new EventQueue();
     private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
     private final Seen[] proxies = {new Seen(), new Seen()};
     private final StringBuilder wire = new StringBuilder();
     private final List<String> socketsSaw = new ArrayList<>();
-    private Steward steward;
+    private ControlLoop steward;
     private int version = 1;
 
     private final Lookup figures = new Lookup() {
@@ -175,8 +175,8 @@
         }
     };
 
-    private Steward start(Log log) {
-        return new Steward(
+    private ControlLoop start(Log log) {
+        return new ControlLoop(
                 SettingsReader.read(figures),
                 SettingsReader.names(figures),
                 null,
@@ -242,7 +242,7 @@
             at(
                     20 + p,
                     "joined StewardId=0 Sidecar=" + p + " Flag=1 Dc=" + p + " Heft=6.5\n",
-                    () -> exchange.arrived(proxies[proxy], new Arrival.Joining(proxy, proxy, 6.5, true)));
+                    () -> exchange.arrived(proxies[proxy], new InboundMessage.Subscribe(proxy, proxy, 6.5, true)));
         }
         for (double ms = 150; ms < 16_000; ms += 100) {
             List<String> events = new ArrayList<>(List.of("elapsed StewardId=0 Handle=1\n"));
@@ -252,17 +252,20 @@
                         mark = proxies[p].marks.isEmpty() ? -1 : proxies[p].marks.get(proxies[p].marks.size() - 1);
                 if (mark >= 0) {
                     events.add("in_force StewardId=0 Sidecar=" + p + " Rev=" + mark + " Rtt=130000\n");
-                    calls.add(() -> exchange.arrived(proxies[proxy], new Arrival.Applied(proxy, mark, 130)));
+                    calls.add(() ->
+                            exchange.arrived(proxies[proxy], new InboundMessage.Acknowledgement(proxy, mark, 130)));
                 }
                 events.add("traffic StewardId=0 Sidecar=" + p + " Qos=0 Total=40 Bad=0 Elapsed=100000\n");
-                calls.add(() -> exchange.arrived(proxies[proxy], new Arrival.Usage(proxy, 0, 40, 100)));
+                calls.add(() ->
+                        exchange.arrived(proxies[proxy], new InboundMessage.RequestRateReport(proxy, 0, 40, 100)));
             }
             for (int h = 0; h < 4; h++) { // one host fails, later all are late, so that levels fall
                 int host = h, bad = h == 1 && ms > 5000 && ms < 8000 ? 4 : 0;
                 double mean = ms > 10_000 ? 900 : 100;
                 events.add("tally StewardId=0 Host=s-" + h + " Dc=0 Total=5 Bad=" + bad + " Rtt="
                         + Math.round(mean * 1000) + "\n");
-                calls.add(() -> exchange.arrived(proxies[0], new Arrival.HostSums("s-" + host, 0, 5, bad, mean, 500)));
+                calls.add(() ->
+                        exchange.arrived(proxies[0], new InboundMessage.LoadReport("s-" + host, 0, 5, bad, mean, 500)));
             }
             at(ms, String.join("", events), () -> calls.forEach(Runnable::run));
             if (ms == 3050) {
@@ -277,7 +280,7 @@
             }
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        WireHost.run(
+        SimulatorAdapter.run(
                 new ByteArrayInputStream(wire.toString().getBytes(StandardCharsets.UTF_8)),
                 new PrintStream(out),
                 System.err);
@@ -301,10 +304,10 @@
         steward = start(new Log(new PrintStream(logged)));
         steward.listed(new HostList(1, true, List.of(entry(0, State.READY, Double.NEGATIVE_INFINITY))));
         Seen old = proxies[0], fresh = proxies[1];
-        exchange.arrived(old, new Arrival.Joining(0, 0, 1, true));
+        exchange.arrived(old, new InboundMessage.Subscribe(0, 0, 1, true));
         steward.round(T0 + 10);
         assertEquals(1, old.marks.size());
-        exchange.arrived(fresh, new Arrival.Joining(0, 0, 1, false));
+        exchange.arrived(fresh, new InboundMessage.Subscribe(0, 0, 1, false));
         exchange.ended(old);
         steward.round(T0 + 20);
         assertTrue(old.closed != null);
@@ -321,9 +324,9 @@
     void sumsOfAHostThatWasNeverListedPutItInNoOrder() {
         steward = start(new Log(new PrintStream(OutputStream.nullOutputStream())));
         steward.listed(new HostList(1, true, List.of(entry(0, State.READY, Double.NEGATIVE_INFINITY))));
-        exchange.arrived(proxies[0], new Arrival.Joining(0, 0, 1, true));
+        exchange.arrived(proxies[0], new InboundMessage.Subscribe(0, 0, 1, true));
         for (int i = 1; i < 60; i++) {
-            exchange.arrived(proxies[1], new Arrival.HostSums("s-9", 0, 50, 50, 0, 500));
+            exchange.arrived(proxies[1], new InboundMessage.LoadReport("s-9", 0, 50, 50, 0, 500));
             steward.round(T0 + 100 * i);
         }
         assertEquals("[s-0]", proxies[0].lines.get("order").keySet().toString());
@@ -340,14 +343,15 @@
         }
         steward.listed(new HostList(1, true, List.of(hosts)));
         Seen silent = proxies[0], well = proxies[1];
-        exchange.arrived(silent, new Arrival.Joining(0, 0, 1, true));
-        exchange.arrived(well, new Arrival.Joining(1, 1, 1, true));
+        exchange.arrived(silent, new InboundMessage.Subscribe(0, 0, 1, true));
+        exchange.arrived(well, new InboundMessage.Subscribe(1, 1, 1, true));
         steward.round(T0 + 10);
         for (int h = 0; h < 16; h++) {
             exchange.listed(new HostList(2 + h, false, List.of(entry(h, State.TERMINATING, 0))));
             for (int i = 0; i < 10; i++) {
                 steward.round(T0 + 6000 + 1000 * h + 100 * i);
-                exchange.arrived(well, new Arrival.Applied(1, well.marks.get(well.marks.size() - 1), 100));
+                exchange.arrived(
+                        well, new InboundMessage.Acknowledgement(1, well.marks.get(well.marks.size() - 1), 100));
             }
             assertTrue(well.out.contains("s-" + h), "s-" + h);
         }
@@ -372,7 +376,7 @@
                         entry(0, State.READY, Double.NEGATIVE_INFINITY),
                         entry(1, null, 0),
                         entry(2, State.READY, Double.NEGATIVE_INFINITY))));
-        exchange.arrived(proxies[0], new Arrival.Joining(0, 0, 1, true));
+        exchange.arrived(proxies[0], new InboundMessage.Subscribe(0, 0, 1, true));
         steward.round(T0 + 10);
         assertEquals("[s-0, s-1, s-2]", proxies[0].lines.get("order").keySet().toString());
         assertEquals(
@@ -388,9 +392,9 @@
         steward = start(new Log(new PrintStream(logged)));
         steward.listed(new HostList(1, true, List.of(entry(0, State.READY, Double.NEGATIVE_INFINITY))));
         List<String> closed = new ArrayList<>();
-        Stream broken = new Stream() {
+        ProxyStream broken = new ProxyStream() {
             @Override
-            public void write(Order order) {
+            public void write(ConfigurationUpdate order) {
                 throw new IllegalStateException("a fault in writing");
             }
 
@@ -400,12 +404,13 @@
                 throw new IllegalStateException("a fault in closing");
             }
         };
-        exchange.arrived(broken, new Arrival.Joining(0, 0, 2, true)); // asked most: written to first
-        exchange.arrived(proxies[1], new Arrival.Joining(1, 0, 1, true));
+        exchange.arrived(broken, new InboundMessage.Subscribe(0, 0, 2, true)); // asked most: written to first
+        exchange.arrived(proxies[1], new InboundMessage.Subscribe(1, 0, 1, true));
         steward.round(T0 + 10);
         assertEquals("[s-0]", proxies[1].lines.get("order").keySet().toString());
         assertEquals(List.of("can't be written to"), closed);
-        exchange.arrived(proxies[0], new Arrival.Joining(0, 0, 2, false)); // its old stream can't be closed either
+        exchange.arrived(
+                proxies[0], new InboundMessage.Subscribe(0, 0, 2, false)); // its old stream can't be closed either
         exchange.listed(new HostList(2, false, List.of(entry(1, State.READY, Double.NEGATIVE_INFINITY))));
         for (int i = 1; i < 40; i++) {
             steward.round(T0 + 100 * i); // and the thread goes on
@@ -418,8 +423,9 @@
     void aProxyThatCannotBeTakenInIsLetGoAndDialsAgain() {
         steward = start(new Log(new PrintStream(logged)));
         exchange.arrived(
-                proxies[0], new Arrival.Joining(99, 0, 1, true)); // no such proxy: the reader lets none through
-        exchange.arrived(proxies[1], new Arrival.Joining(1, 0, 1, true));
+                proxies[0],
+                new InboundMessage.Subscribe(99, 0, 1, true)); // no such proxy: the reader lets none through
+        exchange.arrived(proxies[1], new InboundMessage.Subscribe(1, 0, 1, true));
         steward.round(T0 + 10);
         assertEquals("can't be taken in", proxies[0].closed);
         assertEquals(null, proxies[1].closed);
--- a/src/test/java/linenring/steward/FaultAtRestTest.java
+++ b/src/test/java/linenring/controller/FaultAtRestTest.java
@@ -1,7 +1,7 @@
-package linenring.steward;
+package linenring.controller;
 
-import static linenring.steward.StewardFixture.LONG_AGO;
-import static linenring.steward.StewardFixture.warmHosts;
+import static linenring.controller.ControlLoopFixture.LONG_AGO;
+import static linenring.controller.ControlLoopFixture.warmHosts;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.ByteArrayOutputStream;
@@ -9,11 +9,11 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import linenring.exchange.Exchange;
+import linenring.event.EventQueue;
 import linenring.log.Log;
-import linenring.message.HostList;
-import linenring.message.HostList.State;
 import linenring.planner.PlannerSettings;
+import linenring.protocol.HostList;
+import linenring.protocol.HostList.State;
 import linenring.settings.Names;
 import org.junit.jupiter.api.Test;
 
@@ -24,13 +24,13 @@
     private static final int ATTEMPTS = 3;
     private static final long WAIT_SECONDS = 10;
 
-    private final Exchange exchange = new Exchange();
+    private final EventQueue exchange = new EventQueue();
     private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
 
     @Test
     void decidesAgainThoughNothingArrives() throws InterruptedException {
-        Steward steward =
-                new Steward(settings(), names(), warmHosts(1, HOSTS), exchange, new Log(new PrintStream(logged, true)));
+        ControlLoop steward = new ControlLoop(
+                settings(), names(), warmHosts(1, HOSTS), exchange, new Log(new PrintStream(logged, true)));
         Thread thread = new Thread(steward::run, "steward");
         thread.start();
         try {
--- a/src/test/java/linenring/steward/HostIdsTest.java
+++ b/src/test/java/linenring/controller/HostIdsTest.java
@@ -1,4 +1,4 @@
-package linenring.steward;
+package linenring.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/linenring/steward/LateSilenceTest.java
+++ b/src/test/java/linenring/controller/LateSilenceTest.java
@@ -1,11 +1,11 @@
-package linenring.steward;
+package linenring.controller;
 
-import static linenring.steward.StewardFixture.GRACE_MS;
-import static linenring.steward.StewardFixture.LONG_AGO;
-import static linenring.steward.StewardFixture.SOCKET_SLACK_MS;
-import static linenring.steward.StewardFixture.TRANSIT_MS;
-import static linenring.steward.StewardFixture.host;
-import static linenring.steward.StewardFixture.warmHosts;
+import static linenring.controller.ControlLoopFixture.GRACE_MS;
+import static linenring.controller.ControlLoopFixture.LONG_AGO;
+import static linenring.controller.ControlLoopFixture.SOCKET_SLACK_MS;
+import static linenring.controller.ControlLoopFixture.TRANSIT_MS;
+import static linenring.controller.ControlLoopFixture.host;
+import static linenring.controller.ControlLoopFixture.warmHosts;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,8 +14,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import linenring.message.HostList;
-import linenring.message.HostList.State;
+import linenring.protocol.HostList;
+import linenring.protocol.HostList.State;
 import org.junit.jupiter.api.Test;
 
 /** Parties that fall silent after ten minutes of ordinary service, in which hosts were replaced all the time. */
@@ -24,7 +24,8 @@
     private static final double SERVICE_MS = 600_000;
     private static final double REPLACEMENT_MS = 4000; // as the rest of the fleet: a drain, its end and a new host
 
-    private final StewardFixture fixture = new StewardFixture(warmHosts(1, HOSTS), PROXIES).joinAll(PROXIES, true);
+    private final ControlLoopFixture fixture =
+            new ControlLoopFixture(warmHosts(1, HOSTS), PROXIES).joinAll(PROXIES, true);
     private final Map<String, Double> drained = new TreeMap<>(); // when each host was told as draining
     private long version = 1;
     private int next = HOSTS, oldest = 0;
@@ -129,7 +130,7 @@
             List<String> others = new ArrayList<>(proxy.weights.keySet());
             others.remove(failing);
             assertEquals(HOSTS - 1, others.size());
-            assertFalse(others.stream().anyMatch(proxy.shutOut::contains), "and nobody else is");
+            assertFalse(others.stream().anyMatch(proxy.ejected::contains), "and nobody else is");
         }
     }
 
--- a/src/test/java/linenring/steward/RecordingProxy.java
+++ b/src/test/java/linenring/controller/RecordingProxy.java
@@ -1,4 +1,4 @@
-package linenring.steward;
+package linenring.controller;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -9,17 +9,17 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.DoubleSupplier;
-import linenring.exchange.Stream;
-import linenring.message.Order;
+import linenring.event.ProxyStream;
+import linenring.protocol.ConfigurationUpdate;
 
 /** A proxy's stream as a test sees it: applies each message at once and records when hosts were shut out and let back. */
-final class RecordingProxy implements Stream {
+final class RecordingProxy implements ProxyStream {
     /** A mark that waits for its answer, and when its message was written. */
     record Mark(int number, double writtenAt) {}
 
     final int id;
     final TreeMap<String, Double> weights = new TreeMap<>(); // by host
-    final TreeSet<String> shutOut = new TreeSet<>();
+    final TreeSet<String> ejected = new TreeSet<>();
     final Map<String, List<Double>> shutOutAt = new HashMap<>(), letBackAt = new HashMap<>(); // by host
     final Deque<Mark> unanswered = new ArrayDeque<>();
     int messages;
@@ -40,19 +40,19 @@
     }
 
     @Override
-    public void write(Order order) {
+    public void write(ConfigurationUpdate order) {
         messages++;
-        for (Order.Part part : order.parts()) {
+        for (ConfigurationUpdate.Part part : order.parts()) {
             if (part.whole()) {
                 weights.clear();
             }
             part.lines().forEach(line -> weights.put(line.host(), line.weight()));
             weights.values().removeIf(weight -> weight == 0);
-            part.shutOut().forEach(host -> record(shutOutAt, host));
-            part.letBack().forEach(host -> record(letBackAt, host));
-            shutOut.addAll(part.shutOut());
-            shutOut.removeAll(part.letBack());
-            if (part.mark() != Order.NO_MARK) {
+            part.ejected().forEach(host -> record(shutOutAt, host));
+            part.restored().forEach(host -> record(letBackAt, host));
+            ejected.addAll(part.ejected());
+            ejected.removeAll(part.restored());
+            if (part.mark() != ConfigurationUpdate.NO_MARK) {
                 unanswered.add(new Mark(part.mark(), clock.getAsDouble()));
             }
         }
@@ -70,7 +70,7 @@
     /** The hosts it can pick, with their weights. */
     Map<String, Double> pickable() {
         TreeMap<String, Double> open = new TreeMap<>(weights);
-        open.keySet().removeAll(shutOut);
+        open.keySet().removeAll(ejected);
         return open;
     }
 }
--- a/src/test/java/linenring/steward/ReloadDuringDrainsTest.java
+++ b/src/test/java/linenring/controller/ReloadDuringDrainsTest.java
@@ -1,16 +1,16 @@
-package linenring.steward;
-
+package linenring.controller;
+
+import static linenring.controller.ControlLoopFixture.GRACE_MS;
+import static linenring.controller.ControlLoopFixture.LONG_AGO;
+import static linenring.controller.ControlLoopFixture.SOCKET_SLACK_MS;
+import static linenring.controller.ControlLoopFixture.TRANSIT_MS;
+import static linenring.controller.ControlLoopFixture.host;
+import static linenring.controller.ControlLoopFixture.warmHosts;
 import static linenring.discovery.AgentSocket.WAIT_SECONDS;
 import static linenring.discovery.AgentSocket.accept;
 import static linenring.discovery.AgentSocket.address;
 import static linenring.discovery.AgentSocket.listen;
 import static linenring.discovery.AgentSocket.write;
-import static linenring.steward.StewardFixture.GRACE_MS;
-import static linenring.steward.StewardFixture.LONG_AGO;
-import static linenring.steward.StewardFixture.SOCKET_SLACK_MS;
-import static linenring.steward.StewardFixture.TRANSIT_MS;
-import static linenring.steward.StewardFixture.host;
-import static linenring.steward.StewardFixture.warmHosts;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -25,10 +25,10 @@
 import java.util.stream.IntStream;
 import linenring.discovery.HostWatch;
 import linenring.log.Log;
-import linenring.message.Codec;
-import linenring.message.HostList;
-import linenring.message.HostList.State;
-import linenring.message.ServiceScope;
+import linenring.protocol.Codec;
+import linenring.protocol.HostList;
+import linenring.protocol.HostList.State;
+import linenring.protocol.ServiceScope;
 import linenring.settings.Names;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
@@ -37,7 +37,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * SIGHUP moves discovery (as {@code Serve.reload} does, by {@link HostWatch#moveTo}) while drains are being told: lists come over
+ * SIGHUP moves discovery (as {@code ServeCommand.reload} does, by {@link HostWatch#moveTo}) while drains are being told: lists come over
  * loopback from two agents, the steward's clock is the test's.
  */
 class ReloadDuringDrainsTest {
@@ -47,7 +47,7 @@
 
     private final QueuedThreadPool threads = new QueuedThreadPool(8, 2);
     private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
-    private final StewardFixture fixture = new StewardFixture(warmHosts(41, HOSTS), PROXIES, LINES_MOST)
+    private final ControlLoopFixture fixture = new ControlLoopFixture(warmHosts(41, HOSTS), PROXIES, LINES_MOST)
             .joinAll(PROXIES, true)
             .pass(20_000);
     private ServerSocket oldAgent, newAgent;
@@ -131,7 +131,7 @@
                 double told = fixture.now();
                 awaitList();
                 fixture.pass(10_000);
-                assertEquals(DRAINS + 1, fixture.proxies.get(0).shutOut.size());
+                assertEquals(DRAINS + 1, fixture.proxies.get(0).ejected.size());
                 assertTrue(fixture.proxies.get(0).shutOutAt.get("s-" + DRAINS).get(0) - told <= GRACE_MS);
             }
         }
@@ -166,9 +166,9 @@
         write(old, ANSWER_HEAD + list(42, false, IntStream.range(0, DRAINS), State.TERMINATING));
         awaitList();
         toldAt = fixture.now();
-        fixture.pass(StewardFixture.STEP_MS);
+        fixture.pass(ControlLoopFixture.STEP_MS);
         assertTrue(
-                fixture.proxies.stream().anyMatch(proxy -> proxy.shutOut.size() < DRAINS),
+                fixture.proxies.stream().anyMatch(proxy -> proxy.ejected.size() < DRAINS),
                 "some of the drains wait while discovery moves");
     }
 
@@ -176,7 +176,7 @@
         TreeSet<String> expected =
                 IntStream.range(0, drains).mapToObj(h -> "s-" + h).collect(Collectors.toCollection(TreeSet::new));
         for (RecordingProxy proxy : fixture.proxies) {
-            assertEquals(expected, proxy.shutOut, "proxy " + proxy.id);
+            assertEquals(expected, proxy.ejected, "proxy " + proxy.id);
             expected.forEach(host -> assertEquals(1, proxy.shutOutAt.get(host).size(), host + " is told once"));
             assertTrue(proxy.letBackAt.isEmpty(), "none is called back: " + proxy.letBackAt);
         }
--- a/src/test/java/linenring/steward/ReplacedHostsTest.java
+++ b/src/test/java/linenring/controller/ReplacedHostsTest.java
@@ -1,8 +1,8 @@
-package linenring.steward;
+package linenring.controller;
 
-import static linenring.steward.StewardFixture.LONG_AGO;
-import static linenring.steward.StewardFixture.host;
-import static linenring.steward.StewardFixture.warmHosts;
+import static linenring.controller.ControlLoopFixture.LONG_AGO;
+import static linenring.controller.ControlLoopFixture.host;
+import static linenring.controller.ControlLoopFixture.warmHosts;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,8 +13,8 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import linenring.message.HostList;
-import linenring.message.HostList.State;
+import linenring.protocol.HostList;
+import linenring.protocol.HostList.State;
 import org.junit.jupiter.api.Test;
 
 /** What is held is bound by who is alive, however many hosts come and go; ids of removed hosts are used again. */
@@ -32,7 +32,7 @@
 
     @Test
     void keepsBoundedStateThroughAHundredThousandReplacements() {
-        StewardFixture fixture = started();
+        ControlLoopFixture fixture = started();
         RecordingProxy late = fixture.proxies.get(1);
         for (int turn = 1; turn <= TURNS; turn++) {
             late.silent = turn % 100 < 30; // its answers come when the hosts that they told of are forgotten
@@ -55,25 +55,25 @@
 
     @Test
     void letsBackAForgottenHostThatReturns() {
-        StewardFixture fixture = started();
+        ControlLoopFixture fixture = started();
         int turns = FORGOTTEN_AFTER + 1;
         for (int turn = 1; turn <= turns; turn++) {
             replaceAll(fixture, turn);
             fixture.pass(TURN_MS);
         }
         RecordingProxy proxy = fixture.proxies.get(0);
-        assertTrue(proxy.shutOut.contains("s-0"), "the proxy keeps what it was told");
+        assertTrue(proxy.ejected.contains("s-0"), "the proxy keeps what it was told");
         List<HostList.Entry> entries = new ArrayList<>(entries(turns));
         entries.add(host(0, State.READY, LONG_AGO));
         fixture.exchange.listed(new HostList(++version, true, entries));
         fixture.pass(TURN_MS);
         assertTrue(proxy.pickable().containsKey("s-0"));
-        assertFalse(proxy.shutOut.contains("s-0"));
+        assertFalse(proxy.ejected.contains("s-0"));
     }
 
     @Test
     void aHostThatReturnsSoonHasItsOldId() {
-        StewardFixture fixture = started();
+        ControlLoopFixture fixture = started();
         int before = fixture.hostIds();
         for (int turn = 0; turn < 50; turn++) {
             State state = turn % 2 == 0 ? State.GONE : State.READY;
@@ -84,14 +84,14 @@
         assertTrue(fixture.proxies.get(0).pickable().containsKey("s-7"));
     }
 
-    private static StewardFixture started() {
-        StewardFixture fixture = new StewardFixture(warmHosts(1, ALIVE), PROXIES, 4000).joinAll(PROXIES, true);
+    private static ControlLoopFixture started() {
+        ControlLoopFixture fixture = new ControlLoopFixture(warmHosts(1, ALIVE), PROXIES, 4000).joinAll(PROXIES, true);
         fixture.pass(2000);
         return fixture;
     }
 
     /** All hosts of the turn before are gone and others have come, in one list. */
-    private void replaceAll(StewardFixture fixture, int turn) {
+    private void replaceAll(ControlLoopFixture fixture, int turn) {
         fixture.exchange.listed(new HostList(++version, true, entries(turn)));
     }
 
@@ -105,7 +105,7 @@
         return entries(turn).stream().map(HostList.Entry::host).collect(Collectors.toSet());
     }
 
-    private static void reportFailures(StewardFixture fixture, int turn) {
+    private static void reportFailures(ControlLoopFixture fixture, int turn) {
         for (HostList.Entry entry : entries(turn)) {
             fixture.report(entry.zone(), entry.host(), 50, 50, 0);
         }
--- a/src/test/java/linenring/steward/WholeListsTest.java
+++ b/src/test/java/linenring/controller/WholeListsTest.java
@@ -1,10 +1,10 @@
-package linenring.steward;
+package linenring.controller;
 
-import static linenring.steward.StewardFixture.GRACE_MS;
-import static linenring.steward.StewardFixture.LONG_AGO;
-import static linenring.steward.StewardFixture.SOCKET_SLACK_MS;
-import static linenring.steward.StewardFixture.host;
-import static linenring.steward.StewardFixture.warmHosts;
+import static linenring.controller.ControlLoopFixture.GRACE_MS;
+import static linenring.controller.ControlLoopFixture.LONG_AGO;
+import static linenring.controller.ControlLoopFixture.SOCKET_SLACK_MS;
+import static linenring.controller.ControlLoopFixture.host;
+import static linenring.controller.ControlLoopFixture.warmHosts;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,8 +17,8 @@
 import java.util.TreeSet;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import linenring.message.HostList;
-import linenring.message.HostList.State;
+import linenring.protocol.HostList;
+import linenring.protocol.HostList.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -55,8 +55,8 @@
     @ParameterizedTest(name = "seed {0}")
     @ValueSource(ints = {1, 2, 3, 4, 5})
     void leaveEveryProxyWithWhatChangesWouldHaveLeftItWith(int seed) {
-        StewardFixture byChanges = new StewardFixture(warmHosts(1, HOSTS), PROXIES).joinAll(PROXIES, true);
-        StewardFixture byWholeLists = new StewardFixture(warmHosts(1, HOSTS), PROXIES).joinAll(PROXIES, true);
+        ControlLoopFixture byChanges = new ControlLoopFixture(warmHosts(1, HOSTS), PROXIES).joinAll(PROXIES, true);
+        ControlLoopFixture byWholeLists = new ControlLoopFixture(warmHosts(1, HOSTS), PROXIES).joinAll(PROXIES, true);
         Catalogue catalogue = new Catalogue();
         warmHosts(1, HOSTS).entries().forEach(catalogue::put);
         Random chance = new Random(seed);
@@ -91,9 +91,9 @@
         }
     }
 
-    private static List<String> tables(StewardFixture fixture) {
+    private static List<String> tables(ControlLoopFixture fixture) {
         return fixture.proxies.stream()
-                .map(proxy -> proxy.weights + " without " + proxy.shutOut)
+                .map(proxy -> proxy.weights + " without " + proxy.ejected)
                 .toList();
     }
 
@@ -101,22 +101,22 @@
     @ParameterizedTest(name = "whole list {0} ms after the word")
     @ValueSource(ints = {50, 100, 250, 1000, 3000})
     void inTheMiddleOfADrainTellNothingTwiceAndDelayNothing(int afterMs) {
-        StewardFixture fixture = new StewardFixture(warmHosts(1, HOSTS), 40, 280)
+        ControlLoopFixture fixture = new ControlLoopFixture(warmHosts(1, HOSTS), 40, 280)
                 .joinAll(40, true)
                 .pass(20_000);
         double told = fixture.now();
         fixture.exchange.listed(new HostList(2, false, draining()));
-        fixture.pass(StewardFixture.STEP_MS);
+        fixture.pass(ControlLoopFixture.STEP_MS);
         assertTrue(
-                fixture.proxies.stream().anyMatch(proxy -> proxy.shutOut.size() < DRAINING.size()),
+                fixture.proxies.stream().anyMatch(proxy -> proxy.ejected.size() < DRAINING.size()),
                 "some of the drains wait for room");
-        fixture.pass(afterMs - StewardFixture.STEP_MS);
+        fixture.pass(afterMs - ControlLoopFixture.STEP_MS);
         List<HostList.Entry> whole = new ArrayList<>(draining());
         IntStream.range(DRAINING.size(), HOSTS).forEach(h -> whole.add(host(h, State.READY, LONG_AGO)));
         fixture.exchange.listed(new HostList(3, true, whole));
         fixture.pass(10_000);
         for (RecordingProxy proxy : fixture.proxies) {
-            assertEquals(DRAINING, proxy.shutOut);
+            assertEquals(DRAINING, proxy.ejected);
             for (String host : DRAINING) {
                 assertEquals(1, proxy.shutOutAt.get(host).size(), host + " is told once to proxy " + proxy.id);
                 assertInGrace(told, proxy, host);
@@ -128,11 +128,11 @@
     /** Those that drained have gone by the time of the whole list, which names neither them nor one more. */
     @Test
     void thatLeaveADrainingHostOutKeepItOutAndWithdrawWhomElseTheyLeaveOut() {
-        StewardFixture fixture = new StewardFixture(warmHosts(1, HOSTS), PROXIES)
+        ControlLoopFixture fixture = new ControlLoopFixture(warmHosts(1, HOSTS), PROXIES)
                 .joinAll(PROXIES, true)
                 .pass(20_000);
         fixture.exchange.listed(new HostList(2, false, draining()));
-        fixture.pass(StewardFixture.STEP_MS);
+        fixture.pass(ControlLoopFixture.STEP_MS);
         double told = fixture.now();
         fixture.exchange.listed(new HostList(
                 3,
@@ -154,7 +154,7 @@
     /** A host that drained is listed as ready again, with a later start: it comes back, and as a cold one. */
     @Test
     void thatNameADrainingHostAsRestartedBringItBackAsAColdOne() {
-        StewardFixture fixture = new StewardFixture(warmHosts(1, HOSTS), PROXIES)
+        ControlLoopFixture fixture = new ControlLoopFixture(warmHosts(1, HOSTS), PROXIES)
                 .joinAll(PROXIES, true)
                 .pass(20_000);
         fixture.exchange.listed(new HostList(2, false, draining()));
@@ -178,13 +178,13 @@
     /** Entries that can't be read may be hosts that serve: such a list withdraws nobody for not being named. */
     @Test
     void withSpoiltEntriesWithdrawNobodyForNotBeingNamed() {
-        StewardFixture fixture = new StewardFixture(warmHosts(1, HOSTS), PROXIES)
+        ControlLoopFixture fixture = new ControlLoopFixture(warmHosts(1, HOSTS), PROXIES)
                 .joinAll(PROXIES, true)
                 .pass(20_000);
         fixture.exchange.listed(new HostList(2, true, draining(), List.of("s-9: no zone")));
         fixture.pass(5000);
         for (RecordingProxy proxy : fixture.proxies) {
-            assertEquals(DRAINING, proxy.shutOut);
+            assertEquals(DRAINING, proxy.ejected);
             assertEquals(HOSTS - DRAINING.size(), proxy.pickable().size());
         }
     }
@@ -196,7 +196,7 @@
     }
 
     private static void assertInGrace(double told, RecordingProxy proxy, String host) {
-        double inForce = proxy.shutOutAt.get(host).get(0) + StewardFixture.TRANSIT_MS;
+        double inForce = proxy.shutOutAt.get(host).get(0) + ControlLoopFixture.TRANSIT_MS;
         assertTrue(
                 inForce - told <= GRACE_MS + SOCKET_SLACK_MS,
                 host + " is out at proxy " + proxy.id + " " + (inForce - told) + " ms after the word");
--- a/src/test/java/linenring/discovery/DiscoveryMoveTest.java
+++ b/src/test/java/linenring/discovery/DiscoveryMoveTest.java
@@ -16,12 +16,12 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import linenring.exchange.Exchange;
-import linenring.exchange.RecordingTaker;
+import linenring.event.EventQueue;
+import linenring.event.RecordingEventHandler;
 import linenring.log.Log;
-import linenring.message.Codec;
-import linenring.message.HostList;
-import linenring.message.ServiceScope;
+import linenring.protocol.Codec;
+import linenring.protocol.HostList;
+import linenring.protocol.ServiceScope;
 import linenring.settings.Names;
 import org.eclipse.jetty.io.ManagedSelector;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
@@ -34,7 +34,7 @@
 class DiscoveryMoveTest {
     private static final String ANSWER_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    private final Exchange exchange = new Exchange();
+    private final EventQueue exchange = new EventQueue();
     private final QueuedThreadPool threads = new QueuedThreadPool(8, 2);
     private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
     private final Codec codec = new Codec(new Names(List.of("a"), List.of("m1"), List.of("lookup"), 9, 4));
@@ -149,7 +149,7 @@
     private void awaitVersion(long version) throws InterruptedException {
         assertTrue(
                 exchange.await(TimeUnit.SECONDS.toNanos(WAIT_SECONDS)), "version " + version + " reaches the exchange");
-        RecordingTaker taker = new RecordingTaker();
+        RecordingEventHandler taker = new RecordingEventHandler();
         exchange.drain(taker);
         assertEquals(List.of(version), taker.versions());
     }
--- a/src/test/java/linenring/discovery/DiscoverySilenceTest.java
+++ b/src/test/java/linenring/discovery/DiscoverySilenceTest.java
@@ -13,12 +13,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.concurrent.atomic.AtomicLong;
-import linenring.exchange.Exchange;
-import linenring.exchange.RecordingTaker;
+import linenring.event.EventQueue;
+import linenring.event.RecordingEventHandler;
 import linenring.log.Log;
-import linenring.message.Codec;
-import linenring.message.HostList;
-import linenring.message.ServiceScope;
+import linenring.protocol.Codec;
+import linenring.protocol.HostList;
+import linenring.protocol.ServiceScope;
 import linenring.settings.Names;
 import org.eclipse.jetty.io.ByteArrayEndPoint;
 import org.eclipse.jetty.util.component.AbstractLifeCycle;
@@ -60,7 +60,7 @@
         }
     }
 
-    private final Exchange exchange = new Exchange();
+    private final EventQueue exchange = new EventQueue();
     private final RecordingScheduler scheduler = new RecordingScheduler();
     private final AtomicLong nanos = new AtomicLong(Long.MAX_VALUE - TimeUnit.HOURS.toNanos(1)); // it wraps meanwhile
     private final HostWatch watch = watch(1);
@@ -88,7 +88,7 @@
     }
 
     private List<Long> versions() {
-        RecordingTaker taker = new RecordingTaker();
+        RecordingEventHandler taker = new RecordingEventHandler();
         exchange.drain(taker);
         return taker.versions();
     }
--- a/src/test/java/linenring/discovery/HostWatchTest.java
+++ b/src/test/java/linenring/discovery/HostWatchTest.java
@@ -25,12 +25,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 import linenring.discovery.AgentFixture.Agent;
 import linenring.discovery.AgentFixture.Waits;
-import linenring.exchange.Exchange;
-import linenring.exchange.RecordingTaker;
+import linenring.event.EventQueue;
+import linenring.event.RecordingEventHandler;
 import linenring.log.Log;
-import linenring.message.Codec;
-import linenring.message.HostList;
-import linenring.message.ServiceScope;
+import linenring.protocol.Codec;
+import linenring.protocol.HostList;
+import linenring.protocol.ServiceScope;
 import linenring.settings.Names;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
@@ -41,7 +41,7 @@
         throw new AssertionError(why);
     };
 
-    private final Exchange exchange = new Exchange();
+    private final EventQueue exchange = new EventQueue();
     private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
     private final Log log = new Log(new PrintStream(logged, true));
     private final Codec codec = new Codec(new Names(List.of("a"), List.of("m1"), List.of("lookup"), 9, 4));
@@ -62,7 +62,7 @@
     }
 
     private List<Long> versions() {
-        RecordingTaker taker = new RecordingTaker();
+        RecordingEventHandler taker = new RecordingEventHandler();
         exchange.drain(taker);
         return taker.versions();
     }
--- a/src/test/java/linenring/discovery/ScopeChangeTest.java
+++ b/src/test/java/linenring/discovery/ScopeChangeTest.java
@@ -16,9 +16,9 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import linenring.discovery.AgentFixture.Agent;
-import linenring.message.HostList;
-import linenring.message.ServiceScope;
-import linenring.message.SpoiltEntries;
+import linenring.protocol.HostList;
+import linenring.protocol.ServiceScope;
+import linenring.protocol.SpoiltEntries;
 import org.junit.jupiter.api.Test;
 
 /** What the watch does where its scope changes. */
--- a/src/test/java/linenring/discovery/ScopedWatchFixture.java
+++ b/src/test/java/linenring/discovery/ScopedWatchFixture.java
@@ -16,13 +16,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import linenring.discovery.AgentFixture.Waits;
-import linenring.exchange.Exchange;
-import linenring.exchange.RecordingTaker;
+import linenring.event.EventQueue;
+import linenring.event.RecordingEventHandler;
 import linenring.log.Log;
-import linenring.message.Codec;
-import linenring.message.HostList;
-import linenring.message.ServiceScope;
-import linenring.message.SpoiltEntries;
+import linenring.protocol.Codec;
+import linenring.protocol.HostList;
+import linenring.protocol.ServiceScope;
+import linenring.protocol.SpoiltEntries;
 import linenring.settings.Names;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
@@ -36,7 +36,7 @@
     static final ServiceScope TWO = ServiceScope.of(List.of("svc-2"));
     static final ServiceScope NOBODY = ServiceScope.of(List.of("svc-none"));
 
-    final Exchange exchange = new Exchange();
+    final EventQueue exchange = new EventQueue();
     final ByteArrayOutputStream logged = new ByteArrayOutputStream();
     final Log log = new Log(new PrintStream(logged, true));
     final Codec codec = new Codec(new Names(List.of("a"), List.of("m1"), List.of("lookup"), 9, 4));
@@ -121,7 +121,7 @@
 
     /** The hosts as whoever follows the exchange has them now. */
     String hosts() {
-        RecordingTaker taker = new RecordingTaker();
+        RecordingEventHandler taker = new RecordingEventHandler();
         exchange.drain(taker);
         taker.lists().forEach(this::take);
         return String.join(" ", new TreeSet<>(hosts.keySet()));
--- a/src/test/java/linenring/discovery/ScopedWatchTest.java
+++ b/src/test/java/linenring/discovery/ScopedWatchTest.java
@@ -12,8 +12,8 @@
 import java.util.TreeSet;
 import java.util.stream.IntStream;
 import linenring.discovery.AgentFixture.Agent;
-import linenring.message.HostList;
-import linenring.message.ServiceScope;
+import linenring.protocol.HostList;
+import linenring.protocol.ServiceScope;
 import org.junit.jupiter.api.Test;
 
 /** What the watch does under a scope, with lists that are cut, spoilt, late or too large. */
--- a/src/test/java/linenring/discovery/UnreadAtMoveTest.java
+++ b/src/test/java/linenring/discovery/UnreadAtMoveTest.java
@@ -8,8 +8,8 @@
 
 import java.net.InetSocketAddress;
 import linenring.discovery.AgentFixture.Agent;
-import linenring.message.HostList;
-import linenring.message.ServiceScope;
+import linenring.protocol.HostList;
+import linenring.protocol.ServiceScope;
 import org.junit.jupiter.api.Test;
 
 /**
--- a/src/test/java/linenring/exchange/ExchangeTest.java
+++ b/src/test/java/linenring/event/EventQueueTest.java
@@ -1,4 +1,4 @@
-package linenring.exchange;
+package linenring.event;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,33 +6,33 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import linenring.message.Arrival;
-import linenring.message.HostList;
+import linenring.protocol.HostList;
+import linenring.protocol.InboundMessage;
 import org.junit.jupiter.api.Test;
 
-class ExchangeTest {
-    private final Exchange exchange = new Exchange();
-    private final RecordingTaker taker = new RecordingTaker();
+class EventQueueTest {
+    private final EventQueue exchange = new EventQueue();
+    private final RecordingEventHandler taker = new RecordingEventHandler();
     private final List<Object> taken = taker.taken();
 
     @Test
     void whatIsLeftIsTakenOnceAndInOrder() throws InterruptedException {
         HostList list = new HostList(1, true, List.of());
-        exchange.arrived(null, new Arrival.Joining(1, 0, 1, true));
+        exchange.arrived(null, new InboundMessage.Subscribe(1, 0, 1, true));
         exchange.listed(list);
         exchange.ended(null);
         assertTrue(exchange.await(0));
         assertEquals(0, exchange.drain(taker));
-        assertEquals(List.of(new Arrival.Joining(1, 0, 1, true), list, "ended"), taken);
+        assertEquals(List.of(new InboundMessage.Subscribe(1, 0, 1, true), list, "ended"), taken);
         assertFalse(exchange.await(0));
     }
 
     @Test
     void aFloodOfSumsIsCutAndCountedAndNothingElseIsLost() {
         for (int i = 0; i < 30_000; i++) {
-            exchange.arrived(null, new Arrival.Usage(1, 0, i, 500));
+            exchange.arrived(null, new InboundMessage.RequestRateReport(1, 0, i, 500));
         }
-        exchange.arrived(null, new Arrival.Applied(1, 7, 100));
+        exchange.arrived(null, new InboundMessage.Acknowledgement(1, 7, 100));
         exchange.ended(null);
         assertEquals(10_000, exchange.drain(taker));
         assertEquals(20_002, taken.size());
@@ -41,19 +41,22 @@
 
     @Test
     void inAFloodOfSumsTheNewestAreKeptInTheirPlaceAmongTheRest() {
-        exchange.arrived(null, new Arrival.Joining(1, 0, 1, true));
+        exchange.arrived(null, new InboundMessage.Subscribe(1, 0, 1, true));
         for (int i = 0; i < 30_000; i++) {
-            exchange.arrived(null, new Arrival.Usage(1, 0, i, 500));
+            exchange.arrived(null, new InboundMessage.RequestRateReport(1, 0, i, 500));
             if (i == 29_000) {
-                exchange.arrived(null, new Arrival.Applied(1, 7, 100));
+                exchange.arrived(null, new InboundMessage.Acknowledgement(1, 7, 100));
             }
         }
         exchange.drain(taker);
-        assertEquals(new Arrival.Joining(1, 0, 1, true), taken.get(0));
-        assertEquals(new Arrival.Usage(1, 0, 10_000, 500), taken.get(1)); // those before it are too old to go by
-        assertEquals(new Arrival.Usage(1, 0, 29_999, 500), taken.get(taken.size() - 1));
+        assertEquals(new InboundMessage.Subscribe(1, 0, 1, true), taken.get(0));
         assertEquals(
-                new Arrival.Applied(1, 7, 100), taken.get(taken.indexOf(new Arrival.Usage(1, 0, 29_000, 500)) + 1));
+                new InboundMessage.RequestRateReport(1, 0, 10_000, 500),
+                taken.get(1)); // those before it are too old to go by
+        assertEquals(new InboundMessage.RequestRateReport(1, 0, 29_999, 500), taken.get(taken.size() - 1));
+        assertEquals(
+                new InboundMessage.Acknowledgement(1, 7, 100),
+                taken.get(taken.indexOf(new InboundMessage.RequestRateReport(1, 0, 29_000, 500)) + 1));
     }
 
     /** The watch goes on from this list's version: who is not told of it now never is. */
--- a/src/test/java/linenring/exchange/RecordingTaker.java
+++ b/src/test/java/linenring/event/RecordingEventHandler.java
@@ -1,12 +1,12 @@
-package linenring.exchange;
+package linenring.event;
 
 import java.util.ArrayList;
 import java.util.List;
-import linenring.message.Arrival;
-import linenring.message.HostList;
+import linenring.protocol.HostList;
+import linenring.protocol.InboundMessage;
 
 /** Keeps what it takes, in order: arrivals, lists, and {@link #ENDED} for each stream's end. */
-public final class RecordingTaker implements Exchange.Taker {
+public final class RecordingEventHandler implements EventQueue.EventHandler {
     public static final String ENDED = "ended";
 
     private final List<Object> taken = new ArrayList<>();
@@ -33,12 +33,12 @@
     }
 
     @Override
-    public void arrived(Stream from, Arrival what) {
+    public void arrived(ProxyStream from, InboundMessage what) {
         taken.add(what);
     }
 
     @Override
-    public void ended(Stream which) {
+    public void ended(ProxyStream which) {
         taken.add(ENDED);
     }
 
--- a/src/test/java/linenring/front/DecisionsTest.java
+++ b/src/test/java/linenring/gateway/DecisionsTest.java
@@ -1,4 +1,4 @@
-package linenring.front;
+package linenring.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -7,7 +7,7 @@
 
 import java.nio.ByteBuffer;
 import java.util.List;
-import linenring.front.settings.FrontPlan.Route;
+import linenring.gateway.settings.GatewaySettings.Route;
 import org.junit.jupiter.api.Test;
 
 /** What a front decides without any socket: routes, room, kept bodies, the drain. */
--- a/src/test/java/linenring/front/FailedStreamsTest.java
+++ b/src/test/java/linenring/gateway/FailedStreamsTest.java
@@ -1,4 +1,4 @@
-package linenring.front;
+package linenring.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,9 +14,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import linenring.planner.Commands.RetryPolicy;
-import linenring.standin.Caller;
-import linenring.standin.Node.Deed;
-import linenring.standin.Node.Told;
+import linenring.testserver.LoadClient;
+import linenring.testserver.TestBackend.Deed;
+import linenring.testserver.TestBackend.Told;
 import org.eclipse.jetty.http2.HTTP2Connection;
 import org.eclipse.jetty.http2.HTTP2Session;
 import org.eclipse.jetty.http2.api.Session;
@@ -94,10 +94,10 @@
                 return first[0] = new SlowWriteEndPoint((SocketChannel) channel, selector, key, getScheduler());
             }
         };
-        try (Rig rig = new Rig(2, "", () -> new HTTP2Client(connector))) {
+        try (GatewayFixture rig = new GatewayFixture(2, "", () -> new HTTP2Client(connector))) {
             rig.nodes.get(0).always("/assign", Told.of(Deed.GO_AWAY_BELOW));
-            rig.table(new int[] {0}, 1, RetryPolicy.ONE_ON_PROOF);
-            Caller caller = rig.caller();
+            rig.table(new int[] {0}, 1, RetryPolicy.ONE_IF_NOT_EXECUTED);
+            LoadClient caller = rig.caller();
             assertEquals(200, caller.call("GET", "/quote").status); // so that there is a connection
             caller.until(() -> rig.front.runningNow() == 0, "nothing runs");
             SlowWriteEndPoint endPoint = first[0];
@@ -115,7 +115,7 @@
             assertTrue(await(holdsWriting));
             int assign = caller.send("POST", "/assign", "x-mark", "once");
             caller.until(() -> session.getFrameQueueSize() > 0, "its head waits to be written");
-            rig.table(new int[] {1}, 1, RetryPolicy.ONE_ON_PROOF);
+            rig.table(new int[] {1}, 1, RetryPolicy.ONE_IF_NOT_EXECUTED);
             mayWrite.countDown();
             assertEquals(200, caller.await(assign).status);
             assertTrue(endPoint.closedWithinWrite, "the order that is meant came about");
@@ -137,12 +137,12 @@
                 super.connect(at, new HeldFailure(listener, ends), promise);
             }
         };
-        try (Rig rig = new Rig(2, "avoid after=0\ntries least=40", () -> client)) {
-            rig.table(new int[] {0}, 1, RetryPolicy.ONE_ON_PROOF);
-            Caller caller = rig.caller();
+        try (GatewayFixture rig = new GatewayFixture(2, "avoid after=0\ntries least=40", () -> client)) {
+            rig.table(new int[] {0}, 1, RetryPolicy.ONE_IF_NOT_EXECUTED);
+            LoadClient caller = rig.caller();
             assertEquals(200, caller.call("GET", "/quote").status); // so that there is a connection
             caller.until(() -> rig.front.runningNow() == 0, "nothing runs");
-            rig.all(RetryPolicy.ONE_ON_PROOF);
+            rig.all(RetryPolicy.ONE_IF_NOT_EXECUTED);
             rig.nodes.get(0).close();
             Runnable tells = ends.get(WAIT_SECONDS, TimeUnit.SECONDS);
             for (int i = 0; i < 30; i++) { // half of them are sent to the first at first
--- a/src/test/java/linenring/front/BesideAStewardTest.java
+++ b/src/test/java/linenring/gateway/GatewayBesideControllerTest.java
@@ -1,4 +1,4 @@
-package linenring.front;
+package linenring.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,17 +9,17 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.IntStream;
-import linenring.exchange.Exchange;
-import linenring.front.settings.PlanText;
+import linenring.controller.ControlLoop;
+import linenring.event.EventQueue;
+import linenring.gateway.settings.SettingsText;
 import linenring.log.Log;
-import linenring.message.HostList;
 import linenring.planner.PlannerSettings;
+import linenring.protocol.HostList;
 import linenring.routing.HostRegistry;
-import linenring.standin.Caller;
-import linenring.standin.Node;
-import linenring.standin.Node.Deed;
-import linenring.standin.Node.Told;
-import linenring.steward.Steward;
+import linenring.testserver.LoadClient;
+import linenring.testserver.TestBackend;
+import linenring.testserver.TestBackend.Deed;
+import linenring.testserver.TestBackend.Told;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -27,13 +27,13 @@
 
 /** The whole of it: the decisions, a steward's thread, a front that is its only proxy, stand-in nodes. */
 @Timeout(90)
-class BesideAStewardTest {
-    private final List<Node> nodes = new ArrayList<>();
+class GatewayBesideControllerTest {
+    private final List<TestBackend> nodes = new ArrayList<>();
     private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
     private final Log log = new Log(new PrintStream(logged, true));
-    private final Exchange exchange = new Exchange();
+    private final EventQueue exchange = new EventQueue();
     private Thread thread;
-    private Front front;
+    private Http2Gateway front;
     private long version;
 
     @BeforeEach
@@ -50,17 +50,17 @@
                 false,
                 6);
         for (int h = 0; h < 4; h++) {
-            nodes.add(new Node());
+            nodes.add(new TestBackend());
         }
         HostRegistry book = new HostRegistry();
         exchange.follow(book::listed);
-        Steward steward = new Steward(figures, Rig.NAMES, null, exchange, log);
+        ControlLoop steward = new ControlLoop(figures, GatewayFixture.NAMES, null, exchange, log);
         thread = new Thread(steward::run, "steward");
         thread.setDaemon(true);
         thread.start();
         list(HostList.State.READY, 0, 1, 2, 3);
-        front = Front.open(
-                        PlanText.plan(String.format(Rig.PLAN, "avoid after=0"), Rig.NAMES),
+        front = Http2Gateway.open(
+                        SettingsText.plan(String.format(GatewayFixture.PLAN, "avoid after=0"), GatewayFixture.NAMES),
                         PlannerSettings.Measure.SHARE,
                         book,
                         exchange,
@@ -72,7 +72,7 @@
     void closes() throws IOException {
         front.close();
         thread.interrupt();
-        for (Node n : nodes) {
+        for (TestBackend n : nodes) {
             n.close();
         }
     }
@@ -95,9 +95,9 @@
                         .toList()));
     }
 
-    private Caller served() throws IOException {
-        Caller c = new Caller(front.port());
-        Caller.awaiting(
+    private LoadClient served() throws IOException {
+        LoadClient c = new LoadClient(front.port());
+        LoadClient.awaiting(
                 this,
                 () -> {
                     try {
@@ -112,10 +112,10 @@
 
     @Test
     void aHostThatIsListedAsDrainingGetsNothingOnceTheOrderIsInForceAndTheRestGoesOn() throws IOException {
-        try (Caller c = served()) {
+        try (LoadClient c = served()) {
             list(HostList.State.TERMINATING, 0);
             int[] last = {-1};
-            Caller.awaiting(
+            LoadClient.awaiting(
                     this,
                     () -> { // 40 in a row without it; of four equal hosts that is chance once in 100,000
                         int before = nodes.get(0).ran("/quote");
@@ -140,9 +140,9 @@
     /** The front avoids nobody by itself here: it is its sums by which the decisions shut the host out. */
     @Test
     void aHostThatErrorsIsShutOutByTheDecisionsThroughTheFrontsOwnSums() throws IOException {
-        try (Caller c = served()) {
+        try (LoadClient c = served()) {
             nodes.get(1).always("/", Told.of(Deed.ERROR));
-            Caller.awaiting(
+            LoadClient.awaiting(
                     this,
                     () -> {
                         int errored = 0;
@@ -161,9 +161,9 @@
 
     @Test
     void whereAllHostsDrainTheAnswerIsAtOnceAndServiceReturnsWithThem() throws IOException {
-        try (Caller c = served()) {
+        try (LoadClient c = served()) {
             list(HostList.State.TERMINATING, 0, 1, 2, 3);
-            Caller.awaiting(
+            LoadClient.awaiting(
                     this,
                     () -> {
                         try {
@@ -183,7 +183,7 @@
 
     @Test
     void whereTheStewardIsGoneTheFrontGoesOnWithWhatItHolds() throws Exception {
-        try (Caller c = served()) {
+        try (LoadClient c = served()) {
             thread.interrupt();
             thread.join();
             for (int i = 0; i < 200; i++) {
@@ -195,7 +195,7 @@
 
     @Test
     void aDrainOfTheFrontWhileAHostDrainsFinishesBoth() throws Exception {
-        try (Caller c = served()) {
+        try (LoadClient c = served()) {
             nodes.forEach(n -> n.always("/assign", Told.of(Deed.ANSWER).after(600)));
             List<Integer> streams = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
@@ -212,12 +212,12 @@
 
     @Test
     void aHostThatComesBackAtAnotherAddressIsDialledThere() throws IOException {
-        try (Caller c = served();
-                Node elsewhere = new Node()) {
+        try (LoadClient c = served();
+                TestBackend elsewhere = new TestBackend()) {
             nodes.get(0).close();
             nodes.set(0, elsewhere);
             list(HostList.State.READY, 0);
-            Caller.awaiting(
+            LoadClient.awaiting(
                     this,
                     () -> {
                         try {
--- a/src/test/java/linenring/front/Rig.java
+++ b/src/test/java/linenring/gateway/GatewayFixture.java
@@ -1,4 +1,4 @@
-package linenring.front;
+package linenring.gateway;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -8,24 +8,24 @@
 import java.util.List;
 import java.util.function.Supplier;
 import java.util.stream.IntStream;
-import linenring.exchange.Exchange;
-import linenring.exchange.Stream;
-import linenring.front.settings.FrontPlan;
-import linenring.front.settings.PlanText;
+import linenring.event.EventQueue;
+import linenring.event.ProxyStream;
+import linenring.gateway.settings.GatewaySettings;
+import linenring.gateway.settings.SettingsText;
 import linenring.log.Log;
-import linenring.message.Arrival;
-import linenring.message.HostList;
-import linenring.message.Order;
 import linenring.planner.Commands.RetryPolicy;
 import linenring.planner.PlannerSettings.Measure;
+import linenring.protocol.ConfigurationUpdate;
+import linenring.protocol.HostList;
+import linenring.protocol.InboundMessage;
 import linenring.routing.HostRegistry;
 import linenring.settings.Names;
-import linenring.standin.Caller;
-import linenring.standin.Node;
+import linenring.testserver.LoadClient;
+import linenring.testserver.TestBackend;
 import org.eclipse.jetty.http2.client.HTTP2Client;
 
 /** A front, stand-in nodes of zones a and b by turns, and a steward that orders what the story says. */
-final class Rig implements AutoCloseable, Exchange.Taker {
+final class GatewayFixture implements AutoCloseable, EventQueue.EventHandler {
     static final Names NAMES = new Names(List.of("a", "b"), List.of("std"), List.of("quote", "book", "assign"), 4, 4);
     static final String PLAN = """
             front {
@@ -45,41 +45,42 @@
             }
             """;
 
-    final List<Node> nodes = new ArrayList<>();
-    final List<Caller> callers = new ArrayList<>();
-    final Exchange exchange = new Exchange();
+    final List<TestBackend> nodes = new ArrayList<>();
+    final List<LoadClient> callers = new ArrayList<>();
+    final EventQueue exchange = new EventQueue();
     final ByteArrayOutputStream logged = new ByteArrayOutputStream();
-    final List<Arrival> heard = Collections.synchronizedList(new ArrayList<>());
-    final Front front;
-    private volatile Stream stream;
+    final List<InboundMessage> heard = Collections.synchronizedList(new ArrayList<>());
+    final Http2Gateway front;
+    private volatile ProxyStream stream;
     private int mark;
 
-    Rig(int nodes) throws IOException {
+    GatewayFixture(int nodes) throws IOException {
         this(nodes, "");
     }
 
     /** With further lines of settings. */
-    Rig(int count, String more) throws IOException {
+    GatewayFixture(int count, String more) throws IOException {
         this(count, more, HTTP2Client::new);
     }
 
     /** With a client of the test's making towards the nodes. */
-    Rig(int count, String more, Supplier<HTTP2Client> clientFactory) throws IOException {
+    GatewayFixture(int count, String more, Supplier<HTTP2Client> clientFactory) throws IOException {
         for (int h = 0; h < count; h++) {
-            nodes.add(new Node());
+            nodes.add(new TestBackend());
         }
-        FrontPlan plan = PlanText.plan(String.format(PLAN, more), NAMES);
+        GatewaySettings plan = SettingsText.plan(String.format(PLAN, more), NAMES);
         HostRegistry book = new HostRegistry();
         book.listed(list());
         exchange.follow(book::listed);
         Log log = new Log(new PrintStream(logged, true));
-        Front.Opened opened = Front.open(plan, Measure.SHARE, book, exchange, null, true, log, clientFactory);
+        Http2Gateway.Opened opened =
+                Http2Gateway.open(plan, Measure.SHARE, book, exchange, null, true, log, clientFactory);
         if (opened.front() == null) {
             throw new IOException(opened.fault());
         }
         front = opened.front();
         exchange.drain(this);
-        all(RetryPolicy.ONE_ON_PROOF);
+        all(RetryPolicy.ONE_IF_NOT_EXECUTED);
     }
 
     HostList list() {
@@ -105,34 +106,37 @@
     }
 
     void table(int[] hosts, double level, RetryPolicy tries) {
-        order(new Order.Part(
+        order(new ConfigurationUpdate.Part(
                 List.of(),
                 true,
-                IntStream.of(hosts).mapToObj(h -> new Order.Line("s-" + h, 1)).toList(),
-                new Order.Level(level, tries.ordinal()),
+                IntStream.of(hosts)
+                        .mapToObj(h -> new ConfigurationUpdate.Line("s-" + h, 1))
+                        .toList(),
+                new ConfigurationUpdate.Level(level, tries.ordinal()),
                 List.of(),
                 List.of(),
                 ++mark));
     }
 
-    void shutOut(String... words) {
-        order(new Order.Part(List.of(), false, List.of(), null, List.of(words), List.of(), ++mark));
+    void ejected(String... words) {
+        order(new ConfigurationUpdate.Part(List.of(), false, List.of(), null, List.of(words), List.of(), ++mark));
     }
 
-    private void order(Order.Part part) {
-        stream.write(new Order(List.of(part)));
+    private void order(ConfigurationUpdate.Part part) {
+        stream.write(new ConfigurationUpdate(List.of(part)));
         int asked = mark;
-        Caller.awaiting(
+        LoadClient.awaiting(
                 this,
                 () -> {
                     exchange.drain(this);
-                    return heard.stream().anyMatch(a -> a instanceof Arrival.Applied done && done.mark() == asked);
+                    return heard.stream()
+                            .anyMatch(a -> a instanceof InboundMessage.Acknowledgement done && done.mark() == asked);
                 },
                 "mark " + asked + " is answered");
     }
 
-    Caller caller(int... settings) throws IOException {
-        Caller c = new Caller(front.port(), settings);
+    LoadClient caller(int... settings) throws IOException {
+        LoadClient c = new LoadClient(front.port(), settings);
         callers.add(c);
         return c;
     }
@@ -146,15 +150,15 @@
     }
 
     @Override
-    public void arrived(Stream from, Arrival what) {
-        if (what instanceof Arrival.Joining) {
+    public void arrived(ProxyStream from, InboundMessage what) {
+        if (what instanceof InboundMessage.Subscribe) {
             stream = from;
         }
         heard.add(what);
     }
 
     @Override
-    public void ended(Stream which) {
+    public void ended(ProxyStream which) {
         stream = null;
     }
 
@@ -165,11 +169,11 @@
 
     @Override
     public void close() throws IOException {
-        for (Caller c : callers) {
+        for (LoadClient c : callers) {
             c.close();
         }
         front.close();
-        for (Node n : nodes) {
+        for (TestBackend n : nodes) {
             n.close();
         }
     }
--- a/src/test/java/linenring/front/FrontTest.java
+++ b/src/test/java/linenring/gateway/Http2GatewayTest.java
@@ -1,4 +1,4 @@
-package linenring.front;
+package linenring.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -7,12 +7,12 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import linenring.message.Arrival;
 import linenring.planner.Commands.RetryPolicy;
-import linenring.standin.Caller;
-import linenring.standin.Node;
-import linenring.standin.Node.Deed;
-import linenring.standin.Node.Told;
+import linenring.protocol.InboundMessage;
+import linenring.testserver.LoadClient;
+import linenring.testserver.TestBackend;
+import linenring.testserver.TestBackend.Deed;
+import linenring.testserver.TestBackend.Told;
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.HttpVersion;
 import org.eclipse.jetty.http.MetaData;
@@ -20,10 +20,10 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(60)
-class FrontTest {
+class Http2GatewayTest {
     private static final int CANCEL = 8;
 
-    private static Node busy(Rig rig) {
+    private static TestBackend busy(GatewayFixture rig) {
         return rig.nodes.stream()
                 .filter(n -> n.running() > 0 || !n.ran().isEmpty())
                 .findFirst()
@@ -32,8 +32,8 @@
 
     @Test
     void invocationsGoToHostsOfTheTableAndAnswersComeBack() throws IOException {
-        try (Rig rig = new Rig(3)) {
-            Caller c = rig.caller();
+        try (GatewayFixture rig = new GatewayFixture(3)) {
+            LoadClient c = rig.caller();
             List<Integer> streams = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
                 streams.add(c.send("GET", "/quote?from=here"));
@@ -47,8 +47,8 @@
 
     @Test
     void unknownRoutesAreAnsweredAtOnceAndReachNoHost() throws IOException {
-        try (Rig rig = new Rig(1)) {
-            Caller c = rig.caller();
+        try (GatewayFixture rig = new GatewayFixture(1)) {
+            LoadClient c = rig.caller();
             assertEquals(404, c.call("GET", "/nothing").status);
             assertEquals(404, c.call("DELETE", "/quote").status);
             assertEquals(404, c.call("GET", "/quotes").status);
@@ -61,15 +61,15 @@
 
     @Test
     void bodiesHeadsTrailersAndEarlyHintsComeThrough() throws IOException {
-        try (Rig rig = new Rig(1)) {
-            Node node = rig.nodes.get(0);
-            Caller c = rig.caller();
+        try (GatewayFixture rig = new GatewayFixture(1)) {
+            TestBackend node = rig.nodes.get(0);
+            LoadClient c = rig.caller();
             node.next(Told.of(Deed.ANSWER).bytes(1_000_000));
             assertEquals(1_000_000, c.call("GET", "/quote").bytes);
             node.next(Told.of(Deed.ANSWER).bytes(0));
             assertEquals(0, c.call("GET", "/quote").bytes);
             node.next(Told.of(Deed.EARLY_HINTS_AND_TRAILERS));
-            Caller.Answer hinted = c.call("GET", "/quote");
+            LoadClient.Answer hinted = c.call("GET", "/quote");
             assertEquals(List.of(103), hinted.early);
             assertEquals("7", hinted.trailers.get("x-sum"));
             node.next(Told.of(Deed.ANSWER).bytes(0));
@@ -87,15 +87,15 @@
             assertEquals(200, c.await(trailed).status);
             assertEquals("9", node.trailers().get("x-last"));
             node.next(Told.of(Deed.LIE_ABOUT_LENGTH).bytes(100));
-            Caller.Answer lied = c.call("GET", "/quote");
+            LoadClient.Answer lied = c.call("GET", "/quote");
             assertTrue(lied.reset >= 0, "a body that is shorter than it says is not passed on as whole");
         }
     }
 
     @Test
     void aClientThatLiesAboutItsLengthIsResetAndOthersGoOn() throws IOException {
-        try (Rig rig = new Rig(1)) {
-            Caller c = rig.caller();
+        try (GatewayFixture rig = new GatewayFixture(1)) {
+            LoadClient c = rig.caller();
             int lie = c.begin("POST", "/assign", false, "content-length", "10");
             c.body(lie, 20, true);
             assertTrue(c.await(lie).reset >= 0 || c.answer(lie).status >= 400);
@@ -107,10 +107,10 @@
 
     @Test
     void anAssignWhoseClientResetsRunsAtMostOnceWheneverThatIs() throws IOException {
-        try (Rig rig = new Rig(3)) {
+        try (GatewayFixture rig = new GatewayFixture(3)) {
             rig.all(RetryPolicy.TWO);
             rig.nodes.forEach(n -> n.always("/assign", Told.of(Deed.ANSWER).after(100)));
-            Caller c = rig.caller();
+            LoadClient c = rig.caller();
             for (int i = 0; i < 20; i++) { // before its body has come, at once, while it runs
                 int held = c.begin("POST", "/assign", false, "x-mark", "held" + i);
                 c.link.reset(held, CANCEL);
@@ -122,7 +122,7 @@
                 c.link.reset(runs, CANCEL);
             }
             assertEquals(200, c.call("POST", "/assign", "x-mark", "last").status);
-            Caller.awaiting(this, () -> rig.front.runningNow() == 0, "all are over");
+            LoadClient.awaiting(this, () -> rig.front.runningNow() == 0, "all are over");
             for (int i = 0; i < 20; i++) {
                 assertTrue(rig.marked("held" + i) <= 1 && rig.marked("quick" + i) <= 1);
                 assertEquals(1, rig.marked("runs" + i));
@@ -133,13 +133,14 @@
     @Test
     void aHostThatDiesWithAnAssignIsAnsweredAtOnceAndItIsNotSentAgain() throws IOException {
         for (Deed deed : List.of(Deed.DIE, Deed.RESET, Deed.CLOSE)) {
-            try (Rig rig = new Rig(3)) {
+            try (GatewayFixture rig = new GatewayFixture(3)) {
                 rig.all(RetryPolicy.TWO);
                 rig.nodes.forEach(n -> n.always("/assign", Told.of(deed)));
                 long from = System.nanoTime();
                 assertEquals(502, rig.caller().call("POST", "/assign").status, deed.toString());
                 assertTrue(System.nanoTime() - from < 2_000_000_000L, "long before its timeout");
-                assertEquals(1, rig.nodes.stream().mapToInt(Node::arrived).sum());
+                assertEquals(
+                        1, rig.nodes.stream().mapToInt(TestBackend::arrived).sum());
             }
         }
     }
@@ -147,8 +148,8 @@
     @Test
     void onProofThatItNeverRanAnAssignGoesElsewhereAndRunsOnce() throws IOException {
         for (Deed deed : List.of(Deed.REFUSE, Deed.GO_AWAY_BELOW)) {
-            try (Rig rig = new Rig(2)) {
-                Caller c = rig.caller();
+            try (GatewayFixture rig = new GatewayFixture(2)) {
+                LoadClient c = rig.caller();
                 c.call("GET", "/quote"); // so that there are connections
                 rig.nodes.forEach(n -> n.always("/assign", Told.of(Deed.ANSWER)));
                 for (int i = 0; i < 10; i++) {
@@ -164,9 +165,9 @@
 
     @Test
     void aHostThatIsNotThereIsNoRunAndAQuoteAndAnAssignGoElsewhere() throws IOException {
-        try (Rig rig = new Rig(2)) {
+        try (GatewayFixture rig = new GatewayFixture(2)) {
             rig.nodes.get(0).close();
-            Caller c = rig.caller();
+            LoadClient c = rig.caller();
             for (int i = 0; i < 20; i++) {
                 assertEquals(200, c.call("POST", i % 2 == 0 ? "/assign" : "/quote").status);
             }
@@ -177,14 +178,14 @@
     @Test
     void aQuoteRunsAgainElsewhereAndIsAnsweredOnce() throws IOException {
         for (Deed deed : List.of(Deed.RESET, Deed.DIE, Deed.ERROR, Deed.CLOSE, Deed.HANG)) {
-            try (Rig rig = new Rig(2)) {
+            try (GatewayFixture rig = new GatewayFixture(2)) {
                 rig.all(RetryPolicy.ONE);
                 rig.nodes.get(0).always("/", Told.of(deed));
-                Caller c = rig.caller();
+                LoadClient c = rig.caller();
                 for (int i = 0; i < 6; i++) {
                     int s = c.begin("POST", "/quote", false);
                     c.body(s, 700, true);
-                    Caller.Answer a = c.await(s);
+                    LoadClient.Answer a = c.await(s);
                     assertEquals(200, a.status, deed.toString());
                     assertEquals(2, a.bytes);
                 }
@@ -198,7 +199,7 @@
 
     @Test
     void withoutOrdersToTryAgainAQuoteThatFailsIsAnsweredAtOnce() throws IOException {
-        try (Rig rig = new Rig(2)) {
+        try (GatewayFixture rig = new GatewayFixture(2)) {
             rig.nodes.forEach(n -> n.always("/", Told.of(Deed.RESET)));
             assertEquals(502, rig.caller().call("GET", "/quote").status);
             rig.nodes.forEach(n -> n.always("/", Told.of(Deed.ERROR)));
@@ -208,11 +209,11 @@
 
     @Test
     void aBookGoesAgainWithItsMarkInsideItsZoneAlone() throws IOException {
-        try (Rig rig = new Rig(4)) {
+        try (GatewayFixture rig = new GatewayFixture(4)) {
             rig.all(RetryPolicy.ONE);
             rig.nodes.forEach(n -> n.always("/book", Told.of(Deed.ANSWER)));
             rig.nodes.get(0).always("/book", Told.of(Deed.DIE)); // zone a, as is node 2
-            Caller c = rig.caller();
+            LoadClient c = rig.caller();
             int again = 0;
             for (int i = 0; i < 30; i++) {
                 String word = "b" + i;
@@ -231,24 +232,24 @@
 
     @Test
     void aBodyPastWhatIsKeptHasOneTry() throws IOException {
-        try (Rig rig = new Rig(2, "body kept=\"1KiB\"")) {
+        try (GatewayFixture rig = new GatewayFixture(2, "body kept=\"1KiB\"")) {
             rig.all(RetryPolicy.ONE);
             rig.nodes.forEach(n -> n.always("/", Told.of(Deed.RESET)));
-            Caller c = rig.caller();
+            LoadClient c = rig.caller();
             int s = c.begin("POST", "/quote", false);
             c.body(s, 5000, true);
             assertEquals(502, c.await(s).status);
-            assertEquals(1, rig.nodes.stream().mapToInt(Node::arrived).sum());
+            assertEquals(1, rig.nodes.stream().mapToInt(TestBackend::arrived).sum());
         }
     }
 
     @Test
     void anAnswerThatBreaksOffIsResetAndNeverGluedToAnother() throws IOException {
         for (Deed deed : List.of(Deed.RESET_AFTER_HEAD, Deed.RESET_IN_BODY, Deed.DIE_IN_BODY)) {
-            try (Rig rig = new Rig(2)) {
+            try (GatewayFixture rig = new GatewayFixture(2)) {
                 rig.all(RetryPolicy.TWO);
                 rig.nodes.forEach(n -> n.always("/", Told.of(deed).bytes(1000)));
-                Caller.Answer a = rig.caller().call("GET", "/quote");
+                LoadClient.Answer a = rig.caller().call("GET", "/quote");
                 assertTrue(a.reset >= 0, deed.toString());
                 assertEquals(1, rig.ran("/quote"));
             }
@@ -257,31 +258,31 @@
 
     @Test
     void aHostThatStopsInItsAnswerIsEndedAtABoundAndATrickleIsNot() throws IOException {
-        try (Rig rig = new Rig(1, "clients stall=\"800ms\"")) {
+        try (GatewayFixture rig = new GatewayFixture(1, "clients stall=\"800ms\"")) {
             rig.nodes
                     .get(0)
                     .next(
                             Told.of(Deed.HANG_IN_BODY).bytes(1000),
                             Told.of(Deed.TRICKLE).bytes(80));
-            Caller c = rig.caller();
-            Caller.Answer stopped = c.call("GET", "/quote");
+            LoadClient c = rig.caller();
+            LoadClient.Answer stopped = c.call("GET", "/quote");
             assertTrue(stopped.reset >= 0 && stopped.bytes == 500);
             assertTrue(rig.logged.toString().contains("host s-0 broke off in its answer to quote: timed_out"));
-            Caller.Answer trickled = c.call("GET", "/quote"); // 1.6 s in all
+            LoadClient.Answer trickled = c.call("GET", "/quote"); // 1.6 s in all
             assertTrue(trickled.ended && trickled.bytes == 80);
         }
     }
 
     @Test
     void aRetryStormStaysWithinTheBudget() throws IOException {
-        try (Rig rig = new Rig(4, "tries budget=\"20%\" over=\"60s\" least=5\navoid after=0")) {
+        try (GatewayFixture rig = new GatewayFixture(4, "tries budget=\"20%\" over=\"60s\" least=5\navoid after=0")) {
             rig.all(RetryPolicy.TWO);
             rig.nodes.forEach(n -> n.always("/", Told.of(Deed.ERROR)));
-            Caller c = rig.caller();
+            LoadClient c = rig.caller();
             for (int i = 0; i < 500; i++) {
                 assertEquals(500, c.call("GET", "/quote").status);
             }
-            int arrived = rig.nodes.stream().mapToInt(Node::arrived).sum();
+            int arrived = rig.nodes.stream().mapToInt(TestBackend::arrived).sum();
             assertTrue(arrived > 590 && arrived <= 600, "tries: " + arrived);
         }
     }
@@ -290,8 +291,8 @@
 
     @Test
     void whereNothingCanBePickedTheAnswerIsAtOnce() throws IOException {
-        try (Rig rig = new Rig(2)) {
-            rig.shutOut("s-0", "s-1");
+        try (GatewayFixture rig = new GatewayFixture(2)) {
+            rig.ejected("s-0", "s-1");
             assertEquals(503, rig.caller().call("GET", "/quote").status);
             assertTrue(rig.logged.toString().contains("no host can be picked for quote"));
             rig.table(new int[0], 1, RetryPolicy.ONE);
@@ -301,9 +302,9 @@
 
     @Test
     void aLevelTurnsAwayItsShareAtOnce() throws IOException {
-        try (Rig rig = new Rig(2)) {
+        try (GatewayFixture rig = new GatewayFixture(2)) {
             rig.table(new int[] {0, 1}, 0.5, RetryPolicy.NONE);
-            Caller c = rig.caller();
+            LoadClient c = rig.caller();
             int limited = 0;
             for (int i = 0; i < 200; i++) {
                 limited += c.call("GET", "/quote").status == 429 ? 1 : 0;
@@ -314,16 +315,16 @@
 
     @Test
     void aHostThatDrainsFinishesWhatItRunsAndGetsNothingNew() throws IOException {
-        try (Rig rig = new Rig(2)) {
+        try (GatewayFixture rig = new GatewayFixture(2)) {
             rig.nodes.forEach(n -> n.always("/assign", Told.of(Deed.ANSWER).after(400)));
-            Caller c = rig.caller();
+            LoadClient c = rig.caller();
             List<Integer> streams = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
                 streams.add(c.send("POST", "/assign"));
             }
             c.until(() -> rig.ran("/assign") == 20, "all are at nodes");
             int before = rig.nodes.get(0).ran("/assign");
-            rig.shutOut("s-0");
+            rig.ejected("s-0");
             for (int i = 0; i < 10; i++) {
                 assertEquals(200, c.call("GET", "/quote").status);
             }
@@ -336,36 +337,36 @@
 
     @Test
     void itReportsWhatItMetAndWasAsked() throws IOException {
-        try (Rig rig = new Rig(1)) {
-            Caller c = rig.caller();
+        try (GatewayFixture rig = new GatewayFixture(1)) {
+            LoadClient c = rig.caller();
             for (int i = 0; i < 7; i++) {
                 c.call("GET", "/quote");
             }
             rig.nodes.get(0).always("/", Told.of(Deed.RESET));
             c.call("POST", "/assign");
-            Caller.awaiting(
+            LoadClient.awaiting(
                     this,
                     () -> {
                         rig.exchange.drain(rig);
                         return List.copyOf(rig.heard).stream()
-                                        .filter(a -> a instanceof Arrival.HostSums)
-                                        .mapToInt(a -> ((Arrival.HostSums) a).total())
+                                        .filter(a -> a instanceof InboundMessage.LoadReport)
+                                        .mapToInt(a -> ((InboundMessage.LoadReport) a).total())
                                         .sum()
                                 == 8;
                     },
                     "all tries are reported");
-            List<Arrival> heard = List.copyOf(rig.heard);
+            List<InboundMessage> heard = List.copyOf(rig.heard);
             assertEquals(
                     1,
                     heard.stream()
-                            .filter(a -> a instanceof Arrival.HostSums)
-                            .mapToInt(a -> ((Arrival.HostSums) a).bad())
+                            .filter(a -> a instanceof InboundMessage.LoadReport)
+                            .mapToInt(a -> ((InboundMessage.LoadReport) a).bad())
                             .sum());
             assertEquals(
                     7,
                     heard.stream()
-                            .filter(a -> a instanceof Arrival.Usage u && u.operation() == 0)
-                            .mapToInt(a -> ((Arrival.Usage) a).total())
+                            .filter(a -> a instanceof InboundMessage.RequestRateReport u && u.operation() == 0)
+                            .mapToInt(a -> ((InboundMessage.RequestRateReport) a).total())
                             .sum());
         }
     }
@@ -374,14 +375,14 @@
 
     @Test
     void aDrainFinishesWhatRunsRefusesWhatComesLaterAndTellsBoth() throws Exception {
-        try (Rig rig = new Rig(2)) {
+        try (GatewayFixture rig = new GatewayFixture(2)) {
             rig.nodes.forEach(n -> {
                 n.always(
                         "/quote",
                         Told.of(Deed.ANSWER).after(2000)); // on a busy machine too all of them run at the drain
                 n.always("/assign", Told.of(Deed.ANSWER).after(2600));
             });
-            Caller c = rig.caller(), other = rig.caller();
+            LoadClient c = rig.caller(), other = rig.caller();
             List<Integer> streams = new ArrayList<>();
             for (int i = 0; i < 100; i++) {
                 streams.add(c.send(i % 2 == 0 ? "GET" : "POST", i % 2 == 0 ? "/quote" : "/assign"));
@@ -410,8 +411,8 @@
     /** Its reading is slow, or its way: it sends by what it knew for longer than any span that could be fixed beforehand. */
     @Test
     void aClientThatHasNotReadOfTheDrainIsRefusedNothing() throws Exception {
-        try (Rig rig = new Rig(1)) {
-            Caller c = rig.caller().holdingPings();
+        try (GatewayFixture rig = new GatewayFixture(1)) {
+            LoadClient c = rig.caller().holdingPings();
             assertEquals(200, c.call("GET", "/quote").status);
             c.until(() -> rig.front.runningNow() == 0, "nothing runs");
             rig.front.drain();
@@ -430,9 +431,9 @@
 
     @Test
     void aDrainEndsAtItsBoundAndSaysWhatItBrokeOff() throws Exception {
-        try (Rig rig = new Rig(1, "drain \"1s\"")) {
+        try (GatewayFixture rig = new GatewayFixture(1, "drain \"1s\"")) {
             rig.nodes.get(0).always("/", Told.of(Deed.HANG));
-            Caller c = rig.caller();
+            LoadClient c = rig.caller();
             c.send("GET", "/quote");
             c.until(() -> rig.ran("/quote") == 1, "it hangs");
             rig.front.drain();
@@ -443,10 +444,10 @@
 
     @Test
     void aHostThatHangsIsAnsweredForAtTheTimeoutAndNotLater() throws IOException {
-        try (Rig rig = new Rig(1)) {
+        try (GatewayFixture rig = new GatewayFixture(1)) {
             rig.nodes.get(0).always("/", Told.of(Deed.HANG));
             long from = System.nanoTime();
-            Caller.Answer a = rig.caller().call("POST", "/assign");
+            LoadClient.Answer a = rig.caller().call("POST", "/assign");
             assertEquals(504, a.status);
             double ms = (System.nanoTime() - from) / 1e6;
             assertTrue(ms > 3900 && ms < 6000, ms + " ms for a timeout of 4 s");
--- a/src/test/java/linenring/front/MisbehavingClientsTest.java
+++ b/src/test/java/linenring/gateway/MisbehavingClientsTest.java
@@ -1,4 +1,4 @@
-package linenring.front;
+package linenring.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,11 +12,11 @@
 import java.util.List;
 import java.util.Set;
 import linenring.planner.Commands.RetryPolicy;
-import linenring.standin.Caller;
-import linenring.standin.FrameLink;
-import linenring.standin.Node;
-import linenring.standin.Node.Deed;
-import linenring.standin.Node.Told;
+import linenring.testserver.FrameConnection;
+import linenring.testserver.LoadClient;
+import linenring.testserver.TestBackend;
+import linenring.testserver.TestBackend.Deed;
+import linenring.testserver.TestBackend.Told;
 import org.eclipse.jetty.http.HttpFields;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -31,14 +31,14 @@
             CALM = 11;
 
     private interface Sin {
-        void by(Caller c) throws IOException;
+        void by(LoadClient c) throws IOException;
     }
 
     /** The sinner's connection is ended with one of these codes; who came before and after it is served. */
-    private static void endsAlone(Rig rig, Set<Integer> codes, Sin sin) throws IOException {
-        Caller other = rig.caller();
+    private static void endsAlone(GatewayFixture rig, Set<Integer> codes, Sin sin) throws IOException {
+        LoadClient other = rig.caller();
         assertEquals(200, other.call("GET", "/quote").status);
-        Caller sinner = rig.caller();
+        LoadClient sinner = rig.caller();
         try {
             sin.by(sinner);
         } catch (IOException e) {
@@ -52,16 +52,16 @@
         assertEquals(200, other.call("GET", "/quote").status);
         assertEquals(200, rig.caller().call("GET", "/quote").status);
         assertTrue(rig.logged.toString().lines().count() < 50, "a flood of 5,000 frames fills no log");
-        Caller.awaiting(rig, () -> rig.front.runningNow() == 0, "nothing of it is held");
+        LoadClient.awaiting(rig, () -> rig.front.runningNow() == 0, "nothing of it is held");
     }
 
     @Test
     void fiftyClientsThatIgnoreTheirWindowsHoldBackNobodyAndAreEndedAtABound() throws IOException {
-        try (Rig rig = new Rig(2, "clients stall=\"1500ms\"")) {
+        try (GatewayFixture rig = new GatewayFixture(2, "clients stall=\"1500ms\"")) {
             rig.nodes.forEach(n -> n.always("/quote/large", Told.of(Deed.ANSWER).bytes(5_000_000)));
-            Caller other = rig.caller();
+            LoadClient other = rig.caller();
             other.call("GET", "/quote");
-            List<Caller> sinners = new ArrayList<>();
+            List<LoadClient> sinners = new ArrayList<>();
             for (int i = 0; i < 50; i++) {
                 sinners.add(rig.caller().ignoringWindows());
                 sinners.get(i).send("GET", "/quote/large");
@@ -74,30 +74,30 @@
                 worst = Math.max(worst, System.nanoTime() - from);
             }
             assertTrue(worst < 1_000_000_000L, "others waited " + worst / 1e6 + " ms");
-            for (Caller s : sinners) {
+            for (LoadClient s : sinners) {
                 assertEquals(CALM, s.await(1).reset);
                 assertTrue(s.answer(1).bytes <= 65_535);
             }
-            long sent = rig.nodes.stream().mapToLong(Node::sentBytes).sum();
+            long sent = rig.nodes.stream().mapToLong(TestBackend::sentBytes).sum();
             assertTrue(sent < 50 * 200_000L, "nodes sent " + sent + " bytes, two windows a stream at most");
             assertTrue(rig.logged.toString().contains("takes nothing of an answer to quote for 1500 ms"));
-            Caller.awaiting(this, () -> rig.front.runningNow() == 0, "none is left");
+            LoadClient.awaiting(this, () -> rig.front.runningNow() == 0, "none is left");
         }
     }
 
     @Test
     void aClientThatReadsNothingFromItsSocketIsEndedAtItsBounds() throws IOException {
-        try (Rig rig = new Rig(1, "clients stall=\"500ms\" idle=\"1s\"")) {
+        try (GatewayFixture rig = new GatewayFixture(1, "clients stall=\"500ms\" idle=\"1s\"")) {
             rig.nodes.get(0).always("/quote/large", Told.of(Deed.ANSWER).bytes(2_000_000));
             try (Socket deaf = new Socket(InetAddress.getByName("127.0.0.1"), rig.front.port())) {
-                FrameLink link = new FrameLink(deaf);
-                link.raw(FrameLink.PREFACE);
+                FrameConnection link = new FrameConnection(deaf);
+                link.raw(FrameConnection.PREFACE);
                 link.settings(4, 100 << 20); // every stream's window is wide open
                 link.window(0, 1 << 30);
                 for (int s = 1; s < 40; s += 2) {
-                    link.headers(s, FrameLink.request("GET", "/quote/large", HttpFields.EMPTY), true);
+                    link.headers(s, FrameConnection.request("GET", "/quote/large", HttpFields.EMPTY), true);
                 }
-                Caller other = rig.caller();
+                LoadClient other = rig.caller();
                 other.until(() -> rig.ran("/quote/large") == 20, "all are at the node");
                 other.until(() -> rig.front.runningNow() == 0, "they are ended");
                 assertEquals(200, other.call("GET", "/quote").status);
@@ -107,9 +107,9 @@
 
     @Test
     void aSlowHostSlowsItsClientAndNobodyElse() throws IOException {
-        try (Rig rig = new Rig(1)) {
+        try (GatewayFixture rig = new GatewayFixture(1)) {
             rig.nodes.get(0).always("/assign", Told.of(Deed.NO_WINDOW));
-            Caller c = rig.caller();
+            LoadClient c = rig.caller();
             int upload = c.begin("POST", "/assign", false);
             c.body(upload, 16_384, false);
             c.body(upload, 16_384, false);
@@ -123,7 +123,7 @@
 
     @Test
     void aRapidResetIsEndedAndRunsLittle() throws IOException {
-        try (Rig rig = new Rig(1, "clients frames-per-second=100")) {
+        try (GatewayFixture rig = new GatewayFixture(1, "clients frames-per-second=100")) {
             endsAlone(rig, Set.of(CALM), c -> {
                 for (int i = 0; i < 5000; i++) {
                     c.link.reset(c.send("POST", "/assign"), 8);
@@ -135,7 +135,7 @@
 
     @Test
     void aFloodOfSettingsPingsOrEmptyDataIsEnded() throws IOException {
-        try (Rig rig = new Rig(1, "clients frames-per-second=100")) {
+        try (GatewayFixture rig = new GatewayFixture(1, "clients frames-per-second=100")) {
             endsAlone(rig, Set.of(CALM), c -> {
                 for (int i = 0; i < 5000; i++) {
                     c.link.settings(4, 65_535);
@@ -143,7 +143,7 @@
             });
             endsAlone(rig, Set.of(CALM), c -> {
                 for (int i = 0; i < 5000; i++) {
-                    c.link.write(FrameLink.PING, 0, 0, new byte[8]);
+                    c.link.write(FrameConnection.PING, 0, 0, new byte[8]);
                 }
             });
             endsAlone(rig, Set.of(CALM), c -> {
@@ -157,15 +157,15 @@
 
     @Test
     void aFloodOfContinuationsAndHeadsPastTheBoundAreEnded() throws IOException {
-        try (Rig rig = new Rig(1)) {
+        try (GatewayFixture rig = new GatewayFixture(1)) {
             endsAlone(rig, Set.of(CALM, PROTOCOL_ERROR), c -> {
-                byte[] block = c.link.block(FrameLink.request("GET", "/quote", HttpFields.EMPTY));
-                c.link.write(FrameLink.HEADERS, FrameLink.END_STREAM, 1, block);
+                byte[] block = c.link.block(FrameConnection.request("GET", "/quote", HttpFields.EMPTY));
+                c.link.write(FrameConnection.HEADERS, FrameConnection.END_STREAM, 1, block);
                 for (int i = 0; i < 5000; i++) {
-                    c.link.write(FrameLink.CONTINUATION, 0, 1, new byte[1000]);
+                    c.link.write(FrameConnection.CONTINUATION, 0, 1, new byte[1000]);
                 }
             });
-            Caller c = rig.caller();
+            LoadClient c = rig.caller();
             int s = c.send("GET", "/quote", "x-long", "x".repeat(40_000));
             c.until(() -> c.isClosed() || c.answer(s).isOver(), "it is refused");
             assertTrue(c.isClosed() || c.answer(s).reset >= 0 || c.answer(s).status == 431);
@@ -176,11 +176,11 @@
 
     @Test
     void windowsThatOverflowOrDoNotGrowAreErrors() throws IOException {
-        try (Rig rig = new Rig(1)) {
+        try (GatewayFixture rig = new GatewayFixture(1)) {
             endsAlone(rig, Set.of(FLOW_CONTROL_ERROR), c -> c.link.window(0, Integer.MAX_VALUE));
             endsAlone(rig, Set.of(PROTOCOL_ERROR), c -> c.link.window(0, 0));
             rig.nodes.get(0).always("/assign", Told.of(Deed.HANG));
-            Caller c = rig.caller();
+            LoadClient c = rig.caller();
             int over = c.send("POST", "/assign"), zero = c.send("POST", "/assign");
             c.link.window(over, Integer.MAX_VALUE);
             assertEquals(FLOW_CONTROL_ERROR, c.await(over).reset);
@@ -192,9 +192,9 @@
 
     @Test
     void streamsPastTheLimitAreRefusedAsNotProcessed() throws IOException {
-        try (Rig rig = new Rig(1, "clients streams=10")) {
+        try (GatewayFixture rig = new GatewayFixture(1, "clients streams=10")) {
             rig.nodes.get(0).always("/assign", Told.of(Deed.ANSWER).after(500));
-            Caller c = rig.caller();
+            LoadClient c = rig.caller();
             List<Integer> streams = new ArrayList<>();
             for (int i = 0; i < 30; i++) {
                 streams.add(c.send("POST", "/assign"));
@@ -210,20 +210,20 @@
 
     @Test
     void framesWhereNoStreamIsOpenAreErrors() throws IOException {
-        try (Rig rig = new Rig(1)) {
+        try (GatewayFixture rig = new GatewayFixture(1)) {
             endsAlone(rig, Set.of(PROTOCOL_ERROR, STREAM_CLOSED), c -> c.body(77, 10, true)); // idle
             endsAlone(rig, Set.of(PROTOCOL_ERROR, STREAM_CLOSED), c -> c.link.window(77, 10));
-            endsAlone(rig, Set.of(PROTOCOL_ERROR), c -> c.link.write(FrameLink.DATA, 0, 0, new byte[4]));
-            Caller c = rig.caller();
+            endsAlone(rig, Set.of(PROTOCOL_ERROR), c -> c.link.write(FrameConnection.DATA, 0, 0, new byte[4]));
+            LoadClient c = rig.caller();
             int done = c.send("GET", "/quote");
             c.await(done);
             c.body(done, 10, true); // closed: an error of the stream or of the connection, and no run
-            Caller.awaiting(this, () -> rig.front.runningNow() == 0, "none is left");
+            LoadClient.awaiting(this, () -> rig.front.runningNow() == 0, "none is left");
             assertEquals(0, rig.nodes.get(0).bodyBytes("/quote"));
         }
     }
 
-    private static String said(Rig rig, byte[] words) throws IOException {
+    private static String said(GatewayFixture rig, byte[] words) throws IOException {
         try (Socket s = new Socket(InetAddress.getByName("127.0.0.1"), rig.front.port())) {
             s.setSoTimeout(10_000);
             s.getOutputStream().write(words);
@@ -235,7 +235,7 @@
 
     @Test
     void whoDoesNotBeginWithThePrefaceIsRefusedInWordsOrClosed() throws IOException {
-        try (Rig rig = new Rig(1)) {
+        try (GatewayFixture rig = new GatewayFixture(1)) {
             assertTrue(said(rig, "GET /quote HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII))
                     .startsWith("HTTP/1.1 505 "));
             assertTrue(said(
@@ -258,7 +258,7 @@
 
     @Test
     void aThousandConnectionsThatSayNothingLeaveRoomForOthers() throws IOException {
-        try (Rig rig = new Rig(1, "clients connections=200")) {
+        try (GatewayFixture rig = new GatewayFixture(1, "clients connections=200")) {
             List<Socket> silent = new ArrayList<>();
             try {
                 for (int i = 0; i < 300; i++) {
@@ -275,10 +275,10 @@
 
     @Test
     void noRoomForOneMoreIsSaidAtOnce() throws IOException {
-        try (Rig rig = new Rig(1, "clients running=5")) {
+        try (GatewayFixture rig = new GatewayFixture(1, "clients running=5")) {
             rig.all(RetryPolicy.NONE);
             rig.nodes.get(0).always("/assign", Told.of(Deed.HANG));
-            Caller c = rig.caller();
+            LoadClient c = rig.caller();
             for (int i = 0; i < 5; i++) {
                 c.send("POST", "/assign");
             }
--- a/src/test/java/linenring/front/SlowDialsTest.java
+++ b/src/test/java/linenring/gateway/SlowDialsTest.java
@@ -1,4 +1,4 @@
-package linenring.front;
+package linenring.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,13 +11,13 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import linenring.message.HostList;
 import linenring.planner.Commands.RetryPolicy;
+import linenring.protocol.HostList;
 import linenring.routing.HostRegistry;
 import linenring.routing.Pool;
-import linenring.standin.Caller;
-import linenring.standin.Node.Deed;
-import linenring.standin.Node.Told;
+import linenring.testserver.LoadClient;
+import linenring.testserver.TestBackend.Deed;
+import linenring.testserver.TestBackend.Told;
 import org.eclipse.jetty.http2.api.Session;
 import org.eclipse.jetty.http2.client.HTTP2Client;
 import org.eclipse.jetty.io.ClientConnector;
@@ -30,12 +30,12 @@
     /** The host of the first try died on it; that of the second takes longer to greet than hosts know a mark. */
     @Test
     void aRepeatThatWaitedForItsConnectionPastTheWindowIsNotSentAndIsAnsweredAtOnce() throws Exception {
-        try (Rig rig = new Rig(4, "hosts dial=\"10s\"")) {
+        try (GatewayFixture rig = new GatewayFixture(4, "hosts dial=\"10s\"")) {
             CountDownLatch greets = new CountDownLatch(1);
             rig.nodes.get(2).greetsOnce(greets);
             rig.nodes.get(0).always("/book", Told.of(Deed.DIE).after(300));
             rig.table(new int[] {0}, 1, RetryPolicy.ONE);
-            Caller c = rig.caller();
+            LoadClient c = rig.caller();
             long sent = System.nanoTime();
             int book = c.send("POST", "/book", "x-mark", "once");
             c.until(() -> rig.nodes.get(0).arrived() == 1, "it is at the first");
@@ -77,7 +77,7 @@
         try (ServerSocket host = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) { // it says no SETTINGS
             HostRegistry.Host listed =
                     new HostRegistry.Host("s-0", "127.0.0.1:" + host.getLocalPort(), 0, -1, HostList.State.READY);
-            HostLink link = new HostLink(
+            UpstreamConnections link = new UpstreamConnections(
                     client,
                     listed,
                     new Pool.Bounds(4, 32, 8, 15_000, 20, 500),
@@ -85,9 +85,9 @@
                     scheduler,
                     () -> System.nanoTime() / 1e6);
             CountDownLatch turnedAway = new CountDownLatch(1);
-            link.want(new HostLink.Wants() {
+            link.want(new UpstreamConnections.Wants() {
                 @Override
-                public void granted(HostLink.Connection on) {
+                public void granted(UpstreamConnections.Connection on) {
                     throw new AssertionError("it has no connection");
                 }
 
--- a/src/test/java/linenring/front/UnansweredRequestsTest.java
+++ b/src/test/java/linenring/gateway/UnansweredRequestsTest.java
@@ -1,4 +1,4 @@
-package linenring.front;
+package linenring.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,10 +14,10 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import linenring.planner.Commands.RetryPolicy;
-import linenring.standin.Caller;
-import linenring.standin.FrameLink;
-import linenring.standin.Node.Deed;
-import linenring.standin.Node.Told;
+import linenring.testserver.FrameConnection;
+import linenring.testserver.LoadClient;
+import linenring.testserver.TestBackend.Deed;
+import linenring.testserver.TestBackend.Told;
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http2.hpack.HpackEncoder;
 import org.eclipse.jetty.http2.hpack.HpackException;
@@ -33,9 +33,9 @@
      */
     @Test
     void aClientThatSaysGoAwayBehindItsRequestsIsAnsweredAllOfThem() throws IOException {
-        try (Rig rig = new Rig(2)) {
+        try (GatewayFixture rig = new GatewayFixture(2)) {
             rig.nodes.forEach(node -> node.always("/", Told.of(Deed.ANSWER).after(300)));
-            Caller caller = rig.caller().ignoringWindows();
+            LoadClient caller = rig.caller().ignoringWindows();
             List<Integer> streams = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
                 streams.add(caller.send("GET", "/quote"));
@@ -52,9 +52,9 @@
     /** Hosts end their connections while nothing runs on them, as a restarted process does. */
     @Test
     void whereHostsResetIdleConnectionsTheNextRequestsAreAnswered() throws IOException {
-        try (Rig rig = new Rig(3)) {
+        try (GatewayFixture rig = new GatewayFixture(3)) {
             rig.all(RetryPolicy.ONE);
-            Caller caller = rig.caller();
+            LoadClient caller = rig.caller();
             for (int i = 0; i < 30; i++) {
                 assertEquals(200, caller.call("GET", "/quote").status);
             }
@@ -72,14 +72,14 @@
     /** The process idles: its connections to hosts and clients are closed for it meanwhile, and a request after that is served. */
     @Test
     void afterIdlingPastEveryBoundTheNextRequestsAreAnswered() throws Exception {
-        try (Rig rig = new Rig(2, "hosts idle=\"200ms\"\nclients idle=\"300ms\"")) {
-            Caller first = rig.caller();
+        try (GatewayFixture rig = new GatewayFixture(2, "hosts idle=\"200ms\"\nclients idle=\"300ms\"")) {
+            LoadClient first = rig.caller();
             assertEquals(200, first.call("GET", "/quote").status);
             first.until(first::isClosed, "the idle client connection is closed");
             assertEquals(1, first.goAways().size(), "and told so");
             first.until(() -> rig.nodes.stream().allMatch(node -> node.connections() == 0), "those to hosts too");
             for (int i = 0; i < 10; i++) {
-                Caller next = rig.caller();
+                LoadClient next = rig.caller();
                 assertEquals(200, next.call("POST", "/assign").status);
             }
         }
@@ -88,15 +88,15 @@
     /** Requests that come just as idle connections are closed, on either side. */
     @Test
     void requestsAtTheInstantOfTheIdleBoundAreAnsweredOrTheirConnectionEnds() throws Exception {
-        try (Rig rig = new Rig(2, "hosts idle=\"30ms\"\nclients idle=\"40ms\"")) {
+        try (GatewayFixture rig = new GatewayFixture(2, "hosts idle=\"30ms\"\nclients idle=\"40ms\"")) {
             int answered = 0;
             for (int i = 0; i < 60; i++) {
-                Caller caller = rig.caller();
+                LoadClient caller = rig.caller();
                 assertEquals(200, caller.call("GET", "/quote").status);
                 TimeUnit.MILLISECONDS.sleep(25 + i % 30);
                 try {
                     int stream = caller.send("POST", "/assign");
-                    Caller.Answer answer = caller.await(stream);
+                    LoadClient.Answer answer = caller.await(stream);
                     assertTrue(answer.status == 200 || answer.isOver() || caller.isClosed());
                     answered += answer.status == 200 ? 1 : 0;
                 } catch (IOException e) {
@@ -104,7 +104,7 @@
                 }
             }
             assertTrue(answered > 0);
-            Caller last = rig.caller();
+            LoadClient last = rig.caller();
             last.until(() -> rig.front.runningNow() == 0, "nothing is left running");
         }
     }
@@ -112,9 +112,9 @@
     /** Clients connect and send while the drain begins: accepted or not, each hears something well before the drain's bound. */
     @Test
     void clientsWhoseConnectionsMeetTheBeginOfADrainAreAnsweredOrEnded() throws Exception {
-        try (Rig rig = new Rig(2, "drain \"10s\"")) {
+        try (GatewayFixture rig = new GatewayFixture(2, "drain \"10s\"")) {
             rig.nodes.forEach(node -> node.always("/", Told.of(Deed.ANSWER).after(1500)));
-            Caller runs = rig.caller();
+            LoadClient runs = rig.caller();
             int running = runs.send("GET", "/quote"); // so that the drain takes a while
             runs.until(() -> rig.ran("/quote") == 1, "it runs");
             List<Socket> clients = new ArrayList<>();
@@ -148,19 +148,19 @@
     /** Our SETTINGS go first (RFC 9113, 3.4), and its requests are proven not to have run. */
     @Test
     void aClientThatComesDuringADrainHearsThatNothingWasProcessedOnceTheFrontHasSaidItsSettings() throws Exception {
-        try (Rig rig = new Rig(1, "drain \"10s\"")) {
+        try (GatewayFixture rig = new GatewayFixture(1, "drain \"10s\"")) {
             rig.nodes.get(0).always("/quote", Told.of(Deed.ANSWER).after(1500));
-            Caller runs = rig.caller();
+            LoadClient runs = rig.caller();
             int running = runs.send("GET", "/quote");
             runs.until(() -> rig.ran("/quote") == 1, "it runs");
             rig.front.drain();
             Socket socket = new Socket(InetAddress.getLoopbackAddress(), rig.front.port());
             socket.setSoTimeout(WAIT_MS);
-            try (FrameLink link = new FrameLink(socket)) {
+            try (FrameConnection link = new FrameConnection(socket)) {
                 link.raw(request());
-                assertEquals(FrameLink.SETTINGS, link.read().type());
-                FrameLink.Frame frame = link.read();
-                while (frame.type() != FrameLink.GOAWAY) {
+                assertEquals(FrameConnection.SETTINGS, link.read().type());
+                FrameConnection.Frame frame = link.read();
+                while (frame.type() != FrameConnection.GOAWAY) {
                     frame = link.read();
                 }
                 assertEquals(0, frame.figure(0), "the last stream that may have been processed");
@@ -175,11 +175,11 @@
     /** An answer, a refusal or a GOAWAY beyond the greeting, or the connection's end. */
     private static void assertHearsOrEnds(Socket socket) throws IOException {
         socket.setSoTimeout(WAIT_MS);
-        try (FrameLink link = new FrameLink(socket)) {
-            for (FrameLink.Frame frame = link.read(); frame != null; frame = link.read()) {
-                if (frame.type() == FrameLink.HEADERS
-                        || frame.type() == FrameLink.RST_STREAM
-                        || frame.type() == FrameLink.GOAWAY && frame.figure(0) < 1) {
+        try (FrameConnection link = new FrameConnection(socket)) {
+            for (FrameConnection.Frame frame = link.read(); frame != null; frame = link.read()) {
+                if (frame.type() == FrameConnection.HEADERS
+                        || frame.type() == FrameConnection.RST_STREAM
+                        || frame.type() == FrameConnection.GOAWAY && frame.figure(0) < 1) {
                     return;
                 }
             }
@@ -192,7 +192,7 @@
 
     @Test
     void aRequestIsAnsweredWhereverItsBytesAreCutInTwo() throws Exception {
-        try (Rig rig = new Rig(1)) {
+        try (GatewayFixture rig = new GatewayFixture(1)) {
             byte[] request = request();
             for (int cut = 1; cut < request.length; cut++) {
                 assertEquals(
@@ -206,7 +206,7 @@
 
     @Test
     void aRequestThatComesByteByByteIsAnsweredAndRunsOnce() throws Exception {
-        try (Rig rig = new Rig(1)) {
+        try (GatewayFixture rig = new GatewayFixture(1)) {
             byte[] request = request();
             byte[][] pieces = new byte[request.length][];
             for (int at = 0; at < request.length; at++) {
@@ -220,7 +220,7 @@
     /** The client is gone within its request: it runs nowhere, and no place stays taken. */
     @Test
     void aRequestThatEndsBeforeItsLastByteLeavesNothingRunning() throws Exception {
-        try (Rig rig = new Rig(1)) {
+        try (GatewayFixture rig = new GatewayFixture(1)) {
             byte[] request = request();
             for (int cut = 0; cut < request.length; cut++) {
                 try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), rig.front.port())) {
@@ -228,7 +228,7 @@
                     socket.setSoLinger(cut % 2 == 0, 0); // a reset, or an ordinary end
                 }
             }
-            Caller caller = rig.caller();
+            LoadClient caller = rig.caller();
             assertEquals(200, caller.call("GET", "/quote").status);
             caller.until(() -> rig.front.runningNow() == 0, "nothing is left running");
             caller.until(() -> rig.nodes.get(0).running() == 0, "nor at the host");
@@ -236,16 +236,16 @@
     }
 
     /** Sends the pieces with pauses on a connection of its own; the answer's status, or -1. */
-    private static int status(Rig rig, byte[]... pieces) throws Exception {
+    private static int status(GatewayFixture rig, byte[]... pieces) throws Exception {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), rig.front.port());
         socket.setSoTimeout(WAIT_MS);
-        try (FrameLink link = new FrameLink(socket)) { // which sets TCP_NODELAY
+        try (FrameConnection link = new FrameConnection(socket)) { // which sets TCP_NODELAY
             for (byte[] piece : pieces) {
                 link.raw(piece);
                 TimeUnit.MILLISECONDS.sleep(2); // so that it is read by itself
             }
-            for (FrameLink.Frame frame = link.read(); frame != null; frame = link.read()) {
-                if (frame.type() == FrameLink.HEADERS) {
+            for (FrameConnection.Frame frame = link.read(); frame != null; frame = link.read()) {
+                if (frame.type() == FrameConnection.HEADERS) {
                     return ((org.eclipse.jetty.http.MetaData.Response) link.decode(frame)).getStatus();
                 }
             }
@@ -256,17 +256,18 @@
     /** A client's whole words: preface, SETTINGS, the request's head, its body in two frames. */
     private static byte[] request() throws IOException {
         ByteArrayOutputStream words = new ByteArrayOutputStream();
-        words.write(FrameLink.PREFACE);
+        words.write(FrameConnection.PREFACE);
         words.write(frame(4, 0, 0));
         ByteBuffer head = ByteBuffer.allocate(1024);
         try {
-            new HpackEncoder().encode(head, FrameLink.request("POST", "/assign", HttpFields.build()));
+            new HpackEncoder().encode(head, FrameConnection.request("POST", "/assign", HttpFields.build()));
         } catch (HpackException e) {
             throw new IOException(e);
         }
-        words.write(frame(FrameLink.HEADERS, FrameLink.END_HEADERS, 1, Arrays.copyOf(head.array(), head.position())));
-        words.write(frame(FrameLink.DATA, 0, 1, (byte) 'a', (byte) 'b'));
-        words.write(frame(FrameLink.DATA, FrameLink.END_STREAM, 1, (byte) 'c'));
+        words.write(frame(
+                FrameConnection.HEADERS, FrameConnection.END_HEADERS, 1, Arrays.copyOf(head.array(), head.position())));
+        words.write(frame(FrameConnection.DATA, 0, 1, (byte) 'a', (byte) 'b'));
+        words.write(frame(FrameConnection.DATA, FrameConnection.END_STREAM, 1, (byte) 'c'));
         return words.toByteArray();
     }
 
--- a/src/test/java/linenring/front/settings/FrontPlanReaderTest.java
+++ b/src/test/java/linenring/gateway/settings/GatewaySettingsReaderTest.java
@@ -1,4 +1,4 @@
-package linenring.front.settings;
+package linenring.gateway.settings;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class FrontPlanReaderTest {
+class GatewaySettingsReaderTest {
     private static final Names NAMES = new Names(List.of("a", "b"), List.of("std"), List.of("quote", "book"), 4, 4);
     private static final String GOOD = """
             // line 1
@@ -28,14 +28,15 @@
 
     @Test
     void aPlanHasTheStewardsOrderOfOperationsAndDefaultsForAllElse() {
-        FrontPlan plan = PlanText.plan(GOOD, NAMES);
+        GatewaySettings plan = SettingsText.plan(GOOD, NAMES);
         assertEquals(
                 new Limits("quote", Idempotence.IDEMPOTENT, Limits.Group.ZONE, 0, 750, 2000),
                 plan.operations().get(0));
         assertEquals(
                 new Limits("book", Idempotence.FINGERPRINTED, Limits.Group.CELL, 2500, 1200, 4000),
                 plan.operations().get(1));
-        assertEquals(new FrontPlan.Route("GET", "/quotes", 0), plan.routes().get(0));
+        assertEquals(
+                new GatewaySettings.Route("GET", "/quotes", 0), plan.routes().get(0));
         assertEquals(1, plan.zone());
         assertEquals(16 << 10, plan.body().kept());
         assertEquals(0.2, plan.tries().share());
@@ -86,7 +87,8 @@
     void aMistakeIsToldByFileLineAndWhatWasExpected(int line, String instead, String said) {
         String[] lines = GOOD.split("\n");
         lines[line - 1] = instead == null ? "" : instead;
-        FrontPlanReader.Outcome read = FrontPlanReader.read("f.kdl", String.join("\n", lines) + "\n", NAMES);
+        GatewaySettingsReader.Outcome read =
+                GatewaySettingsReader.read("f.kdl", String.join("\n", lines) + "\n", NAMES);
         assertNull(read.plan());
         String expected = "f.kdl:"
                 + said.replace("; ", "; f.kdl:")
@@ -99,7 +101,7 @@
     void aFileThatIsNotThereIsOneLine() {
         assertEquals(
                 List.of("/no/such.kdl: cannot be read"),
-                FrontPlanReader.read(java.nio.file.Path.of("/no/such.kdl"), NAMES)
+                GatewaySettingsReader.read(java.nio.file.Path.of("/no/such.kdl"), NAMES)
                         .faults());
     }
 }
--- a/src/test/java/linenring/handover/HandoverTest.java
+++ b/src/test/java/linenring/handover/HandoverTest.java
@@ -16,11 +16,11 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import linenring.handover.wire.Wire;
-import linenring.load.Load;
-import linenring.standin.Caller;
-import linenring.standin.Node;
-import linenring.standin.Node.Deed;
-import linenring.standin.Node.Told;
+import linenring.load.LoadGenerator;
+import linenring.testserver.LoadClient;
+import linenring.testserver.TestBackend;
+import linenring.testserver.TestBackend.Deed;
+import linenring.testserver.TestBackend.Told;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -35,7 +35,7 @@
     @TempDir
     Path temp;
 
-    private final List<Node> nodes = new ArrayList<>();
+    private final List<TestBackend> nodes = new ArrayList<>();
     private Process process;
     private Path log, dir;
     private int port;
@@ -43,7 +43,7 @@
     @BeforeEach
     void nodes() throws IOException {
         for (int h = 0; h < 2; h++) {
-            nodes.add(new Node());
+            nodes.add(new TestBackend());
             nodes.get(h).always("/assign", Told.of(Deed.ANSWER).after(30));
         }
         log = temp.resolve("log");
@@ -57,7 +57,7 @@
             ProcessHandle.of(Long.parseLong(m.group(1))).ifPresent(ProcessHandle::destroyForcibly);
         }
         process.destroyForcibly().waitFor();
-        for (Node n : nodes) {
+        for (TestBackend n : nodes) {
             n.close();
         }
     }
@@ -114,7 +114,7 @@
         builder.environment().put("GW_CONFIG", configuration.toString());
         process = builder.start();
         logged("takes invocations at");
-        Caller.awaiting(this, () -> Files.exists(dir.resolve(Upgrades.SOCKET)), "it may be upgraded");
+        LoadClient.awaiting(this, () -> Files.exists(dir.resolve(Upgrades.SOCKET)), "it may be upgraded");
     }
 
     private String log() {
@@ -126,7 +126,7 @@
     }
 
     private void logged(String words) {
-        Caller.awaiting(this, () -> log().contains(words), "the log says: " + words);
+        LoadClient.awaiting(this, () -> log().contains(words), "the log says: " + words);
     }
 
     private ProcessHandle newest() {
@@ -139,15 +139,15 @@
         return ProcessHandle.of(Long.parseLong(last)).orElseThrow();
     }
 
-    private CompletableFuture<Load.Outcomes> load(double seconds) {
+    private CompletableFuture<LoadGenerator.Outcomes> load(double seconds) {
         return CompletableFuture.supplyAsync(() -> {
             try {
-                return Load.run(new Load.Plan(
+                return LoadGenerator.run(new LoadGenerator.Plan(
                         "127.0.0.1",
                         port,
                         List.of(
-                                new Load.Call("quote", "GET", "/quote", 1, false),
-                                new Load.Call("assign", "POST", "/assign", 1, true)),
+                                new LoadGenerator.Call("quote", "GET", "/quote", 1, false),
+                                new LoadGenerator.Call("assign", "POST", "/assign", 1, true)),
                         200,
                         1,
                         3,
@@ -172,7 +172,7 @@
     }
 
     /** All calls were answered 200, and each assign ran once. */
-    private void nothingLost(Load.Outcomes all) {
+    private void nothingLost(LoadGenerator.Outcomes all) {
         long assigns = all.by().get("assign").sent;
         all.by().forEach((name, o) -> assertEquals(java.util.Map.of("200", o.sent), o.ends, name));
         assertEquals(assigns, nodes.stream().mapToInt(n -> n.ran("/assign")).sum());
@@ -181,11 +181,11 @@
     @Test
     void twoUpgradesInARowUnderLoadLoseNothingAndRunNothingTwice() throws Exception {
         serves("probation=\"500ms\"");
-        CompletableFuture<Load.Outcomes> load = load(9);
+        CompletableFuture<LoadGenerator.Outcomes> load = load(9);
         Wire.Ended first = upgrade().get(40, TimeUnit.SECONDS);
         assertTrue(first.getWell(), () -> first.getWords() + log());
         assertTrue(process.waitFor(20, TimeUnit.SECONDS), "the old process ends once it has drained");
-        Caller.awaiting(this, () -> log().split("the port is this process's alone").length > 1, "it is alone");
+        LoadClient.awaiting(this, () -> log().split("the port is this process's alone").length > 1, "it is alone");
         Wire.Ended second = upgrade().get(40, TimeUnit.SECONDS);
         assertTrue(second.getWell(), () -> second.getWords() + log());
         nothingLost(load.get(40, TimeUnit.SECONDS));
@@ -194,7 +194,7 @@
     @Test
     void aNewProcessThatEndsAtOnceOrHangsOrSaysNothingCostsNothing() throws Exception {
         serves("greet=\"1s\" command=\"sh -c 'test -e " + temp.resolve("hang") + " && sleep 60; exit 7'\"");
-        CompletableFuture<Load.Outcomes> load = load(3);
+        CompletableFuture<LoadGenerator.Outcomes> load = load(3);
         Wire.Ended ended = upgrade().get(40, TimeUnit.SECONDS);
         assertEquals("this process goes on: the new process ended with 7", ended.getWords());
         Files.createFile(temp.resolve("hang"));
@@ -210,7 +210,7 @@
     }
 
     private Wire.Ended upgradeWhile(CompletableFuture<Wire.Ended> other) throws Exception {
-        Caller.awaiting(this, () -> log().split("starts process").length == 3, "the second one is started");
+        LoadClient.awaiting(this, () -> log().split("starts process").length == 3, "the second one is started");
         assertTrue(!other.isDone());
         return upgrade().get(40, TimeUnit.SECONDS);
     }
@@ -218,7 +218,7 @@
     @Test
     void aNewProcessThatDiesBeforeItHasThePortCostsNothing() throws Exception {
         serves("");
-        CompletableFuture<Load.Outcomes> load = load(5);
+        CompletableFuture<LoadGenerator.Outcomes> load = load(5);
         CompletableFuture<Wire.Ended> upgrade = upgrade();
         logged("greets");
         newest().destroyForcibly();
@@ -231,7 +231,7 @@
     @Test
     void aNewProcessThatDiesWithThePortGivesItBackAndNoAssignRunsTwice() throws Exception {
         serves("probation=\"20s\"");
-        CompletableFuture<Load.Outcomes> load = load(6);
+        CompletableFuture<LoadGenerator.Outcomes> load = load(6);
         CompletableFuture<Wire.Ended> upgrade = upgrade();
         logged("has the port");
         ProcessHandle young = newest();
@@ -239,8 +239,8 @@
         young.destroyForcibly();
         Wire.Ended ended = upgrade.get(40, TimeUnit.SECONDS);
         assertEquals("this process goes on: the new process ended with 137", ended.getWords());
-        Load.Outcomes all = load.get(40, TimeUnit.SECONDS);
-        Load.Outcome assigns = all.by().get("assign");
+        LoadGenerator.Outcomes all = load.get(40, TimeUnit.SECONDS);
+        LoadGenerator.Outcome assigns = all.by().get("assign");
         long lost = all.by().values().stream()
                 .mapToLong(o -> o.ends.getOrDefault("lost", 0L) + o.ends.getOrDefault("unsent", 0L))
                 .sum();
@@ -249,7 +249,7 @@
         assertTrue(
                 assigns.ends.keySet().stream().allMatch(List.of("200", "lost", "unsent")::contains),
                 () -> assigns.ends.toString());
-        try (Caller c = new Caller(port)) {
+        try (LoadClient c = new LoadClient(port)) {
             assertEquals(200, c.call("GET", "/quote").status);
         }
         assertTrue(process.isAlive());
@@ -264,7 +264,7 @@
         process.destroyForcibly().waitFor();
         logged("the port is this process's alone");
         assertEquals(null, upgrade.get(40, TimeUnit.SECONDS));
-        try (Caller c = new Caller(port)) {
+        try (LoadClient c = new LoadClient(port)) {
             assertEquals(200, c.call("GET", "/quote").status);
         }
         Optional<Wire.Ended> next =
@@ -282,7 +282,7 @@
         Files.createFile(dir.resolve(Upgrades.SOCKET)); // so that the story does not wait for one
         serves("");
         logged("is not possible");
-        try (Caller c = new Caller(port)) {
+        try (LoadClient c = new LoadClient(port)) {
             assertEquals(200, c.call("GET", "/quote").status);
         }
     }
--- a/src/test/java/linenring/handover/KnownListTest.java
+++ b/src/test/java/linenring/handover/KnownListTest.java
@@ -4,9 +4,9 @@
 
 import java.util.List;
 import linenring.handover.wire.Wire;
-import linenring.message.HostList;
-import linenring.message.ServiceScope;
-import linenring.message.SpoiltEntries;
+import linenring.protocol.HostList;
+import linenring.protocol.ServiceScope;
+import linenring.protocol.SpoiltEntries;
 import org.junit.jupiter.api.Test;
 
 class KnownListTest {
--- a/src/test/java/linenring/planner/FakeHost.java
+++ b/src/test/java/linenring/planner/FakeHost.java
@@ -121,7 +121,7 @@
     }
 
     @Override
-    public void line(int table, int host, double weight) {
+    public void setWeight(int table, int host, double weight) {
         said.add("line");
         if (weight > 0) {
             tables.computeIfAbsent(table, t -> new TreeMap<>()).put(host, weight);
@@ -131,13 +131,13 @@
     }
 
     @Override
-    public void wipe(int table) {
+    public void clearTable(int table) {
         said.add("wipe");
         tables.remove(table);
     }
 
     @Override
-    public void withdraw(int host, boolean shut) {
+    public void setEjected(int host, boolean shut) {
         said.add("withdraw");
         if (shut) {
             out.add(host);
@@ -147,60 +147,60 @@
     }
 
     @Override
-    public void bind(int table, int operations, int proxy) {
+    public void bindProxy(int table, int operations, int proxy) {
         said.add("bind");
         bound.put(proxy, table);
     }
 
     @Override
-    public int bindBrings(int table, int proxy) {
+    public int extraEntriesOfBind(int table, int proxy) {
         return bindsBring;
     }
 
     @Override
-    public int lineBrings(int host, int proxy) {
+    public int extraEntriesOfWeight(int host, int proxy) {
         return 0;
     }
 
     @Override
-    public void level(int table, int operations, double letIn, RetryPolicy how) {
-        levels.put(operations, letIn);
+    public void setAdmission(int table, int operations, double admissionRatio, RetryPolicy how) {
+        levels.put(operations, admissionRatio);
         tries.put(operations, how);
     }
 
     @Override
-    public void barrier(int mark, boolean everyProxy) {
+    public void requestAcknowledgement(int mark, boolean everyProxy) {
         barriers++;
         pending.add(mark);
     }
 
     @Override
-    public double lines(int proxy, double reckoned) {
+    public double entriesInMessage(int proxy, double reckoned) {
         return reckoned + wayAdds;
     }
 
     @Override
-    public void probe(int host) {
+    public void probeHost(int host) {
         said.add("probe");
     }
 
     @Override
-    public void timer(double at, long handle) {
+    public void requestCall(double at, long handle) {
         // time passes in the stories' own steps
     }
 
     @Override
-    public void askList() {
+    public void requestHostList() {
         said.add("askList");
     }
 
     @Override
-    public void followList() {
+    public void watchHostList() {
         said.add("followList");
     }
 
     @Override
-    public void note(String words) {
+    public void logDecision(String words) {
         said.add(words);
     }
 }
--- a/src/test/java/linenring/planner/PlannerHistory.java
+++ b/src/test/java/linenring/planner/PlannerHistory.java
@@ -97,42 +97,42 @@
     }
 
     @Override
-    public void line(int table, int host, double weight) {
+    public void setWeight(int table, int host, double weight) {
         decided("line " + table + " " + host + " " + weight);
     }
 
     @Override
-    public void wipe(int table) {
+    public void clearTable(int table) {
         decided("wipe " + table);
     }
 
     @Override
-    public void withdraw(int host, boolean out) {
+    public void setEjected(int host, boolean out) {
         decided("withdraw " + host + " " + out);
     }
 
     @Override
-    public void bind(int table, int operations, int proxy) {
+    public void bindProxy(int table, int operations, int proxy) {
         decided("bind " + table + " " + operations + " " + proxy);
     }
 
     @Override
-    public int bindBrings(int table, int proxy) {
+    public int extraEntriesOfBind(int table, int proxy) {
         return 0;
     }
 
     @Override
-    public int lineBrings(int host, int proxy) {
+    public int extraEntriesOfWeight(int host, int proxy) {
         return 0;
     }
 
     @Override
-    public void level(int table, int operations, double letIn, RetryPolicy tries) {
-        decided("level " + table + " " + operations + " " + letIn + " " + tries);
+    public void setAdmission(int table, int operations, double admissionRatio, RetryPolicy tries) {
+        decided("level " + table + " " + operations + " " + admissionRatio + " " + tries);
     }
 
     @Override
-    public void barrier(int mark, boolean everyProxy) {
+    public void requestAcknowledgement(int mark, boolean everyProxy) {
         decided("barrier " + mark);
         for (int proxy = 0; proxy < PROXIES; proxy++) {
             int answering = proxy;
@@ -143,34 +143,34 @@
     }
 
     @Override
-    public double lines(int proxy, double reckoned) {
+    public double entriesInMessage(int proxy, double reckoned) {
         return reckoned;
     }
 
     @Override
-    public void probe(int host) {
+    public void probeHost(int host) {
         decided("probe " + host);
     }
 
     @Override
-    public void timer(double at, long handle) {
+    public void requestCall(double at, long handle) {
         if (!everyTick) {
             alarms.add(at);
         }
     }
 
     @Override
-    public void askList() {
+    public void requestHostList() {
         decided("askList");
     }
 
     @Override
-    public void followList() {
+    public void watchHostList() {
         decided("followList");
     }
 
     @Override
-    public void note(String words) {
+    public void logDecision(String words) {
         decided("note " + words);
     }
 }
--- a/src/test/java/linenring/planner/PlannerTest.java
+++ b/src/test/java/linenring/planner/PlannerTest.java
@@ -192,7 +192,7 @@
         FakeHost f = new FakeHost(figures(0, operation(1, ALL), operation(1, ALL), operation(1, ALL)));
         f.fleet(4, 1);
         assertEquals(Set.of(1, 2, 4), f.tries.keySet());
-        assertEquals(Set.of(RetryPolicy.ONE_ON_PROOF), Set.copyOf(f.tries.values()));
+        assertEquals(Set.of(RetryPolicy.ONE_IF_NOT_EXECUTED), Set.copyOf(f.tries.values()));
     }
 
     @Test
@@ -361,7 +361,7 @@
         for (int s = 0; s < 30; s++) {
             f.second(6, 0, 20, 100, 0, NONE);
         }
-        assertEquals(RetryPolicy.ONE_ON_PROOF, f.tries.get(1));
+        assertEquals(RetryPolicy.ONE_IF_NOT_EXECUTED, f.tries.get(1));
     }
 
     @Test
--- a/src/test/java/linenring/message/CodecTest.java
+++ b/src/test/java/linenring/protocol/CodecTest.java
@@ -1,11 +1,11 @@
-package linenring.message;
+package linenring.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import linenring.message.Unreadable.Reached;
+import linenring.protocol.DecodeError.Reached;
 import linenring.settings.Names;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -15,7 +15,7 @@
     private final Codec codec =
             new Codec(new Names(List.of("a", "b"), List.of("m1", "m2"), List.of("lookup", "order"), 20, 4));
 
-    private Decoded<Arrival> arrival(String line) {
+    private DecodeResult<InboundMessage> arrival(String line) {
         byte[] bytes = (line + "left over").getBytes(StandardCharsets.UTF_8);
         return codec.arrival(bytes, line.length());
     }
@@ -27,29 +27,29 @@
 
     @Test
     void eachKindIsReadAndUnknownFieldsArePassedOver() {
-        assertEquals(new Arrival.Ping(), arrival("{\"@type\":\"PING\"}").value());
+        assertEquals(new InboundMessage.Ping(), arrival("{\"@type\":\"PING\"}").value());
         assertEquals(
-                new Arrival.Collector(1),
+                new InboundMessage.Collector(1),
                 arrival("{\"site\":\"b\",\"x\":{\"y\":[1]},\"@type\":\"SOURCE\"}")
                         .value());
         assertEquals(
-                new Arrival.Joining(17, 0, 21.5, true),
+                new InboundMessage.Subscribe(17, 0, 21.5, true),
                 arrival("{\"@type\":\"SUBSCRIBE\",\"id\":17,\"site\":\"a\",\"rps\":21.5,\"new\":true}")
                         .value());
         assertEquals(
-                new Arrival.Applied(17, 905, 310.4),
+                new InboundMessage.Acknowledgement(17, 905, 310.4),
                 arrival("{\"@type\":\"ACK\",\"id\":17,\"seq\":905,\"ms\":310.4}")
                         .value());
         assertEquals(
-                new Arrival.Usage(17, 1, 19, 1000),
+                new InboundMessage.RequestRateReport(17, 1, 19, 1000),
                 arrival("{\"@type\":\"RATE\",\"id\":17,\"lane\":\"order\",\"count\":19,\"fail\":0,\"over\":1000.0}")
                         .value());
         assertEquals(
-                new Arrival.Usage(17, 1, 0, 500), // what failed now may have come before
+                new InboundMessage.RequestRateReport(17, 1, 0, 500), // what failed now may have come before
                 arrival("{\"@type\":\"RATE\",\"id\":17,\"lane\":\"order\",\"count\":0,\"fail\":1,\"over\":500}")
                         .value());
         assertEquals(
-                new Arrival.HostSums("s-1", 0, 212, 3, 41.7, 1000),
+                new InboundMessage.LoadReport("s-1", 0, 212, 3, 41.7, 1000),
                 arrival(
                                 "{\"@type\":\"LOAD\",\"site\":\"a\","
                                         + "\"target\":\"s-1\",\"count\":212,\"fail\":3,\"mean\":41.7,\"over\":1000.0,\"util\":{\"util\":0.6}}")
@@ -89,9 +89,9 @@
                 "{\"@type\":\"LOAD\",\"site\":\"a\",\"target\":\"s\",\"count\":\"2\"} | FIELDS | field count is not a number"
             })
     void whatCannotBeReadTellsHowFarReadingCame(String line, Reached reached, String what) {
-        Decoded<Arrival> decoded = arrival(line);
+        DecodeResult<InboundMessage> decoded = arrival(line);
         assertNull(decoded.value());
-        assertEquals(new Unreadable(reached, what), decoded.fault());
+        assertEquals(new DecodeError(reached, what), decoded.fault());
     }
 
     @Test
@@ -131,16 +131,19 @@
     @Test
     void thePartsOfOneOrderStandOnLinesOfTheirOwnAndAllButTheLastAreContinued() {
         String written = new String(
-                codec.order(new Order(List.of(
-                        new Order.Part(
+                codec.order(new ConfigurationUpdate(List.of(
+                        new ConfigurationUpdate.Part(
                                 List.of("lookup"),
                                 true,
-                                List.of(new Order.Line("s-1", 1.5), new Order.Line("s-2", 0.12344)),
-                                new Order.Level(0.9, 1),
+                                List.of(
+                                        new ConfigurationUpdate.Line("s-1", 1.5),
+                                        new ConfigurationUpdate.Line("s-2", 0.12344)),
+                                new ConfigurationUpdate.Level(0.9, 1),
                                 List.of(),
                                 List.of(),
-                                Order.NO_MARK),
-                        new Order.Part(List.of(), false, List.of(), null, List.of("s-3"), List.of("s-4"), 905)))),
+                                ConfigurationUpdate.NO_MARK),
+                        new ConfigurationUpdate.Part(
+                                List.of(), false, List.of(), null, List.of("s-3"), List.of("s-4"), 905)))),
                 StandardCharsets.UTF_8);
         assertEquals(
                 "{\"@type\":\"CONFIG\",\"routes\":[\"lookup\"],\"full\":true,\"endpoints\":[[\"s-1\",1.5],[\"s-2\",0.1234]],"
@@ -160,7 +163,7 @@
                 List.of(new HostList.Entry("s-2", 2, 2, HostList.State.READY, 1, Double.NEGATIVE_INFINITY)),
                 list.entries());
         assertEquals(
-                new Arrival.Collector(2),
+                new InboundMessage.Collector(2),
                 arrival("{\"@type\":\"SOURCE\",\"site\":\"q\"}").value());
     }
 }
--- a/src/test/java/linenring/message/HostListStreamTest.java
+++ b/src/test/java/linenring/protocol/HostListStreamTest.java
@@ -1,4 +1,4 @@
-package linenring.message;
+package linenring.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -9,7 +9,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Set;
-import linenring.message.Unreadable.Reached;
+import linenring.protocol.DecodeError.Reached;
 import linenring.settings.Names;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -46,7 +46,7 @@
     }
 
     /** Feeds the text in parts that end at these places, each in an array that is used again. */
-    private Decoded<HostList> read(HostListFilter filter, String text, int... ends) {
+    private DecodeResult<HostList> read(HostListFilter filter, String text, int... ends) {
         byte[] all = text.getBytes(StandardCharsets.UTF_8);
         byte[] buffer = new byte[all.length];
         try (HostListStream stream = codec.hostListStream(filter)) {
@@ -98,7 +98,7 @@
                 stream.feed(all, 0, length);
                 assertNull(stream.result(), "after " + length);
                 assertEquals(
-                        new Unreadable(Reached.TEXT, "not JSON"), stream.end().fault(), "after " + length);
+                        new DecodeError(Reached.TEXT, "not JSON"), stream.end().fault(), "after " + length);
             }
         }
     }
@@ -196,7 +196,7 @@
             int[] parts = new int[text.length() / 1000];
             Arrays.setAll(parts, i -> 1000 * (i + 1));
             assertEquals(
-                    new Unreadable(Reached.TEXT, "an entry of over 65536 bytes"),
+                    new DecodeError(Reached.TEXT, "an entry of over 65536 bytes"),
                     read(HostListFilter.NONE, text, parts).fault(),
                     more.substring(0, 20));
         }
@@ -213,7 +213,7 @@
         assertEquals(List.of("s-1 READY", "s-3 READY"), told(two, list(true, entries)));
         entries[1] = entries[1].replace("svc-9", "svc-1");
         assertEquals(
-                new Unreadable(Reached.SIZE, "over 2 hosts, which is more than fits the heap"),
+                new DecodeError(Reached.SIZE, "over 2 hosts, which is more than fits the heap"),
                 read(two, list(true, entries)).fault());
     }
 
--- a/src/test/java/linenring/message/MessageSizeMeasurement.java
+++ b/src/test/java/linenring/protocol/MessageSizeMeasurement.java
@@ -1,4 +1,4 @@
-package linenring.message;
+package linenring.protocol;
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -37,7 +37,7 @@
         order("one changed weight", part(false, 1, null, NO_HOSTS));
         order("one host ejected", part(false, 0, null, hosts(1)));
         order("56 hosts ejected", part(false, 0, null, hosts(56)));
-        order("an admission level", part(false, 0, new Order.Level(0.8123, 1), NO_HOSTS));
+        order("an admission level", part(false, 0, new ConfigurationUpdate.Level(0.8123, 1), NO_HOSTS));
     }
 
     private static void arrival(String name, String line) {
@@ -62,14 +62,16 @@
         row("list of hosts, " + count, bytes.length + 1);
     }
 
-    private static void order(String name, Order.Part part) {
-        row("order (CONFIG): " + name, CODEC.order(new Order(List.of(part))).length);
+    private static void order(String name, ConfigurationUpdate.Part part) {
+        row("order (CONFIG): " + name, CODEC.order(new ConfigurationUpdate(List.of(part))).length);
     }
 
-    private static Order.Part part(boolean whole, int lines, Order.Level level, List<String> shutOut) {
-        List<Order.Line> table =
-                hosts(lines).stream().map(host -> new Order.Line(host, 0.8125)).toList();
-        return new Order.Part(ALL_OPERATIONS, whole, table, level, shutOut, NO_HOSTS, MARK);
+    private static ConfigurationUpdate.Part part(
+            boolean whole, int lines, ConfigurationUpdate.Level level, List<String> ejected) {
+        List<ConfigurationUpdate.Line> table = hosts(lines).stream()
+                .map(host -> new ConfigurationUpdate.Line(host, 0.8125))
+                .toList();
+        return new ConfigurationUpdate.Part(ALL_OPERATIONS, whole, table, level, ejected, NO_HOSTS, MARK);
     }
 
     private static List<String> hosts(int count) {
--- a/src/test/java/linenring/routing/Fixture.java
+++ b/src/test/java/linenring/routing/Fixture.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Random;
 import java.util.stream.IntStream;
-import linenring.message.HostList;
-import linenring.message.Order;
 import linenring.planner.PlannerSettings.Measure;
+import linenring.protocol.ConfigurationUpdate;
+import linenring.protocol.HostList;
 
 /** Hosts s-0, s-1, ... in zones 0 and 1 by turns, three operations, tables as a steward orders them. */
 final class Fixture {
@@ -35,21 +35,28 @@
         tables = new Tables(ALL.stream().map(Limits::operation).toList(), hosts, measure, 3, 5000);
     }
 
-    static Order.Line line(int host, double weight) {
-        return new Order.Line("s-" + host, weight);
+    static ConfigurationUpdate.Line line(int host, double weight) {
+        return new ConfigurationUpdate.Line("s-" + host, weight);
     }
 
-    static Order.Part part(List<String> operations, boolean whole, Order.Level level, Order.Line... lines) {
-        return new Order.Part(operations, whole, Arrays.asList(lines), level, List.of(), List.of(), Order.NO_MARK);
+    static ConfigurationUpdate.Part part(
+            List<String> operations,
+            boolean whole,
+            ConfigurationUpdate.Level level,
+            ConfigurationUpdate.Line... lines) {
+        return new ConfigurationUpdate.Part(
+                operations, whole, Arrays.asList(lines), level, List.of(), List.of(), ConfigurationUpdate.NO_MARK);
     }
 
-    static Order shutOut(List<String> out, List<String> back, int mark) {
-        return new Order(List.of(new Order.Part(List.of(), false, List.of(), null, out, back, mark)));
+    static ConfigurationUpdate ejected(List<String> out, List<String> back, int mark) {
+        return new ConfigurationUpdate(
+                List.of(new ConfigurationUpdate.Part(List.of(), false, List.of(), null, out, back, mark)));
     }
 
-    Fixture whole(int count, Order.Level level) {
-        Order.Line[] lines = IntStream.range(0, count).mapToObj(h -> line(h, 1)).toArray(Order.Line[]::new);
-        tables.apply(new Order(List.of(part(List.of(), true, level, lines))));
+    Fixture whole(int count, ConfigurationUpdate.Level level) {
+        ConfigurationUpdate.Line[] lines =
+                IntStream.range(0, count).mapToObj(h -> line(h, 1)).toArray(ConfigurationUpdate.Line[]::new);
+        tables.apply(new ConfigurationUpdate(List.of(part(List.of(), true, level, lines))));
         return this;
     }
 
--- a/src/test/java/linenring/routing/PickBenchmark.java
+++ b/src/test/java/linenring/routing/PickBenchmark.java
@@ -2,7 +2,7 @@
 
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import linenring.message.Order;
+import linenring.protocol.ConfigurationUpdate;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
@@ -30,13 +30,14 @@
     public int hosts;
 
     private Fixture fixture;
-    private Order change;
+    private ConfigurationUpdate change;
     private final SplittableRandom chance = new SplittableRandom(1);
 
     @Setup
     public void tables() {
         fixture = new Fixture(hosts).whole(hosts, null);
-        change = new Order(java.util.List.of(Fixture.part(java.util.List.of(), false, null, Fixture.line(0, 0.5))));
+        change = new ConfigurationUpdate(
+                java.util.List.of(Fixture.part(java.util.List.of(), false, null, Fixture.line(0, 0.5))));
     }
 
     @Benchmark
--- a/src/test/java/linenring/routing/RetryDecisionTest.java
+++ b/src/test/java/linenring/routing/RetryDecisionTest.java
@@ -11,9 +11,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.BitSet;
-import linenring.message.Order;
 import linenring.planner.Commands.RetryPolicy;
 import linenring.planner.PlannerSettings.Measure;
+import linenring.protocol.ConfigurationUpdate;
 import linenring.routing.Attempt.Proof;
 import linenring.routing.Attempt.Why;
 import linenring.routing.RetryDecision.Reason;
@@ -31,7 +31,7 @@
     private static final Attempt ERRORED = new Attempt(Proof.RAN, Why.ANSWERED_ERRORED);
 
     private static Fixture fleet(RetryPolicy tries) {
-        return new Fixture(6).whole(6, new Order.Level(1, tries.ordinal()));
+        return new Fixture(6).whole(6, new ConfigurationUpdate.Level(1, tries.ordinal()));
     }
 
     private static Reason reason(Step step) {
@@ -53,7 +53,7 @@
     @Test
     void onProofThatItNeverRanEvenASideEffectingOneGoesElsewhereOnce() {
         for (Attempt end : new Attempt[] {REFUSED, UNREACHABLE, new Attempt(Proof.NOT_PROCESSED, Why.GOING_AWAY)}) {
-            RetryDecision t = fleet(RetryPolicy.ONE_ON_PROOF).tries(ASSIGN, false, 0);
+            RetryDecision t = fleet(RetryPolicy.ONE_IF_NOT_EXECUTED).tries(ASSIGN, false, 0);
             int first = sentTo(t.begin(0, true));
             int second = sentTo(t.ended(end, 5, true));
             assertNotEquals(-1, second);
@@ -128,7 +128,7 @@
 
     @Test
     void aFingerprintedOneWhoseGroupHasNoOtherHostGoesNowhere() {
-        Fixture f = new Fixture(2).whole(2, new Order.Level(1, RetryPolicy.TWO.ordinal()));
+        Fixture f = new Fixture(2).whole(2, new ConfigurationUpdate.Level(1, RetryPolicy.TWO.ordinal()));
         RetryDecision t = f.tries(BOOK, true, 0);
         t.begin(0, true);
         assertEquals(Reason.ERRORED, reason(t.ended(LOST, 5, true)));
@@ -180,10 +180,10 @@
         RetryDecision none = new Fixture(2).tries(QUOTE, false, 0);
         assertEquals(Reason.NO_HOST, reason(none.begin(0, true)));
         RetryDecision limited = new Fixture(2, Measure.PER_SECOND)
-                .whole(2, new Order.Level(0.5, 1))
+                .whole(2, new ConfigurationUpdate.Level(0.5, 1))
                 .tries(QUOTE, false, 0);
         limited.begin(0, true);
-        Fixture f = new Fixture(2, Measure.PER_SECOND).whole(2, new Order.Level(0.5, 1));
+        Fixture f = new Fixture(2, Measure.PER_SECOND).whole(2, new ConfigurationUpdate.Level(0.5, 1));
         f.tries(QUOTE, false, 0).begin(0, true);
         Step.GiveUp turned = (Step.GiveUp) f.tries(QUOTE, false, 100).begin(100, true);
         assertEquals(Reason.RATE_LIMITED, turned.reason());
--- a/src/test/java/linenring/routing/TablesTest.java
+++ b/src/test/java/linenring/routing/TablesTest.java
@@ -1,8 +1,8 @@
 package linenring.routing;
 
+import static linenring.routing.Fixture.ejected;
 import static linenring.routing.Fixture.line;
 import static linenring.routing.Fixture.part;
-import static linenring.routing.Fixture.shutOut;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -12,10 +12,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeSet;
-import linenring.message.HostList;
-import linenring.message.Order;
 import linenring.planner.Commands.RetryPolicy;
 import linenring.planner.PlannerSettings.Measure;
+import linenring.protocol.ConfigurationUpdate;
+import linenring.protocol.HostList;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
@@ -33,7 +33,7 @@
     @Test
     void changesApplyToTheTableThatIsThereAndWeightZeroTakesALineOut() {
         Fixture f = new Fixture(4).whole(3, null);
-        f.tables.apply(new Order(List.of(part(List.of("quote"), false, null, line(0, 0), line(3, 2)))));
+        f.tables.apply(new ConfigurationUpdate(List.of(part(List.of("quote"), false, null, line(0, 0), line(3, 2)))));
         assertEquals(Map.of(1, 1.0, 2, 1.0, 3, 2.0), f.tables.lines(0));
         assertEquals(Map.of(0, 1.0, 1, 1.0, 2, 1.0), f.tables.lines(1));
         assertEquals(new TreeSet<>(List.of(1, 2, 3)), picked(f, 0, 0));
@@ -41,51 +41,55 @@
 
     @Test
     void aWholeTableForgetsLevelsAndChangesKeepThem() {
-        Fixture f = new Fixture(2).whole(2, new Order.Level(0, 2));
-        f.tables.apply(new Order(List.of(part(List.of("quote"), false, null, line(0, 0.5)))));
+        Fixture f = new Fixture(2).whole(2, new ConfigurationUpdate.Level(0, 2));
+        f.tables.apply(new ConfigurationUpdate(List.of(part(List.of("quote"), false, null, line(0, 0.5)))));
         assertTrue(f.tables.wait(0, 0, 0.5) > 0);
         assertEquals(RetryPolicy.ONE, f.tables.tries(0));
         f.whole(2, null);
         assertEquals(0, f.tables.wait(0, 0, 0.999));
-        assertEquals(RetryPolicy.ONE_ON_PROOF, f.tables.tries(0));
+        assertEquals(RetryPolicy.ONE_IF_NOT_EXECUTED, f.tables.tries(0));
     }
 
     @Test
     void anOrderOfWhichOnePartCantBeUsedChangesNothing() {
         Fixture f = new Fixture(2).whole(1, null);
-        for (Order.Part bad : List.of(
+        for (ConfigurationUpdate.Part bad : List.of(
                 part(List.of("lookup"), false, null, line(1, 1)),
                 part(List.of(), false, null, line(9, 1)),
                 part(List.of(), false, null, line(1, -1)),
                 part(List.of(), false, null, line(1, Double.NaN)),
-                part(List.of(), false, new Order.Level(-1, 0)),
-                part(List.of(), false, new Order.Level(1, 4)))) {
-            Tables.Applied done = f.tables.apply(new Order(List.of(part(List.of(), true, null, line(1, 1)), bad)));
+                part(List.of(), false, new ConfigurationUpdate.Level(-1, 0)),
+                part(List.of(), false, new ConfigurationUpdate.Level(1, 4)))) {
+            Tables.Applied done =
+                    f.tables.apply(new ConfigurationUpdate(List.of(part(List.of(), true, null, line(1, 1)), bad)));
             assertFalse(done.isUsable());
             assertEquals(Map.of(0, 1.0), f.tables.lines(0), done.unusable());
         }
-        assertFalse(f.tables.apply(shutOut(List.of("s-0", "s-9"), List.of(), 4)).isUsable());
+        assertFalse(f.tables.apply(ejected(List.of("s-0", "s-9"), List.of(), 4)).isUsable());
         assertEquals(0, f.tables.pick(0, 0, 0.5));
     }
 
     @Test
     void aHostThatIsShutOutIsNotPickedWhateverTablesComeUntilItIsLetBack() {
         Fixture f = new Fixture(3).whole(3, null);
-        f.tables.apply(shutOut(List.of("s-1"), List.of(), Order.NO_MARK));
+        f.tables.apply(ejected(List.of("s-1"), List.of(), ConfigurationUpdate.NO_MARK));
         f.whole(3, null); // as a new stream brings it
         assertEquals(new TreeSet<>(List.of(0, 2)), picked(f, 0, 0));
         assertFalse(f.tables.isUsed(1));
-        f.tables.apply(shutOut(List.of(), List.of("s-1"), Order.NO_MARK));
+        f.tables.apply(ejected(List.of(), List.of("s-1"), ConfigurationUpdate.NO_MARK));
         assertEquals(new TreeSet<>(List.of(0, 1, 2)), picked(f, 0, 0));
     }
 
     @Test
     void marksAreAnsweredInTheOrderOfTheirParts() {
         Fixture f = new Fixture(1);
-        Order.Part first = new Order.Part(List.of(), true, List.of(line(0, 1)), null, List.of(), List.of(), 7);
-        Order.Part second = new Order.Part(List.of(), false, List.of(), null, List.of(), List.of(), 3);
+        ConfigurationUpdate.Part first =
+                new ConfigurationUpdate.Part(List.of(), true, List.of(line(0, 1)), null, List.of(), List.of(), 7);
+        ConfigurationUpdate.Part second =
+                new ConfigurationUpdate.Part(List.of(), false, List.of(), null, List.of(), List.of(), 3);
         assertEquals(
-                List.of(7, 3), f.tables.apply(new Order(List.of(first, second))).marks());
+                List.of(7, 3),
+                f.tables.apply(new ConfigurationUpdate(List.of(first, second))).marks());
     }
 
     @Test
@@ -126,7 +130,7 @@
 
     @Test
     void aRateLetsThroughWhatItSaysAndTellsWhenToComeBack() {
-        Fixture f = new Fixture(1, Measure.PER_SECOND).whole(1, new Order.Level(20, 1));
+        Fixture f = new Fixture(1, Measure.PER_SECOND).whole(1, new ConfigurationUpdate.Level(20, 1));
         int in = 0;
         for (double now = 0; now < 10_000; now += 10) { // 100 a second are asked
             in += f.tables.wait(0, now, 0.5) == 0 ? 1 : 0;
@@ -152,13 +156,13 @@
     @Test
     void picksFollowTheWeights() {
         Fixture f = new Fixture(20);
-        Order.Line[] lines = new Order.Line[20];
+        ConfigurationUpdate.Line[] lines = new ConfigurationUpdate.Line[20];
         double sum = 0;
         for (int h = 0; h < 20; h++) {
             lines[h] = line(h, 1 + h % 5);
             sum += 1 + h % 5;
         }
-        f.tables.apply(new Order(List.of(part(List.of(), true, null, lines))));
+        f.tables.apply(new ConfigurationUpdate(List.of(part(List.of(), true, null, lines))));
         int[] seen = new int[20];
         for (int i = 0; i < 60_000; i++) {
             seen[f.tables.pick(0, 0, f.chance.nextDouble())]++;
@@ -177,13 +181,15 @@
         f.chance.setSeed(seed);
         for (int step = 0; step < 30; step++) {
             int host = f.chance.nextInt(6);
-            List<Order.Line> lines = new ArrayList<>(List.of(line(host, f.chance.nextInt(3))));
+            List<ConfigurationUpdate.Line> lines = new ArrayList<>(List.of(line(host, f.chance.nextInt(3))));
             f.tables.apply(
                     switch (f.chance.nextInt(4)) {
-                        case 0 -> new Order(List.of(part(List.of(), f.chance.nextInt(5) == 0, null, lines.get(0))));
-                        case 1 -> shutOut(List.of("s-" + host), List.of(), 1);
-                        case 2 -> shutOut(List.of(), List.of("s-" + host), 1);
-                        default -> new Order(List.of(part(List.of("book"), false, null, lines.get(0))));
+                        case 0 ->
+                            new ConfigurationUpdate(
+                                    List.of(part(List.of(), f.chance.nextInt(5) == 0, null, lines.get(0))));
+                        case 1 -> ejected(List.of("s-" + host), List.of(), 1);
+                        case 2 -> ejected(List.of(), List.of("s-" + host), 1);
+                        default -> new ConfigurationUpdate(List.of(part(List.of("book"), false, null, lines.get(0))));
                     });
             f.tables.ended(host, f.chance.nextBoolean(), step);
             for (int k = 0; k < 3; k++) {
--- a/src/test/java/linenring/scale/catalogue/CatalogueAnswersTest.java
+++ b/src/test/java/linenring/scale/catalogue/CatalogueAnswersTest.java
@@ -8,9 +8,9 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import linenring.message.Codec;
-import linenring.message.Decoded;
-import linenring.message.HostList;
+import linenring.protocol.Codec;
+import linenring.protocol.DecodeResult;
+import linenring.protocol.HostList;
 import linenring.settings.Names;
 import org.junit.jupiter.api.Test;
 
@@ -18,7 +18,7 @@
     private final Catalogue catalogue = new Catalogue(new CatalogueLayout(30, 2, 2, 3, 5));
     private final CatalogueAnswers answers = new CatalogueAnswers(catalogue);
 
-    private Decoded<HostList> read(byte[] bytes, int length) {
+    private DecodeResult<HostList> read(byte[] bytes, int length) {
         CatalogueLayout layout = catalogue.layout();
         Names names = new Names(layout.zoneNames(), layout.kindNames(), List.of("lookup"), 1, 4);
         return new Codec(names).hostList(bytes, length);
--- a/src/test/java/linenring/scale/catalogue/CatalogueEventsTest.java
+++ b/src/test/java/linenring/scale/catalogue/CatalogueEventsTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
-import linenring.message.HostList;
+import linenring.protocol.HostList;
 import org.junit.jupiter.api.Test;
 
 class CatalogueEventsTest {
--- a/src/test/java/linenring/scale/catalogue/CatalogueTest.java
+++ b/src/test/java/linenring/scale/catalogue/CatalogueTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import linenring.message.HostList;
+import linenring.protocol.HostList;
 import org.junit.jupiter.api.Test;
 
 class CatalogueTest {
--- a/src/test/java/linenring/scale/fleet/HollowFleetTest.java
+++ b/src/test/java/linenring/scale/fleet/HollowFleetTest.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Random;
 import java.util.stream.Stream;
-import linenring.message.Arrival;
-import linenring.message.HostList;
-import linenring.message.Order;
+import linenring.protocol.ConfigurationUpdate;
+import linenring.protocol.HostList;
+import linenring.protocol.InboundMessage;
 import linenring.routing.HostRegistry;
 import org.junit.jupiter.api.Test;
 
@@ -20,12 +20,12 @@
 
     /** Notes what is said. */
     private static final class Noted implements Uplink {
-        final List<Arrival.Joining> joined = new ArrayList<>();
+        final List<InboundMessage.Subscribe> joined = new ArrayList<>();
         final List<Integer> left = new ArrayList<>();
-        final List<Arrival> said = new ArrayList<>();
+        final List<InboundMessage> said = new ArrayList<>();
 
         @Override
-        public void join(int stream, Arrival.Joining joining) {
+        public void join(int stream, InboundMessage.Subscribe joining) {
             joined.add(joining);
         }
 
@@ -35,16 +35,16 @@
         }
 
         @Override
-        public void say(int proxy, Arrival what) {
+        public void say(int proxy, InboundMessage what) {
             said.add(what);
         }
 
         @Override
-        public void report(Arrival.HostSums sums) {
+        public void report(InboundMessage.LoadReport sums) {
             said.add(sums);
         }
 
-        <T extends Arrival> List<T> said(Class<T> kind) {
+        <T extends InboundMessage> List<T> said(Class<T> kind) {
             return said.stream().filter(kind::isInstance).map(kind::cast).toList();
         }
     }
@@ -66,14 +66,16 @@
         return fleet;
     }
 
-    private static Order table(int mark, String... hosts) {
-        List<Order.Line> lines = Stream.of(hosts).map(h -> new Order.Line(h, 1)).toList();
-        return new Order(List.of(new Order.Part(List.of(), true, lines, null, List.of(), List.of(), mark)));
+    private static ConfigurationUpdate table(int mark, String... hosts) {
+        List<ConfigurationUpdate.Line> lines =
+                Stream.of(hosts).map(h -> new ConfigurationUpdate.Line(h, 1)).toList();
+        return new ConfigurationUpdate(
+                List.of(new ConfigurationUpdate.Part(List.of(), true, lines, null, List.of(), List.of(), mark)));
     }
 
-    private static Order eject(String host) {
-        return new Order(
-                List.of(new Order.Part(List.of(), false, List.of(), null, List.of(host), List.of(), Order.NO_MARK)));
+    private static ConfigurationUpdate eject(String host) {
+        return new ConfigurationUpdate(List.of(new ConfigurationUpdate.Part(
+                List.of(), false, List.of(), null, List.of(host), List.of(), ConfigurationUpdate.NO_MARK)));
     }
 
     @Test
@@ -81,9 +83,9 @@
         fleet(3, 0);
         assertEquals(
                 List.of(
-                        new Arrival.Joining(0, 0, 20, true),
-                        new Arrival.Joining(1, 1, 20, true),
-                        new Arrival.Joining(2, 0, 20, true)),
+                        new InboundMessage.Subscribe(0, 0, 20, true),
+                        new InboundMessage.Subscribe(1, 1, 20, true),
+                        new InboundMessage.Subscribe(2, 0, 20, true)),
                 noted.joined);
     }
 
@@ -95,7 +97,9 @@
         assertFalse(fleet.proxies().get(0).hasHosts());
         fleet.advance(1206);
         assertTrue(fleet.proxies().get(0).hasHosts());
-        assertEquals(List.of(new Arrival.Applied(0, MARK, 206)), noted.said(Arrival.Applied.class));
+        assertEquals(
+                List.of(new InboundMessage.Acknowledgement(0, MARK, 206)),
+                noted.said(InboundMessage.Acknowledgement.class));
     }
 
     @Test
@@ -104,9 +108,9 @@
         fleet.ordered(0, 1, table(1, "s-1"), 0);
         fleet.ordered(1, 1, table(2, "s-1"), 0);
         fleet.advance(206);
-        assertEquals(1, noted.said(Arrival.Applied.class).size());
+        assertEquals(1, noted.said(InboundMessage.Acknowledgement.class).size());
         fleet.advance(212);
-        assertEquals(2, noted.said(Arrival.Applied.class).size());
+        assertEquals(2, noted.said(InboundMessage.Acknowledgement.class).size());
     }
 
     @Test
@@ -166,8 +170,8 @@
         for (int ms = 0; ms <= 10_000; ms += 5) {
             fleet.advance(ms);
         }
-        List<Arrival.HostSums> sums = noted.said(Arrival.HostSums.class);
-        assertEquals(500, noted.said(Arrival.Usage.class).size(), 5);
+        List<InboundMessage.LoadReport> sums = noted.said(InboundMessage.LoadReport.class);
+        assertEquals(500, noted.said(InboundMessage.RequestRateReport.class).size(), 5);
         assertEquals(500, sums.size(), 20); // none before the tables are there
         assertTrue(sums.stream().anyMatch(s -> s.host().equals("s-2") && s.zone() == 1));
     }
@@ -183,6 +187,6 @@
         assertEquals(List.of(0, 1, 2), noted.left);
         fleet.advance(1000);
         assertEquals(6, noted.joined.size());
-        assertTrue(noted.joined.subList(3, 6).stream().noneMatch(Arrival.Joining::fresh));
+        assertTrue(noted.joined.subList(3, 6).stream().noneMatch(InboundMessage.Subscribe::fresh));
     }
 }
--- a/src/test/java/linenring/scale/fleet/ListLedgerTest.java
+++ b/src/test/java/linenring/scale/fleet/ListLedgerTest.java
@@ -5,7 +5,7 @@
 
 import java.util.List;
 import java.util.Set;
-import linenring.message.HostList;
+import linenring.protocol.HostList;
 import org.junit.jupiter.api.Test;
 
 class ListLedgerTest {
--- a/src/test/java/linenring/scale/run/CatalogueFaultsTest.java
+++ b/src/test/java/linenring/scale/run/CatalogueFaultsTest.java
@@ -13,10 +13,10 @@
 import java.util.function.BooleanSupplier;
 import java.util.stream.Collectors;
 import linenring.discovery.HostWatch;
-import linenring.exchange.Exchange;
+import linenring.event.EventQueue;
 import linenring.log.Log;
-import linenring.message.Codec;
-import linenring.message.ServiceScope;
+import linenring.protocol.Codec;
+import linenring.protocol.ServiceScope;
 import linenring.scale.catalogue.Catalogue;
 import linenring.scale.catalogue.CatalogueChange;
 import linenring.scale.catalogue.CatalogueHost;
@@ -49,7 +49,7 @@
     }
 
     private void watch() throws Exception {
-        Exchange exchange = new Exchange();
+        EventQueue exchange = new EventQueue();
         exchange.follow(ledger::listed);
         CatalogueLayout layout = catalogue.layout();
         Names names = new Names(layout.zoneNames(), layout.kindNames(), List.of("lookup"), 1, 4);
--- a/src/test/java/linenring/streams/ConnectionLossTest.java
+++ b/src/test/java/linenring/stream/ConnectionLossTest.java
@@ -1,4 +1,4 @@
-package linenring.streams;
+package linenring.stream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -17,12 +17,12 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import linenring.exchange.Exchange;
-import linenring.exchange.RecordingTaker;
+import linenring.event.EventQueue;
+import linenring.event.RecordingEventHandler;
 import linenring.log.Log;
-import linenring.message.Arrival;
-import linenring.message.Codec;
-import linenring.message.Order;
+import linenring.protocol.Codec;
+import linenring.protocol.ConfigurationUpdate;
+import linenring.protocol.InboundMessage;
 import linenring.settings.Names;
 import org.eclipse.jetty.io.ByteArrayEndPoint;
 import org.eclipse.jetty.io.ManagedSelector;
@@ -45,7 +45,7 @@
     private static final int WAIT_MS = 20_000;
     private static final String ANSWER = "{\"@type\":\"ACK\",\"id\":3,\"seq\":%d,\"ms\":1}\n";
 
-    private final Exchange exchange = new Exchange();
+    private final EventQueue exchange = new EventQueue();
     private final QueuedThreadPool threads = new QueuedThreadPool(8, 2);
     private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
     private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
@@ -164,7 +164,7 @@
         awaitArrivals(1);
         reset(behind);
         awaitArrivals(2);
-        assertEquals(List.of(new Arrival.Joining(3, 0, 2.5, true), "ended"), taker.taken());
+        assertEquals(List.of(new InboundMessage.Subscribe(3, 0, 2.5, true), "ended"), taker.taken());
     }
 
     /** The process is told to end while connections are accepted by the kernel alone: their peers hear so and dial elsewhere. */
@@ -214,7 +214,7 @@
                 scheduler,
                 1024,
                 new Codec(new Names(List.of("a"), List.of("m1"), List.of("lookup"), 9, 4)),
-                new Exchange(),
+                new EventQueue(),
                 new Log(new PrintStream(logged, true)));
         ReadingPeer peer = new ReadingPeer(inMemory);
         peer.addInput(JOIN);
@@ -230,9 +230,9 @@
         return unread;
     }
 
-    private static Order order(int mark) {
-        return new Order(
-                List.of(new Order.Part(List.of(), false, List.of(), null, List.of("s-1"), List.of(), mark % 10)));
+    private static ConfigurationUpdate order(int mark) {
+        return new ConfigurationUpdate(List.of(
+                new ConfigurationUpdate.Part(List.of(), false, List.of(), null, List.of("s-1"), List.of(), mark % 10)));
     }
 
     /** A peer in memory that reads only when the test does so. */
@@ -271,7 +271,7 @@
         assertEquals("ended", taker.taken().get(taker.taken().size() - 1));
     }
 
-    private final RecordingTaker taker = new RecordingTaker();
+    private final RecordingEventHandler taker = new RecordingEventHandler();
 
     private void awaitArrivals(int count) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WAIT_MS);
--- a/src/test/java/linenring/streams/RareMomentsTest.java
+++ b/src/test/java/linenring/stream/ConnectionRaceTest.java
@@ -1,4 +1,4 @@
-package linenring.streams;
+package linenring.stream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -21,15 +21,15 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.stream.IntStream;
-import linenring.exchange.Exchange;
-import linenring.exchange.Stream;
+import linenring.controller.ControlLoop;
+import linenring.event.EventQueue;
+import linenring.event.ProxyStream;
 import linenring.log.Log;
-import linenring.message.Arrival;
-import linenring.message.Codec;
-import linenring.message.HostList;
 import linenring.planner.PlannerSettings;
+import linenring.protocol.Codec;
+import linenring.protocol.HostList;
+import linenring.protocol.InboundMessage;
 import linenring.settings.Names;
-import linenring.steward.Steward;
 import org.eclipse.jetty.io.ManagedSelector;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
@@ -38,7 +38,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Orders of events on real connections that come once in thousands, made to come each time. */
-class RareMomentsTest {
+class ConnectionRaceTest {
     private static final String JOIN = "{\"@type\":\"SUBSCRIBE\",\"id\":3,\"site\":\"a\",\"rps\":2.5,\"new\":true}\n";
     private static final int MOST = 3, SPARE = 12; // connections; those that may be let go meanwhile
 
@@ -64,7 +64,7 @@
         scheduler.stop();
     }
 
-    private void open(Exchange exchange) {
+    private void open(EventQueue exchange) {
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         server = StreamServer.open(any, 32 + MOST, new Codec(names), exchange, log, threads, scheduler)
                 .server();
@@ -105,7 +105,7 @@
         }
     }
 
-    private Steward steward(Exchange exchange) {
+    private ControlLoop steward(EventQueue exchange) {
         PlannerSettings figures = new PlannerSettings(
                 List.of(new PlannerSettings.Operation(1000, 1, -1, -1, false, 1)),
                 new PlannerSettings.ColdStart(0.2, 18_000),
@@ -123,15 +123,15 @@
                         .mapToObj(h ->
                                 new HostList.Entry("s-" + h, 0, 0, HostList.State.READY, 1, Double.NEGATIVE_INFINITY))
                         .toList());
-        return new Steward(figures, names, known, exchange, log);
+        return new ControlLoop(figures, names, known, exchange, log);
     }
 
     /** The proxy gave its first dial up and dialled again; its first words come to be read after those of the second. */
     @Test
     void theStreamThatWasOpenedLaterCountsThoughItWasReadFirst() throws Exception {
-        Exchange exchange = new Exchange();
+        EventQueue exchange = new EventQueue();
         open(exchange);
-        Steward steward = steward(exchange);
+        ControlLoop steward = steward(exchange);
         Thread decides = new Thread(steward::run, "decides");
         decides.start();
         try (Peer first = new Peer(server.address());
@@ -153,9 +153,9 @@
     void noEndOfAStreamOvertakesItsJoining() throws Exception {
         CountDownLatch told = new CountDownLatch(1);
         List<String> order = java.util.Collections.synchronizedList(new ArrayList<>());
-        open(new Exchange() {
+        open(new EventQueue() {
             @Override
-            public void arrived(Stream from, Arrival what) {
+            public void arrived(ProxyStream from, InboundMessage what) {
                 Thread closes = new Thread(() -> from.close("at the wrong moment"), "closes");
                 closes.start();
                 while (order.isEmpty()
@@ -169,7 +169,7 @@
             }
 
             @Override
-            public void ended(Stream which) {
+            public void ended(ProxyStream which) {
                 order.add("ends");
                 told.countDown();
             }
@@ -183,7 +183,7 @@
 
     @Test
     void socketsThatDieBeforeTheirOptionsAreSetTakeNobodysPlace() throws Exception {
-        open(new Exchange());
+        open(new EventQueue());
         for (int i = 0; i < MOST + SPARE + 5; i++) {
             SocketChannel dies = accepted();
             dies.close();
@@ -196,7 +196,7 @@
 
     @Test
     void socketsThatDieBeforeTheyAreRegisteredTakeNobodysPlace() throws Exception {
-        open(new Exchange());
+        open(new EventQueue());
         holdSelector();
         for (int i = 0; i < MOST + SPARE; i++) {
             SocketChannel dies = accepted();
@@ -214,7 +214,7 @@
     /** Whoever is accepted and on the way while the server closes hears so at once, and may dial elsewhere. */
     @Test
     void aCloseEndsThoseThatAreAcceptedAndNotOpenedYet() throws Exception {
-        open(new Exchange());
+        open(new EventQueue());
         holdSelector();
         try (ServerSocketChannel listens = ServerSocketChannel.open()) {
             listens.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
--- a/src/test/java/linenring/streams/FragmentedMessagesTest.java
+++ b/src/test/java/linenring/stream/FragmentedMessagesTest.java
@@ -1,4 +1,4 @@
-package linenring.streams;
+package linenring.stream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,12 +11,12 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import linenring.exchange.Exchange;
-import linenring.exchange.RecordingTaker;
+import linenring.event.EventQueue;
+import linenring.event.RecordingEventHandler;
 import linenring.log.Log;
-import linenring.message.Arrival;
-import linenring.message.Codec;
-import linenring.message.Order;
+import linenring.protocol.Codec;
+import linenring.protocol.ConfigurationUpdate;
+import linenring.protocol.InboundMessage;
 import linenring.settings.Names;
 import org.eclipse.jetty.io.ByteArrayEndPoint;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
@@ -34,10 +34,10 @@
             + "\"util\":{\"inflight\":7,\"util\":0.61}}\n\n"
             + "{\"@type\":\"PING\"}\n";
     private static final String PONG = "{\"@type\":\"PONG\"}\n";
-    private static final Order ORDER =
-            new Order(List.of(new Order.Part(List.of(), false, List.of(), null, List.of("s-1"), List.of(), 7)));
+    private static final ConfigurationUpdate ORDER = new ConfigurationUpdate(
+            List.of(new ConfigurationUpdate.Part(List.of(), false, List.of(), null, List.of("s-1"), List.of(), 7)));
 
-    private final Exchange exchange = new Exchange();
+    private final EventQueue exchange = new EventQueue();
     private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
     private final StreamServer server = new StreamServer(
             Runnable::run,
@@ -78,7 +78,7 @@
             peer.addInput(ByteBuffer.wrap(piece));
             List<Object> arrived = arrived();
             outcome.addAll(arrived);
-            if (!ordered && arrived.stream().anyMatch(a -> a instanceof Arrival.Joining)) {
+            if (!ordered && arrived.stream().anyMatch(a -> a instanceof InboundMessage.Subscribe)) {
                 ordered = true;
                 peer.connection.write(ORDER);
             }
@@ -93,18 +93,18 @@
     }
 
     private List<Object> arrived() {
-        RecordingTaker taker = new RecordingTaker();
+        RecordingEventHandler taker = new RecordingEventHandler();
         exchange.drain(taker);
         return taker.taken();
     }
 
     private static final List<Object> PROXY_OUTCOME = List.of(
-            new Arrival.Joining(3, 0, 2.5, true),
-            new Arrival.Applied(3, 7, 1.5),
-            new Arrival.Usage(3, 0, 4, 500),
+            new InboundMessage.Subscribe(3, 0, 2.5, true),
+            new InboundMessage.Acknowledgement(3, 7, 1.5),
+            new InboundMessage.RequestRateReport(3, 0, 4, 500),
             PONG + PONG);
     private static final List<Object> COLLECTOR_OUTCOME =
-            List.of(new Arrival.HostSums("s-é", 1, 5, 1, 41.7, 1000), PONG);
+            List.of(new InboundMessage.LoadReport("s-é", 1, 5, 1, 41.7, 1000), PONG);
 
     /** The answer can only come behind the order, so that no cut lies before the joining's end. */
     @Test
@@ -126,7 +126,7 @@
         for (int first = 1; first < all.length - 1; first++) {
             for (int second = first + 1; second < all.length; second++) {
                 assertEquals(
-                        List.of(new Arrival.Joining(3, 0, 2.5, true), ""),
+                        List.of(new InboundMessage.Subscribe(3, 0, 2.5, true), ""),
                         outcome(head(all, first), Arrays.copyOfRange(all, first, second), tail(all, second)),
                         "cut at " + first + " and " + second);
             }
