--- a/src/test/java/linenring/streams/StreamServerTest.java
+++ b/src/test/java/linenring/stream/StreamServerTest.java
@@ -1,4 +1,4 @@
-package linenring.streams;
+package linenring.stream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,13 +14,13 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import linenring.exchange.Exchange;
-import linenring.exchange.Stream;
+import linenring.event.EventQueue;
+import linenring.event.ProxyStream;
 import linenring.log.Log;
-import linenring.message.Arrival;
-import linenring.message.Codec;
-import linenring.message.HostList;
-import linenring.message.Order;
+import linenring.protocol.Codec;
+import linenring.protocol.ConfigurationUpdate;
+import linenring.protocol.HostList;
+import linenring.protocol.InboundMessage;
 import linenring.settings.Names;
 import org.eclipse.jetty.io.ByteArrayEndPoint;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
@@ -31,17 +31,18 @@
     private static final String JOIN = "{\"@type\":\"SUBSCRIBE\",\"id\":3,\"site\":\"a\",\"rps\":2.5,\"new\":true}\n";
     private static final String USAGE =
             "{\"@type\":\"RATE\",\"id\":3,\"lane\":\"lookup\",\"count\":4,\"fail\":0,\"over\":500}\n";
-    private static final Order ORDER = order(7);
+    private static final ConfigurationUpdate ORDER = order(7);
     private static final String ORDERED = "{\"@type\":\"CONFIG\",\"eject\":[\"s-1\"],\"nonce_out\":7}\n";
 
-    private final Exchange exchange = new Exchange();
+    private final EventQueue exchange = new EventQueue();
     private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
     private final StreamServer server = server(1024);
     private final List<Object> came = new ArrayList<>();
-    private Stream lastStream;
+    private ProxyStream lastStream;
 
-    private static Order order(int mark) {
-        return new Order(List.of(new Order.Part(List.of(), false, List.of(), null, List.of("s-1"), List.of(), mark)));
+    private static ConfigurationUpdate order(int mark) {
+        return new ConfigurationUpdate(List.of(
+                new ConfigurationUpdate.Part(List.of(), false, List.of(), null, List.of("s-1"), List.of(), mark)));
     }
 
     private static String answer(int proxy, int mark, double ms) {
@@ -92,15 +93,15 @@
 
     private List<Object> came() {
         came.clear();
-        exchange.drain(new Exchange.Taker() {
+        exchange.drain(new EventQueue.EventHandler() {
             @Override
-            public void arrived(Stream from, Arrival what) {
+            public void arrived(ProxyStream from, InboundMessage what) {
                 lastStream = from;
                 came.add(what);
             }
 
             @Override
-            public void ended(Stream which) {
+            public void ended(ProxyStream which) {
                 came.add("ended");
             }
 
@@ -126,9 +127,9 @@
         peer.says(answers);
         assertEquals(
                 List.of(
-                        new Arrival.Joining(3, 0, 2.5, true),
-                        new Arrival.Applied(3, 7, 1),
-                        new Arrival.Applied(3, 8, 2)),
+                        new InboundMessage.Subscribe(3, 0, 2.5, true),
+                        new InboundMessage.Acknowledgement(3, 7, 1),
+                        new InboundMessage.Acknowledgement(3, 8, 2)),
                 came());
     }
 
@@ -164,7 +165,7 @@
         }
         came();
         good.says(USAGE);
-        assertEquals(List.of(new Arrival.Usage(3, 0, 4, 500)), came());
+        assertEquals(List.of(new InboundMessage.RequestRateReport(3, 0, 4, 500)), came());
     }
 
     @Test
@@ -185,12 +186,14 @@
                 answer(3, 5, 100_000),
                 "{}\n")) {
             assertEquals(
-                    List.of(new Arrival.Usage(3, 0, 4, 500), new Arrival.Usage(3, 0, 4, 500)),
+                    List.of(
+                            new InboundMessage.RequestRateReport(3, 0, 4, 500),
+                            new InboundMessage.RequestRateReport(3, 0, 4, 500)),
                     proxy.says(USAGE + spoilt + USAGE).isOpen() ? came() : null,
                     spoilt);
         }
         collector.says(answer(3, 5, 1) + "{\"@type\":\"LOAD\",\"site\":\"b\",\"target\":7}\n" + USAGE);
-        assertEquals(List.of(new Arrival.Usage(3, 0, 4, 500)), collector.isOpen() ? came() : null);
+        assertEquals(List.of(new InboundMessage.RequestRateReport(3, 0, 4, 500)), collector.isOpen() ? came() : null);
         assertEquals(
                 13,
                 logged.toString()
@@ -198,7 +201,7 @@
                         .filter(l -> l.contains(" WARN spoilt "))
                         .count());
         proxy.says(answer(3, 5, 1)); // none of these was taken for it
-        assertEquals(List.of(new Arrival.Applied(3, 5, 1)), came());
+        assertEquals(List.of(new InboundMessage.Acknowledgement(3, 5, 1)), came());
     }
 
     @Test
@@ -207,9 +210,9 @@
         List.of(5, 6, 7).forEach(mark -> proxy.connection.write(order(mark)));
         came();
         proxy.says(answer(3, 6, 1) + answer(3, 5, 1)); // that of 5 is stale by now
-        assertEquals(List.of(new Arrival.Applied(3, 6, 1)), came());
+        assertEquals(List.of(new InboundMessage.Acknowledgement(3, 6, 1)), came());
         proxy.says(answer(3, 7, 1));
-        assertEquals(List.of(new Arrival.Applied(3, 7, 1)), came());
+        assertEquals(List.of(new InboundMessage.Acknowledgement(3, 7, 1)), came());
         long future = System.nanoTime() + 1_000_000_000L;
         proxy.connection.judge(future, future); // it has nothing to say
         assertTrue(proxy.isOpen() && came().isEmpty());
@@ -331,7 +334,7 @@
         proxy.connection.judge(past, future);
         assertTrue(proxy.isOpen());
         proxy.says("{\"@type\":\"ACK\",\"id\":3,\"seq\":7,\"ms\":1}\n");
-        assertEquals(List.of(new Arrival.Applied(3, 7, 1)), came()); // and it does not join anew
+        assertEquals(List.of(new InboundMessage.Acknowledgement(3, 7, 1)), came()); // and it does not join anew
     }
 
     @Test
@@ -363,7 +366,7 @@
             socket.getOutputStream().write(("{\"@type\":\"PING\"}\n" + JOIN).getBytes(StandardCharsets.UTF_8));
             assertEquals("{\"@type\":\"PONG\"}\n", line(socket));
             assertTrue(exchange.await(20_000_000_000L));
-            assertEquals(List.of(new Arrival.Joining(3, 0, 2.5, true)), came());
+            assertEquals(List.of(new InboundMessage.Subscribe(3, 0, 2.5, true)), came());
             lastStream.write(ORDER);
             assertEquals(ORDERED, line(socket));
             socket.setSoLinger(true, 0); // a reset
