--- a/src/main/java/linenring/controller/FleetState.java
+++ b/src/main/java/linenring/controller/FleetState.java
@@ -22,7 +22,6 @@
     final HostIds hostIds = new HostIds();
     final TreeMap<Integer, Table> tables = new TreeMap<>();
     final BitSet out = new BitSet(), outChanged = new BitSet(); // withdrawn hosts; those that changed
-    final ConfigurationUpdate.Level[] everywhere; // levels for all proxies, by operation
     private final Log log;
     private final List<Proxy> proxies = new ArrayList<>();
     private final Messages messages = new Messages(this);
@@ -33,7 +32,6 @@
     FleetState(List<String> operations, int proxies, Log log) {
         this.operations = operations;
         this.log = log;
-        everywhere = new ConfigurationUpdate.Level[operations.size()];
         for (int id = 0; id < proxies; id++) {
             this.proxies.add(new Proxy(id, operations.size()));
         }
@@ -183,28 +181,15 @@
             if (!meant(mask, k)) {
                 continue;
             }
-            int operation = k;
-            if (table == EVERY_TABLE) {
-                everywhere[k] = level;
-                tables.values().forEach(t -> t.levelled.set(operation));
-            } else {
-                table(table).levels[k] = level;
-                table(table).levelled.set(k);
-            }
-        }
-        if (table == EVERY_TABLE) {
-            proxies.stream().filter(p -> p.stream != null).forEach(concerned::add);
-        } else {
-            concernUsers(table);
+            table(table).levels[k] = level;
+            table(table).levelled.set(k);
         }
+        concernUsers(table);
     }
 
     @Override
-    public void requestAcknowledgement(int number, boolean everyProxy) {
+    public void requestAcknowledgement(int number) {
         mark = number;
-        if (everyProxy) {
-            proxies.stream().filter(p -> p.stream != null).forEach(concerned::add);
-        }
     }
 
     @Override
@@ -218,30 +203,15 @@
     }
 
     @Override
-    public void probeHost(int host) {
-        log.warn("decision", "asks for a probe, and there is no way to probe here");
-    }
-
-    @Override
-    public void requestCall(double at, long handle) {
+    public void requestCall(double at) {
         alarms.add(at);
     }
 
-    @Override
-    public void requestHostList() {
-        // discovery is watched all the time
-    }
-
     @Override
     public void watchHostList() {
         // discovery is watched all the time
     }
 
-    @Override
-    public void logDecision(String text) {
-        log.info("decision", text);
-    }
-
     // ---- messages
 
     /** Sends what was ordered since the last time: one message for each proxy concerned. */
--- a/src/main/java/linenring/controller/Messages.java
+++ b/src/main/java/linenring/controller/Messages.java
@@ -110,7 +110,7 @@
         }
         Map<ConfigurationUpdate.Level, BitSet> levels = new LinkedHashMap<>(); // operations by their level
         alike.stream().filter(k -> whole || t == null || t.levelled.get(k)).forEach(k -> {
-            ConfigurationUpdate.Level level = lower(t == null ? null : t.levels[k], fleetState.everywhere[k]);
+            ConfigurationUpdate.Level level = t == null ? null : t.levels[k];
             if (level != null) {
                 levels.computeIfAbsent(level, l -> new BitSet()).set(k);
             }
@@ -131,15 +131,6 @@
         return levels.size();
     }
 
-    /** Beside the table's own level the lower one counts, and the table's way to try again. */
-    private static ConfigurationUpdate.Level lower(
-            ConfigurationUpdate.Level own, ConfigurationUpdate.Level everywhere) {
-        return own == null || everywhere == null
-                ? own == null ? everywhere : own
-                : new ConfigurationUpdate.Level(
-                        Math.min(own.admissionRatio(), everywhere.admissionRatio()), own.tries());
-    }
-
     private List<String> names(BitSet mask) {
         return mask.cardinality() == fleetState.operations.size()
                 ? List.of()
--- a/src/main/java/linenring/planner/Commands.java
+++ b/src/main/java/linenring/planner/Commands.java
@@ -6,9 +6,6 @@
  * times are milliseconds on the clock that the inputs carry.
  */
 public interface Commands {
-    /** A table number that stands for all proxies, in {@link #setAdmission} alone. */
-    int EVERY_TABLE = -1;
-
     /** Sets one line of a table; weight 0 takes it out. */
     void setWeight(int table, int host, double weight);
 
@@ -37,7 +34,7 @@
     void setAdmission(int table, int operations, double admissionRatio, RetryPolicy tries);
 
     /** Asks each proxy that gets a message of this input to answer with this mark once it has applied it. */
-    void requestAcknowledgement(int mark, boolean everyProxy);
+    void requestAcknowledgement(int mark);
 
     /**
      * Tells how many lines the message to a proxy takes beside its head and the mark, where so many are reckoned
@@ -45,21 +42,12 @@
      */
     double entriesInMessage(int proxy, double reckoned);
 
-    /** Asks a host for a sign of life. */
-    void probeHost(int host);
-
     /** Asks for a call of {@code requestCall} at that time. */
-    void requestCall(double at, long handle);
-
-    /** Asks for the whole list once. */
-    void requestHostList();
+    void requestCall(double at);
 
     /** Asks to be kept told of changes to the list. */
     void watchHostList();
 
-    /** Leaves a line for the staff. */
-    void logDecision(String words);
-
     /** When a proxy sends an invocation to another host. */
     enum RetryPolicy {
         NONE,
--- a/src/main/java/linenring/planner/Planner.java
+++ b/src/main/java/linenring/planner/Planner.java
@@ -135,7 +135,7 @@
         }
         double callAt = timer.ask(now, nextDue());
         if (callAt < Double.POSITIVE_INFINITY) {
-            commands.requestCall(callAt, 1);
+            commands.requestCall(callAt);
         }
     }
 
@@ -869,7 +869,7 @@
         List<Proxy> concerned = joined.stream().filter(p -> p.freshLines > 0).toList();
         ledger.update(now); // without what was only reckoned with
         if (!concerned.isEmpty()) {
-            commands.requestAcknowledgement(mark = (mark + 1) % 65536, false);
+            commands.requestAcknowledgement(mark = (mark + 1) % 65536);
         }
         for (Proxy p : concerned) {
             double lines =
