--- /dev/null
+++ b/src/test/java/linenring/planner/RecordedHistoriesTest.java
@@ -0,0 +1,49 @@
+package linenring.planner;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.InputStreamReader;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.stream.Stream;
+import java.util.zip.GZIPInputStream;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/**
+ * The planner gives the commands that it gave when the references were written, in the same order and at the same times. A change
+ * that means to alter a decision writes new references ({@link HistoryReferenceWriter}) and says so; a change of form writes none.
+ */
+class RecordedHistoriesTest {
+    private static final int CONTEXT_COMMANDS = 4;
+
+    static Stream<RecordedHistories.History> histories() {
+        return RecordedHistories.all().stream();
+    }
+
+    @ParameterizedTest
+    @MethodSource("histories")
+    void givesTheRecordedCommands(RecordedHistories.History history) throws IOException {
+        List<String> expected = reference(history.file());
+        List<String> actual = history.play();
+        for (int i = 0; i < Math.min(expected.size(), actual.size()); i++) {
+            List<String> before = expected.subList(Math.max(0, i - CONTEXT_COMMANDS), i);
+            assertEquals(expected.get(i), actual.get(i), "command " + i + " after " + before);
+        }
+        assertEquals(expected.size(), actual.size());
+    }
+
+    private static List<String> reference(String file) throws IOException {
+        try (InputStream compressed = RecordedHistoriesTest.class.getResourceAsStream("histories/" + file)) {
+            assertNotNull(compressed, file);
+            InputStream text = new GZIPInputStream(compressed);
+            return new BufferedReader(new InputStreamReader(text, StandardCharsets.UTF_8))
+                    .lines()
+                    .toList();
+        }
+    }
+}
