--- a/src/main/java/linenring/cli/Instance.java
+++ b/src/main/java/linenring/cli/Instance.java
@@ -117,9 +117,9 @@
         steward = new ControlLoop(told.figures(), told.names(), known, exchange, log);
         if (plan != null) { // the front has all that the steward decides by, before the steward does
             if (known != null) {
-                hosts.listed(known);
+                hosts.apply(known);
             }
-            exchange.follow(hosts::listed);
+            exchange.follow(hosts::apply);
         }
         threads.setDaemon(true);
         threads.start();
--- a/src/main/java/linenring/gateway/Http2Gateway.java
+++ b/src/main/java/linenring/gateway/Http2Gateway.java
@@ -15,10 +15,12 @@
 import linenring.gateway.settings.GatewaySettings;
 import linenring.log.Log;
 import linenring.planner.PlannerSettings.Measure;
-import linenring.routing.Attempt;
+import linenring.routing.AttemptFailure;
+import linenring.routing.FailureReason;
 import linenring.routing.HostRegistry;
-import linenring.routing.Limits;
+import linenring.routing.OperationPolicy;
 import linenring.routing.RetryBudget;
+import linenring.routing.RetryContext;
 import linenring.routing.RetryDecision;
 import linenring.routing.RollingStatistics;
 import linenring.routing.Tables;
@@ -66,7 +68,7 @@
     private final HostRegistry hosts;
     private final Tables tables;
     private final RollingStatistics sums;
-    private final RetryDecision.Terrain terrain;
+    private final RetryContext terrain;
     private final BufferBudget keptBodies, buffers;
     private final Drain<Session> drain;
     private final Map<Integer, UpstreamConnections> links = new ConcurrentHashMap<>();
@@ -90,7 +92,7 @@
         this.log = log;
         routes = new Routes(plan.routes());
         List<String> operations =
-                plan.operations().stream().map(Limits::operation).toList();
+                plan.operations().stream().map(OperationPolicy::operation).toList();
         tables = new Tables(
                 operations, hosts, measure, plan.avoid().after(), plan.avoid().forMs());
         sums = new RollingStatistics(plan.proxy(), plan.zone(), hosts, operations.size(), now());
@@ -100,7 +102,7 @@
                 return seeds.split();
             }
         });
-        terrain = new RetryDecision.Terrain(
+        terrain = new RetryContext(
                 tables,
                 hosts,
                 new RetryBudget(
@@ -202,7 +204,7 @@
         out.setScheduler(scheduler);
         out.setSelectors(1);
         client.setInitialStreamRecvWindow(plan.body().window());
-        client.setInitialSessionRecvWindow(session(plan.pool().streams()));
+        client.setInitialSessionRecvWindow(session(plan.pool().maxStreams()));
         client.setConnectTimeout((long) Math.ceil(plan.dialMs()));
         client.setIdleTimeout(-1);
         client.setStreamIdleTimeout(-1);
@@ -237,10 +239,10 @@
     }
 
     void ended(int host, boolean well, double ms) {
-        sums.ended(host, well, ms);
+        sums.recordAttempt(host, well, ms);
     }
 
-    void count(int operation, RetryDecision.Reason reason) {
+    void count(int operation, FailureReason reason) {
         counts[operation][
                 switch (reason) {
                     case RATE_LIMITED -> 2;
@@ -249,7 +251,7 @@
                     case TIMED_OUT -> 4;
                 }]
                 .incrementAndGet();
-        if (reason == RetryDecision.Reason.NO_HOST) {
+        if (reason == FailureReason.NO_HOST) {
             log.warn("front", "no host can be picked for " + tables.operations().get(operation) + ": 503");
         }
     }
@@ -271,13 +273,13 @@
                         + client.getId() + " reset");
     }
 
-    void brokeOff(int operation, int host, Attempt how) {
+    void brokeOff(int operation, int host, AttemptFailure how) {
         counts[operation][1].incrementAndGet();
         log.warn(
                 "front",
                 "host " + hosts.host(host).id() + " broke off in its answer to "
                         + tables.operations().get(operation) + ": "
-                        + how.why().name().toLowerCase(java.util.Locale.ROOT));
+                        + how.cause().name().toLowerCase(java.util.Locale.ROOT));
     }
 
     void fault(RuntimeException e) {
@@ -365,7 +367,7 @@
             log.warn("front", "no room for one more invocation beside " + runningCount.get() + ": 503");
             return refuse(stream, frame, 503);
         }
-        sums.asked(operation);
+        sums.recordRequest(operation);
         boolean marked = plan.markHeader() != null && head.getHttpFields().contains(plan.markHeader());
         RetryDecision tries =
                 new RetryDecision(terrain, operation, plan.operations().get(operation), marked, now());
@@ -412,7 +414,9 @@
                                     e.getValue().address(),
                                     hosts.host(e.getKey()).address());
                             e.getValue()
-                                    .retire(moved || !hosts.host(e.getKey()).isListed() || !tables.isUsed(e.getKey()));
+                                    .retire(moved
+                                            || !hosts.host(e.getKey()).isListed()
+                                            || !tables.isEligibleAnywhere(e.getKey()));
                             return moved;
                         });
     }
@@ -501,7 +505,7 @@
 
     /** Whether it has a table to pick from. */
     public boolean hasTables() {
-        return !tables.isFresh();
+        return !tables.isEmpty();
     }
 
     /** What it listens with. */
--- a/src/main/java/linenring/gateway/Membership.java
+++ b/src/main/java/linenring/gateway/Membership.java
@@ -1,5 +1,6 @@
 package linenring.gateway;
 
+import java.util.List;
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleSupplier;
@@ -11,6 +12,7 @@
 import linenring.protocol.InboundMessage;
 import linenring.routing.RollingStatistics;
 import linenring.routing.Tables;
+import linenring.routing.UnusableUpdateException;
 import org.eclipse.jetty.util.thread.Scheduler;
 import org.eclipse.jetty.util.thread.SerializedInvoker;
 
@@ -103,7 +105,7 @@
         }
         Joined now = new Joined();
         joined = now;
-        exchange.arrived(now, new InboundMessage.Subscribe(plan.proxy(), plan.zone(), plan.usual(), tables.isFresh()));
+        exchange.arrived(now, new InboundMessage.Subscribe(plan.proxy(), plan.zone(), plan.usual(), tables.isEmpty()));
     }
 
     /** Starts to report every so often. */
@@ -112,7 +114,7 @@
         if (leaving) {
             return;
         }
-        sums.report(clock.getAsDouble()).forEach(a -> exchange.arrived(now, a));
+        sums.drainReport(clock.getAsDouble()).forEach(a -> exchange.arrived(now, a));
         scheduler.schedule(this::report, (long) plan.reportMs(), TimeUnit.MILLISECONDS);
     }
 
@@ -128,16 +130,17 @@
             return;
         }
         double from = clock.getAsDouble();
-        Tables.Applied done = tables.apply(order);
-        if (!done.isUsable()) {
+        List<Integer> nonces;
+        try {
+            nonces = tables.apply(order);
+        } catch (UnusableUpdateException e) {
             exchange.ended(on);
-            broke(on, "brought an order that can't be used: " + done.unusable());
+            broke(on, "brought an order that can't be used: " + e.getMessage());
             return;
         }
         changed.run();
         double took = clock.getAsDouble() - from;
-        done.marks()
-                .forEach(mark -> exchange.arrived(on, new InboundMessage.Acknowledgement(plan.proxy(), mark, took)));
+        nonces.forEach(mark -> exchange.arrived(on, new InboundMessage.Acknowledgement(plan.proxy(), mark, took)));
     }
 
     private void broke(Joined was, String why) {
--- a/src/main/java/linenring/gateway/ProxiedRequest.java
+++ b/src/main/java/linenring/gateway/ProxiedRequest.java
@@ -1,7 +1,8 @@
 package linenring.gateway;
 
 import java.nio.ByteBuffer;
-import linenring.routing.Attempt;
+import linenring.routing.AttemptFailure;
+import linenring.routing.NextStep;
 import linenring.routing.RetryDecision;
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.HttpVersion;
@@ -64,7 +65,7 @@
                 what.run();
             } catch (RuntimeException e) { // no fault in one invocation reaches another
                 front.fault(e);
-                tries.abandoned();
+                tries.abandon();
                 breakOff(ErrorCode.INTERNAL_ERROR);
             }
         });
@@ -74,11 +75,11 @@
         then(() -> follow(tries.begin(front.now(), kept.isWhole())));
     }
 
-    private void follow(RetryDecision.Step step) {
-        if (step instanceof RetryDecision.Step.Send send) {
+    private void follow(NextStep step) {
+        if (step instanceof NextStep.Send send) {
             current = new Try(send);
             current.begin();
-        } else if (step instanceof RetryDecision.Step.GiveUp giveUp) {
+        } else if (step instanceof NextStep.Reject giveUp) {
             front.count(operation, giveUp.reason());
             answer(Responses.status(giveUp.reason()), Responses.fields(giveUp));
         }
@@ -120,7 +121,7 @@
 
     private void clientGone() {
         if (!over) {
-            tries.abandoned();
+            tries.abandon();
             front.clientGone(operation);
             end();
         }
@@ -182,7 +183,10 @@
         } else if (waiting != 0 && now - waiting >= longest) {
             then(() -> {
                 if (!over && waitingSince == waiting) {
-                    front.brokeOff(operation, current.host, new Attempt(Attempt.Proof.RAN, Attempt.Why.TIMED_OUT));
+                    front.brokeOff(
+                            operation,
+                            current.host,
+                            new AttemptFailure(AttemptFailure.Execution.RAN, AttemptFailure.Cause.TIMED_OUT));
                     breakOff(ErrorCode.INTERNAL_ERROR);
                 }
             });
@@ -212,11 +216,11 @@
         private volatile boolean resetByHost;
         private volatile Stream created; // null while Jetty has made no stream, and so written nothing
 
-        Try(RetryDecision.Step.Send send) {
+        Try(NextStep.Send send) {
             host = send.host();
             link = front.link(host);
-            by = send.by();
-            until = send.until();
+            by = send.sendByMs();
+            until = send.giveUpAtMs();
             timer = front.schedule(() -> then(this::timedOut), Math.max(0, until - front.now()));
         }
 
@@ -235,7 +239,7 @@
                 }
                 if (front.now() > by) { // it waited too long for a connection
                     release();
-                    ended(new Attempt(Attempt.Proof.NEVER_SENT, Attempt.Why.UNREACHABLE));
+                    ended(new AttemptFailure(AttemptFailure.Execution.NEVER_SENT, AttemptFailure.Cause.UNREACHABLE));
                     return;
                 }
                 boolean nothingFollows = kept.hasEnded() && again.length == 0 && trailers == null;
@@ -249,7 +253,8 @@
 
         @Override
         public void turnedAway() {
-            then(() -> ended(new Attempt(Attempt.Proof.NEVER_SENT, Attempt.Why.UNREACHABLE)));
+            then(() ->
+                    ended(new AttemptFailure(AttemptFailure.Execution.NEVER_SENT, AttemptFailure.Cause.UNREACHABLE)));
         }
 
         @Override
@@ -279,7 +284,10 @@
         public void failed(Throwable x) {
             then(() -> {
                 release();
-                ended(created == null ? new Attempt(Attempt.Proof.NEVER_SENT, Attempt.Why.REFUSED) : lost(created));
+                ended(
+                        created == null
+                                ? new AttemptFailure(AttemptFailure.Execution.NEVER_SENT, AttemptFailure.Cause.REFUSED)
+                                : lost(created));
             });
         }
 
@@ -370,18 +378,20 @@
         private void head(MetaData.Response head, boolean last) {
             boolean errored = head.getStatus() >= 500;
             front.ended(host, !errored, front.now() - sentAt);
-            RetryDecision.Step step = errored
-                    ? tries.ended(
-                            new Attempt(Attempt.Proof.RAN, Attempt.Why.ANSWERED_ERRORED), front.now(), kept.isWhole())
-                    : tries.answered(front.now());
+            NextStep step = errored
+                    ? tries.attemptFailed(
+                            new AttemptFailure(AttemptFailure.Execution.RAN, AttemptFailure.Cause.ANSWERED_ERRORED),
+                            front.now(),
+                            kept.isWhole())
+                    : tries.attemptSucceeded(front.now());
             ended = true;
             timer.cancel();
-            if (step instanceof RetryDecision.Step.Send) {
+            if (step instanceof NextStep.Send) {
                 if (!last) {
                     cancel();
                 }
                 follow(step);
-            } else if (step instanceof RetryDecision.Step.PassOn) {
+            } else if (step instanceof NextStep.Forward) {
                 begun = true;
                 kept.letGo();
                 front.answered(operation, errored);
@@ -474,8 +484,10 @@
                 if (!(done && begun)) { // else its answer is whole, and is being read
                     ended(
                             refused && !begun
-                                    ? new Attempt(Attempt.Proof.NOT_PROCESSED, Attempt.Why.REFUSED)
-                                    : new Attempt(Attempt.Proof.MAY_HAVE_RUN, Attempt.Why.RESET));
+                                    ? new AttemptFailure(
+                                            AttemptFailure.Execution.NOT_PROCESSED, AttemptFailure.Cause.REFUSED)
+                                    : new AttemptFailure(
+                                            AttemptFailure.Execution.MAY_HAVE_RUN, AttemptFailure.Cause.RESET));
                 }
             });
             callback.succeeded();
@@ -501,16 +513,16 @@
         }
 
         /** How an attempt ended whose connection took its stream along. */
-        private Attempt lost(Stream of) {
+        private AttemptFailure lost(Stream of) {
             return on.isNotProcessed(of.getId())
-                    ? new Attempt(Attempt.Proof.NOT_PROCESSED, Attempt.Why.GOING_AWAY)
-                    : new Attempt(Attempt.Proof.MAY_HAVE_RUN, Attempt.Why.CONNECTION_LOST);
+                    ? new AttemptFailure(AttemptFailure.Execution.NOT_PROCESSED, AttemptFailure.Cause.GOING_AWAY)
+                    : new AttemptFailure(AttemptFailure.Execution.MAY_HAVE_RUN, AttemptFailure.Cause.CONNECTION_LOST);
         }
 
         /** Jetty resets what is no HTTP/2 message, such as a body of another length than was said, and tells nobody. */
         private void resetUntold() {
             if (!resetByHost) {
-                ended(new Attempt(Attempt.Proof.MAY_HAVE_RUN, Attempt.Why.RESET));
+                ended(new AttemptFailure(AttemptFailure.Execution.MAY_HAVE_RUN, AttemptFailure.Cause.RESET));
             }
         }
 
@@ -518,13 +530,13 @@
             if (!ended) {
                 boolean unsent = !headSent;
                 abandonStream();
-                ended(new Attempt(
-                        unsent ? Attempt.Proof.NEVER_SENT : Attempt.Proof.MAY_HAVE_RUN,
-                        unsent ? Attempt.Why.UNREACHABLE : Attempt.Why.TIMED_OUT));
+                ended(new AttemptFailure(
+                        unsent ? AttemptFailure.Execution.NEVER_SENT : AttemptFailure.Execution.MAY_HAVE_RUN,
+                        unsent ? AttemptFailure.Cause.UNREACHABLE : AttemptFailure.Cause.TIMED_OUT));
             }
         }
 
-        private void ended(Attempt how) {
+        private void ended(AttemptFailure how) {
             if (begun && !over) { // the client has part of the answer
                 front.brokeOff(operation, host, how);
                 breakOff(ErrorCode.INTERNAL_ERROR);
@@ -535,8 +547,8 @@
             }
             ended = true;
             timer.cancel();
-            front.ended(host, how.why() == Attempt.Why.GOING_AWAY, front.now() - sentAt);
-            RetryDecision.Step step = tries.ended(how, front.now(), kept.isWhole());
+            front.ended(host, how.cause() == AttemptFailure.Cause.GOING_AWAY, front.now() - sentAt);
+            NextStep step = tries.attemptFailed(how, front.now(), kept.isWhole());
             current = null;
             follow(step);
         }
--- a/src/main/java/linenring/gateway/Responses.java
+++ b/src/main/java/linenring/gateway/Responses.java
@@ -1,6 +1,7 @@
 package linenring.gateway;
 
-import linenring.routing.RetryDecision;
+import linenring.routing.FailureReason;
+import linenring.routing.NextStep;
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.HttpHeader;
 import org.eclipse.jetty.http.HttpStatus;
@@ -9,7 +10,7 @@
 final class Responses {
     private Responses() {}
 
-    static int status(RetryDecision.Reason reason) {
+    static int status(FailureReason reason) {
         return switch (reason) {
             case RATE_LIMITED -> HttpStatus.TOO_MANY_REQUESTS_429;
             case NO_HOST -> HttpStatus.SERVICE_UNAVAILABLE_503;
@@ -19,10 +20,10 @@
     }
 
     /** With {@code Retry-After} in whole seconds, rounded up, where a time to come back is known. */
-    static HttpFields fields(RetryDecision.Step.GiveUp step) {
+    static HttpFields fields(NextStep.Reject step) {
         HttpFields.Mutable fields = HttpFields.build().put(HttpHeader.CONTENT_LENGTH, 0L);
-        if (!Double.isInfinite(step.backIn())) {
-            fields.put(HttpHeader.RETRY_AFTER, Long.toString((long) Math.ceil(step.backIn() / 1000)));
+        if (!Double.isInfinite(step.retryAfterMs())) {
+            fields.put(HttpHeader.RETRY_AFTER, Long.toString((long) Math.ceil(step.retryAfterMs() / 1000)));
         }
         return fields;
     }
--- a/src/main/java/linenring/gateway/UpstreamConnections.java
+++ b/src/main/java/linenring/gateway/UpstreamConnections.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleSupplier;
+import linenring.routing.ConnectionPool;
 import linenring.routing.HostRegistry;
-import linenring.routing.Pool;
 import org.eclipse.jetty.http2.ErrorCode;
 import org.eclipse.jetty.http2.HTTP2Session;
 import org.eclipse.jetty.http2.api.Session;
@@ -43,7 +43,7 @@
         }
 
         void done() {
-            follow(pool(p -> p.done(this, clock.getAsDouble())));
+            follow(pool(p -> p.streamClosed(this, clock.getAsDouble())));
         }
 
         @Override
@@ -80,7 +80,7 @@
                 }
                 settled = failed = true;
             }
-            follow(pool(p -> p.notOpened(clock.getAsDouble())));
+            follow(pool(p -> p.dialFailed(clock.getAsDouble())));
             closeIfFailed();
         }
 
@@ -98,16 +98,16 @@
                 settled = true;
             }
             if (first) {
-                follow(pool(p -> p.opened(this, streams, clock.getAsDouble())));
+                follow(pool(p -> p.connectionOpened(this, streams, clock.getAsDouble())));
             } else if (told.containsKey(SettingsFrame.MAX_CONCURRENT_STREAMS)) {
-                follow(pool(p -> p.resized(this, streams, clock.getAsDouble())));
+                follow(pool(p -> p.maxStreamsChanged(this, streams, clock.getAsDouble())));
             }
         }
 
         @Override
         public void onGoAway(Session from, GoAwayFrame frame) {
             lastProcessed = frame.getLastStreamId();
-            follow(pool(p -> p.goingAway(this, clock.getAsDouble())));
+            follow(pool(p -> p.connectionGoingAway(this, clock.getAsDouble())));
         }
 
         @Override
@@ -135,12 +135,12 @@
 
         private void ended() {
             dialFailed();
-            follow(pool(p -> p.lost(this, clock.getAsDouble())));
+            follow(pool(p -> p.connectionLost(this, clock.getAsDouble())));
         }
     }
 
     private interface Ask {
-        Pool.Follows<Connection, Wants> of(Pool<Connection, Wants> pool);
+        ConnectionPool.Actions<Connection, Wants> of(ConnectionPool<Connection, Wants> pool);
     }
 
     private final HTTP2Client client;
@@ -149,42 +149,42 @@
     private final long dialMs;
     private final Scheduler scheduler;
     private final DoubleSupplier clock;
-    private final Pool<Connection, Wants> pool;
+    private final ConnectionPool<Connection, Wants> pool;
 
     UpstreamConnections(
             HTTP2Client client,
             HostRegistry.Host host,
-            Pool.Bounds bounds,
+            ConnectionPool.Limits bounds,
             double dialMs,
             Scheduler scheduler,
             DoubleSupplier clock) {
         this.client = client;
         this.host = host;
-        streamsMost = bounds.streams();
+        streamsMost = bounds.maxStreams();
         this.dialMs = (long) Math.ceil(dialMs);
         this.scheduler = scheduler;
         this.clock = clock;
-        pool = new Pool<>(bounds);
+        pool = new ConnectionPool<>(bounds);
     }
 
     String address() {
         return host.address();
     }
 
-    private synchronized Pool.Follows<Connection, Wants> pool(Ask ask) {
+    private synchronized ConnectionPool.Actions<Connection, Wants> pool(Ask ask) {
         return ask.of(pool);
     }
 
     void want(Wants who) {
-        Pool.Grant<Connection> grant;
+        ConnectionPool.StreamGrant<Connection> grant;
         synchronized (this) {
-            grant = pool.want(who, clock.getAsDouble());
+            grant = pool.requestStream(who, clock.getAsDouble());
         }
-        if (grant instanceof Pool.Grant.Take<Connection> take) {
+        if (grant instanceof ConnectionPool.StreamGrant.Granted<Connection> take) {
             who.granted(take.connection());
-        } else if (grant instanceof Pool.Grant.No<Connection>) {
+        } else if (grant instanceof ConnectionPool.StreamGrant.Rejected<Connection>) {
             who.turnedAway();
-        } else if (((Pool.Grant.Wait<Connection>) grant).open()) {
+        } else if (((ConnectionPool.StreamGrant.Queued<Connection>) grant).openConnection()) {
             dial();
         }
     }
@@ -192,23 +192,23 @@
     /** False if it was granted or turned away already. */
     boolean gone(Wants who) {
         synchronized (this) {
-            return pool.gone(who);
+            return pool.cancel(who);
         }
     }
 
     void retire(boolean out) {
-        follow(pool(p -> p.retire(out, clock.getAsDouble())));
+        follow(pool(p -> p.setRetired(out, clock.getAsDouble())));
     }
 
     void sweep() {
-        follow(pool(p -> p.sweep(clock.getAsDouble())));
+        follow(pool(p -> p.closeIdle(clock.getAsDouble())));
     }
 
-    private void follow(Pool.Follows<Connection, Wants> f) {
-        f.close().forEach(Connection::close);
-        f.served().forEach(s -> s.who().granted(s.connection()));
-        f.turnedAway().forEach(Wants::turnedAway);
-        if (f.open()) {
+    private void follow(ConnectionPool.Actions<Connection, Wants> f) {
+        f.connectionsToClose().forEach(Connection::close);
+        f.assigned().forEach(s -> s.waiter().granted(s.connection()));
+        f.rejected().forEach(Wants::turnedAway);
+        if (f.openConnection()) {
             dial();
         }
     }
--- a/src/main/java/linenring/gateway/settings/GatewaySettings.java
+++ b/src/main/java/linenring/gateway/settings/GatewaySettings.java
@@ -2,8 +2,8 @@
 
 import java.net.InetSocketAddress;
 import java.util.List;
-import linenring.routing.Limits;
-import linenring.routing.Pool;
+import linenring.routing.ConnectionPool;
+import linenring.routing.OperationPolicy;
 
 /**
  * What a front is told. Times are ms, sizes bytes.
@@ -19,11 +19,11 @@
         int zone,
         double usual,
         String markHeader,
-        List<Limits> operations,
+        List<OperationPolicy> operations,
         List<Route> routes,
         Further tries,
         Avoid avoid,
-        Pool.Bounds pool,
+        ConnectionPool.Limits pool,
         double dialMs,
         Clients clients,
         Body body,
--- a/src/main/java/linenring/gateway/settings/GatewaySettingsReader.java
+++ b/src/main/java/linenring/gateway/settings/GatewaySettingsReader.java
@@ -16,9 +16,9 @@
 import linenring.kdl.SettingsDocument;
 import linenring.kdl.SettingsSchema;
 import linenring.kdl.Units;
+import linenring.routing.ConnectionPool;
 import linenring.routing.Idempotence;
-import linenring.routing.Limits;
-import linenring.routing.Pool;
+import linenring.routing.OperationPolicy;
 import linenring.settings.Names;
 
 /**
@@ -89,12 +89,12 @@
     // ---- what a schema can't say
 
     private GatewaySettings plan(JsonNode in) {
-        List<Limits> terms = new ArrayList<>();
+        List<OperationPolicy> terms = new ArrayList<>();
         Map<String, Integer> numbers = new HashMap<>();
         for (int k = 0; k < in.get("operation").size(); k++) {
             terms.add(terms(in.get("operation").get(k), "/front/operation/" + k, numbers, in.has("mark-header")));
         }
-        List<Limits> ordered = new ArrayList<>(terms);
+        List<OperationPolicy> ordered = new ArrayList<>(terms);
         if (names != null) {
             ordered.sort(Comparator.comparingInt(t -> names.operations().indexOf(t.operation())));
             for (String operation : names.operations()) {
@@ -138,7 +138,7 @@
                 new GatewaySettings.Avoid(
                         avoid.path("after").asInt(AVOID_AFTER),
                         Units.millis(avoid.path("for").asText(AVOID_FOR))),
-                new Pool.Bounds(
+                new ConnectionPool.Limits(
                         hosts.path("connections").asInt(CONNECTIONS),
                         hosts.path("streams").asInt(HOST_STREAMS),
                         hosts.path("waiting").asInt(WAITING),
@@ -192,7 +192,7 @@
         return (int) bytes;
     }
 
-    private Limits terms(JsonNode in, String at, Map<String, Integer> numbers, boolean markHeader) {
+    private OperationPolicy terms(JsonNode in, String at, Map<String, Integer> numbers, boolean markHeader) {
         String name = in.get("arguments").get(0).asText();
         String key = "operation \"" + name + "\"";
         if (numbers.putIfAbsent(name, numbers.size()) != null) {
@@ -215,17 +215,18 @@
             fault(at, key + ": its timeout " + in.get("timeout") + " is under its objective " + in.get("objective"));
             timeout = objective = 1;
         }
-        return new Limits(
+        return new OperationPolicy(
                 name,
                 effect,
-                Limits.Group.valueOf(in.path("group").asText("zone").toUpperCase(java.util.Locale.ROOT)),
+                OperationPolicy.DeduplicationScope.valueOf(
+                        in.path("group").asText("zone").toUpperCase(java.util.Locale.ROOT)),
                 Units.millis(in.path("window").asText("0s")),
                 objective,
                 timeout);
     }
 
     private GatewaySettings.Route route(
-            JsonNode in, String at, List<Limits> operations, List<GatewaySettings.Route> before) {
+            JsonNode in, String at, List<OperationPolicy> operations, List<GatewaySettings.Route> before) {
         String method = in.get("arguments").get(0).asText(),
                 prefix = in.get("arguments").get(1).asText();
         String key = "route \"" + method + "\" \"" + prefix + "\"";
--- a/src/main/java/linenring/routing/AdmissionControl.java
+++ b/src/main/java/linenring/routing/AdmissionControl.java
@@ -3,55 +3,67 @@
 import linenring.planner.PlannerSettings.Measure;
 
 /**
- * How much of an operation is let in at one proxy: a share, drawn anew for each invocation, or a rate. A rate is kept
- * by a bucket of tokens that holds a quarter of a second's, one at least: callers' bursts are shorter, and what a
- * steward turns away is meant to be turned away within its next report.
+ * How much of one operation is admitted at one proxy, as the controller ordered it: a share of the requests, drawn anew
+ * for each, or a rate in requests per second.
+ *
+ * <p>It guards the hosts against more load than they can carry; that shows as rising latency and errors at all of them.
+ * A rate is kept by a token bucket, so that what is shed is shed within the controller's next report. It does harm where
+ * callers' bursts are longer than the bucket: a burst is then rejected though the mean rate is allowed.
  */
 final class AdmissionControl {
-    /** All is let in. */
-    static final AdmissionControl ALL = new AdmissionControl(1, Measure.NONE);
+    /** Admits everything. */
+    static final AdmissionControl ADMIT_ALL = new AdmissionControl(1, Measure.NONE);
 
-    private static final double BURST_S = 0.25;
+    /** What the bucket holds, in seconds of its rate: callers' bursts are shorter. */
+    private static final double BUCKET_SECONDS = 0.25;
 
-    private final double level;
+    /** A bucket always holds one token, or a rate under {@code 1 / BUCKET_SECONDS} would admit nothing. */
+    private static final double MIN_BUCKET_TOKENS = 1;
+
+    private static final double MILLIS_PER_SECOND = 1000;
+
+    private final double limit; // a share in [0, 1], or requests per second
     private final Measure measure;
-    private double tokens;
-    private double filledAt = Double.NaN;
+    private double tokens; // guarded by this
+    private double filledAtMs = Double.NaN; // guarded by this; NaN until the first request
 
-    AdmissionControl(double level, Measure measure) {
-        this.level = level;
+    AdmissionControl(double limit, Measure measure) {
+        this.limit = limit;
         this.measure = measure;
-        tokens = most();
+        tokens = bucketTokens();
     }
 
-    private double most() {
-        return Math.max(1, level * BURST_S);
+    private double bucketTokens() {
+        return Math.max(MIN_BUCKET_TOKENS, limit * BUCKET_SECONDS);
     }
 
-    /** 0 if it is let in, else when it is worth coming back: ms from now, or infinity where nobody knows. */
-    double wait(double now, double draw) {
+    /** 0 if the request is admitted, else ms after which it is worth trying again; infinity where that is not known. */
+    double retryAfterMs(double nowMs, double draw) {
         return switch (measure) {
             case NONE -> 0;
-            case SHARE -> draw < level ? 0 : Double.POSITIVE_INFINITY;
-            case PER_SECOND -> take(now);
+            case SHARE -> draw < limit ? 0 : Double.POSITIVE_INFINITY;
+            case PER_SECOND -> takeToken(nowMs);
         };
     }
 
-    private synchronized double take(double now) {
-        if (level <= 0) {
+    private synchronized double takeToken(double nowMs) {
+        if (limit <= 0) {
             return Double.POSITIVE_INFINITY;
         }
-        tokens = Double.isNaN(filledAt) ? tokens : Math.min(most(), tokens + (now - filledAt) / 1000 * level);
-        filledAt = now;
+        if (!Double.isNaN(filledAtMs)) {
+            tokens = Math.min(bucketTokens(), tokens + (nowMs - filledAtMs) / MILLIS_PER_SECOND * limit);
+        }
+        filledAtMs = nowMs;
         if (tokens >= 1) {
             tokens--;
             return 0;
         }
-        return (1 - tokens) / level * 1000;
+        return (1 - tokens) / limit * MILLIS_PER_SECOND;
     }
 
-    /** The same level goes on with the tokens it has. */
-    AdmissionControl next(double level, Measure measure) {
-        return this.level == level && this.measure == measure ? this : new AdmissionControl(level, measure);
+    /** The control for a newly ordered limit; an unchanged one goes on with the tokens it has. */
+    AdmissionControl withLimit(double newLimit, Measure newMeasure) {
+        boolean unchanged = limit == newLimit && measure == newMeasure;
+        return unchanged ? this : new AdmissionControl(newLimit, newMeasure);
     }
 }
--- a/src/main/java/linenring/routing/HostSelection.java
+++ b/src/main/java/linenring/routing/HostSelection.java
@@ -1,22 +1,24 @@
 package linenring.routing;
 
+import java.util.Arrays;
 import java.util.function.IntPredicate;
 
-/** Hosts with weights over 0, to be drawn from by weight. Never changes; a draw takes O(log n). */
+/** Hosts with weights over 0, to be drawn from by weight. Immutable; a draw takes O(log n). */
 final class HostSelection {
+    /** No host. */
     static final int NONE = -1;
 
     private final int[] hosts;
-    private final double[] upTo; // sums of the weights so far
+    private final double[] cumulativeWeights;
 
     /** Of the first {@code count} hosts. */
     HostSelection(int[] hosts, double[] weights, int count) {
-        this.hosts = java.util.Arrays.copyOf(hosts, count);
-        upTo = new double[count];
+        this.hosts = Arrays.copyOf(hosts, count);
+        cumulativeWeights = new double[count];
         double sum = 0;
         for (int i = 0; i < count; i++) {
             sum += weights[i];
-            upTo[i] = sum;
+            cumulativeWeights[i] = sum;
         }
     }
 
@@ -24,20 +26,17 @@
         return hosts.length == 0;
     }
 
-    int count() {
-        return hosts.length;
-    }
-
     /** A host by weight, for {@code draw} in [0, 1); {@link #NONE} where there is none. */
     int pick(double draw) {
         if (hosts.length == 0) {
             return NONE;
         }
-        double at = draw * upTo[hosts.length - 1];
-        int low = 0, high = hosts.length - 1;
-        while (low < high) { // the first whose sum is over it
+        double target = draw * cumulativeWeights[hosts.length - 1];
+        int low = 0;
+        int high = hosts.length - 1;
+        while (low < high) { // the first whose cumulative weight is over the target
             int middle = (low + high) >>> 1;
-            if (upTo[middle] > at) {
+            if (cumulativeWeights[middle] > target) {
                 high = middle;
             } else {
                 low = middle + 1;
@@ -46,27 +45,27 @@
         return hosts[low];
     }
 
-    /** The same among those that are open to it; O(n), for further tries alone. */
-    int pick(double draw, IntPredicate open) {
-        double sum = 0;
+    /** The same among the hosts that are allowed; O(n), so for retries alone. */
+    int pick(double draw, IntPredicate allowed) {
+        double allowedWeight = 0;
         for (int i = 0; i < hosts.length; i++) {
-            sum += open.test(hosts[i]) ? weight(i) : 0;
+            allowedWeight += allowed.test(hosts[i]) ? weight(i) : 0;
         }
-        double at = draw * sum;
+        double remaining = draw * allowedWeight;
         int last = NONE;
         for (int i = 0; i < hosts.length; i++) {
-            if (open.test(hosts[i])) {
+            if (allowed.test(hosts[i])) {
                 last = hosts[i];
-                at -= weight(i);
-                if (at < 0) {
+                remaining -= weight(i);
+                if (remaining < 0) {
                     return last;
                 }
             }
         }
-        return last; // rounding
+        return last; // rounding left a remainder
     }
 
-    private double weight(int i) {
-        return i == 0 ? upTo[0] : upTo[i] - upTo[i - 1];
+    private double weight(int position) {
+        return position == 0 ? cumulativeWeights[0] : cumulativeWeights[position] - cumulativeWeights[position - 1];
     }
 }
--- a/src/main/java/linenring/routing/Idempotence.java
+++ b/src/main/java/linenring/routing/Idempotence.java
@@ -1,11 +1,11 @@
 package linenring.routing;
 
-/** What it would do if an invocation ran a second time. */
+/** What it would do if a request were executed a second time. */
 public enum Idempotence {
-    /** Nothing: it may run again. */
+    /** Nothing: it may be repeated. */
     IDEMPOTENT,
-    /** Nothing while its mark is remembered, inside the group of hosts that remember it together. */
+    /** Nothing while hosts remember its idempotency key, inside the group of hosts that remember it together. */
     FINGERPRINTED,
-    /** Harm: it never runs again, unless it is proven that it never ran. */
+    /** Harm: it is never repeated, unless it is proven that it was not executed. */
     SIDE_EFFECTING
 }
--- a/src/main/java/linenring/routing/OutlierEjection.java
+++ b/src/main/java/linenring/routing/OutlierEjection.java
@@ -3,70 +3,76 @@
 import java.util.Arrays;
 
 /**
- * Keeps away from hosts at which so many own tries in a row errored, for a span. Own tries alone count, as with any
- * proxy: it answers what nobody has reported yet. It does harm where a host errors by what it is asked and not by what
- * it is; then all hosts are avoided in turn, and all are picked again.
+ * Ejects, for a while, a host at which this proxy's own attempts failed several times in a row.
+ *
+ * <p>It guards against a host that fails before any report has reached the controller; that shows as consecutive
+ * failures at one proxy. Own attempts alone count, as with any proxy, so nothing has to be waited for. It does harm
+ * where a host fails by what it is asked and not by what it is: then all hosts are ejected in turn, and {@link Tables}
+ * picks among all of them again.
  */
 final class OutlierEjection {
-    /** Nobody is avoided, ever. */
+    /** As the number of failures: no host is ever ejected. */
     static final int NEVER = 0;
 
-    private final int inARow;
-    private final double span;
-    private int[] errored = {}; // in a row, by host
-    private double[] until = {}; // by host; not avoided from then on
-    private volatile double nextEnd = Double.POSITIVE_INFINITY;
-    private volatile int version;
+    /** Arrays grow by so many hosts at a time, so that a fleet's first failures do not copy them each time. */
+    private static final int GROWTH_HOSTS = 16;
 
-    /** {@code inARow} errored tries lead to a {@code span} in ms. */
-    OutlierEjection(int inARow, double span) {
-        this.inARow = inARow;
-        this.span = span;
+    private final int failuresInARow;
+    private final double ejectionMs;
+    private int[] consecutiveFailures = {}; // by host; guarded by this
+    private double[] ejectedUntilMs = {}; // by host, 0 if it is not ejected; guarded by this
+    private volatile double nextReturnMs = Double.POSITIVE_INFINITY; // written under this
+    private volatile int version; // written under this
+
+    /** {@code failuresInARow} failed attempts eject a host for {@code ejectionMs}. */
+    OutlierEjection(int failuresInARow, double ejectionMs) {
+        this.failuresInARow = failuresInARow;
+        this.ejectionMs = ejectionMs;
     }
 
-    /** Changes whenever somebody comes to be avoided, or no longer is. */
-    int version(double now) {
-        if (now >= nextEnd) {
-            over(now);
+    /** Changes whenever a host is ejected or returns. */
+    int version(double nowMs) {
+        if (nowMs >= nextReturnMs) {
+            returnHosts(nowMs);
         }
         return version;
     }
 
-    private synchronized void over(double now) {
+    private synchronized void returnHosts(double nowMs) {
         double next = Double.POSITIVE_INFINITY;
-        boolean ended = false;
-        for (int h = 0; h < until.length; h++) {
-            if (until[h] > now) {
-                next = Math.min(next, until[h]);
-            } else if (until[h] > 0) {
-                until[h] = 0;
-                ended = true;
+        boolean returned = false;
+        for (int host = 0; host < ejectedUntilMs.length; host++) {
+            if (ejectedUntilMs[host] > nowMs) {
+                next = Math.min(next, ejectedUntilMs[host]);
+            } else if (ejectedUntilMs[host] > 0) {
+                ejectedUntilMs[host] = 0;
+                returned = true;
             }
         }
-        nextEnd = next;
-        version += ended ? 1 : 0;
+        nextReturnMs = next;
+        version += returned ? 1 : 0;
     }
 
-    synchronized boolean isAvoided(int host) {
-        return host < until.length && until[host] > 0;
+    synchronized boolean isEjected(int host) {
+        return host < ejectedUntilMs.length && ejectedUntilMs[host] > 0;
     }
 
-    /** One own try ended; true if the host is avoided from now on. */
-    synchronized boolean ended(int host, boolean well, double now) {
-        if (host >= errored.length) {
-            if (well) {
+    /** Records the end of one own attempt; true if the host is ejected from now on. */
+    synchronized boolean recordOutcome(int host, boolean success, double nowMs) {
+        if (host >= consecutiveFailures.length) {
+            if (success) {
                 return false;
             }
-            errored = Arrays.copyOf(errored, host + 16);
-            until = Arrays.copyOf(until, host + 16);
+            consecutiveFailures = Arrays.copyOf(consecutiveFailures, host + GROWTH_HOSTS);
+            ejectedUntilMs = Arrays.copyOf(ejectedUntilMs, host + GROWTH_HOSTS);
         }
-        errored[host] = well ? 0 : errored[host] + 1;
-        if (inARow == NEVER || errored[host] < inARow) {
+        consecutiveFailures[host] = success ? 0 : consecutiveFailures[host] + 1;
+        if (failuresInARow == NEVER || consecutiveFailures[host] < failuresInARow) {
             return false;
         }
-        errored[host] = 0; // the next span needs as many again
-        until[host] = now + span;
-        nextEnd = Math.min(nextEnd, until[host]);
+        consecutiveFailures[host] = 0; // the next ejection needs as many again
+        ejectedUntilMs[host] = nowMs + ejectionMs;
+        nextReturnMs = Math.min(nextReturnMs, ejectedUntilMs[host]);
         version++;
         return true;
     }
--- a/src/main/java/linenring/routing/RetryBudget.java
+++ b/src/main/java/linenring/routing/RetryBudget.java
@@ -1,55 +1,63 @@
 package linenring.routing;
 
 /**
- * Further tries as a share of first tries, over a sliding window of ten buckets. Where all hosts error, further tries
- * multiply the load just when it can least be borne; the share bounds that whatever the module's orders allow. It also
- * holds against a caller that errors by its own doing; it does harm where few invocations come, so a few are free.
+ * Retries as a share of first attempts, over a sliding window.
+ *
+ * <p>It guards against a retry storm: where all hosts fail, retries multiply the load just when it can least be borne.
+ * The share bounds that whatever the controller's retry policy allows, and also holds against a caller whose requests
+ * fail by its own doing. It does harm where few requests come; therefore a few retries are allowed in any case.
  */
 public final class RetryBudget {
-    private static final int BUCKETS = 10; // the window slides in tenths: a burst at its edge counts one tenth long
+    /** The window slides in tenths: a burst at its edge counts one tenth too long. */
+    private static final int BUCKETS = 10;
 
     private final double share;
-    private final int free;
+    private final int minRetries;
     private final double bucketMs;
-    private final long[] first = new long[BUCKETS], further = new long[BUCKETS];
-    private long newest = Long.MIN_VALUE; // number of the newest bucket since time 0
-    private long firsts, furthers;
+    // All below are guarded by this.
+    private final long[] firstAttempts = new long[BUCKETS];
+    private final long[] retries = new long[BUCKETS];
+    private long newestBucket = Long.MIN_VALUE; // counted since time 0
+    private long firstAttemptsInWindow;
+    private long retriesInWindow;
 
-    /** {@code share} of the first tries of the last {@code window} ms, and {@code free} in any case. */
-    public RetryBudget(double share, int free, double window) {
+    /** Allows {@code share} of the first attempts of the last {@code windowMs}, and {@code minRetries} in any case. */
+    public RetryBudget(double share, int minRetries, double windowMs) {
         this.share = share;
-        this.free = free;
-        bucketMs = window / BUCKETS;
+        this.minRetries = minRetries;
+        bucketMs = windowMs / BUCKETS;
     }
 
-    private void slide(double now) {
-        long bucket = (long) Math.floor(now / bucketMs);
-        if (newest == Long.MIN_VALUE) {
-            newest = bucket;
+    private void slide(double nowMs) {
+        long bucket = (long) Math.floor(nowMs / bucketMs);
+        if (newestBucket == Long.MIN_VALUE) {
+            newestBucket = bucket;
         }
-        for (long steps = Math.min(BUCKETS, bucket - newest); steps > 0; steps--) {
+        for (long steps = Math.min(BUCKETS, bucket - newestBucket); steps > 0; steps--) {
             int oldest = Math.floorMod(bucket - steps + 1, BUCKETS);
-            firsts -= first[oldest];
-            furthers -= further[oldest];
-            first[oldest] = further[oldest] = 0;
+            firstAttemptsInWindow -= firstAttempts[oldest];
+            retriesInWindow -= retries[oldest];
+            firstAttempts[oldest] = 0;
+            retries[oldest] = 0;
         }
-        newest = Math.max(newest, bucket); // a clock that steps back fills the newest bucket
+        newestBucket = Math.max(newestBucket, bucket); // a clock that steps back fills the newest bucket
     }
 
-    public synchronized void first(double now) {
-        slide(now);
-        first[Math.floorMod(newest, BUCKETS)]++;
-        firsts++;
+    /** Records a first attempt. */
+    public synchronized void recordFirstAttempt(double nowMs) {
+        slide(nowMs);
+        firstAttempts[Math.floorMod(newestBucket, BUCKETS)]++;
+        firstAttemptsInWindow++;
     }
 
-    /** Takes one further try if there is one to take. */
-    public synchronized boolean take(double now) {
-        slide(now);
-        if (furthers + 1 > Math.max(free, share * firsts)) {
+    /** Takes one retry from the budget; false if there is none left. */
+    public synchronized boolean tryTakeRetry(double nowMs) {
+        slide(nowMs);
+        if (retriesInWindow + 1 > Math.max(minRetries, share * firstAttemptsInWindow)) {
             return false;
         }
-        further[Math.floorMod(newest, BUCKETS)]++;
-        furthers++;
+        retries[Math.floorMod(newestBucket, BUCKETS)]++;
+        retriesInWindow++;
         return true;
     }
 }
--- a/src/main/java/linenring/routing/RetryDecision.java
+++ b/src/main/java/linenring/routing/RetryDecision.java
@@ -1,194 +1,156 @@
 package linenring.routing;
 
 import java.util.BitSet;
-import java.util.function.DoubleSupplier;
 import linenring.planner.Commands.RetryPolicy;
 
 /**
- * The tries of one invocation: which host is next, until when, and when it is over. One attempt runs at a time. Calls
- * come one after the other, from any thread. Times are ms on the caller's clock.
+ * The decisions about one request: whether it is admitted, which host gets each attempt and how long, and when it is
+ * over. One attempt runs at a time. Calls come one after the other, from any thread, and hold this object's lock. Times
+ * are ms on the caller's clock.
  *
- * <p>Rules, in the order in which {@link #ended} asks them; the first that forbids a further try ends it:
- * the caller is gone or was already answered; the module's further tries are used up, or need a proof that is not
- * there; a side-effecting one may have run; a fingerprinted one has no mark, or its window is nearly over; its body is
- * no longer held; its integration timeout is over; no other host (of the same group, if one may have run) is open;
- * the budget is spent.
+ * <p>A failed attempt is followed by another unless one of these forbids it, asked in this order:
+ * <ol>
+ *   <li>the client is gone or has its answer;
+ *   <li>the controller's retry policy is used up, the timeout is over, or the body is not retained;
+ *   <li>it may have been executed, and the policy demands proof that it was not, or a repeat is not safe
+ *       ({@link DuplicateGuard});
+ *   <li>no other host is eligible, of the same deduplication scope where it may have been executed;
+ *   <li>the retry budget is spent ({@link RetryBudget}).
+ * </ol>
+ *
+ * <p>Retries guard against single hosts that fail while others do not; what they could harm is what these rules exclude:
+ * an effect twice, and load on hosts that fail by overload.
  */
 public final class RetryDecision {
-    /** What all invocations of one front share. {@code tryObjectives}: see {@link #giveUpAt}. */
-    public record Terrain(
-            Tables tables, HostRegistry hosts, RetryBudget budget, double tryObjectives, DoubleSupplier draw) {}
-
-    /** What is to be done next. */
-    public sealed interface Step {
-        /**
-         * Send it to this host by {@code by} or not at all, as a repeat that sets out later may come after the window in
-         * which hosts know it; and give that attempt up at {@code until}.
-         */
-        record Send(int host, double by, double until) implements Step {}
-
-        /** Answer now; {@code backIn} is ms, or infinity where no time to come back is known. */
-        record GiveUp(Reason reason, double backIn) implements Step {}
-
-        /** Pass on what the host has answered. */
-        record PassOn() implements Step {}
-
-        /** Nothing: nobody waits any more, or the answer has begun. */
-        record Nothing() implements Step {}
-    }
-
-    /** Why there is no answer of a host. */
-    public enum Reason {
-        RATE_LIMITED,
-        NO_HOST,
-        ERRORED,
-        TIMED_OUT
-    }
-
-    private static final Step NOTHING = new Step.Nothing();
-    private static final Step PASS_ON = new Step.PassOn();
-    /** Of a window: a repeat travels longer than the first by less than this; 0.5 s of a window of 2.5 s. */
-    private static final double WINDOW_MARGIN = 0.2;
+    private static final int UNASSIGNED = -1;
 
-    private final Terrain terrain;
+    private final RetryContext context;
     private final int operation;
-    private final Limits terms;
-    private final boolean marked;
-    private final double deadline;
-    private final BitSet tried = new BitSet();
-    private int further; // further tries begun
-    private int mayHaveRunAt = -1; // the first host that may have run it
-    private double mayHaveRunSince; // when it was sent there
-    private int host = -1;
-    private double sentAt;
+    private final OperationPolicy policy;
+    private final double deadlineMs;
+    private final DuplicateGuard duplicateGuard;
+    // All below are guarded by this.
+    private final BitSet triedHosts = new BitSet();
+    private int retries;
+    private int host = UNASSIGNED; // of the latest attempt
+    private double sentAtMs;
     private boolean over;
 
-    /** {@code marked}: it carries the mark by which hosts know a repeat. */
-    public RetryDecision(Terrain terrain, int operation, Limits terms, boolean marked, double now) {
-        this.terrain = terrain;
+    /** {@code hasIdempotencyKey}: the request carries the key by which hosts recognise a repeat. */
+    public RetryDecision(
+            RetryContext context, int operation, OperationPolicy policy, boolean hasIdempotencyKey, double nowMs) {
+        this.context = context;
         this.operation = operation;
-        this.terms = terms;
-        this.marked = marked;
-        deadline = now + terms.timeout();
+        this.policy = policy;
+        deadlineMs = nowMs + policy.timeoutMs();
+        duplicateGuard = new DuplicateGuard(policy, hasIdempotencyKey, context.hosts());
     }
 
-    /** The first step: lets it in or not, and picks. */
-    public synchronized Step begin(double now, boolean bodyHeld) {
-        double wait = terrain.tables().wait(operation, now, terrain.draw().getAsDouble());
-        if (wait > 0) {
+    /** The first step: admits the request and picks a host, or rejects it. */
+    public synchronized NextStep begin(double nowMs, boolean bodyRetained) {
+        double retryAfterMs = context.tables()
+                .admissionRetryAfterMs(operation, nowMs, context.draw().getAsDouble());
+        if (retryAfterMs > 0) {
             over = true;
-            return new Step.GiveUp(Reason.RATE_LIMITED, wait);
+            return new NextStep.Reject(FailureReason.RATE_LIMITED, retryAfterMs);
         }
-        int first = terrain.tables().pick(operation, now, terrain.draw().getAsDouble());
+        int first = context.tables().pick(operation, nowMs, context.draw().getAsDouble());
         if (first == Tables.NONE) {
             over = true;
-            return new Step.GiveUp(Reason.NO_HOST, Double.POSITIVE_INFINITY);
+            return new NextStep.Reject(FailureReason.NO_HOST, Double.POSITIVE_INFINITY);
         }
-        terrain.budget().first(now);
-        return send(first, now, bodyHeld);
+        context.budget().recordFirstAttempt(nowMs);
+        return send(first, nowMs, bodyRetained);
     }
 
-    /** An attempt ended; {@code bodyHeld}: the whole body can be sent again. */
-    public synchronized Step ended(Attempt attempt, double now, boolean bodyHeld) {
+    /** The step after a failed attempt; {@code bodyRetained}: the whole body can be sent again. */
+    public synchronized NextStep attemptFailed(AttemptFailure failure, double nowMs, boolean bodyRetained) {
         if (over) {
-            return NOTHING;
+            return NextStep.NOTHING;
         }
-        if (attempt.why() != Attempt.Why.GOING_AWAY) { // that one leaves in order, and has not errored
-            terrain.tables().ended(host, false, now);
+        if (failure.cause() != AttemptFailure.Cause.GOING_AWAY) { // a host that leaves in order has not failed
+            context.tables().recordOutcome(host, false, nowMs);
         }
-        if (!attempt.neverRan() && mayHaveRunAt < 0) {
-            mayHaveRunAt = host;
-            mayHaveRunSince = sentAt;
-        }
-        if (mayTryAgain(attempt, now, bodyHeld)) {
-            int next = terrain.tables().pick(operation, now, terrain.draw().getAsDouble(), this::isOpen);
-            if (next != Tables.NONE && terrain.budget().take(now)) {
-                further++;
-                return send(next, now, bodyHeld);
+        duplicateGuard.recordFailure(failure, host, sentAtMs);
+        if (mayRetry(failure, nowMs, bodyRetained)) {
+            int next = context.tables().pick(operation, nowMs, context.draw().getAsDouble(), this::mayRetryAt);
+            if (next != Tables.NONE && context.budget().tryTakeRetry(nowMs)) {
+                retries++;
+                return send(next, nowMs, bodyRetained);
             }
         }
         over = true;
-        return attempt.why() == Attempt.Why.ANSWERED_ERRORED
-                ? PASS_ON
-                : new Step.GiveUp(
-                        attempt.why() == Attempt.Why.TIMED_OUT ? Reason.TIMED_OUT : Reason.ERRORED,
-                        Double.POSITIVE_INFINITY);
+        return switch (failure.cause()) {
+            case ANSWERED_ERRORED -> NextStep.FORWARD;
+            case TIMED_OUT -> new NextStep.Reject(FailureReason.TIMED_OUT, Double.POSITIVE_INFINITY);
+            default -> new NextStep.Reject(FailureReason.ERRORED, Double.POSITIVE_INFINITY);
+        };
     }
 
-    /** The host's answer is good and goes to the caller: nothing is tried after this. */
-    public synchronized Step answered(double now) {
+    /** The host's answer is good and goes to the client: nothing is tried after this. */
+    public synchronized NextStep attemptSucceeded(double nowMs) {
         if (over) {
-            return NOTHING;
+            return NextStep.NOTHING;
         }
         over = true;
-        terrain.tables().ended(host, true, now);
-        return PASS_ON;
+        context.tables().recordOutcome(host, true, nowMs);
+        return NextStep.FORWARD;
     }
 
-    /** The caller is gone, or gets an answer of ours: nothing is tried after this. False if it was over already. */
-    public synchronized boolean abandoned() {
-        boolean was = over;
+    /** The client is gone, or gets an answer of the gateway: nothing is tried after this. False if it was over. */
+    public synchronized boolean abandon() {
+        boolean wasOver = over;
         over = true;
-        return !was;
+        return !wasOver;
     }
 
-    private Step send(int to, double now, boolean bodyHeld) {
-        host = to;
-        sentAt = now;
-        tried.set(to);
-        return new Step.Send(to, sendBy(), giveUpAt(now, bodyHeld));
+    /** Attempts begun so far. */
+    public synchronized int attempts() {
+        return host == UNASSIGNED ? 0 : retries + 1;
     }
 
-    private double sendBy() {
-        return mayHaveRunAt >= 0 && terms.effect() == Idempotence.FINGERPRINTED
-                ? mayHaveRunSince + terms.window() * (1 - WINDOW_MARGIN)
-                : Double.POSITIVE_INFINITY;
+    private NextStep send(int next, double nowMs, boolean bodyRetained) {
+        host = next;
+        sentAtMs = nowMs;
+        triedHosts.set(next);
+        return new NextStep.Send(next, duplicateGuard.sendByMs(), giveUpAtMs(nowMs, bodyRetained));
     }
 
     /**
-     * An attempt that may be followed even though it may have run is given {@code tryObjectives} latency objectives;
-     * any other has all the time there is.
+     * An attempt that may be followed by another even though it may have been executed gets some latency objectives, so
+     * that time is left for the other one; any other attempt gets all the time there is.
      */
-    private double giveUpAt(double now, boolean bodyHeld) {
-        boolean mayFollow = terrain.tables().tries(operation).compareTo(RetryPolicy.ONE) >= 0
-                && further < most()
-                && repeatable()
-                && bodyHeld;
-        return mayFollow ? Math.min(deadline, now + terrain.tryObjectives() * terms.objective()) : deadline;
+    private double giveUpAtMs(double nowMs, boolean bodyRetained) {
+        boolean mayBeFollowed = context.tables().retryPolicy(operation).compareTo(RetryPolicy.ONE) >= 0
+                && retries < maxRetries()
+                && duplicateGuard.isRepeatable()
+                && bodyRetained;
+        return mayBeFollowed
+                ? Math.min(deadlineMs, nowMs + context.attemptObjectives() * policy.latencyObjectiveMs())
+                : deadlineMs;
     }
 
-    private int most() {
-        return switch (terrain.tables().tries(operation)) {
+    private int maxRetries() {
+        return switch (context.tables().retryPolicy(operation)) {
             case NONE -> 0;
             case ONE_IF_NOT_EXECUTED, ONE -> 1;
             case TWO -> 2;
         };
     }
 
-    private boolean repeatable() {
-        return terms.effect() == Idempotence.IDEMPOTENT || terms.effect() == Idempotence.FINGERPRINTED && marked;
-    }
-
-    private boolean mayTryAgain(Attempt attempt, double now, boolean bodyHeld) {
-        if (further >= most() || now >= deadline || !bodyHeld) {
+    private boolean mayRetry(AttemptFailure failure, double nowMs, boolean bodyRetained) {
+        if (retries >= maxRetries() || nowMs >= deadlineMs || !bodyRetained) {
             return false;
         }
-        if (attempt.neverRan() && mayHaveRunAt < 0) {
+        if (failure.isProvenNotExecuted() && !duplicateGuard.mayHaveRun()) {
             return true;
         }
-        return terrain.tables().tries(operation) != RetryPolicy.ONE_IF_NOT_EXECUTED
-                && repeatable()
-                && (terms.effect() == Idempotence.IDEMPOTENT || now <= sendBy());
-    }
-
-    private boolean isOpen(int other) {
-        return !tried.get(other)
-                && (mayHaveRunAt < 0
-                        || terms.effect() != Idempotence.FINGERPRINTED
-                        || terrain.hosts().shareMarks(terms.group(), mayHaveRunAt, other));
+        return context.tables().retryPolicy(operation) != RetryPolicy.ONE_IF_NOT_EXECUTED
+                && duplicateGuard.isRepeatable()
+                && nowMs <= duplicateGuard.sendByMs();
     }
 
-    public synchronized int attempts() {
-        return host < 0 ? 0 : further + 1;
+    private boolean mayRetryAt(int other) {
+        return !triedHosts.get(other) && duplicateGuard.allows(other);
     }
 }
--- a/src/main/java/linenring/routing/RollingStatistics.java
+++ b/src/main/java/linenring/routing/RollingStatistics.java
@@ -5,59 +5,66 @@
 import java.util.TreeMap;
 import linenring.protocol.InboundMessage;
 
-/** What a proxy met at each host and was asked of each operation, summed up from one report to the next. */
+/** A proxy's attempts by host and requests by operation, added up from one report to the next. */
 public final class RollingStatistics {
-    private static final class Met {
-        int total, bad;
-        double goodMs;
+    private static final class HostTotals {
+        private int attempts;
+        private int failures;
+        private double successMs; // latency of all successes together
+
+        void add(boolean success, double latencyMs) {
+            attempts++;
+            failures += success ? 0 : 1;
+            successMs += success ? latencyMs : 0;
+        }
+
+        double meanSuccessMs() {
+            return attempts == failures ? 0 : successMs / (attempts - failures);
+        }
     }
 
-    private final int proxy, zone;
+    private final int proxy;
+    private final int zone;
     private final HostRegistry hosts;
-    private final TreeMap<Integer, Met> met = new TreeMap<>(); // by host
-    private final int[] asked; // by operation
-    private double since;
+    // All below are guarded by this.
+    private final TreeMap<Integer, HostTotals> totalsByHost = new TreeMap<>();
+    private final int[] requestsByOperation;
+    private double sinceMs;
 
-    public RollingStatistics(int proxy, int zone, HostRegistry hosts, int operations, double now) {
+    /** Of the proxy with this number in this zone (an index), from now on. */
+    public RollingStatistics(int proxy, int zone, HostRegistry hosts, int operations, double nowMs) {
         this.proxy = proxy;
         this.zone = zone;
         this.hosts = hosts;
-        asked = new int[operations];
-        since = now;
+        requestsByOperation = new int[operations];
+        sinceMs = nowMs;
     }
 
-    public synchronized void asked(int operation) {
-        asked[operation]++;
+    /** Records that a client asked for an operation. */
+    public synchronized void recordRequest(int operation) {
+        requestsByOperation[operation]++;
     }
 
-    /** A try at a host ended after so many ms. */
-    public synchronized void ended(int host, boolean well, double ms) {
-        Met m = met.computeIfAbsent(host, h -> new Met());
-        m.total++;
-        m.bad += well ? 0 : 1;
-        m.goodMs += well ? ms : 0;
+    /** Records that an attempt at a host ended after so many ms. */
+    public synchronized void recordAttempt(int host, boolean success, double latencyMs) {
+        totalsByHost.computeIfAbsent(host, index -> new HostTotals()).add(success, latencyMs);
     }
 
-    /** All since the last report, as a collector and a proxy would say it. */
-    public synchronized List<InboundMessage> report(double now) {
-        double span = now - since;
-        List<InboundMessage> said = new ArrayList<>();
-        if (!(span > 0)) {
-            return said;
+    /** The load reports and request rates since the last call, as a collector and a proxy would send them. */
+    public synchronized List<InboundMessage> drainReport(double nowMs) {
+        double spanMs = nowMs - sinceMs;
+        List<InboundMessage> report = new ArrayList<>();
+        if (!(spanMs > 0)) {
+            return report;
         }
-        met.forEach((host, m) -> said.add(new InboundMessage.LoadReport(
-                hosts.host(host).id(),
-                zone,
-                m.total,
-                m.bad,
-                m.total == m.bad ? 0 : m.goodMs / (m.total - m.bad),
-                span)));
-        for (int k = 0; k < asked.length; k++) {
-            said.add(new InboundMessage.RequestRateReport(proxy, k, asked[k], span));
-            asked[k] = 0;
+        totalsByHost.forEach((host, totals) -> report.add(new InboundMessage.LoadReport(
+                hosts.host(host).id(), zone, totals.attempts, totals.failures, totals.meanSuccessMs(), spanMs)));
+        for (int operation = 0; operation < requestsByOperation.length; operation++) {
+            report.add(new InboundMessage.RequestRateReport(proxy, operation, requestsByOperation[operation], spanMs));
+            requestsByOperation[operation] = 0;
         }
-        met.clear();
-        since = now;
-        return said;
+        totalsByHost.clear();
+        sinceMs = nowMs;
+        return report;
     }
 }
--- a/src/main/java/linenring/routing/Tables.java
+++ b/src/main/java/linenring/routing/Tables.java
@@ -1,8 +1,6 @@
 package linenring.routing;
 
-import java.util.ArrayList;
 import java.util.BitSet;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
@@ -13,223 +11,152 @@
 import linenring.protocol.ConfigurationUpdate;
 
 /**
- * The honest reader of a steward's orders: what a proxy holds, and whom it picks. Orders are applied by one thread at a
- * time; picks come from any thread and see the tables before or after an order, never between. Hosts and operations
- * are indices; times are ms on the caller's clock.
+ * The endpoint tables of one proxy as the controller has ordered them, and the hosts that are picked from them. Updates
+ * are applied under this object's lock; picks come from any thread and see the tables before or after an update, never
+ * between. Hosts and operations are indices; times are ms on the caller's clock.
+ *
+ * <p>A host is picked by weight. Those that the controller has ejected are never picked; those that this proxy has
+ * ejected by itself ({@link OutlierEjection}) only where no other is left.
  */
 public final class Tables {
     /** No host may be picked. */
     public static final int NONE = HostSelection.NONE;
-    /** What proxies do until they are told otherwise. */
-    static final RetryPolicy UNTOLD = RetryPolicy.ONE_IF_NOT_EXECUTED;
 
-    /** What came of an order: the marks to answer, in order, or why it can't be used and changed nothing. */
-    public record Applied(List<Integer> marks, String unusable) {
-        public boolean isUsable() {
-            return unusable == null;
-        }
-    }
-
-    /** One operation's: never changed once it is in {@link #held}. */
-    private record Held(TreeMap<Integer, Double> lines, AdmissionControl admissionRatio, RetryPolicy tries) {
-        static final Held NOTHING = new Held(new TreeMap<>(), AdmissionControl.ALL, UNTOLD);
-    }
-
-    /** What may be drawn from: of one state of the tables and of who is avoided. */
-    private record Open(int avoidance, HostSelection choice, HostSelection avoidedToo) {}
+    /** What may be picked from, as of one state of the tables and of the proxy's own ejections. */
+    private record Candidates(int ejectionVersion, HostSelection preferred, HostSelection all) {}
 
     private final List<String> operations;
     private final HostRegistry hosts;
     private final Measure measure;
-    private final OutlierEjection avoidance;
-    private final Map<String, Integer> numbers = new HashMap<>();
-    private volatile Held[] held;
-    private BitSet ejected = new BitSet(); // kept across streams; replaced, never changed
-    private final AtomicReferenceArray<Open> open;
-
-    /** {@code avoidAfter} own tries that errored in a row keep it away from a host for {@code avoidFor} ms. */
-    public Tables(List<String> operations, HostRegistry hosts, Measure measure, int avoidAfter, double avoidFor) {
+    private final OutlierEjection outlierEjection;
+    private volatile OperationTable[] tables; // replaced under this, never changed
+    private BitSet ejectedByController = new BitSet(); // guarded by this; outlives streams; replaced, never changed
+    private final AtomicReferenceArray<Candidates> candidates; // by operation; null: to be made anew
+
+    /**
+     * Empty tables.
+     *
+     * @param failuresToEject own failed attempts in a row after which the proxy ejects a host; 0: never
+     * @param ejectionMs      how long
+     */
+    public Tables(
+            List<String> operations, HostRegistry hosts, Measure measure, int failuresToEject, double ejectionMs) {
         this.operations = List.copyOf(operations);
         this.hosts = hosts;
         this.measure = measure;
-        avoidance = new OutlierEjection(avoidAfter, avoidFor);
-        held = new Held[operations.size()];
-        open = new AtomicReferenceArray<>(operations.size());
-        for (int k = 0; k < held.length; k++) {
-            held[k] = Held.NOTHING;
-            numbers.put(operations.get(k), k);
-        }
-    }
-
-    // ---- orders
-
-    /** Applies all parts of an order, or none of them where one can't be used. */
-    public synchronized Applied apply(ConfigurationUpdate order) {
-        Held[] next = held.clone();
-        BitSet shut = (BitSet) ejected.clone();
-        List<Integer> marks = new ArrayList<>();
-        for (ConfigurationUpdate.Part part : order.parts()) {
-            String fault = apply(part, next, shut);
-            if (fault != null) {
-                return new Applied(List.of(), fault);
-            }
-            if (part.mark() != ConfigurationUpdate.NO_MARK) {
-                marks.add(part.mark());
-            }
-        }
-        held = next;
-        ejected = shut;
-        for (int k = 0; k < next.length; k++) {
-            open.set(k, null);
-        }
-        return new Applied(marks, null);
-    }
-
-    private String apply(ConfigurationUpdate.Part part, Held[] next, BitSet shut) {
-        BitSet meant = new BitSet();
-        for (String operation : part.operations()) {
-            Integer k = numbers.get(operation);
-            if (k == null) {
-                return "unknown operation '" + operation + "'";
-            }
-            meant.set(k);
+        outlierEjection = new OutlierEjection(failuresToEject, ejectionMs);
+        tables = new OperationTable[operations.size()];
+        java.util.Arrays.fill(tables, OperationTable.EMPTY);
+        candidates = new AtomicReferenceArray<>(operations.size());
+    }
+
+    /**
+     * Applies all parts of an update.
+     *
+     * @return the nonces to acknowledge, in order
+     * @throws UnusableUpdateException where a part cannot be used; then nothing has changed
+     */
+    public synchronized List<Integer> apply(ConfigurationUpdate update) throws UnusableUpdateException {
+        TableUpdate next = new TableUpdate(operations, hosts, measure, tables, ejectedByController);
+        for (ConfigurationUpdate.Part part : update.parts()) {
+            next.apply(part);
         }
-        if (part.operations().isEmpty()) {
-            meant.set(0, next.length);
+        tables = next.tables();
+        ejectedByController = next.ejectedHosts();
+        for (int operation = 0; operation < operations.size(); operation++) {
+            candidates.set(operation, null);
         }
-        TreeMap<Integer, Double> changes = new TreeMap<>();
-        for (ConfigurationUpdate.Line line : part.lines()) {
-            int host = hosts.index(line.host());
-            if (host < 0) {
-                return "host '" + line.host() + "' was never listed";
-            } else if (!(line.weight() >= 0) || Double.isInfinite(line.weight())) {
-                return "weight " + line.weight() + " of host '" + line.host() + "'";
-            }
-            changes.put(host, line.weight());
-        }
-        ConfigurationUpdate.Level level = part.level();
-        if (level != null
-                && (!(level.admissionRatio() >= 0)
-                        || level.tries() < 0
-                        || level.tries() >= RetryPolicy.values().length)) {
-            return "level " + level.admissionRatio() + " with further tries " + level.tries();
-        }
-        for (int k = meant.nextSetBit(0); k >= 0; k = meant.nextSetBit(k + 1)) {
-            Held was = next[k];
-            TreeMap<Integer, Double> lines = was.lines();
-            if (part.whole() || !changes.isEmpty()) {
-                lines = part.whole() ? new TreeMap<>() : new TreeMap<>(was.lines());
-                lines.putAll(changes);
-                lines.values().removeIf(weight -> weight == 0);
-            }
-            AdmissionControl admissionRatio = level != null
-                    ? was.admissionRatio().next(level.admissionRatio(), measure)
-                    : part.whole() ? AdmissionControl.ALL : was.admissionRatio();
-            RetryPolicy tries =
-                    level != null ? RetryPolicy.values()[level.tries()] : part.whole() ? UNTOLD : was.tries();
-            next[k] = new Held(lines, admissionRatio, tries);
-        }
-        String fault = shut(part.ejected(), shut, true);
-        return fault != null ? fault : shut(part.restored(), shut, false);
+        return next.nonces();
     }
 
-    private String shut(List<String> words, BitSet shut, boolean out) {
-        for (String word : words) {
-            int host = hosts.index(word);
-            if (host < 0) {
-                return "host '" + word + "' was never listed";
-            }
-            shut.set(host, out);
-        }
-        return null;
-    }
-
-    /** Whether a table was ever ordered: what a proxy says when it joins. */
-    public boolean isFresh() {
-        for (Held h : held) {
-            if (!h.lines().isEmpty()) {
+    /** Whether no table has an entry: what a proxy says when it subscribes. */
+    public boolean isEmpty() {
+        for (OperationTable table : tables) {
+            if (!table.weights().isEmpty()) {
                 return false;
             }
         }
         return true;
     }
 
-    // ---- picks
+    /** A host by weight for {@code draw} in [0, 1), or {@link #NONE}. */
+    public int pick(int operation, double nowMs, double draw) {
+        return candidates(operation, nowMs).preferred().pick(draw);
+    }
 
-    private Open open(int operation, double now) {
-        int version = avoidance.version(now);
-        Open is = open.get(operation);
-        return is != null && is.avoidance() == version ? is : reopen(operation, version);
+    /** The same among the hosts that are {@code allowed}; those that the proxy ejected where there is no other. */
+    int pick(int operation, double nowMs, double draw, IntPredicate allowed) {
+        Candidates current = candidates(operation, nowMs);
+        int preferred = current.preferred().pick(draw, allowed);
+        return preferred != NONE ? preferred : current.all().pick(draw, allowed);
     }
 
-    private synchronized Open reopen(int operation, int version) {
-        TreeMap<Integer, Double> lines = held[operation].lines();
-        int[] all = new int[lines.size()], free = new int[lines.size()];
-        double[] allWeights = new double[lines.size()], freeWeights = new double[lines.size()];
-        int of = 0, among = 0;
-        for (Map.Entry<Integer, Double> line : lines.entrySet()) {
-            if (ejected.get(line.getKey())) {
-                continue;
-            }
-            all[of] = line.getKey();
-            allWeights[of++] = line.getValue();
-            if (!avoidance.isAvoided(line.getKey())) {
-                free[among] = line.getKey();
-                freeWeights[among++] = line.getValue();
-            }
-        }
-        HostSelection any = new HostSelection(all, allWeights, of);
-        Open now = new Open(version, among == 0 ? any : new HostSelection(free, freeWeights, among), any);
-        open.set(operation, now);
-        return now;
+    private Candidates candidates(int operation, double nowMs) {
+        int ejectionVersion = outlierEjection.version(nowMs);
+        Candidates current = candidates.get(operation);
+        boolean valid = current != null && current.ejectionVersion() == ejectionVersion;
+        return valid ? current : selectCandidates(operation, ejectionVersion);
     }
 
-    /** A host by weight, among those that are neither shut out nor avoided; or any, if all are avoided. */
-    public int pick(int operation, double now, double draw) {
-        return open(operation, now).choice().pick(draw);
+    private synchronized Candidates selectCandidates(int operation, int ejectionVersion) {
+        HostSelection all = select(operation, host -> true);
+        HostSelection preferred = select(operation, host -> !outlierEjection.isEjected(host));
+        Candidates selected = new Candidates(ejectionVersion, preferred.isEmpty() ? all : preferred, all);
+        candidates.set(operation, selected);
+        return selected;
     }
 
-    /** The same among those that are {@code allowed}; avoided ones where there is no other. */
-    int pick(int operation, double now, double draw, IntPredicate allowed) {
-        Open is = open(operation, now);
-        int free = is.choice().pick(draw, allowed);
-        return free != NONE ? free : is.avoidedToo().pick(draw, allowed);
+    /** Of the hosts in a table that the controller has not ejected. The caller holds the lock. */
+    private HostSelection select(int operation, IntPredicate allowed) {
+        TreeMap<Integer, Double> entries = tables[operation].weights();
+        int[] selected = new int[entries.size()];
+        double[] weights = new double[entries.size()];
+        int count = 0;
+        for (Map.Entry<Integer, Double> entry : entries.entrySet()) {
+            if (!ejectedByController.get(entry.getKey()) && allowed.test(entry.getKey())) {
+                selected[count] = entry.getKey();
+                weights[count] = entry.getValue();
+                count++;
+            }
+        }
+        return new HostSelection(selected, weights, count);
     }
 
-    /** 0 if an invocation is let in now, else ms until it is worth coming back, infinity where nobody knows. */
-    double wait(int operation, double now, double draw) {
-        return held[operation].admissionRatio().wait(now, draw);
+    /** 0 if a request is admitted now, else ms after which to try again; infinity where that is not known. */
+    double admissionRetryAfterMs(int operation, double nowMs, double draw) {
+        return tables[operation].admission().retryAfterMs(nowMs, draw);
     }
 
-    RetryPolicy tries(int operation) {
-        return held[operation].tries();
+    RetryPolicy retryPolicy(int operation) {
+        return tables[operation].retryPolicy();
     }
 
-    /** Whether a host is in a table of this operation and not shut out. */
-    public synchronized boolean isOpen(int operation, int host) {
-        return held[operation].lines().containsKey(host) && !ejected.get(host);
+    /** Whether a host is in the table of this operation and not ejected by the controller. */
+    public synchronized boolean isEligible(int operation, int host) {
+        return tables[operation].weights().containsKey(host) && !ejectedByController.get(host);
     }
 
-    /** Whether a host is in any table and not shut out there. */
-    public synchronized boolean isUsed(int host) {
-        for (Held h : held) {
-            if (h.lines().containsKey(host) && !ejected.get(host)) {
+    /** Whether a host is in any table and not ejected by the controller. */
+    public synchronized boolean isEligibleAnywhere(int host) {
+        for (int operation = 0; operation < operations.size(); operation++) {
+            if (isEligible(operation, host)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Weight by host as the table of an operation has it, shut out or not. */
-    public Map<Integer, Double> lines(int operation) {
-        return Map.copyOf(held[operation].lines());
+    /** Weight by host as the table of an operation has it, ejected hosts included. */
+    public Map<Integer, Double> weights(int operation) {
+        return Map.copyOf(tables[operation].weights());
     }
 
-    /** An own try at a host ended; true if that host is avoided from now on. */
-    public boolean ended(int host, boolean well, double now) {
-        return avoidance.ended(host, well, now);
+    /** Records the end of an own attempt at a host; true if the proxy ejects that host from now on. */
+    public boolean recordOutcome(int host, boolean success, double nowMs) {
+        return outlierEjection.recordOutcome(host, success, nowMs);
     }
 
+    /** The names of the operations; their positions are the indices. */
     public List<String> operations() {
         return operations;
     }
--- a/src/main/java/linenring/scale/fleet/HollowFleet.java
+++ b/src/main/java/linenring/scale/fleet/HollowFleet.java
@@ -9,7 +9,7 @@
 import linenring.protocol.ConfigurationUpdate;
 import linenring.protocol.InboundMessage;
 import linenring.routing.HostRegistry;
-import linenring.routing.Tables;
+import linenring.routing.UnusableUpdateException;
 
 /**
  * The proxies and collectors of one steward, without I/O: they join, apply orders as the channel delivers them, acknowledge
@@ -108,9 +108,11 @@
         if (proxy.stream() != stream) {
             return; // lost with its stream
         }
-        Tables.Applied applied = proxy.apply(order);
-        if (!applied.isUsable()) {
-            fault("proxy " + proxy.id() + " can't use an order: " + applied.unusable());
+        List<Integer> nonces;
+        try {
+            nonces = proxy.apply(order);
+        } catch (UnusableUpdateException e) {
+            fault("proxy " + proxy.id() + " can't use an order: " + e.getMessage());
             uplink.leave(proxy.id());
             lost(proxy.id(), stream, now);
             return;
@@ -121,7 +123,7 @@
             timesWithoutHost++;
             fault("proxy " + proxy.id() + " has no host");
         }
-        for (int mark : applied.marks()) {
+        for (int mark : nonces) {
             uplink.say(proxy.id(), new InboundMessage.Acknowledgement(proxy.id(), mark, now - sentAt));
         }
     }
--- a/src/main/java/linenring/scale/fleet/HollowProxy.java
+++ b/src/main/java/linenring/scale/fleet/HollowProxy.java
@@ -8,6 +8,7 @@
 import linenring.protocol.ConfigurationUpdate;
 import linenring.routing.HostRegistry;
 import linenring.routing.Tables;
+import linenring.routing.UnusableUpdateException;
 
 /** A proxy that keeps its tables as ordered and carries no request. Changed on the fleet's thread, read on any. */
 public final class HollowProxy {
@@ -38,7 +39,7 @@
     }
 
     boolean isFresh() {
-        return tables.isFresh();
+        return tables.isEmpty();
     }
 
     public boolean isJoined() {
@@ -61,10 +62,10 @@
         stream++;
     }
 
-    Tables.Applied apply(ConfigurationUpdate order) {
-        Tables.Applied applied = tables.apply(order);
-        ordered |= applied.isUsable();
-        return applied;
+    List<Integer> apply(ConfigurationUpdate order) throws UnusableUpdateException {
+        List<Integer> nonces = tables.apply(order);
+        ordered = true;
+        return nonces;
     }
 
     /** Whether its steward has written to it on its present stream. */
@@ -97,8 +98,8 @@
     /** The ids of the hosts that its table of an operation has and that are not shut out. */
     public Set<String> openHosts(int operation) {
         Set<String> open = new HashSet<>();
-        for (int host : new ArrayList<>(tables.lines(operation).keySet())) {
-            if (tables.isOpen(operation, host)) {
+        for (int host : new ArrayList<>(tables.weights(operation).keySet())) {
+            if (tables.isEligible(operation, host)) {
                 open.add(hosts.host(host).id());
             }
         }
--- a/src/main/java/linenring/scale/run/CatalogueDriver.java
+++ b/src/main/java/linenring/scale/run/CatalogueDriver.java
@@ -26,7 +26,7 @@
     CatalogueDriver(Catalogue catalogue, HostRegistry hosts, long seed) {
         this.hosts = hosts;
         events = new CatalogueEvents(catalogue, new Random(seed));
-        hosts.listed(catalogue.snapshot().asHostList());
+        hosts.apply(catalogue.snapshot().asHostList());
         thread.setDaemon(true);
     }
 
@@ -55,7 +55,7 @@
     }
 
     private void tell(CatalogueChange change) {
-        hosts.listed(change.asHostList());
+        hosts.apply(change.asHostList());
         servers.forEach(s -> s.publish(change));
         hostsChanged += change.hosts().size();
         lastChangeNanos = System.nanoTime();
--- a/src/test/java/linenring/gateway/GatewayBesideControllerTest.java
+++ b/src/test/java/linenring/gateway/GatewayBesideControllerTest.java
@@ -53,7 +53,7 @@
             nodes.add(new TestBackend());
         }
         HostRegistry book = new HostRegistry();
-        exchange.follow(book::listed);
+        exchange.follow(book::apply);
         ControlLoop steward = new ControlLoop(figures, GatewayFixture.NAMES, null, exchange, log);
         thread = new Thread(steward::run, "steward");
         thread.setDaemon(true);
--- a/src/test/java/linenring/gateway/GatewayFixture.java
+++ b/src/test/java/linenring/gateway/GatewayFixture.java
@@ -70,8 +70,8 @@
         }
         GatewaySettings plan = SettingsText.plan(String.format(PLAN, more), NAMES);
         HostRegistry book = new HostRegistry();
-        book.listed(list());
-        exchange.follow(book::listed);
+        book.apply(list());
+        exchange.follow(book::apply);
         Log log = new Log(new PrintStream(logged, true));
         Http2Gateway.Opened opened =
                 Http2Gateway.open(plan, Measure.SHARE, book, exchange, null, true, log, clientFactory);
--- a/src/test/java/linenring/gateway/SlowDialsTest.java
+++ b/src/test/java/linenring/gateway/SlowDialsTest.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.TimeUnit;
 import linenring.planner.Commands.RetryPolicy;
 import linenring.protocol.HostList;
+import linenring.routing.ConnectionPool;
 import linenring.routing.HostRegistry;
-import linenring.routing.Pool;
 import linenring.testserver.LoadClient;
 import linenring.testserver.TestBackend.Deed;
 import linenring.testserver.TestBackend.Told;
@@ -80,7 +80,7 @@
             UpstreamConnections link = new UpstreamConnections(
                     client,
                     listed,
-                    new Pool.Bounds(4, 32, 8, 15_000, 20, 500),
+                    new ConnectionPool.Limits(4, 32, 8, 15_000, 20, 500),
                     50,
                     scheduler,
                     () -> System.nanoTime() / 1e6);
--- a/src/test/java/linenring/gateway/settings/GatewaySettingsReaderTest.java
+++ b/src/test/java/linenring/gateway/settings/GatewaySettingsReaderTest.java
@@ -5,7 +5,7 @@
 
 import java.util.List;
 import linenring.routing.Idempotence;
-import linenring.routing.Limits;
+import linenring.routing.OperationPolicy;
 import linenring.settings.Names;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -30,10 +30,12 @@
     void aPlanHasTheStewardsOrderOfOperationsAndDefaultsForAllElse() {
         GatewaySettings plan = SettingsText.plan(GOOD, NAMES);
         assertEquals(
-                new Limits("quote", Idempotence.IDEMPOTENT, Limits.Group.ZONE, 0, 750, 2000),
+                new OperationPolicy(
+                        "quote", Idempotence.IDEMPOTENT, OperationPolicy.DeduplicationScope.ZONE, 0, 750, 2000),
                 plan.operations().get(0));
         assertEquals(
-                new Limits("book", Idempotence.FINGERPRINTED, Limits.Group.CELL, 2500, 1200, 4000),
+                new OperationPolicy(
+                        "book", Idempotence.FINGERPRINTED, OperationPolicy.DeduplicationScope.CELL, 2500, 1200, 4000),
                 plan.operations().get(1));
         assertEquals(
                 new GatewaySettings.Route("GET", "/quotes", 0), plan.routes().get(0));
--- a/src/test/java/linenring/routing/PickBenchmark.java
+++ b/src/test/java/linenring/routing/PickBenchmark.java
@@ -1,5 +1,6 @@
 package linenring.routing;
 
+import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import linenring.protocol.ConfigurationUpdate;
@@ -18,7 +19,7 @@
 import org.openjdk.jmh.runner.RunnerException;
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 
-/** Picks a second, and of a whole table anew; run by hand, see docs/results.md. */
+/** Picks a second, from a table as it is and after an update; run by hand, see docs/results.md. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.Throughput)
 @OutputTimeUnit(TimeUnit.SECONDS)
@@ -26,36 +27,44 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 public class PickBenchmark {
+    private static final int OTHER_HOST = 3;
+    private static final double HALF_WEIGHT = 0.5;
+
     @Param({"30", "300"})
-    public int hosts;
+    private int hosts;
 
-    private Fixture fixture;
+    private RoutingFixture fixture;
     private ConfigurationUpdate change;
-    private final SplittableRandom chance = new SplittableRandom(1);
+    private final SplittableRandom random = new SplittableRandom(1);
 
+    /** Makes the tables. */
     @Setup
-    public void tables() {
-        fixture = new Fixture(hosts).whole(hosts, null);
-        change = new ConfigurationUpdate(
-                java.util.List.of(Fixture.part(java.util.List.of(), false, null, Fixture.line(0, 0.5))));
+    public void createTables() {
+        fixture = new RoutingFixture(hosts).withCompleteTables(hosts, null);
+        change = RoutingFixture.update(
+                RoutingFixture.part(List.of(), false, null, RoutingFixture.entry(0, HALF_WEIGHT)));
     }
 
+    /** A first attempt. */
     @Benchmark
     public int pick() {
-        return fixture.tables.pick(0, 0, chance.nextDouble());
+        return fixture.tables().pick(0, 0, random.nextDouble());
     }
 
+    /** A retry: one host is not allowed. */
     @Benchmark
     public int pickElsewhere() {
-        return fixture.tables.pick(0, 0, chance.nextDouble(), h -> h != 3);
+        return fixture.tables().pick(0, 0, random.nextDouble(), host -> host != OTHER_HOST);
     }
 
+    /** An update, after which the candidates are selected anew. */
     @Benchmark
-    public int orderThenPick() {
-        fixture.tables.apply(change);
-        return fixture.tables.pick(0, 0, chance.nextDouble());
+    public int updateThenPick() {
+        fixture.apply(change);
+        return fixture.tables().pick(0, 0, random.nextDouble());
     }
 
+    /** Runs all of them. */
     public static void main(String[] args) throws RunnerException {
         new Runner(new OptionsBuilder()
                         .include(PickBenchmark.class.getSimpleName())
--- /dev/null
+++ b/src/test/java/linenring/routing/RoutingFixture.java
@@ -0,0 +1,118 @@
+package linenring.routing;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Random;
+import java.util.stream.IntStream;
+import linenring.planner.Commands.RetryPolicy;
+import linenring.planner.PlannerSettings.Measure;
+import linenring.protocol.ConfigurationUpdate;
+import linenring.protocol.HostList;
+
+/** Hosts s-0, s-1, ... in zones 0 and 1 alternately, three operations, tables as a controller orders them. */
+final class RoutingFixture {
+    static final OperationPolicy QUOTE =
+            new OperationPolicy("quote", Idempotence.IDEMPOTENT, OperationPolicy.DeduplicationScope.ALL, 0, 750, 2000);
+    static final OperationPolicy BOOK = new OperationPolicy(
+            "book", Idempotence.FINGERPRINTED, OperationPolicy.DeduplicationScope.ZONE, 2500, 1200, 4000);
+    static final OperationPolicy ASSIGN = new OperationPolicy(
+            "assign", Idempotence.SIDE_EFFECTING, OperationPolicy.DeduplicationScope.ALL, 0, 750, 2000);
+    static final List<OperationPolicy> ALL = List.of(QUOTE, BOOK, ASSIGN);
+
+    private static final double ATTEMPT_OBJECTIVES = 1.2;
+    private static final int FAILURES_TO_EJECT = 3;
+    private static final double EJECTION_MS = 5000;
+
+    private final HostRegistry hosts = new HostRegistry();
+    private final Tables tables;
+    private final Random random = new Random(7);
+    private RetryBudget budget = new RetryBudget(1, 100, 10_000);
+
+    RoutingFixture(int count) {
+        this(count, Measure.SHARE);
+    }
+
+    RoutingFixture(int count, Measure measure) {
+        List<HostList.Entry> entries = new ArrayList<>();
+        for (int h = 0; h < count; h++) {
+            entries.add(new HostList.Entry(
+                    "s-" + h, h % 2, 0, HostList.State.READY, 1, 0, "127.0.0.1:" + (1000 + h), h / 2));
+        }
+        hosts.apply(new HostList(1, true, entries));
+        tables = new Tables(
+                ALL.stream().map(OperationPolicy::operation).toList(), hosts, measure, FAILURES_TO_EJECT, EJECTION_MS);
+    }
+
+    HostRegistry hosts() {
+        return hosts;
+    }
+
+    Tables tables() {
+        return tables;
+    }
+
+    Random random() {
+        return random;
+    }
+
+    void setBudget(RetryBudget newBudget) {
+        budget = newBudget;
+    }
+
+    static ConfigurationUpdate.Line entry(int host, double weight) {
+        return new ConfigurationUpdate.Line("s-" + host, weight);
+    }
+
+    static ConfigurationUpdate.Level level(double admissionRatio, RetryPolicy retryPolicy) {
+        return new ConfigurationUpdate.Level(admissionRatio, TableUpdate.RETRY_POLICIES.indexOf(retryPolicy));
+    }
+
+    static ConfigurationUpdate.Part part(
+            List<String> operations,
+            boolean complete,
+            ConfigurationUpdate.Level level,
+            ConfigurationUpdate.Line... entries) {
+        return new ConfigurationUpdate.Part(
+                operations, complete, Arrays.asList(entries), level, List.of(), List.of(), ConfigurationUpdate.NO_MARK);
+    }
+
+    static ConfigurationUpdate update(ConfigurationUpdate.Part... parts) {
+        return new ConfigurationUpdate(List.of(parts));
+    }
+
+    static ConfigurationUpdate ejections(List<String> ejected, List<String> restored, int nonce) {
+        return update(new ConfigurationUpdate.Part(List.of(), false, List.of(), null, ejected, restored, nonce));
+    }
+
+    /** Applies an update that is expected to be usable. */
+    List<Integer> apply(ConfigurationUpdate update) {
+        try {
+            return tables.apply(update);
+        } catch (UnusableUpdateException unexpected) {
+            throw new AssertionError(unexpected);
+        }
+    }
+
+    /** Replaces all tables by one that holds the first hosts, with equal weights. */
+    RoutingFixture withCompleteTables(int count, ConfigurationUpdate.Level level) {
+        ConfigurationUpdate.Line[] entries =
+                IntStream.range(0, count).mapToObj(host -> entry(host, 1)).toArray(ConfigurationUpdate.Line[]::new);
+        apply(update(part(List.of(), true, level, entries)));
+        return this;
+    }
+
+    RetryDecision request(OperationPolicy policy, boolean hasIdempotencyKey, double nowMs) {
+        return new RetryDecision(
+                new RetryContext(tables, hosts, budget, ATTEMPT_OBJECTIVES, random::nextDouble),
+                ALL.indexOf(policy),
+                policy,
+                hasIdempotencyKey,
+                nowMs);
+    }
+
+    /** The host of a step that sends, or -1. */
+    static int sentTo(NextStep step) {
+        return step instanceof NextStep.Send send ? send.host() : -1;
+    }
+}
--- a/src/test/java/linenring/routing/TablesTest.java
+++ b/src/test/java/linenring/routing/TablesTest.java
@@ -1,210 +1,228 @@
 package linenring.routing;
 
-import static linenring.routing.Fixture.ejected;
-import static linenring.routing.Fixture.line;
-import static linenring.routing.Fixture.part;
+import static linenring.routing.RoutingFixture.ejections;
+import static linenring.routing.RoutingFixture.entry;
+import static linenring.routing.RoutingFixture.level;
+import static linenring.routing.RoutingFixture.part;
+import static linenring.routing.RoutingFixture.update;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeSet;
 import linenring.planner.Commands.RetryPolicy;
 import linenring.planner.PlannerSettings.Measure;
 import linenring.protocol.ConfigurationUpdate;
 import linenring.protocol.HostList;
+import linenring.routing.UnusableUpdateException.Problem;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
 class TablesTest {
-    private static TreeSet<Integer> picked(Fixture f, int operation, double now) {
-        TreeSet<Integer> seen = new TreeSet<>();
+    private static Set<Integer> picked(RoutingFixture fixture, double nowMs) {
+        Set<Integer> picked = new TreeSet<>();
         for (int i = 0; i < 2000; i++) {
-            seen.add(f.tables.pick(operation, now, f.chance.nextDouble()));
+            picked.add(fixture.tables().pick(0, nowMs, fixture.random().nextDouble()));
         }
-        return seen;
+        return picked;
+    }
+
+    private static Set<Integer> hosts(Integer... hosts) {
+        return new TreeSet<>(List.of(hosts));
     }
 
     @Test
-    void changesApplyToTheTableThatIsThereAndWeightZeroTakesALineOut() {
-        Fixture f = new Fixture(4).whole(3, null);
-        f.tables.apply(new ConfigurationUpdate(List.of(part(List.of("quote"), false, null, line(0, 0), line(3, 2)))));
-        assertEquals(Map.of(1, 1.0, 2, 1.0, 3, 2.0), f.tables.lines(0));
-        assertEquals(Map.of(0, 1.0, 1, 1.0, 2, 1.0), f.tables.lines(1));
-        assertEquals(new TreeSet<>(List.of(1, 2, 3)), picked(f, 0, 0));
+    void appliesChangesToExistingTableAndRemovesEntryOfWeightZero() {
+        RoutingFixture fixture = new RoutingFixture(4).withCompleteTables(3, null);
+        fixture.apply(update(part(List.of("quote"), false, null, entry(0, 0), entry(3, 2))));
+        assertEquals(Map.of(1, 1.0, 2, 1.0, 3, 2.0), fixture.tables().weights(0));
+        assertEquals(Map.of(0, 1.0, 1, 1.0, 2, 1.0), fixture.tables().weights(1));
+        assertEquals(hosts(1, 2, 3), picked(fixture, 0));
     }
 
     @Test
-    void aWholeTableForgetsLevelsAndChangesKeepThem() {
-        Fixture f = new Fixture(2).whole(2, new ConfigurationUpdate.Level(0, 2));
-        f.tables.apply(new ConfigurationUpdate(List.of(part(List.of("quote"), false, null, line(0, 0.5)))));
-        assertTrue(f.tables.wait(0, 0, 0.5) > 0);
-        assertEquals(RetryPolicy.ONE, f.tables.tries(0));
-        f.whole(2, null);
-        assertEquals(0, f.tables.wait(0, 0, 0.999));
-        assertEquals(RetryPolicy.ONE_IF_NOT_EXECUTED, f.tables.tries(0));
+    void resetsAdmissionWithCompleteTableAndKeepsItWithChanges() {
+        RoutingFixture fixture = new RoutingFixture(2).withCompleteTables(2, level(0, RetryPolicy.ONE));
+        fixture.apply(update(part(List.of("quote"), false, null, entry(0, 0.5))));
+        assertTrue(fixture.tables().admissionRetryAfterMs(0, 0, 0.5) > 0);
+        assertEquals(RetryPolicy.ONE, fixture.tables().retryPolicy(0));
+        fixture.withCompleteTables(2, null);
+        assertEquals(0, fixture.tables().admissionRetryAfterMs(0, 0, 0.999));
+        assertEquals(RetryPolicy.ONE_IF_NOT_EXECUTED, fixture.tables().retryPolicy(0));
+    }
+
+    private static void assertUnusable(RoutingFixture fixture, Problem problem, ConfigurationUpdate update) {
+        UnusableUpdateException thrown = assertThrows(
+                UnusableUpdateException.class, () -> fixture.tables().apply(update));
+        assertEquals(problem, thrown.problem(), thrown.getMessage());
+        assertEquals(Map.of(0, 1.0), fixture.tables().weights(0), thrown.getMessage());
     }
 
     @Test
-    void anOrderOfWhichOnePartCantBeUsedChangesNothing() {
-        Fixture f = new Fixture(2).whole(1, null);
-        for (ConfigurationUpdate.Part bad : List.of(
-                part(List.of("lookup"), false, null, line(1, 1)),
-                part(List.of(), false, null, line(9, 1)),
-                part(List.of(), false, null, line(1, -1)),
-                part(List.of(), false, null, line(1, Double.NaN)),
-                part(List.of(), false, new ConfigurationUpdate.Level(-1, 0)),
-                part(List.of(), false, new ConfigurationUpdate.Level(1, 4)))) {
-            Tables.Applied done =
-                    f.tables.apply(new ConfigurationUpdate(List.of(part(List.of(), true, null, line(1, 1)), bad)));
-            assertFalse(done.isUsable());
-            assertEquals(Map.of(0, 1.0), f.tables.lines(0), done.unusable());
-        }
-        assertFalse(f.tables.apply(ejected(List.of("s-0", "s-9"), List.of(), 4)).isUsable());
-        assertEquals(0, f.tables.pick(0, 0, 0.5));
+    void changesNothingWhenOnePartOfUpdateIsUnusable() {
+        RoutingFixture fixture = new RoutingFixture(2).withCompleteTables(1, null);
+        ConfigurationUpdate.Part usable = part(List.of(), true, null, entry(1, 1));
+        Map<ConfigurationUpdate.Part, Problem> unusable = Map.of(
+                part(List.of("lookup"), false, null, entry(1, 1)), Problem.UNKNOWN_OPERATION,
+                part(List.of(), false, null, entry(9, 1)), Problem.UNLISTED_HOST,
+                part(List.of(), false, null, entry(1, -1)), Problem.INVALID_WEIGHT,
+                part(List.of(), false, null, entry(1, Double.NaN)), Problem.INVALID_WEIGHT,
+                part(List.of(), false, new ConfigurationUpdate.Level(-1, 0)), Problem.INVALID_ADMISSION,
+                part(List.of(), false, new ConfigurationUpdate.Level(1, 4)), Problem.INVALID_ADMISSION);
+        unusable.forEach((part, problem) -> assertUnusable(fixture, problem, update(usable, part)));
+        assertUnusable(fixture, Problem.UNLISTED_HOST, ejections(List.of("s-0", "s-9"), List.of(), 4));
+        assertEquals(0, fixture.tables().pick(0, 0, 0.5));
     }
 
     @Test
-    void aHostThatIsShutOutIsNotPickedWhateverTablesComeUntilItIsLetBack() {
-        Fixture f = new Fixture(3).whole(3, null);
-        f.tables.apply(ejected(List.of("s-1"), List.of(), ConfigurationUpdate.NO_MARK));
-        f.whole(3, null); // as a new stream brings it
-        assertEquals(new TreeSet<>(List.of(0, 2)), picked(f, 0, 0));
-        assertFalse(f.tables.isUsed(1));
-        f.tables.apply(ejected(List.of(), List.of("s-1"), ConfigurationUpdate.NO_MARK));
-        assertEquals(new TreeSet<>(List.of(0, 1, 2)), picked(f, 0, 0));
+    void neverPicksEjectedHostUntilItIsRestoredWhateverTablesCome() {
+        RoutingFixture fixture = new RoutingFixture(3).withCompleteTables(3, null);
+        fixture.apply(ejections(List.of("s-1"), List.of(), ConfigurationUpdate.NO_MARK));
+        fixture.withCompleteTables(3, null); // as a new stream brings it
+        assertEquals(hosts(0, 2), picked(fixture, 0));
+        assertFalse(fixture.tables().isEligibleAnywhere(1));
+        fixture.apply(ejections(List.of(), List.of("s-1"), ConfigurationUpdate.NO_MARK));
+        assertEquals(hosts(0, 1, 2), picked(fixture, 0));
     }
 
     @Test
-    void marksAreAnsweredInTheOrderOfTheirParts() {
-        Fixture f = new Fixture(1);
+    void returnsNoncesInOrderOfParts() {
+        RoutingFixture fixture = new RoutingFixture(1);
         ConfigurationUpdate.Part first =
-                new ConfigurationUpdate.Part(List.of(), true, List.of(line(0, 1)), null, List.of(), List.of(), 7);
+                new ConfigurationUpdate.Part(List.of(), true, List.of(entry(0, 1)), null, List.of(), List.of(), 7);
         ConfigurationUpdate.Part second =
                 new ConfigurationUpdate.Part(List.of(), false, List.of(), null, List.of(), List.of(), 3);
-        assertEquals(
-                List.of(7, 3),
-                f.tables.apply(new ConfigurationUpdate(List.of(first, second))).marks());
+        assertEquals(List.of(7, 3), fixture.apply(update(first, second)));
     }
 
     @Test
-    void anEmptiedTablePicksNobodyAndAFreshOneSaysSo() {
-        Fixture f = new Fixture(2);
-        assertTrue(f.tables.isFresh());
-        f.whole(2, null);
-        assertFalse(f.tables.isFresh());
-        f.whole(0, null);
-        assertEquals(Tables.NONE, f.tables.pick(0, 0, 0.5));
+    void picksNoneFromClearedTableAndReportsEmptyTables() {
+        RoutingFixture fixture = new RoutingFixture(2);
+        assertTrue(fixture.tables().isEmpty());
+        fixture.withCompleteTables(2, null);
+        assertFalse(fixture.tables().isEmpty());
+        fixture.withCompleteTables(0, null);
+        assertEquals(Tables.NONE, fixture.tables().pick(0, 0, 0.5));
     }
 
     @Test
-    void aHostThatErrorsInARowIsAvoidedForASpanAndSuccessBreaksTheRow() {
-        Fixture f = new Fixture(2).whole(2, null);
-        f.tables.ended(0, false, 0);
-        f.tables.ended(0, false, 1);
-        f.tables.ended(0, true, 2);
-        f.tables.ended(0, false, 3);
-        f.tables.ended(0, false, 4);
-        assertEquals(2, picked(f, 0, 5).size());
-        assertTrue(f.tables.ended(0, false, 10));
-        assertEquals(new TreeSet<>(List.of(1)), picked(f, 0, 11));
-        assertEquals(new TreeSet<>(List.of(1)), picked(f, 0, 5009));
-        assertEquals(new TreeSet<>(List.of(0, 1)), picked(f, 0, 5010));
+    void ejectsHostAfterConsecutiveFailuresAndSuccessResetsTheCount() {
+        RoutingFixture fixture = new RoutingFixture(2).withCompleteTables(2, null);
+        fixture.tables().recordOutcome(0, false, 0);
+        fixture.tables().recordOutcome(0, false, 1);
+        fixture.tables().recordOutcome(0, true, 2);
+        fixture.tables().recordOutcome(0, false, 3);
+        fixture.tables().recordOutcome(0, false, 4);
+        assertEquals(2, picked(fixture, 5).size());
+        assertTrue(fixture.tables().recordOutcome(0, false, 10));
+        assertEquals(hosts(1), picked(fixture, 11));
+        assertEquals(hosts(1), picked(fixture, 5009));
+        assertEquals(hosts(0, 1), picked(fixture, 5010));
     }
 
     @Test
-    void whereAllAreAvoidedAllArePicked() {
-        Fixture f = new Fixture(3).whole(3, null);
+    void picksAmongAllHostsWhenAllAreOutliers() {
+        RoutingFixture fixture = new RoutingFixture(3).withCompleteTables(3, null);
         for (int h = 0; h < 3; h++) {
             for (int i = 0; i < 3; i++) {
-                f.tables.ended(h, false, 0);
+                fixture.tables().recordOutcome(h, false, 0);
             }
         }
-        assertEquals(3, picked(f, 0, 1).size());
+        assertEquals(3, picked(fixture, 1).size());
     }
 
     @Test
-    void aRateLetsThroughWhatItSaysAndTellsWhenToComeBack() {
-        Fixture f = new Fixture(1, Measure.PER_SECOND).whole(1, new ConfigurationUpdate.Level(20, 1));
-        int in = 0;
-        for (double now = 0; now < 10_000; now += 10) { // 100 a second are asked
-            in += f.tables.wait(0, now, 0.5) == 0 ? 1 : 0;
+    void admitsOrderedRateAndSaysWhenToRetry() {
+        RoutingFixture fixture = new RoutingFixture(1, Measure.PER_SECOND)
+                .withCompleteTables(1, level(20, RetryPolicy.ONE_IF_NOT_EXECUTED));
+        int admitted = 0;
+        for (double nowMs = 0; nowMs < 10_000; nowMs += 10) { // 100 requests a second
+            admitted += fixture.tables().admissionRetryAfterMs(0, nowMs, 0.5) == 0 ? 1 : 0;
         }
-        assertEquals(200, in, 6);
-        double wait = 0;
+        assertEquals(200, admitted, 6);
+        double retryAfterMs = 0;
         for (int i = 0; i < 20; i++) {
-            wait = f.tables.wait(0, 10_000, 0.5);
+            retryAfterMs = fixture.tables().admissionRetryAfterMs(0, 10_000, 0.5);
         }
-        assertEquals(50, wait, 1);
+        assertEquals(50, retryAfterMs, 1);
     }
 
     @Test
-    void anotherListKeepsIndicesAndSaysWhoIsGone() {
-        Fixture f = new Fixture(3);
-        f.hosts.listed(new HostList(2, true, List.of(new HostList.Entry("s-2", 0, 0, HostList.State.READY, 1, 0))));
-        assertEquals(2, f.hosts.index("s-2"));
-        assertEquals(HostList.State.GONE, f.hosts.host(0).state());
-        assertEquals("127.0.0.1:1002", f.hosts.host(2).address()); // not told again: as it was
+    void keepsHostIndicesAcrossListsAndMarksAbsentHostsGone() {
+        HostRegistry hosts = new RoutingFixture(3).hosts();
+        hosts.apply(new HostList(2, true, List.of(new HostList.Entry("s-2", 0, 0, HostList.State.READY, 1, 0))));
+        assertEquals(2, hosts.index("s-2"));
+        assertEquals(HostList.State.GONE, hosts.host(0).state());
+        assertEquals("127.0.0.1:1002", hosts.host(2).address()); // not listed again: as it was
     }
 
     /** Chi-square over 60,000 picks; 43.8 is the 0.999 quantile for 19 degrees of freedom. */
     @Test
-    void picksFollowTheWeights() {
-        Fixture f = new Fixture(20);
-        ConfigurationUpdate.Line[] lines = new ConfigurationUpdate.Line[20];
+    void picksFollowWeights() {
+        RoutingFixture fixture = new RoutingFixture(20);
+        ConfigurationUpdate.Line[] entries = new ConfigurationUpdate.Line[20];
         double sum = 0;
         for (int h = 0; h < 20; h++) {
-            lines[h] = line(h, 1 + h % 5);
+            entries[h] = entry(h, 1 + h % 5);
             sum += 1 + h % 5;
         }
-        f.tables.apply(new ConfigurationUpdate(List.of(part(List.of(), true, null, lines))));
-        int[] seen = new int[20];
+        fixture.apply(update(part(List.of(), true, null, entries)));
+        int[] picks = new int[20];
         for (int i = 0; i < 60_000; i++) {
-            seen[f.tables.pick(0, 0, f.chance.nextDouble())]++;
+            picks[fixture.tables().pick(0, 0, fixture.random().nextDouble())]++;
         }
-        double chi = 0;
+        double chiSquare = 0;
         for (int h = 0; h < 20; h++) {
             double expected = 60_000 * (1 + h % 5) / sum;
-            chi += Math.pow(seen[h] - expected, 2) / expected;
+            chiSquare += Math.pow(picks[h] - expected, 2) / expected;
         }
-        assertTrue(chi < 43.8, "chi-square " + chi);
+        assertTrue(chiSquare < 43.8, "chi-square " + chiSquare);
     }
 
     @Property(tries = 200, seed = "1")
-    void whateverIsOrderedAPickIsAnOpenLineAndNoneOnlyWhereThereIsNone(@ForAll @IntRange(max = 1 << 20) int seed) {
-        Fixture f = new Fixture(6);
-        f.chance.setSeed(seed);
+    void picksEligibleHostWheneverThereIsOneAfterAnyUpdates(@ForAll @IntRange(max = 1 << 20) int seed) {
+        RoutingFixture fixture = new RoutingFixture(6);
+        fixture.random().setSeed(seed);
         for (int step = 0; step < 30; step++) {
-            int host = f.chance.nextInt(6);
-            List<ConfigurationUpdate.Line> lines = new ArrayList<>(List.of(line(host, f.chance.nextInt(3))));
-            f.tables.apply(
-                    switch (f.chance.nextInt(4)) {
-                        case 0 ->
-                            new ConfigurationUpdate(
-                                    List.of(part(List.of(), f.chance.nextInt(5) == 0, null, lines.get(0))));
-                        case 1 -> ejected(List.of("s-" + host), List.of(), 1);
-                        case 2 -> ejected(List.of(), List.of("s-" + host), 1);
-                        default -> new ConfigurationUpdate(List.of(part(List.of("book"), false, null, lines.get(0))));
-                    });
-            f.tables.ended(host, f.chance.nextBoolean(), step);
-            for (int k = 0; k < 3; k++) {
-                int pick = f.tables.pick(k, step, f.chance.nextDouble()), op = k;
-                boolean any = f.tables.lines(k).keySet().stream().anyMatch(h -> f.tables.isOpen(op, h));
-                assertEquals(any, pick != Tables.NONE);
-                assertTrue(pick == Tables.NONE || f.tables.isOpen(k, pick));
+            int host = fixture.random().nextInt(6);
+            fixture.apply(randomUpdate(fixture, host));
+            fixture.tables().recordOutcome(host, fixture.random().nextBoolean(), step);
+            for (int operation = 0; operation < 3; operation++) {
+                assertPicksEligible(fixture, operation, step);
             }
         }
     }
 
+    private static ConfigurationUpdate randomUpdate(RoutingFixture fixture, int host) {
+        ConfigurationUpdate.Line entry = entry(host, fixture.random().nextInt(3));
+        return switch (fixture.random().nextInt(4)) {
+            case 0 -> update(part(List.of(), fixture.random().nextInt(5) == 0, null, entry));
+            case 1 -> ejections(List.of("s-" + host), List.of(), 1);
+            case 2 -> ejections(List.of(), List.of("s-" + host), 1);
+            default -> update(part(List.of("book"), false, null, entry));
+        };
+    }
+
+    private static void assertPicksEligible(RoutingFixture fixture, int operation, double nowMs) {
+        Tables tables = fixture.tables();
+        int pick = tables.pick(operation, nowMs, fixture.random().nextDouble());
+        boolean anyEligible =
+                tables.weights(operation).keySet().stream().anyMatch(host -> tables.isEligible(operation, host));
+        assertEquals(anyEligible, pick != Tables.NONE);
+        assertTrue(pick == Tables.NONE || tables.isEligible(operation, pick));
+    }
+
     @Test
-    void drawsAtTheEdgesStayInTheTable() {
-        Fixture f = new Fixture(3).whole(3, null);
-        assertNotEquals(Tables.NONE, f.tables.pick(0, 0, 0));
-        assertNotEquals(Tables.NONE, f.tables.pick(0, 0, Math.nextDown(1.0)));
+    void picksFromTableForDrawsAtTheEdges() {
+        RoutingFixture fixture = new RoutingFixture(3).withCompleteTables(3, null);
+        assertNotEquals(Tables.NONE, fixture.tables().pick(0, 0, 0));
+        assertNotEquals(Tables.NONE, fixture.tables().pick(0, 0, Math.nextDown(1.0)));
     }
 }
--- a/src/test/java/linenring/scale/fleet/HollowFleetTest.java
+++ b/src/test/java/linenring/scale/fleet/HollowFleetTest.java
@@ -53,7 +53,7 @@
     private final HostRegistry hosts = new HostRegistry();
 
     private HollowFleet fleet(int proxies, double reportsPerSecond) {
-        hosts.listed(new HostList(
+        hosts.apply(new HostList(
                 1,
                 true,
                 Stream.of("s-1", "s-2")
