--- a/src/main/java/linenring/cli/Handover.java
+++ b/src/main/java/linenring/cli/Handover.java
@@ -15,6 +15,7 @@
 import linenring.handover.Upgrades;
 import linenring.handover.wire.Wire;
 import linenring.protocol.HostList;
+import linenring.stream.ListenException;
 
 /** What an upgrade does to an {@link Instance}, on either side of it. */
 final class Handover implements Upgrades.Served, SuccessorProcess.Serves {
@@ -69,9 +70,10 @@
 
     @Override
     public void accept() {
-        String fault = instance.openStreams();
-        if (fault != null) {
-            instance.log.error("upgrade", "the steward's own address can't be had: " + fault);
+        try {
+            instance.openStreams();
+        } catch (ListenException e) {
+            instance.log.error("upgrade", "the controller's own address cannot be had: " + e.fault());
         }
         instance.onTerm(
                 this); // a process that takes over has not been told how to end, and must be before it is called
--- a/src/main/java/linenring/cli/Instance.java
+++ b/src/main/java/linenring/cli/Instance.java
@@ -15,6 +15,7 @@
 import linenring.protocol.Codec;
 import linenring.protocol.HostList;
 import linenring.routing.HostRegistry;
+import linenring.stream.ListenException;
 import linenring.stream.StreamServer;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
@@ -53,11 +54,10 @@
         Handover handover = plan != null && plan.handover() != null ? new Handover(this, exchange, known) : null;
         try {
             begin(takeKnown());
-            String fault = openStreams();
-            if (fault != null) {
-                System.err.println("linenring: cannot listen at " + at() + ", though " + fault);
-                return ServeCommand.CANNOT_START;
-            }
+            openStreams();
+        } catch (ListenException e) {
+            System.err.println("linenring: cannot listen at " + at() + ", though " + e.fault());
+            return ServeCommand.CANNOT_START;
         } catch (Exception e) { // Jetty's start() may throw any
             System.err.println("linenring: cannot start: " + e);
             return ServeCommand.CANNOT_START;
@@ -143,14 +143,9 @@
         steward.run();
     }
 
-    /** Null, or how far it came and why no further. */
-    String openStreams() {
-        StreamServer.Opened opened =
-                StreamServer.open(told.listen(), told.sockets(), codec, exchange, log, threads, scheduler);
-        streams = opened.server();
-        return streams != null
-                ? null
-                : opened.reached().name().toLowerCase(java.util.Locale.ROOT) + ": " + opened.fault();
+    /** Listens for proxies and collectors, again or for the first time. */
+    void openStreams() throws ListenException {
+        streams = StreamServer.open(told.listen(), told.sockets(), codec, exchange, log, threads, scheduler);
     }
 
     void closeStreams() {
--- a/src/main/java/linenring/stream/PeerConnection.java
+++ b/src/main/java/linenring/stream/PeerConnection.java
@@ -1,8 +1,7 @@
 package linenring.stream;
 
+import java.io.IOException;
 import java.nio.ByteBuffer;
-import java.util.ArrayDeque;
-import java.util.Arrays;
 import java.util.concurrent.Executor;
 import linenring.event.ProxyStream;
 import linenring.protocol.Codec;
@@ -13,82 +12,46 @@
 import org.eclipse.jetty.io.AbstractConnection;
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.BufferUtil;
-import org.eclipse.jetty.util.IteratingCallback;
 import org.eclipse.jetty.util.thread.Invocable;
 
-/** One connection at the steward's address: cuts what comes into lines, writes what is ordered, in order. */
+/**
+ * One connection of a proxy, a collector, or a peer that has not said which it is. The selector's thread reads; the control
+ * loop writes and closes; the server's timer closes what is overdue. What is read is guarded by this connection's monitor.
+ */
 final class PeerConnection extends AbstractConnection implements ProxyStream {
-    /** How far it has come. */
-    enum Stage {
-        STRANGER,
-        COLLECTOR,
-        PROXY
-    }
+    /** One buffer for each selector thread, of which there are few, and not for each connection. */
+    private static final ThreadLocal<ByteBuffer> READ_BUFFER =
+            ThreadLocal.withInitial(() -> BufferUtil.allocate(16 * 1024));
 
-    /** One for each of the few threads, and not for each connection. */
-    private static final ThreadLocal<ByteBuffer> READ = ThreadLocal.withInitial(() -> BufferUtil.allocate(16 * 1024));
+    /** After so many reads the other connections have their turn. */
+    private static final int READS_PER_TURN = 16;
 
-    private static final int TURN = 16; // reads, then the others have theirs
-    private static final int LINE_LEAST = 512; // most lines are shorter
-    private static final int LINE_MOST = 1 << 20; // the protocol's limit
-    private static final int STRANGERS_LINE_MOST = 16 << 10; // a first message has about 100 bytes
-    private static final int UNSENT_MOST = 128 << 10; // what a peer may leave unread before it is let go
+    /** The protocol's limit. */
+    private static final int MAX_LINE_BYTES = 1 << 20;
 
-    private static final int MARKS_MOST = 1024; // unanswered; so many are not sent in half a minute
-    private static final long CLOCKS_NS = 1_000_000_000; // how far another clock may be off in a time it measures
+    /** A first message has about 100 bytes; whoever has not sent it gets no room for more. */
+    private static final int MAX_UNIDENTIFIED_LINE_BYTES = 16 << 10;
 
-    /** A mark that was sent, and when. */
-    private record Mark(int mark, long at) {}
+    /** Which side ends the connection: that decides how it is logged. */
+    private enum ClosedBy {
+        PEER,
+        SERVER
+    }
 
     private final StreamServer server;
     private final long number;
-    private final long openedAt = System.nanoTime();
-    private byte[] line = new byte[LINE_LEAST];
-    private int length;
-    private long begunAt; // when the line that is not at its end began
-    private volatile Stage stage = Stage.STRANGER;
-    private InboundMessage.Subscribe joining; // what a proxy said first
-    private final ArrayDeque<Mark> unanswered = new ArrayDeque<>(); // oldest first
-    private volatile boolean ending;
-
-    private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>();
-    private int unsentBytes;
-    private final IteratingCallback flusher = new IteratingCallback() {
-        @Override
-        protected Action process() {
-            ByteBuffer next;
-            synchronized (unsent) {
-                next = unsent.peek();
-            }
-            if (next == null) {
-                return Action.IDLE;
-            }
-            getEndPoint().write(this, next);
-            return Action.SCHEDULED;
-        }
-
-        @Override
-        protected void onSuccess() {
-            synchronized (unsent) {
-                unsentBytes -= unsent.poll().capacity();
-            }
-        }
-
-        @Override
-        protected void onCompleteFailure(Throwable cause) {
-            end("broke while it was written to", false);
-        }
-
-        @Override
-        public InvocationType getInvocationType() {
-            return InvocationType.NON_BLOCKING;
-        }
-    };
+    private final long openedAtNanos;
+    private final PeerSession session = new PeerSession(); // changed under "this"
+    private final LineFramer framer; // @GuardedBy("this")
+    private final OutboundQueue outbound;
 
     PeerConnection(EndPoint endPoint, Executor executor, StreamServer server, long number) {
         super(endPoint, executor);
         this.server = server;
         this.number = number;
+        openedAtNanos = server.nowNanos();
+        framer = new LineFramer(server.lineMemory(), server::nowNanos, MAX_UNIDENTIFIED_LINE_BYTES, this::onLine);
+        outbound = new OutboundQueue(endPoint, () -> end("could not be written to", ClosedBy.PEER));
     }
 
     @Override
@@ -97,9 +60,9 @@
     }
 
     @Override
-    @SuppressWarnings("deprecation") // the selector asks it still, and would hand reading to another thread
+    @SuppressWarnings("deprecation") // the selector still asks for it, and would hand reading to another thread
     public Invocable.InvocationType getInvocationType() {
-        return Invocable.InvocationType.NON_BLOCKING; // reading leaves things in the exchange and never waits
+        return Invocable.InvocationType.NON_BLOCKING; // reading adds to the event queue and never waits
     }
 
     @Override
@@ -112,254 +75,173 @@
     @Override
     public void onFillable() {
         try {
-            ByteBuffer read = READ.get();
-            for (int i = 0; i < TURN; i++) {
-                BufferUtil.clear(read); // filling adds at its limit
-                int got = getEndPoint().fill(read);
-                if (got < 0) {
-                    end("has ended", false);
-                    return;
-                }
-                if (got == 0) {
-                    break;
-                }
-                if (!take(read.array(), read.arrayOffset() + read.position(), got)) {
-                    return;
-                }
+            if (readTurn()) {
+                fillInterested();
             }
-            fillInterested();
-        } catch (java.io.IOException e) {
-            end("was reset", false);
-        } catch (RuntimeException e) { // no fault in one connection's handling reaches another
-            end("fault: " + e, true);
+        } catch (IOException failure) {
+            end("was reset", ClosedBy.PEER);
+        } catch (RuntimeException failure) { // a fault in handling one connection must not reach the selector's others
+            end("fault: " + failure, ClosedBy.SERVER);
         }
     }
 
+    /** Reads what is there, up to a turn's worth; false once the connection is done with. */
+    private boolean readTurn() throws IOException {
+        ByteBuffer buffer = READ_BUFFER.get();
+        for (int i = 0; i < READS_PER_TURN; i++) {
+            BufferUtil.clear(buffer); // filling appends at the buffer's limit
+            int count = getEndPoint().fill(buffer);
+            if (count < 0) {
+                end("has ended", ClosedBy.PEER);
+                return false;
+            }
+            if (count == 0) {
+                return true;
+            }
+            if (!receive(buffer.array(), buffer.arrayOffset() + buffer.position(), count)) {
+                return false;
+            }
+        }
+        return true;
+    }
+
     @Override
     protected void onFillInterestedFailed(Throwable cause) {
-        end("was reset", false);
+        end("was reset", ClosedBy.PEER);
     }
 
     @Override
     public void onClose(Throwable cause) {
         super.onClose(cause);
-        end("was reset", false);
-        letLineGo();
+        end("was reset", ClosedBy.PEER);
+        synchronized (this) {
+            framer.release();
+        }
         server.closed(this);
-        synchronized (this) { // what is being taken in is told first: no end overtakes its joining
-            if (stage == Stage.PROXY) {
-                server.exchange.ended(this);
+        synchronized (this) { // a line that is being handled is queued first: no end overtakes its subscription
+            if (session.state() == PeerSession.State.PROXY) {
+                server.eventQueue().ended(this);
             }
         }
     }
 
-    /** Takes bytes in; false once the connection is done with: from then on nothing of it is told but its end. */
-    private synchronized boolean take(byte[] from, int start, int count) {
-        if (ending) {
+    /** Takes bytes in; false once the connection is done with: from then on only its end is reported. */
+    private synchronized boolean receive(byte[] bytes, int start, int count) {
+        if (outbound.isClosed()) {
             return false;
         }
-        int most = stage == Stage.STRANGER ? STRANGERS_LINE_MOST : LINE_MOST;
-        for (int at = start, end = start + count; at < end; ) {
-            while (length == 0 && at < end && isBlank(from[at])) { // nothing has begun
-                at++;
-            }
-            int lf = at;
-            while (lf < end && (from[lf] < 0 || from[lf] >= ' ' || isBlank(from[lf])) && from[lf] != '\n') {
-                lf++;
-            }
-            if (at < end && (length == 0 && from[at] != '{' || lf < end && from[lf] != '\n')) {
-                return end("sends what can't be read, text: no line of JSON begins or goes on so", true);
-            }
-            begunAt = length == 0 ? System.nanoTime() : begunAt;
-            int more = lf - at;
-            if (length + more > most) {
-                return end("sends a line of over " + most + " bytes", true);
-            }
-            if (length + more > line.length) {
-                int size = Math.min(most, Math.max(length + more, 2 * line.length));
-                if (!server.mayHold(size - line.length)) {
-                    return end("is one of too many with a long line begun", true);
-                }
-                line = Arrays.copyOf(line, size);
-            }
-            System.arraycopy(from, at, line, length, more);
-            length += more;
-            at = lf + 1;
-            if (lf < end) {
-                int whole = length;
-                length = 0;
-                if (!took(server.codec.arrival(line, whole))) {
-                    return false;
-                }
-                most = stage == Stage.STRANGER ? STRANGERS_LINE_MOST : LINE_MOST;
-            }
-        }
-        if (length == 0) {
-            letLineGo();
-        }
-        return true;
-    }
-
-    private static boolean isBlank(byte b) {
-        return b == ' ' || b == '\n' || b == '\r' || b == '\t';
-    }
-
-    private synchronized void letLineGo() {
-        if (line.length > LINE_LEAST) {
-            server.mayHold(LINE_LEAST - line.length);
-            line = new byte[LINE_LEAST];
+        try {
+            return framer.feed(bytes, start, count);
+        } catch (ConnectionRejectedException failure) {
+            end(failure.getMessage(), ClosedBy.SERVER);
+            return false;
         }
     }
 
     /** False once the connection is done with. */
-    private boolean took(DecodeResult<InboundMessage> decoded) {
-        boolean known = stage != Stage.STRANGER;
-        InboundMessage a = decoded.value();
-        if (a == null) {
-            return known && decoded.fault().reached() != DecodeError.Reached.TEXT
-                    ? spoilt(decoded.fault().toString())
-                    : end("sends what can't be read, " + decoded.fault(), true);
-        }
-        if (a instanceof InboundMessage.Ping) {
-            send(Codec.pong());
-            return !ending;
-        }
-        boolean says = a instanceof InboundMessage.Subscribe || a instanceof InboundMessage.Collector;
-        if (!known && !says) {
-            return end("sends reports or answers before it says who is there", true);
-        }
-        String wrong = !known ? null : says ? "it has said already who is there" : outOfPlace(a);
-        if (wrong != null) {
-            return spoilt(wrong);
-        }
-        if (!known) {
-            joining = a instanceof InboundMessage.Subscribe j ? j : null;
-            stage = joining != null ? Stage.PROXY : Stage.COLLECTOR;
-        }
-        if (!(a instanceof InboundMessage.Collector)) {
-            server.exchange.arrived(this, a);
+    private boolean onLine(byte[] line, int length) throws ConnectionRejectedException {
+        try {
+            InboundMessage message = decode(line, length);
+            if (message instanceof InboundMessage.Ping) {
+                send(Codec.pong());
+                return !outbound.isClosed();
+            }
+            handle(message);
+        } catch (MessageRejectedException failure) {
+            server.log().warn("invalid", describe() + " sends a message that is dropped, " + failure.getMessage());
         }
         return true;
     }
 
-    /** What is wrong with it on this connection, or null; an answer frees its mark and those before it. */
-    private String outOfPlace(InboundMessage a) {
-        if (joining == null) {
-            return a instanceof InboundMessage.Acknowledgement ? "a collector answers no order" : null;
-        } else if (a instanceof InboundMessage.Acknowledgement answer) {
-            Mark open = answer.proxy() != joining.proxy()
-                    ? null
-                    : unanswered.stream()
-                            .filter(m -> m.mark() == answer.mark())
-                            .findFirst()
-                            .orElse(null);
-            if (open == null) {
-                return "no answer to mark " + answer.mark() + " is due from proxy " + answer.proxy();
-            } else if (answer.tookMs() * 1e6 > System.nanoTime() - open.at() + CLOCKS_NS) {
-                return "field ms: " + answer.tookMs() + " is longer ago than the order";
-            }
-            while (unanswered.poll() != open) {
-                // it is applied too
-            }
-            return null;
+    /** Who is known may err in one message; whoever sends what is no message at all is none of our peers. */
+    private InboundMessage decode(byte[] line, int length)
+            throws ConnectionRejectedException, MessageRejectedException {
+        DecodeResult<InboundMessage> decoded = server.codec().arrival(line, length);
+        if (decoded.value() != null) {
+            return decoded.value();
         }
-        return a instanceof InboundMessage.RequestRateReport usage && usage.proxy() == joining.proxy()
-                ? null
-                : "it is not for proxy " + joining.proxy() + " to report";
+        if (session.isIdentified() && decoded.fault().reached() != DecodeError.Reached.TEXT) {
+            throw new MessageRejectedException(decoded.fault().toString());
+        }
+        throw new ConnectionRejectedException("sends unreadable data, " + decoded.fault());
     }
 
-    /** Drops one message; those around it count. */
-    private boolean spoilt(String why) {
-        server.log.warn("spoilt", who() + " sends a message that is dropped, " + why);
-        return true;
+    private void handle(InboundMessage message) throws ConnectionRejectedException, MessageRejectedException {
+        session.accept(message, server.nowNanos());
+        framer.setMaxLineBytes(MAX_LINE_BYTES); // whoever was accepted is identified
+        if (!(message instanceof InboundMessage.Collector)) {
+            server.eventQueue().arrived(this, message);
+        }
     }
 
     @Override
-    public void write(ConfigurationUpdate order) {
-        int mark = order.parts().get(order.parts().size() - 1).mark();
-        synchronized (this) {
-            if (mark != ConfigurationUpdate.NO_MARK) {
-                if (unanswered.size() == MARKS_MOST) {
-                    unanswered.poll();
-                }
-                unanswered.add(new Mark(mark, System.nanoTime()));
+    public void write(ConfigurationUpdate update) {
+        int nonce = update.parts().get(update.parts().size() - 1).mark();
+        if (nonce != ConfigurationUpdate.NO_MARK) {
+            synchronized (this) { // before it is sent: its acknowledgement may come at once
+                session.updateSent(nonce, server.nowNanos());
             }
         }
-        send(server.codec.order(order));
+        send(server.codec().order(update));
     }
 
-    private void send(byte[] bytes) {
-        boolean full;
-        synchronized (unsent) {
-            if (ending) {
-                return;
-            }
-            full = unsentBytes > UNSENT_MOST; // one message may be larger: it holds as many lines as there are hosts
-            if (!full) {
-                unsent.add(ByteBuffer.wrap(bytes));
-                unsentBytes += bytes.length;
-            }
-        }
-        if (full) {
-            end("reads nothing", true);
-        } else {
-            flusher.iterate();
+    private void send(byte[] message) {
+        if (outbound.offer(message) == OutboundQueue.Offer.OVERFLOW) {
+            end("reads nothing", ClosedBy.SERVER);
         }
     }
 
     @Override
     public void close(String why) {
-        end(why, false);
+        end(why, ClosedBy.PEER);
     }
 
     /**
-     * Judges a stranger's silence and a begun line's. An answer that is due tells nothing of its proxy: our own channel,
-     * which lies behind this stream, may take longer over the orders of hundreds than anyone is silent.
+     * Closes the connection where the peer has not identified itself although it was opened before the one time, or leaves
+     * a line unfinished that began before the other. An overdue acknowledgement is no reason: our own channel lies behind
+     * this stream, and may take longer over the updates of hundreds of proxies than any of them is silent.
      */
-    synchronized void judge(long strangersSince, long silentSince) {
-        if (stage == Stage.STRANGER) {
-            if (openedAt - strangersSince < 0) {
-                end("does not say in time who is there", true);
+    synchronized void closeIfOverdue(long identifiedSinceNanos, long lineSinceNanos) {
+        if (!session.isIdentified()) {
+            if (isOpenedBefore(identifiedSinceNanos)) {
+                end("does not identify itself in time", ClosedBy.SERVER);
             }
             return;
         }
-        if (length > 0 && begunAt - silentSince < 0) {
-            end("leaves a message without its end", true);
+        if (framer.hasLineBegunBefore(lineSinceNanos)) {
+            end("leaves a message unfinished", ClosedBy.SERVER);
         }
     }
 
-    boolean isStranger() {
-        return stage == Stage.STRANGER;
+    /** Another connection needs this one's place. */
+    void evict(int maxConnections) {
+        end("makes room, " + maxConnections + " connections are open", ClosedBy.SERVER);
     }
 
-    boolean isOpenSince(long then) {
-        return openedAt - then < 0;
+    boolean isIdentified() {
+        return session.isIdentified();
     }
 
-    private String who() {
-        return switch (stage) {
-                    case PROXY -> "proxy " + joining.proxy();
-                    case COLLECTOR -> "collector";
-                    case STRANGER -> "stranger";
-                }
-                + " at " + getEndPoint().getRemoteSocketAddress();
+    boolean isOpenedBefore(long nanos) {
+        return openedAtNanos - nanos < 0;
     }
 
-    boolean end(String why, boolean ours) {
-        synchronized (unsent) {
-            if (ending) {
-                return false;
-            }
-            ending = true;
+    private String describe() {
+        return session.describe() + " at " + getEndPoint().getRemoteSocketAddress();
+    }
+
+    private void end(String why, ClosedBy closedBy) {
+        if (!outbound.close()) {
+            return;
         }
-        if (stage == Stage.STRANGER) { // of whom there may be hundreds: their lines leave room for the others'
-            server.log.info("stranger", who() + " " + why + (ours ? ": closed" : ""));
-        } else if (ours) {
-            server.log.warn("stream", who() + " " + why + ": closed");
+        boolean byServer = closedBy == ClosedBy.SERVER;
+        if (!session.isIdentified()) { // a subject of its own: hundreds of these must not use up the others' lines
+            server.log().info("unidentified", describe() + " " + why + (byServer ? ": closed" : ""));
+        } else if (byServer) {
+            server.log().warn("stream", describe() + " " + why + ": closed");
         } else {
-            server.log.info("stream", who() + ": " + why);
+            server.log().info("stream", describe() + ": " + why);
         }
         getEndPoint().close();
-        return false;
     }
 }
--- a/src/main/java/linenring/stream/StreamServer.java
+++ b/src/main/java/linenring/stream/StreamServer.java
@@ -7,12 +7,10 @@
 import java.nio.channels.SelectionKey;
 import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
-import java.util.HashSet;
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Set;
+import java.util.Optional;
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
+import java.util.function.LongSupplier;
 import linenring.event.EventQueue;
 import linenring.log.Log;
 import linenring.protocol.Codec;
@@ -23,205 +21,187 @@
 import org.eclipse.jetty.io.SocketChannelEndPoint;
 import org.eclipse.jetty.util.thread.Scheduler;
 
-/** Listens at the steward's one address and keeps the connections of proxies, collectors and strangers. */
+/** Listens at the controller's one address and serves the connections of proxies and collectors. */
 public final class StreamServer extends SelectorManager {
-    /** How far opening came; the server is null where it failed. */
-    public record Opened(StreamServer server, Reached reached, String fault) {
-        /** The steps of opening. */
-        public enum Reached {
-            STARTED,
-            BOUND,
-            LISTENING
-        }
-    }
+    /** What the process opens besides connections: files, selectors, discovery, some 20 in all. */
+    private static final int OWN_SOCKETS = 32;
 
-    private static final int OWN_SOCKETS = 32; // what the process opens besides: files, selectors, discovery, some 20
-    private static final long STRANGER_NS = TimeUnit.SECONDS.toNanos(1); // who dials says at once who it is
-    /** Who is so new may have said so, and it is not read yet: others make room first. */
-    private static final long NEW_NS = TimeUnit.MILLISECONDS.toNanos(100);
+    /** Every peer identifies itself with its first message, which it sends at once. */
+    private static final long IDENTIFY_WITHIN_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    private static final int SPARE_SOCKETS = 12; // of our own, that those who are being let go may take
-    /** Proxies stand still for 2 s at times; who leaves a line without its end for longer has gone. */
-    private static final long SILENT_NS = TimeUnit.SECONDS.toNanos(3);
+    /** Proxies stand still for 2 s at times; whoever leaves a line unfinished for longer is gone. */
+    private static final long FINISH_LINE_WITHIN_NANOS = TimeUnit.SECONDS.toNanos(3);
 
-    private static final long SWEEP_MS = 250;
-    private static final int HELD_MOST = 16 << 20; // bytes of begun lines, of all connections: a third of the heap
+    private static final long SWEEP_INTERVAL_MS = 250;
+    private static final String CLOSING = "closed by the server, may connect again";
 
-    final EventQueue exchange;
-    final Codec codec;
-    final Log log;
-    private final int most;
-    private final Set<PeerConnection> connections = new LinkedHashSet<>(); // oldest first
-    private final Scheduler clock;
-    private ServerSocketChannel channel;
-    private long sweptAt = System.nanoTime();
-    private int held;
-    private boolean closed;
-    private final Set<SelectableChannel> accepting = new HashSet<>(); // accepted, and not among the connections yet
+    private final EventQueue eventQueue;
+    private final Codec codec;
+    private final Log log;
+    private final OpenConnections connections;
+    private final LineMemory lineMemory = new LineMemory();
+    private final Scheduler scheduler;
+    private final LongSupplier nanoClock;
+    private ServerSocketChannel channel; // set before accepting begins
+    private long sweptAtNanos; // touched by the sweep alone, of which one runs at a time
 
-    StreamServer(Executor executor, Scheduler scheduler, int sockets, Codec codec, EventQueue exchange, Log log) {
+    StreamServer(
+            Executor executor,
+            Scheduler scheduler,
+            int maxSockets,
+            Codec codec,
+            EventQueue eventQueue,
+            Log log,
+            LongSupplier nanoClock) {
         super(executor, scheduler, 1);
-        this.clock = scheduler;
-        this.most = sockets - OWN_SOCKETS;
+        this.scheduler = scheduler;
         this.codec = codec;
-        this.exchange = exchange;
+        this.eventQueue = eventQueue;
         this.log = log;
+        this.nanoClock = nanoClock;
+        connections = new OpenConnections(maxSockets - OWN_SOCKETS);
+        sweptAtNanos = nowNanos();
     }
 
-    /** Starts to listen; whoever connects is served from then on. */
-    public static Opened open(
-            InetSocketAddress at,
-            int sockets,
+    /** Starts to listen; whoever connects is served from then on. {@code maxSockets} is the limit of the process. */
+    public static StreamServer open(
+            InetSocketAddress address,
+            int maxSockets,
             Codec codec,
-            EventQueue exchange,
+            EventQueue eventQueue,
             Log log,
             Executor executor,
-            Scheduler scheduler) {
-        StreamServer server = new StreamServer(executor, scheduler, sockets, codec, exchange, log);
-        Opened.Reached reached = Opened.Reached.STARTED;
+            Scheduler scheduler)
+            throws ListenException {
+        StreamServer server =
+                new StreamServer(executor, scheduler, maxSockets, codec, eventQueue, log, System::nanoTime);
+        server.listen(address, maxSockets);
+        return server;
+    }
+
+    private void listen(InetSocketAddress address, int backlog) throws ListenException {
+        ListenException.Stage stage = ListenException.Stage.STARTED;
         try {
-            server.start();
-            ServerSocketChannel channel = ServerSocketChannel.open();
-            server.channel = channel;
-            channel.setOption(StandardSocketOptions.SO_REUSEADDR, true); // at once after a restart
-            channel.bind(at, sockets); // all may come at once after another steward's end
-            reached = Opened.Reached.BOUND;
+            start();
+            channel = ServerSocketChannel.open();
+            channel.setOption(StandardSocketOptions.SO_REUSEADDR, true); // a restarted process has its address at once
+            channel.bind(address, backlog); // after another controller's end its whole fleet may connect at once
+            stage = ListenException.Stage.BOUND;
             channel.configureBlocking(false);
-            server.acceptor(channel);
-            scheduler.schedule(server::sweep, SWEEP_MS, TimeUnit.MILLISECONDS);
-            return new Opened(server, Opened.Reached.LISTENING, null);
-        } catch (Exception e) { // start() may throw any
-            server.close();
-            return new Opened(null, reached, e.getMessage());
+            acceptor(channel);
+            scheduleSweep();
+        } catch (Exception failure) { // start() declares any
+            close();
+            throw new ListenException(address, stage, failure);
         }
     }
 
-    /** Frees the address and ends all connections. */
+    /** Frees the address and ends all connections; a second call changes nothing. */
     public void close() {
-        List<PeerConnection> all;
-        List<SelectableChannel> halfway;
-        synchronized (connections) { // from here on whoever is accepted or opened ends at once
-            closed = true;
-            all = List.copyOf(connections);
-            halfway = List.copyOf(accepting);
-            accepting.clear();
-        }
+        OpenConnections.Remaining remaining = connections.close();
         try {
             if (channel != null) {
                 channel.close();
             }
-            for (SelectableChannel c : halfway) {
-                c.close();
+            for (SelectableChannel accepting : remaining.accepting()) {
+                accepting.close();
             }
-            all.forEach(c -> c.close("is told to dial again"));
+            remaining.connections().forEach(connection -> connection.close(CLOSING));
             stop();
-        } catch (Exception e) { // stop() may throw any
-            log.warn("stream", "does not stop cleanly: " + e.getMessage());
+        } catch (Exception failure) { // stop() declares any
+            log.warn("stream", "does not stop cleanly: " + failure.getMessage());
         }
     }
 
     @Override
-    protected void accepted(SelectableChannel channel) throws IOException {
-        long number = exchange.nextStream(); // here they come in the order in which they were made
-        synchronized (connections) {
-            accepting.removeIf(c -> !c.isOpen()); // those that died on the way, whatever ended them
-            if (closed || connections.size() + accepting.size() >= most + SPARE_SOCKETS) { // none could make room
-                channel.close();
-                return;
-            }
-            accepting.add(channel);
+    protected void accepted(SelectableChannel accepted) throws IOException {
+        long number = eventQueue.nextStream(); // drawn here, where connections come in the order of their making
+        if (!connections.reserve(accepted)) {
+            accepted.close();
+            return;
         }
         try {
-            channel.configureBlocking(false);
-            ((SocketChannel) channel).setOption(StandardSocketOptions.TCP_NODELAY, true);
-            accept(channel, number);
-        } catch (IOException | RuntimeException e) {
-            channel.close();
-            throw e;
+            accepted.configureBlocking(false);
+            ((SocketChannel) accepted).setOption(StandardSocketOptions.TCP_NODELAY, true);
+            accept(accepted, number);
+        } catch (IOException | RuntimeException failure) {
+            accepted.close(); // which frees its place too
+            throw failure;
         }
     }
 
     @Override
-    protected EndPoint newEndPoint(SelectableChannel channel, ManagedSelector selector, SelectionKey key) {
+    protected EndPoint newEndPoint(SelectableChannel accepted, ManagedSelector selector, SelectionKey key) {
         SocketChannelEndPoint endPoint =
-                new SocketChannelEndPoint((SocketChannel) channel, selector, key, getScheduler());
+                new SocketChannelEndPoint((SocketChannel) accepted, selector, key, getScheduler());
         endPoint.setIdleTimeout(0); // silence is judged in sweep()
         return endPoint;
     }
 
     @Override
-    public Connection newConnection(SelectableChannel channel, EndPoint endPoint, Object attachment) {
-        synchronized (connections) {
-            accepting.remove(channel);
-        }
+    public Connection newConnection(SelectableChannel accepted, EndPoint endPoint, Object attachment) {
+        connections.release(accepted);
         return new PeerConnection(endPoint, getExecutor(), this, (Long) attachment);
     }
 
     void opened(PeerConnection connection) {
-        PeerConnection goes = null;
-        boolean late;
-        synchronized (connections) {
-            connections.add(connection);
-            late = closed;
-            if (connections.size() > most) { // strangers make room for who may be a proxy
-                long then = System.nanoTime() - NEW_NS;
-                goes = connections.stream()
-                        .filter(c -> c.isStranger() && c.isOpenSince(then))
-                        .findFirst()
-                        .orElse(connection);
-                connections.remove(goes);
-            }
-        }
-        if (late) {
-            connection.close("is told to dial again");
-        }
-        if (goes != null) {
-            goes.end("makes room, " + most + " connections are open", true);
-        }
-    }
-
-    /** Asks for so many bytes more, or gives them back; false if that would be too much. */
-    synchronized boolean mayHold(int more) {
-        if (more > 0 && held + more > HELD_MOST) {
-            return false;
+        Optional<PeerConnection> evicted = connections.add(connection, nowNanos());
+        if (connections.isClosed()) { // it was on its way past close()
+            connection.close(CLOSING);
         }
-        held += more;
-        return true;
+        evicted.ifPresent(other -> other.evict(connections.maxConnections()));
     }
 
     void closed(PeerConnection connection) {
-        synchronized (connections) {
-            connections.remove(connection);
-        }
+        connections.remove(connection);
     }
 
     InetSocketAddress address() throws IOException {
         return (InetSocketAddress) channel.getLocalAddress();
     }
 
+    EventQueue eventQueue() {
+        return eventQueue;
+    }
+
+    Codec codec() {
+        return codec;
+    }
+
+    Log log() {
+        return log;
+    }
+
+    LineMemory lineMemory() {
+        return lineMemory;
+    }
+
+    long nowNanos() {
+        return nanoClock.getAsLong();
+    }
+
+    private void scheduleSweep() {
+        scheduler.schedule(this::sweep, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
+    }
+
+    /**
+     * Closes overdue connections. Where the sweep itself comes late the process stood still, and what peers sent meanwhile
+     * is not read yet: then everybody has twice the time, or a pause of ours would cost us the fleet.
+     */
     private void sweep() {
         try {
-            List<PeerConnection> all;
-            synchronized (connections) {
-                all = List.copyOf(connections);
-            }
-            long now = System.nanoTime();
-            boolean stood = now - sweptAt > TimeUnit.MILLISECONDS.toNanos(2 * SWEEP_MS); // what came is not read yet
-            sweptAt = now;
-            int times = stood ? 2 : 1; // then everybody has twice the time
-            for (PeerConnection connection : all) {
-                connection.judge(now - times * STRANGER_NS, now - times * SILENT_NS);
+            long now = nowNanos();
+            boolean stoodStill = now - sweptAtNanos > TimeUnit.MILLISECONDS.toNanos(2 * SWEEP_INTERVAL_MS);
+            sweptAtNanos = now;
+            int factor = stoodStill ? 2 : 1;
+            for (PeerConnection connection : connections.snapshot()) {
+                connection.closeIfOverdue(
+                        now - factor * IDENTIFY_WITHIN_NANOS, now - factor * FINISH_LINE_WITHIN_NANOS);
             }
         } finally {
-            if (!isClosed()) {
-                clock.schedule(this::sweep, SWEEP_MS, TimeUnit.MILLISECONDS);
+            if (!connections.isClosed()) {
+                scheduleSweep();
             }
         }
     }
-
-    private boolean isClosed() {
-        synchronized (connections) {
-            return closed;
-        }
-    }
 }
--- a/src/test/java/linenring/stream/ConnectionLossTest.java
+++ b/src/test/java/linenring/stream/ConnectionLossTest.java
@@ -1,5 +1,11 @@
 package linenring.stream;
 
+import static linenring.stream.Messages.PING;
+import static linenring.stream.Messages.PONG;
+import static linenring.stream.Messages.RATE;
+import static linenring.stream.Messages.SUBSCRIBE;
+import static linenring.stream.Messages.acknowledgement;
+import static linenring.stream.Messages.update;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,41 +21,39 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import linenring.event.EventQueue;
 import linenring.event.RecordingEventHandler;
 import linenring.log.Log;
-import linenring.protocol.Codec;
-import linenring.protocol.ConfigurationUpdate;
 import linenring.protocol.InboundMessage;
-import linenring.settings.Names;
-import org.eclipse.jetty.io.ByteArrayEndPoint;
-import org.eclipse.jetty.io.ManagedSelector;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Peers that are killed right behind the accept, and peers that fall silent after long service. */
+/**
+ * Peers die at awkward moments: a whole machine is killed right after its proxies connected, or a proxy falls silent after
+ * hours. Places and memory that such a peer held have to come back, or the controller is full after some such days.
+ */
 class ConnectionLossTest {
-    private static final String JOIN = "{\"@type\":\"SUBSCRIBE\",\"id\":3,\"site\":\"a\",\"rps\":2.5,\"new\":true}\n";
     /** Far above what may be dead and not read yet at one instant, and far below what dies in a whole test. */
-    private static final int CONNECTIONS_MOST = 100;
+    private static final int MAX_CONNECTIONS = 100;
+
+    private static final int RESETS_PER_ROUND = 8;
+    private static final int ROUNDS = 60;
+    /** More than the spare ones, and within the listener's backlog. */
+    private static final int RESETS_AT_ONCE = MAX_CONNECTIONS + 20;
+    /** The process's, which are not the peers'. */
+    private static final int OWN_SOCKETS = 32;
 
-    private static final int RESETS_A_ROUND = 8, ROUNDS = 60;
-    private static final int RESETS_AT_ONCE =
-            CONNECTIONS_MOST + 20; // beyond the spare ones, within the listener's queue
-    private static final int OWN_SOCKETS = 32; // the process's, which are not the peers'
     private static final int WAIT_MS = 20_000;
-    private static final String ANSWER = "{\"@type\":\"ACK\",\"id\":3,\"seq\":%d,\"ms\":1}\n";
 
-    private final EventQueue exchange = new EventQueue();
+    private final EventQueue eventQueue = new EventQueue();
+    private final RecordingEventHandler handler = new RecordingEventHandler();
     private final QueuedThreadPool threads = new QueuedThreadPool(8, 2);
     private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
     private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
-    private final List<CountDownLatch> holds = new ArrayList<>(); // to be let go where a test ends early
     private StreamServer server;
 
     @BeforeEach
@@ -57,19 +61,17 @@
         threads.start();
         scheduler.start();
         server = StreamServer.open(
-                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                        OWN_SOCKETS + CONNECTIONS_MOST,
-                        new Codec(new Names(List.of("a"), List.of("m1"), List.of("lookup"), 9, 4)),
-                        exchange,
-                        new Log(new PrintStream(logged, true)),
-                        threads,
-                        scheduler)
-                .server();
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                OWN_SOCKETS + MAX_CONNECTIONS,
+                Messages.codec(),
+                eventQueue,
+                new Log(new PrintStream(logged, true, StandardCharsets.UTF_8)),
+                threads,
+                scheduler);
     }
 
     @AfterEach
     void close() throws Exception {
-        holds.forEach(CountDownLatch::countDown);
         server.close();
         threads.stop();
         scheduler.stop();
@@ -101,32 +103,32 @@
 
     private boolean isServed() throws IOException {
         try (Socket peer = connect()) {
-            write(peer, "{\"@type\":\"PING\"}\n");
-            return "{\"@type\":\"PONG\"}".equals(readLine(peer));
-        } catch (java.net.SocketException e) {
+            write(peer, PING);
+            return PONG.strip().equals(readLine(peer));
+        } catch (java.net.SocketException failure) {
             return false; // reset
         }
     }
 
-    /** The kernel has accepted for us; the peers' processes die before we have taken one of them in. */
+    /** The kernel has accepted the connections; the peers' processes die before the server has seen one of them. */
     @Test
-    void thoseThatAreResetBeforeTheyAreTakenInGiveTheirPlacesBack() throws Exception {
+    void freesThePlacesOfPeersResetBeforeTheyAreAccepted() throws Exception {
         for (int round = 0; round < ROUNDS; round++) {
-            CountDownLatch resume = holdSelector();
-            for (int i = 0; i < RESETS_A_ROUND; i++) {
-                reset(connect());
-            }
-            resume.countDown();
+            SelectorHold.during(server, hold -> {
+                for (int i = 0; i < RESETS_PER_ROUND; i++) {
+                    reset(connect());
+                }
+            });
             assertServed();
         }
         assertEquals(List.of(), arrivals());
     }
 
-    /** One after the other, with the selector at work: some die before, some behind their registering. */
+    /** One after the other, with the selector at work: some die before they are registered, some after. */
     @Test
-    void thoseThatAreResetRightBehindTheAcceptGiveTheirPlacesBack() throws Exception {
+    void freesThePlacesOfPeersResetRightAfterTheyAreAccepted() throws Exception {
         for (int round = 0; round < ROUNDS; round++) {
-            for (int i = 0; i < RESETS_A_ROUND; i++) {
+            for (int i = 0; i < RESETS_PER_ROUND; i++) {
                 reset(connect());
             }
             assertServed();
@@ -134,56 +136,56 @@
         assertEquals(List.of(), arrivals());
     }
 
-    /** More at one instant than may be open: whoever dials meanwhile may be refused, and is served when it dials again. */
+    /** More at one instant than may be open: whoever connects meanwhile may be refused, and is served when it tries again. */
     @Test
-    void afterMoreResetsThanMayBeOpenWhoDialsAgainIsServed() throws Exception {
-        CountDownLatch resume = holdSelector();
-        for (int i = 0; i < RESETS_AT_ONCE; i++) {
-            reset(connect());
-        }
-        resume.countDown();
+    void servesWhoeverReconnectsAfterMoreResetsThanConnectionsAllowed() throws Exception {
+        SelectorHold.during(server, hold -> {
+            for (int i = 0; i < RESETS_AT_ONCE; i++) {
+                reset(connect());
+            }
+        });
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WAIT_MS);
         while (!isServed()) {
             assertTrue(System.nanoTime() < end, "nobody is served");
-            TimeUnit.MILLISECONDS.sleep(100); // proxies dial again within 0.1 to 2 s
+            TimeUnit.MILLISECONDS.sleep(100); // proxies reconnect within 0.1 to 2 s
         }
         assertServed();
         assertEquals(List.of(), arrivals());
     }
 
-    /** Killed within its joining, and right behind it: the first is none, the second has joined and left. */
+    /** Killed within its subscription, and right after it: the first was never there, the second came and left. */
     @Test
-    void aProxyThatIsResetInsideOrBehindItsJoiningIsToldAsItWas() throws Exception {
+    void reportsAProxyResetAfterItsSubscriptionAndNotOneResetWithinIt() throws Exception {
         Socket within = connect();
-        write(within, JOIN.substring(0, 20));
+        write(within, SUBSCRIBE.substring(0, 20));
         reset(within);
-        assertServed(); // behind which the first has been read
+        assertServed(); // by then the first has been read
         assertEquals(List.of(), arrivals());
         Socket behind = connect();
-        write(behind, JOIN);
+        write(behind, SUBSCRIBE);
         awaitArrivals(1);
         reset(behind);
         awaitArrivals(2);
-        assertEquals(List.of(new InboundMessage.Subscribe(3, 0, 2.5, true), "ended"), taker.taken());
+        assertEquals(List.of(new InboundMessage.Subscribe(3, 0, 2.5, true), "ended"), handler.taken());
     }
 
-    /** The process is told to end while connections are accepted by the kernel alone: their peers hear so and dial elsewhere. */
+    /** The process ends while connections are accepted by the kernel alone: their peers notice and connect elsewhere. */
     @Test
-    void whoeverIsAcceptedAndNotTakenInYetHearsOfTheEndAtOnce() throws Exception {
-        CountDownLatch resume = holdSelector();
+    void closesConnectionsThatAreOnlyQueuedWhenTheServerCloses() throws Exception {
         List<Socket> waiting = new ArrayList<>();
-        for (int i = 0; i < 8; i++) {
-            Socket socket = connect();
-            write(socket, JOIN);
-            waiting.add(socket);
-        }
-        Thread closes = new Thread(server::close, "closes");
-        closes.start();
-        while (closes.getState() != Thread.State.TERMINATED && server.isRunning()) {
-            Thread.onSpinWait(); // until it has closed all and stops the selectors
-        }
-        resume.countDown();
-        closes.join();
+        Thread closer = new Thread(server::close, "closer");
+        SelectorHold.during(server, hold -> {
+            for (int i = 0; i < 8; i++) {
+                Socket socket = connect();
+                write(socket, SUBSCRIBE);
+                waiting.add(socket);
+            }
+            closer.start();
+            while (closer.getState() != Thread.State.TERMINATED && server.isRunning()) {
+                Thread.onSpinWait(); // until it has closed all and stops the selectors
+            }
+        });
+        closer.join();
         for (Socket socket : waiting) {
             assertEnds(socket);
         }
@@ -193,114 +195,78 @@
     private static void assertEnds(Socket socket) throws IOException {
         try (socket) {
             assertNull(readLine(socket));
-        } catch (java.net.SocketTimeoutException e) {
-            throw new AssertionError("it hears nothing", e);
-        } catch (IOException e) {
+        } catch (java.net.SocketTimeoutException failure) {
+            throw new AssertionError("it does not notice", failure);
+        } catch (IOException failure) {
             // reset, which is an end as well
         }
     }
 
-    /** What it had read before leaves no trace in what counts as unread. */
+    /** What it had read before does not count as unread. */
     @Test
-    void aProxyThatStopsReadingAfterLongServiceIsLetGoAsOneThatNeverRead() {
-        int least = ordersUntilLetGo(0), late = ordersUntilLetGo(50_000);
+    void closesAProxyThatStopsReadingAfterLongServiceAsSoonAsANewOne() {
+        int least = updatesUntilClosed(0);
+        int late = updatesUntilClosed(50_000);
         assertEquals(least, late);
-        assertTrue(least > 500 && least < 5000, least + " orders");
+        assertTrue(least > 500 && least < 5000, least + " updates");
     }
 
-    private int ordersUntilLetGo(int readBefore) {
+    private int updatesUntilClosed(int readBefore) {
         StreamServer inMemory = new StreamServer(
                 Runnable::run,
                 scheduler,
                 1024,
-                new Codec(new Names(List.of("a"), List.of("m1"), List.of("lookup"), 9, 4)),
+                Messages.codec(),
                 new EventQueue(),
-                new Log(new PrintStream(logged, true)));
-        ReadingPeer peer = new ReadingPeer(inMemory);
-        peer.addInput(JOIN);
-        for (int mark = 0; mark < readBefore; mark++) {
-            peer.connection.write(order(mark));
+                new Log(new PrintStream(logged, true, StandardCharsets.UTF_8)),
+                System::nanoTime);
+        InMemoryPeer peer = new InMemoryPeer(inMemory, 1024);
+        peer.addInput(SUBSCRIBE);
+        for (int nonce = 0; nonce < readBefore; nonce++) {
+            peer.connection().write(update(nonce));
             peer.takeOutput(); // it reads at once, and answers
-            peer.addInput(String.format(ANSWER, mark));
+            peer.addInput(acknowledgement(3, nonce, 1));
         }
         int unread = 0;
         while (peer.isOpen() && unread < 100_000) {
-            peer.connection.write(order(unread++ % 10));
+            peer.connection().write(update(unread % 10));
+            unread++;
         }
         return unread;
     }
 
-    private static ConfigurationUpdate order(int mark) {
-        return new ConfigurationUpdate(List.of(
-                new ConfigurationUpdate.Part(List.of(), false, List.of(), null, List.of("s-1"), List.of(), mark % 10)));
-    }
-
-    /** A peer in memory that reads only when the test does so. */
-    private static final class ReadingPeer extends ByteArrayEndPoint {
-        private static final int UNREAD_MOST = 1024;
-        final PeerConnection connection;
-
-        ReadingPeer(StreamServer server) {
-            super(null, 0, new byte[0], UNREAD_MOST);
-            connection = new PeerConnection(this, Runnable::run, server, 0);
-            setConnection(connection);
-            connection.onOpen();
-        }
-
-        @Override
-        protected void execute(Runnable task) {
-            task.run();
-        }
-    }
-
-    /** A line that is not at its end is judged by when it began, however long the connection has served. */
+    /** An unfinished line is judged by when it began, however long the connection has served. */
     @Test
-    void aProxyThatFallsSilentInsideAMessageAfterLongServiceIsLetGo() throws Exception {
+    void closesAProxyThatFallsSilentWithinAMessageAfterLongService() throws Exception {
         try (Socket peer = connect()) {
-            write(peer, JOIN);
+            write(peer, SUBSCRIBE);
             for (int i = 0; i < 2000; i++) {
-                write(peer, "{\"@type\":\"RATE\",\"id\":3,\"lane\":\"lookup\",\"count\":4,\"fail\":0,\"over\":500}\n");
+                write(peer, RATE);
             }
             long begun = System.nanoTime();
             write(peer, "{\"@type\":\"RATE\",\"id\":3,");
             assertNull(readLine(peer));
-            long ms = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
-            assertTrue(ms >= 2900, "let go after " + ms + " ms"); // proxies stand still for 2 s at times
+            long closedAfterMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
+            assertTrue(
+                    closedAfterMs >= 2900,
+                    "closed after " + closedAfterMs + " ms"); // proxies stand still for 2 s at times
         }
         awaitArrivals(2002);
-        assertEquals("ended", taker.taken().get(taker.taken().size() - 1));
+        assertEquals("ended", handler.taken().get(handler.taken().size() - 1));
     }
 
-    private final RecordingEventHandler taker = new RecordingEventHandler();
-
     private void awaitArrivals(int count) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WAIT_MS);
         while (arrivals().size() < count) {
             assertTrue(
                     System.nanoTime() < end,
-                    count + " arrivals, and not " + taker.taken().size());
-            exchange.await(TimeUnit.MILLISECONDS.toNanos(100));
+                    count + " arrivals, and not " + handler.taken().size());
+            eventQueue.await(TimeUnit.MILLISECONDS.toNanos(100));
         }
     }
 
     private List<Object> arrivals() {
-        exchange.drain(taker);
-        return taker.taken();
-    }
-
-    /** The selector stands from now on, until the latch is counted down. */
-    private CountDownLatch holdSelector() throws InterruptedException {
-        CountDownLatch held = new CountDownLatch(1), resume = new CountDownLatch(1);
-        holds.add(resume);
-        server.getBeans(ManagedSelector.class).iterator().next().submit(selector -> {
-            held.countDown();
-            try {
-                resume.await();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        });
-        held.await();
-        return resume;
+        eventQueue.drain(handler);
+        return handler.taken();
     }
 }
--- a/src/test/java/linenring/stream/ConnectionRaceTest.java
+++ b/src/test/java/linenring/stream/ConnectionRaceTest.java
@@ -1,6 +1,10 @@
 package linenring.stream;
 
+import static linenring.stream.Messages.PING;
+import static linenring.stream.Messages.PONG;
+import static linenring.stream.Messages.SUBSCRIBE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -18,8 +22,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.Collections;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
 import java.util.stream.IntStream;
 import linenring.controller.ControlLoop;
 import linenring.event.EventQueue;
@@ -30,73 +36,76 @@
 import linenring.protocol.HostList;
 import linenring.protocol.InboundMessage;
 import linenring.settings.Names;
-import org.eclipse.jetty.io.ManagedSelector;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Orders of events on real connections that come once in thousands, made to come each time. */
+/**
+ * Two things happen at once on real connections, in an order that comes once in thousands of times: here it is forced each
+ * time. A proxy would be lost by it, or a place for one.
+ */
 class ConnectionRaceTest {
-    private static final String JOIN = "{\"@type\":\"SUBSCRIBE\",\"id\":3,\"site\":\"a\",\"rps\":2.5,\"new\":true}\n";
-    private static final int MOST = 3, SPARE = 12; // connections; those that may be let go meanwhile
+    private static final int MAX_CONNECTIONS = 3;
+    /** Further sockets while connections are being closed for them. */
+    private static final int SPARE_SOCKETS = 12;
+    /** The process's, which are not the peers'. */
+    private static final int OWN_SOCKETS = 32;
 
     private final QueuedThreadPool threads = new QueuedThreadPool(8, 2);
     private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
     private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
-    private final Log log = new Log(new PrintStream(logged, true));
+    private final Log log = new Log(new PrintStream(logged, true, StandardCharsets.UTF_8));
     private final Names names = new Names(List.of("a"), List.of("m1"), List.of("lookup"), 9, 4);
-    private final CountDownLatch goesOn = new CountDownLatch(1); // a selector that was held
     private StreamServer server;
 
     @BeforeEach
-    void begins() throws Exception {
+    void startThreads() throws Exception {
         threads.start();
         scheduler.start();
     }
 
     @AfterEach
-    void ends() throws Exception {
-        goesOn.countDown(); // where a story ended before it let go
+    void closeServer() throws Exception {
         server.close();
         threads.stop();
         scheduler.stop();
     }
 
-    private void open(EventQueue exchange) {
+    private void open(EventQueue eventQueue) throws ListenException {
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        server = StreamServer.open(any, 32 + MOST, new Codec(names), exchange, log, threads, scheduler)
-                .server();
+        server = StreamServer.open(
+                any, OWN_SOCKETS + MAX_CONNECTIONS, new Codec(names), eventQueue, log, threads, scheduler);
     }
 
     /** A peer over loopback. */
-    private static final class Peer implements AutoCloseable {
-        final Socket socket = new Socket();
-        final BufferedReader in;
+    private static final class SocketPeer implements AutoCloseable {
+        private final Socket socket = new Socket();
+        private final BufferedReader reader;
 
-        Peer(InetSocketAddress at) throws IOException {
+        SocketPeer(InetSocketAddress address) throws IOException {
             socket.setSoTimeout(20_000);
-            socket.connect(at);
-            in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
+            socket.connect(address);
+            reader = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
         }
 
-        void says(String words) throws IOException {
-            socket.getOutputStream().write(words.getBytes(StandardCharsets.UTF_8));
+        void send(String text) throws IOException {
+            socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
         }
 
-        /** The next line that is no order, or null at the end. */
-        String hears() throws IOException {
-            String line = in.readLine();
-            while (line != null && line.contains("CONFIG")) {
-                line = in.readLine();
-            }
-            return line;
+        /** The next line, or null at the end. */
+        String receive() throws IOException {
+            return reader.readLine();
         }
 
-        void isServed() throws IOException {
-            says("{\"@type\":\"PING\"}\n");
-            assertEquals("{\"@type\":\"PONG\"}", hears());
+        void assertServed() throws IOException {
+            send(PING);
+            String line = receive();
+            while (line != null && line.contains("CONFIG")) { // updates may come first
+                line = receive();
+            }
+            assertEquals(PONG.strip(), line);
         }
 
         @Override
@@ -105,8 +114,8 @@
         }
     }
 
-    private ControlLoop steward(EventQueue exchange) {
-        PlannerSettings figures = new PlannerSettings(
+    private ControlLoop controlLoop(EventQueue eventQueue) {
+        PlannerSettings settings = new PlannerSettings(
                 List.of(new PlannerSettings.Operation(1000, 1, -1, -1, false, 1)),
                 new PlannerSettings.ColdStart(0.2, 18_000),
                 new PlannerSettings.Channel(1200, 4, 1800, 30, 10_000, 100, 300, 2000),
@@ -120,139 +129,127 @@
                 1,
                 true,
                 IntStream.range(0, 4)
-                        .mapToObj(h ->
-                                new HostList.Entry("s-" + h, 0, 0, HostList.State.READY, 1, Double.NEGATIVE_INFINITY))
+                        .mapToObj(index -> new HostList.Entry(
+                                "s-" + index, 0, 0, HostList.State.READY, 1, Double.NEGATIVE_INFINITY))
                         .toList());
-        return new ControlLoop(figures, names, known, exchange, log);
+        return new ControlLoop(settings, names, known, eventQueue, log);
     }
 
-    /** The proxy gave its first dial up and dialled again; its first words come to be read after those of the second. */
+    /** A proxy gives up a connection and makes another; what it sent on the first is read after what it sent on the second. */
     @Test
-    void theStreamThatWasOpenedLaterCountsThoughItWasReadFirst() throws Exception {
-        EventQueue exchange = new EventQueue();
-        open(exchange);
-        ControlLoop steward = steward(exchange);
-        Thread decides = new Thread(steward::run, "decides");
-        decides.start();
-        try (Peer first = new Peer(server.address());
-                Peer second = new Peer(server.address())) {
-            first.says(JOIN.substring(0, 10)); // a byte of it is held back
-            second.says(JOIN);
-            assertTrue(second.in.readLine().contains("CONFIG"));
-            first.says(JOIN.substring(10));
-            assertNull(first.in.readLine(), "the one that was left gets no order");
-            second.isServed();
+    void prefersTheStreamOpenedLaterThoughItWasReadFirst() throws Exception {
+        EventQueue eventQueue = new EventQueue();
+        open(eventQueue);
+        ControlLoop controlLoop = controlLoop(eventQueue);
+        Thread loop = new Thread(controlLoop::run, "control-loop");
+        loop.start();
+        try (SocketPeer first = new SocketPeer(server.address());
+                SocketPeer second = new SocketPeer(server.address())) {
+            first.send(SUBSCRIBE.substring(0, 10)); // the rest is held back
+            second.send(SUBSCRIBE);
+            assertTrue(second.receive().contains("CONFIG"));
+            first.send(SUBSCRIBE.substring(10));
+            assertNull(first.receive(), "the abandoned one gets no update");
+            second.assertServed();
         } finally {
-            decides.interrupt();
-            decides.join();
+            loop.interrupt();
+            loop.join();
         }
     }
 
-    /** Another thread closes the connection at the very moment at which its joining is read. */
+    /** Another thread closes the connection at the very moment at which its subscription is read. */
     @Test
-    void noEndOfAStreamOvertakesItsJoining() throws Exception {
-        CountDownLatch told = new CountDownLatch(1);
-        List<String> order = java.util.Collections.synchronizedList(new ArrayList<>());
+    void reportsTheEndOfAStreamAfterItsSubscription() throws Exception {
+        CountDownLatch ended = new CountDownLatch(1);
+        List<String> order = Collections.synchronizedList(new ArrayList<>());
         open(new EventQueue() {
             @Override
-            public void arrived(ProxyStream from, InboundMessage what) {
-                Thread closes = new Thread(() -> from.close("at the wrong moment"), "closes");
-                closes.start();
+            public void arrived(ProxyStream from, InboundMessage message) {
+                Thread closer = new Thread(() -> from.close("at the wrong moment"), "closer");
+                closer.start();
                 while (order.isEmpty()
                         && Thread.getAllStackTraces().entrySet().stream()
-                                .noneMatch(e -> e.getKey().getState() == Thread.State.BLOCKED
-                                        && Arrays.stream(e.getValue())
-                                                .anyMatch(f -> f.getMethodName().equals("onClose")))) {
-                    Thread.onSpinWait(); // till the end is told, or waits for its turn
+                                .noneMatch(entry -> entry.getKey().getState() == Thread.State.BLOCKED
+                                        && Arrays.stream(entry.getValue())
+                                                .anyMatch(frame ->
+                                                        frame.getMethodName().equals("onClose")))) {
+                    Thread.onSpinWait(); // until the end is reported, or waits for its turn
                 }
-                order.add("joins");
+                order.add("subscribed");
             }
 
             @Override
-            public void ended(ProxyStream which) {
-                order.add("ends");
-                told.countDown();
+            public void ended(ProxyStream stream) {
+                order.add("ended");
+                ended.countDown();
             }
         });
-        try (Peer peer = new Peer(server.address())) {
-            peer.says(JOIN);
-            assertTrue(told.await(20, java.util.concurrent.TimeUnit.SECONDS));
+        try (SocketPeer peer = new SocketPeer(server.address())) {
+            peer.send(SUBSCRIBE);
+            assertTrue(ended.await(20, TimeUnit.SECONDS));
         }
-        assertEquals(List.of("joins", "ends"), order);
+        assertEquals(List.of("subscribed", "ended"), order);
     }
 
     @Test
-    void socketsThatDieBeforeTheirOptionsAreSetTakeNobodysPlace() throws Exception {
+    void freesThePlacesOfSocketsThatDieBeforeTheirOptionsAreSet() throws Exception {
         open(new EventQueue());
-        for (int i = 0; i < MOST + SPARE + 5; i++) {
-            SocketChannel dies = accepted();
-            dies.close();
-            assertThrows(IOException.class, () -> server.accepted(dies));
+        for (int i = 0; i < MAX_CONNECTIONS + SPARE_SOCKETS + 5; i++) {
+            SocketChannel dying = accepted();
+            dying.close();
+            assertThrows(IOException.class, () -> server.accepted(dying));
         }
-        try (Peer peer = new Peer(server.address())) {
-            peer.isServed();
+        try (SocketPeer peer = new SocketPeer(server.address())) {
+            peer.assertServed();
         }
     }
 
     @Test
-    void socketsThatDieBeforeTheyAreRegisteredTakeNobodysPlace() throws Exception {
+    void freesThePlacesOfSocketsThatDieBeforeTheyAreRegistered() throws Exception {
         open(new EventQueue());
-        holdSelector();
-        for (int i = 0; i < MOST + SPARE; i++) {
-            SocketChannel dies = accepted();
-            server.accepted(dies);
-            dies.close();
-        }
-        goesOn.countDown();
+        SelectorHold.during(server, hold -> {
+            for (int i = 0; i < MAX_CONNECTIONS + SPARE_SOCKETS; i++) {
+                SocketChannel dying = accepted();
+                server.accepted(dying);
+                dying.close();
+            }
+        });
         for (int i = 0; i < 2; i++) { // the first is read after all of these
-            try (Peer peer = new Peer(server.address())) {
-                peer.isServed();
+            try (SocketPeer peer = new SocketPeer(server.address())) {
+                peer.assertServed();
             }
         }
     }
 
-    /** Whoever is accepted and on the way while the server closes hears so at once, and may dial elsewhere. */
+    /** Whoever is accepted and not open yet when the server closes notices at once, and may connect elsewhere. */
     @Test
-    void aCloseEndsThoseThatAreAcceptedAndNotOpenedYet() throws Exception {
+    void closesSocketsThatAreAcceptedAndNotOpenYet() throws Exception {
         open(new EventQueue());
-        holdSelector();
-        try (ServerSocketChannel listens = ServerSocketChannel.open()) {
-            listens.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            try (Peer peer = new Peer((InetSocketAddress) listens.getLocalAddress())) {
-                server.accepted(listens.accept());
-                Thread closes = new Thread(server::close, "closes");
-                closes.start();
-                assertNull(peer.in.readLine()); // while the selector still stands
-                SocketChannel late = accepted();
-                server.accepted(late);
-                assertTrue(!late.isOpen(), "nobody is taken in any more");
-                goesOn.countDown();
-                closes.join();
-            }
-        }
-        server.close(); // a second one changes nothing
-    }
-
-    /** Has the server's selector stand until it is let go on. */
-    private void holdSelector() throws Exception {
-        CountDownLatch stands = new CountDownLatch(1);
-        server.getBeans(ManagedSelector.class).iterator().next().submit(selector -> {
-            stands.countDown();
-            try {
-                goesOn.await();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
+        SelectorHold.during(server, hold -> {
+            try (ServerSocketChannel listener = ServerSocketChannel.open()) {
+                listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+                try (SocketPeer peer = new SocketPeer((InetSocketAddress) listener.getLocalAddress())) {
+                    server.accepted(listener.accept());
+                    Thread closer = new Thread(server::close, "closer");
+                    closer.start();
+                    assertNull(peer.receive()); // while the selector still stands
+                    SocketChannel late = accepted();
+                    server.accepted(late);
+                    assertFalse(late.isOpen(), "nobody is accepted any more");
+                    hold.release();
+                    closer.join();
+                }
             }
         });
-        stands.await();
+        server.close(); // a second one changes nothing
     }
 
     /** The accepted side of a connection over loopback. */
     private static SocketChannel accepted() throws IOException {
-        try (ServerSocketChannel listens = ServerSocketChannel.open()) {
-            listens.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            SocketChannel.open(listens.getLocalAddress());
-            return listens.accept();
+        try (ServerSocketChannel listener = ServerSocketChannel.open()) {
+            listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+            SocketChannel.open(listener.getLocalAddress());
+            return listener.accept();
         }
     }
 }
