--- a/src/main/java/linenring/log/JsonSink.java
+++ b/src/main/java/linenring/log/JsonSink.java
@@ -8,17 +8,36 @@
 import java.io.OutputStream;
 import java.time.Instant;
 import org.slf4j.Logger;
-import org.slf4j.event.Level;
 import org.slf4j.spi.LoggingEventBuilder;
 
-/** One JSON object a line, by logback: the words as the message, subject and held as key-values. */
+/**
+ * Writes each line as one JSON object, by logback. Subject and number of suppressed lines are key-value pairs, the latter
+ * under the key {@code held} (docs/oncall.md).
+ */
 public final class JsonSink implements Sink {
+    private static final String SUBJECT_KEY = "subject";
+    private static final String SUPPRESSED_LINES_KEY = "held";
+
     private final Logger logger;
 
+    /** A sink that writes to this stream. */
     public JsonSink(OutputStream out) {
         LoggerContext context = new LoggerContext();
-        context.setMDCAdapter(new LogbackMDCAdapter()); // events ask for one, though nothing is kept in it
+        context.setMDCAdapter(new LogbackMDCAdapter()); // events require one, though nothing is put into it
         context.start();
+        OutputStreamAppender<ILoggingEvent> appender = new OutputStreamAppender<>();
+        appender.setContext(context);
+        appender.setEncoder(encoder(context));
+        appender.setOutputStream(out);
+        appender.start();
+        ch.qos.logback.classic.Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
+        root.setLevel(ch.qos.logback.classic.Level.INFO);
+        root.addAppender(appender);
+        logger = context.getLogger("linenring");
+    }
+
+    /** Leaves out what is always empty here, and what the time already says. */
+    private static JsonEncoder encoder(LoggerContext context) {
         JsonEncoder encoder = new JsonEncoder();
         encoder.setContext(context);
         encoder.setWithContext(false);
@@ -28,20 +47,16 @@
         encoder.setWithNanoseconds(false);
         encoder.setWithSequenceNumber(false);
         encoder.start();
-        OutputStreamAppender<ILoggingEvent> appender = new OutputStreamAppender<>();
-        appender.setContext(context);
-        appender.setEncoder(encoder);
-        appender.setOutputStream(out);
-        appender.start();
-        ch.qos.logback.classic.Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
-        root.setLevel(ch.qos.logback.classic.Level.INFO);
-        root.addAppender(appender);
-        logger = context.getLogger("linenring");
+        return encoder;
     }
 
     @Override
-    public void write(Instant at, String level, String subject, String words, int held) {
-        LoggingEventBuilder event = logger.atLevel(Level.valueOf(level)).addKeyValue("subject", subject);
-        (held == 0 ? event : event.addKeyValue("held", held)).log(words);
+    public void write(Instant time, Level level, String subject, String message, int suppressedLines) {
+        LoggingEventBuilder event =
+                logger.atLevel(org.slf4j.event.Level.valueOf(level.name())).addKeyValue(SUBJECT_KEY, subject);
+        if (suppressedLines > 0) {
+            event = event.addKeyValue(SUPPRESSED_LINES_KEY, suppressedLines);
+        }
+        event.log(message);
     }
 }
--- a/src/main/java/linenring/log/Sink.java
+++ b/src/main/java/linenring/log/Sink.java
@@ -2,8 +2,15 @@
 
 import java.time.Instant;
 
-/** Where lines for the staff go, once it is decided that they are written. */
+/** The output of a {@link Log}: takes the lines that the rate limit lets through, one call at a time. */
 public interface Sink {
-    /** One line; {@code held} is how many of its subject were not written since the last one that was. */
-    void write(Instant at, String level, String subject, String words, int held);
+    /**
+     * Writes one line.
+     *
+     * @param time when the event was logged
+     * @param subject the part of the program that it is about
+     * @param message without control characters
+     * @param suppressedLines how many lines of this subject the rate limit has held back since the last one written
+     */
+    void write(Instant time, Level level, String subject, String message, int suppressedLines);
 }
--- a/src/main/java/linenring/log/TextSink.java
+++ b/src/main/java/linenring/log/TextSink.java
@@ -5,7 +5,10 @@
 import java.time.ZoneOffset;
 import java.time.format.DateTimeFormatter;
 
-/** Lines of text: time, level, subject, words. It needs no library, so that a steward alone starts quickly. */
+/**
+ * Writes lines as text: time (UTC), level, subject, message. It needs no library, since loading one would delay the start
+ * of a controller without a gateway.
+ */
 final class TextSink implements Sink {
     private static final DateTimeFormatter TIME =
             DateTimeFormatter.ofPattern("uuuu-MM-dd'T'HH:mm:ss.SSS'Z'").withZone(ZoneOffset.UTC);
@@ -17,8 +20,8 @@
     }
 
     @Override
-    public void write(Instant at, String level, String subject, String words, int held) {
-        String line = TIME.format(at) + ' ' + level + ' ' + subject + ' ' + words;
-        out.println(held == 0 ? line : line + " (" + held + " more were not written)");
+    public void write(Instant time, Level level, String subject, String message, int suppressedLines) {
+        String line = TIME.format(time) + ' ' + level + ' ' + subject + ' ' + message;
+        out.println(suppressedLines == 0 ? line : line + " (" + suppressedLines + " more were not written)");
     }
 }
--- a/src/main/java/linenring/scale/fleet/HollowSteward.java
+++ b/src/main/java/linenring/scale/fleet/HollowSteward.java
@@ -15,6 +15,7 @@
 import linenring.controller.ControlLoop;
 import linenring.discovery.HostWatch;
 import linenring.event.EventQueue;
+import linenring.log.Level;
 import linenring.log.Log;
 import linenring.protocol.Codec;
 import org.eclipse.jetty.util.thread.Scheduler;
@@ -86,7 +87,7 @@
         }
     }
 
-    private void logged(Instant at, String level, String subject, String words, int held) {
+    private void logged(Instant at, Level level, String subject, String words, int held) {
         if (subject.equals("fault")) {
             failure.compareAndSet(null, words);
         }
