--- a/src/main/antlr4/linenring/kdl/Kdl.g4
+++ b/src/main/antlr4/linenring/kdl/Kdl.g4
@@ -1,4 +1,4 @@
-// KDL 2.0.0 (kdl.dev/spec): nodes with arguments, properties and children. What it can't tell is checked in KdlReader.
+// KDL 2.0.0 (kdl.dev/spec): nodes with arguments, properties and children. What a grammar can not express is checked in KdlNodeBuilder.
 grammar Kdl;
 
 document : nodes EOF ;
--- a/src/main/java/linenring/kdl/SettingsSchema.java
+++ b/src/main/java/linenring/kdl/SettingsSchema.java
@@ -12,98 +12,120 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Comparator;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 
 /**
- * Holds settings in KDL to a JSON Schema. A property's {@code description} in the schema is what a fault says was
- * expected there.
+ * Checks settings in KDL against a JSON Schema. The {@code description} of a property in the schema is what an error message says
+ * was expected there.
  */
 public final class SettingsSchema {
+    private static final int MAX_QUOTED_CHARS = 60;
+
     private final Schema schema;
-    private final Set<String> lists;
+    private final Set<String> listNames;
 
     /**
-     * @param owner whose package holds the schema
+     * Loads a schema.
+     *
+     * @param owner the class whose package holds the schema
      * @param resource the schema's file
-     * @param lists names of nodes that may stand more than once
+     * @param listNames names of nodes that may occur more than once
      */
-    public SettingsSchema(Class<?> owner, String resource, Set<String> lists) {
-        this.lists = lists;
-        try (InputStream in = owner.getResourceAsStream(resource)) {
+    public SettingsSchema(Class<?> owner, String resource, Set<String> listNames) {
+        this.listNames = listNames;
+        try (InputStream resourceStream = owner.getResourceAsStream(resource)) {
             schema = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
-                    .getSchema(new String(in.readAllBytes(), StandardCharsets.UTF_8), InputFormat.JSON);
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
+                    .getSchema(new String(resourceStream.readAllBytes(), StandardCharsets.UTF_8), InputFormat.JSON);
+        } catch (IOException unreadable) {
+            throw new UncheckedIOException(unreadable);
         }
     }
 
-    /** Reads and checks a text; {@code file} is its name for faults. */
+    /**
+     * Reads and checks a text.
+     *
+     * @param file its name, for error messages
+     */
     public SettingsDocument read(String file, String text) {
-        KdlReader.Read read = KdlReader.read(text);
-        if (read.nodes() == null) {
+        KdlReadResult result = KdlReader.read(text);
+        if (result instanceof KdlReadResult.Invalid invalid) {
             SettingsDocument unread = new SettingsDocument(file, null, Map.of());
-            read.faults().forEach(f -> unread.faultOnLine(f.line(), f.what()));
+            invalid.errors().forEach(error -> unread.faultOnLine(error.line(), error.message()));
             return unread;
         }
-        KdlTree.Tree tree = KdlTree.of(read.nodes(), lists);
+        return check(file, ((KdlReadResult.Document) result));
+    }
+
+    private SettingsDocument check(String file, KdlReadResult.Document read) {
+        KdlToJson.Tree tree = KdlToJson.convert(read.nodes(), listNames);
         SettingsDocument document = new SettingsDocument(file, tree.root(), tree.lines());
-        if (tree.fault() != null) {
-            document.faultOnLine(tree.fault().line(), tree.fault().what());
+        if (tree.error().isPresent()) {
+            KdlError error = tree.error().get();
+            document.faultOnLine(error.line(), error.message());
             return document;
         }
         schema.validate(tree.root()).stream()
-                .sorted(Comparator.comparingInt(
-                        (Error e) -> document.line(e.getInstanceLocation().toString())))
-                .forEach(e -> fault(document, e));
+                .sorted(Comparator.comparingInt((Error error) ->
+                        document.line(error.getInstanceLocation().toString())))
+                .forEach(error -> addFault(document, error));
         return document;
     }
 
+    /** The name of a place as operators write it: {@code front.hosts.idle}. */
     private static String key(String pointer) {
-        String key = pointer.replaceAll("^/|/[0-9]+|/arguments", "").replace('/', '.');
+        String key =
+                pointer.replaceAll("^/|/[0-9]+|/" + KdlToJson.ARGUMENTS, "").replace('/', '.');
         return key.isEmpty() ? "the file" : key;
     }
 
-    private void fault(SettingsDocument document, Error e) {
-        String at = e.getInstanceLocation().toString();
-        String property = e.getProperty();
-        boolean unnamed = "arguments".equals(property);
-        switch (e.getKeyword()) {
-            case "required" ->
-                document.fault(at, key(at) + ": " + (unnamed ? "what it is called" : property) + " is missing");
-            case "additionalProperties" ->
-                document.fault(
-                        at + "/" + property,
-                        key(at) + ": "
-                                + (unnamed
-                                        ? "a value stands where properties such as name=value are expected"
-                                        : property + " is not known here"));
+    private void addFault(SettingsDocument document, Error error) {
+        String pointer = error.getInstanceLocation().toString();
+        String property = error.getProperty();
+        boolean isArguments = KdlToJson.ARGUMENTS.equals(property);
+        switch (error.getKeyword()) {
+            case "required" -> {
+                String missing = isArguments ? "what it is called" : property;
+                document.fault(pointer, key(pointer) + ": " + missing + " is missing");
+            }
+            case "additionalProperties" -> {
+                String unexpected = isArguments
+                        ? "a value stands where properties such as name=value are expected"
+                        : property + " is not known here";
+                document.fault(pointer + "/" + property, key(pointer) + ": " + unexpected);
+            }
             default -> {
-                JsonNode words = e.getSchemaNode() == null ? null : description(at);
-                String expected = words == null ? e.getMessage() : words.asText();
-                document.fault(at, key(at) + ": " + shown(e.getInstanceNode()) + " is not " + expected);
+                String expected = description(pointer, error).orElse(error.getMessage());
+                String found = shortened(error.getInstanceNode());
+                document.fault(pointer, key(pointer) + ": " + found + " is not " + expected);
             }
         }
     }
 
-    /** The words of the schema for the place, found by walking it as the instance is walked. */
-    private JsonNode description(String pointer) {
+    /** The schema's description of the place or of the nearest enclosing one, found by walking the schema along the pointer. */
+    private Optional<String> description(String pointer, Error error) {
+        if (error.getSchemaNode() == null) {
+            return Optional.empty();
+        }
         JsonNode root = schema.getSchemaNode();
-        JsonNode at = root;
-        JsonNode words = null;
-        for (String step : pointer.substring(1).split("/")) {
-            at = step.matches("[0-9]+")
-                    ? at.path("items")
-                    : at.path("properties").path(step);
-            if (at.has("$ref")) {
-                at = root.at(at.get("$ref").asText().substring(1));
+        JsonNode place = root;
+        Optional<String> description = Optional.empty();
+        for (String step : pointer.substring(1).split("/", -1)) {
+            place = step.matches("[0-9]+")
+                    ? place.path("items")
+                    : place.path("properties").path(step);
+            if (place.has("$ref")) {
+                place = root.at(place.get("$ref").asText().substring(1));
+            }
+            if (place.has("description")) {
+                description = Optional.of(place.get("description").asText());
             }
-            words = at.has("description") ? at.get("description") : words;
         }
-        return words;
+        return description;
     }
 
-    private static String shown(JsonNode was) {
-        String text = was == null ? "it" : was.toString();
-        return text.length() <= 60 ? text : text.substring(0, 60) + "...";
+    private static String shortened(JsonNode found) {
+        String text = found == null ? "it" : found.toString();
+        return text.length() <= MAX_QUOTED_CHARS ? text : text.substring(0, MAX_QUOTED_CHARS) + "...";
     }
 }
--- a/src/main/java/linenring/kdl/Units.java
+++ b/src/main/java/linenring/kdl/Units.java
@@ -1,48 +1,55 @@
 package linenring.kdl;
 
-/** Durations, sizes and shares as settings write them: a figure and its unit. */
+/** Durations, sizes and percentages as settings write them: a number and its unit. */
 public final class Units {
-    /** What a schema's pattern holds a duration to. */
+    /** The pattern of a duration, as the schemas have it too. */
     public static final String DURATION = "^[0-9]+(\\.[0-9]+)?(ms|s|min|h)$";
 
+    private static final double SECOND_MS = 1000;
+    private static final double MINUTE_MS = 60 * SECOND_MS;
+    private static final double HOUR_MS = 60 * MINUTE_MS;
+    private static final long KIBIBYTE = 1L << 10;
+    private static final long MEBIBYTE = 1L << 20;
+    private static final long GIBIBYTE = 1L << 30;
+    private static final double PERCENT = 100;
+
     private Units() {}
 
-    private static int unitAt(String text) {
-        int at = 0;
-        while (at < text.length() && (Character.isDigit(text.charAt(at)) || text.charAt(at) == '.')) {
-            at++;
+    private static int unitStart(String text) {
+        int start = 0;
+        while (start < text.length() && (Character.isDigit(text.charAt(start)) || text.charAt(start) == '.')) {
+            start++;
         }
-        return at;
+        return start;
     }
 
-    /** Milliseconds; the text matches {@link #DURATION}. */
+    /** Milliseconds; the text must match {@link #DURATION}. */
     public static double millis(String text) {
-        int at = unitAt(text);
-        double figure = Double.parseDouble(text.substring(0, at));
-        return figure
-                * switch (text.substring(at)) {
-                    case "ms" -> 1;
-                    case "s" -> 1000;
-                    case "min" -> 60_000;
-                    default -> 3_600_000;
-                };
+        int unitStart = unitStart(text);
+        double number = Double.parseDouble(text.substring(0, unitStart));
+        double unitMs = switch (text.substring(unitStart)) {
+            case "ms" -> 1;
+            case "s" -> SECOND_MS;
+            case "min" -> MINUTE_MS;
+            default -> HOUR_MS;
+        };
+        return number * unitMs;
     }
 
-    /** Bytes; the text is a whole number and B, KiB, MiB or GiB, as a schema has checked. */
+    /** Bytes; the text must be a whole number and B, KiB, MiB or GiB, as a schema has checked. */
     public static long bytes(String text) {
-        int at = unitAt(text);
-        return Math.multiplyExact(
-                Long.parseLong(text.substring(0, at)),
-                switch (text.substring(at)) {
-                    case "B" -> 1L;
-                    case "KiB" -> 1L << 10;
-                    case "MiB" -> 1L << 20;
-                    default -> 1L << 30;
-                });
+        int unitStart = unitStart(text);
+        long unitBytes = switch (text.substring(unitStart)) {
+            case "B" -> 1;
+            case "KiB" -> KIBIBYTE;
+            case "MiB" -> MEBIBYTE;
+            default -> GIBIBYTE;
+        };
+        return Math.multiplyExact(Long.parseLong(text.substring(0, unitStart)), unitBytes);
     }
 
-    /** A share of 1; the text is a number and %, as a schema has checked. */
+    /** A fraction of 1; the text must be a number and %, as a schema has checked. */
     public static double share(String text) {
-        return Double.parseDouble(text.substring(0, text.length() - 1)) / 100;
+        return Double.parseDouble(text.substring(0, text.length() - 1)) / PERCENT;
     }
 }
--- a/src/test/java/linenring/gateway/settings/GatewaySettingsReaderTest.java
+++ b/src/test/java/linenring/gateway/settings/GatewaySettingsReaderTest.java
@@ -72,7 +72,7 @@
                 "8 | route \"get\" \"quotes\" operation=\"quote\" | 8: route \"get\" \"quotes\": a method in capitals and a path that begins with / are expected",
                 "8 | route \"POST\" \"/\" operation=\"quote\" | 9: route \"POST\" \"/\" is told a second time",
                 "8 | drain 30 | 8: front.drain: 30 is not a duration with its unit, such as \"750ms\" or \"2.5s\"",
-                "8 | drain \"30s\"; drain \"20s\" | 8: drain is told a second time, first on line 8",
+                "8 | drain \"30s\"; drain \"20s\" | 8: drain is given a second time, first on line 8",
                 "8 | tries budget=20 | 8: front.tries.budget: 20 is not a share, such as \"20%\"",
                 "8 | tries \"20%\" | 8: front.tries: \"20%\" is not properties such as budget=\"20%\"",
                 "8 | tries \"20%\" least=1 | 8: front.tries: a value stands where properties such as name=value are expected",
--- a/src/test/java/linenring/kdl/KdlReaderTest.java
+++ b/src/test/java/linenring/kdl/KdlReaderTest.java
@@ -1,6 +1,7 @@
 package linenring.kdl;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,37 +10,54 @@
 
 class KdlReaderTest {
     private static List<KdlNode> nodes(String text) {
-        KdlReader.Read read = KdlReader.read(text);
-        assertTrue(read.faults().isEmpty(), () -> read.faults().toString());
-        return read.nodes();
+        KdlReadResult result = KdlReader.read(text);
+        return assertInstanceOf(KdlReadResult.Document.class, result, result::toString)
+                .nodes();
+    }
+
+    private static KdlError firstError(String text) {
+        return assertInstanceOf(KdlReadResult.Invalid.class, KdlReader.read(text))
+                .errors()
+                .get(0);
     }
 
     private static Object value(String text) {
-        return nodes("n " + text).get(0).arguments().get(0).of();
+        return contents(nodes("n " + text).get(0)).get(0);
+    }
+
+    private static List<Object> contents(KdlNode node) {
+        return node.arguments().stream().map(KdlNode.Value::content).toList();
     }
 
     @Test
-    void nodesHaveArgumentsPropertiesChildrenTypesAndLines() {
-        List<KdlNode> all = nodes("// first\n(t)a 1 k=2 \"x\" { b; c #true\n}\nd /* over\nlines */ 5; e\n");
-        assertEquals(List.of("a", "d", "e"), all.stream().map(KdlNode::name).toList());
-        assertEquals("t", all.get(0).type());
-        assertEquals(
-                List.of(1L, "x"),
-                all.get(0).arguments().stream().map(KdlNode.Value::of).toList());
-        assertEquals(2L, all.get(0).properties().get("k").of());
-        assertEquals(2, all.get(0).children().size());
-        assertEquals(List.of(2, 4, 5), all.stream().map(KdlNode::line).toList());
+    void readsArgumentsPropertiesChildrenAnnotationsAndLines() {
+        List<KdlNode> nodes = nodes("// first\n(t)a 1 k=2 \"x\" { b; c #true\n}\nd /* over\nlines */ 5; e\n");
+        assertEquals(List.of("a", "d", "e"), nodes.stream().map(KdlNode::name).toList());
+        KdlNode first = nodes.get(0);
+        assertEquals("t", first.type());
+        assertEquals(List.of(1L, "x"), contents(first));
+        assertEquals(2L, first.properties().get("k").content());
+        assertEquals(2, first.children().size());
+        assertEquals(List.of(2, 4, 5), nodes.stream().map(KdlNode::line).toList());
     }
 
     @Test
-    void valuesOfEachForm() {
+    void readsNumbersInEachNotation() {
         assertEquals(255L, value("0xff"));
         assertEquals(-8L, value("-0o10"));
         assertEquals(5L, value("0b1_01"));
         assertEquals(1500.0, value("1.5e3"));
         assertEquals(1_000_000L, value("1_000_000"));
+    }
+
+    @Test
+    void readsKeywords() {
         assertEquals(Double.POSITIVE_INFINITY, value("#inf"));
-        assertNull(value("#null"));
+        assertNull(nodes("n #null").get(0).arguments().get(0).content());
+    }
+
+    @Test
+    void readsTextInEachNotation() {
         assertEquals("a\"b\n\u00e9", value("\"a\\\"b\\n\\u{e9}\""));
         assertEquals("a\\n \"b\"", value("##\"a\\n \"b\"\"##"));
         assertEquals("bare-word", value("bare-word"));
@@ -48,26 +66,49 @@
     }
 
     @Test
-    void whatIsSlashedOutIsNotThereAndALineGoesOnBehindABackslash() {
-        List<KdlNode> all = nodes("/- gone { x }\na 1 /-2 /-k=3 \\ // here\n  4 /-{ x }\n");
-        assertEquals(1, all.size());
+    void omitsWhatIsCommentedOutByASlashDash() {
+        List<KdlNode> nodes = nodes("/- gone { x }\na 1 /-2 /-k=3 4 /-{ x }\n");
+        assertEquals(1, nodes.size());
+        assertEquals(List.of(1L, 4L), contents(nodes.get(0)));
+        assertTrue(nodes.get(0).properties().isEmpty());
+        assertTrue(nodes.get(0).children().isEmpty());
+    }
+
+    @Test
+    void continuesALineBehindABackslash() {
         assertEquals(
-                List.of(1L, 4L),
-                all.get(0).arguments().stream().map(KdlNode.Value::of).toList());
-        assertTrue(all.get(0).properties().isEmpty() && all.get(0).children().isEmpty());
+                List.of(1L, 4L), contents(nodes("a 1 /-2 \\ // here\n  4\n").get(0)));
     }
 
     @Test
-    void faultsNameTheirLine() {
-        assertEquals(2, KdlReader.read("a\nb {\n").faults().get(0).line() - 1);
+    void namesTheLineOfAnError() {
+        assertEquals(3, firstError("a\nb {\n").line());
         assertEquals(
-                new KdlReader.Fault(2, "'null' is written #null, or in quotes if text is meant"),
-                KdlReader.read("a\nb null").faults().get(0));
+                new KdlError(2, "'null' is written #null, or in quotes if text is meant"), firstError("a\nb null"));
+        assertEquals(
+                "'99999999999999999999' is out of range",
+                firstError("a 99999999999999999999").message());
+    }
+
+    /** A text of open braces made the recursive parser run out of stack, which ended the process. */
+    @Test
+    void rejectsDeepNestingBeforeItIsParsed() {
         assertEquals(
                 "children are nested deeper than 64",
-                KdlReader.read("a {".repeat(5000)).faults().get(0).what());
+                firstError("a {".repeat(5000)).message());
+    }
+
+    @Test
+    void rejectsEscapesThatNameNoCharacter() {
+        for (String escape : List.of("\\u{110000}", "\\u{d800}", "\\u{0000041}")) {
+            assertEquals(new KdlError(1, "\\u{...} names no character"), firstError("a \"" + escape + "\""), escape);
+        }
+    }
+
+    @Test
+    void rejectsTextOverSeveralLinesThatIsNotIndentedAsItsClosingQuotes() {
         assertEquals(
-                "'99999999999999999999' is out of range",
-                KdlReader.read("a 99999999999999999999").faults().get(0).what());
+                "a line of the text stands further left than its closing quotes",
+                firstError("a \"\"\"\n  one\n    \"\"\"").message());
     }
 }
