--- a/src/main/java/linenring/cli/Handover.java
+++ b/src/main/java/linenring/cli/Handover.java
@@ -30,7 +30,7 @@
         if (known != null) {
             list.listed(known);
         }
-        exchange.follow(list::listed);
+        exchange.addHostListListener(list::listed);
     }
 
     // ---- the process that serves
--- a/src/main/java/linenring/cli/Instance.java
+++ b/src/main/java/linenring/cli/Instance.java
@@ -119,7 +119,7 @@
             if (known != null) {
                 hosts.apply(known);
             }
-            exchange.follow(hosts::apply);
+            exchange.addHostListListener(hosts::apply);
         }
         threads.setDaemon(true);
         threads.start();
--- a/src/main/java/linenring/configuration/ConfigurationText.java
+++ b/src/main/java/linenring/configuration/ConfigurationText.java
@@ -103,7 +103,7 @@
             while (in.nextToken() != JsonToken.END_OBJECT) {
                 String name = in.currentName();
                 if (in.nextToken() == JsonToken.START_OBJECT && name.equals("known")) {
-                    known = codec.hostList(in, filter);
+                    known = codec.decodeHostList(in, filter);
                 } else {
                     in.skipChildren();
                 }
--- a/src/main/java/linenring/configuration/ControllerConfigurationReader.java
+++ b/src/main/java/linenring/configuration/ControllerConfigurationReader.java
@@ -94,20 +94,21 @@
         if (known == null) {
             return new Outcome(assignment, null, false);
         }
-        HostList list = known.value();
-        if (list == null) {
-            return known.fault().reached() == DecodeError.Reached.SIZE
-                    ? new Outcome(null, "known lists " + known.fault().what(), true)
-                    : new Outcome(
-                            assignment.withKnown(null, "known: " + known.fault().what() + "; begins without it"),
-                            null,
-                            false);
+        if (known instanceof DecodeResult.Failed<HostList> failed) {
+            String reason = failed.error().reason();
+            return failed.error().stage() == DecodeError.Stage.SIZE
+                    ? new Outcome(null, "known lists " + reason, true)
+                    : new Outcome(assignment.withKnown(null, "known: " + reason + "; begins without it"), null, false);
         }
+        HostList list = known.orElseThrow();
         if (list.hasNoneInScope()) {
-            String leftOut = "known lists " + list.outside() + " hosts and scope names none of them; begins without it";
+            String leftOut = "known lists " + list.outsideScopeCount()
+                    + " hosts and scope names none of them; begins without it";
             return new Outcome(assignment.withKnown(null, leftOut), null, false);
         }
-        String leftOut = list.leftOut() == null ? null : "known lists " + list.leftOut();
+        String leftOut = list.invalidEntriesSummary()
+                .map(summary -> "known lists " + summary)
+                .orElse(null);
         return new Outcome(assignment.withKnown(list, leftOut), null, false);
     }
 
--- a/src/main/java/linenring/controller/ControlLoop.java
+++ b/src/main/java/linenring/controller/ControlLoop.java
@@ -37,7 +37,7 @@
         planner = new Planner(figures, fleetState);
         planner.clock(clock.now());
         if (known != null) {
-            listed(known);
+            onHostList(known);
         }
         settle();
     }
@@ -67,7 +67,7 @@
     void round(double now) {
         fleetState.alarmsUpTo(now);
         decide(() -> planner.clock(now));
-        long dropped = exchange.drain(this);
+        long dropped = exchange.drainTo(this);
         if (dropped > 0) {
             log.warn("steward", dropped + " sums were dropped, as they came faster than they could be taken");
         }
@@ -109,21 +109,21 @@
     }
 
     @Override
-    public void arrived(ProxyStream from, InboundMessage what) {
+    public void onMessage(ProxyStream from, InboundMessage what) {
         boolean taken = decide(() -> {
             if (what instanceof InboundMessage.Subscribe j) {
                 joined(from, j);
             } else if (what instanceof InboundMessage.Acknowledgement a) {
                 if (fleetState.isCurrent(a.proxy(), from)) { // an old stream's answer tells nothing of the new one
-                    planner.barrierAcknowledged(a.proxy(), a.mark(), a.tookMs());
+                    planner.barrierAcknowledged(a.proxy(), a.nonce(), a.elapsedMs());
                 }
             } else if (what instanceof InboundMessage.LoadReport s) {
                 int host = fleetState.hostIds.find(s.host());
                 if (host >= 0) {
-                    planner.hostStatistics(host, s.zone(), s.total(), s.bad(), s.meanMs(), s.spanMs());
+                    planner.hostStatistics(host, s.zone(), s.requests(), s.failed(), s.meanLatencyMs(), s.periodMs());
                 }
             } else if (what instanceof InboundMessage.RequestRateReport u) {
-                planner.requestRate(u.proxy(), u.operation(), u.spanMs(), u.total());
+                planner.requestRate(u.proxy(), u.operation(), u.periodMs(), u.requests());
             }
         });
         if (!taken && what instanceof InboundMessage.Subscribe) {
@@ -137,13 +137,13 @@
             from.close("has been replaced before it was read");
             return;
         }
-        log.info("proxy", j.proxy() + " joins" + (j.fresh() ? "" : " with a table"));
-        fleetState.joined(j.proxy(), from, j.fresh());
-        planner.joined(j.proxy(), j.zone(), j.usual());
+        log.info("proxy", j.proxy() + " joins" + (j.isNew() ? "" : " with a table"));
+        fleetState.joined(j.proxy(), from, j.isNew());
+        planner.joined(j.proxy(), j.zone(), j.usualRequestsPerSecond());
     }
 
     @Override
-    public void ended(ProxyStream which) {
+    public void onStreamClosed(ProxyStream which) {
         decide(() -> {
             int proxy = fleetState.proxyOf(which);
             if (proxy >= 0) { // else it has a newer stream, and this end is late
@@ -156,12 +156,12 @@
 
     /** A fault at one entry leaves out that entry, and nobody goes for not being named, as in a list with a spoilt one. */
     @Override
-    public void listed(HostList list) {
-        boolean opened = decide(() -> beginList(list.whole() && list.spoilt().isEmpty()));
+    public void onHostList(HostList list) {
+        boolean opened = decide(() -> beginList(list.removesUnnamedHosts()));
         long faults =
                 list.entries().stream().filter(e -> !decide(() -> listed(e))).count();
         if (opened && faults == 0) {
-            decide(() -> endList(list.whole() && list.spoilt().isEmpty()));
+            decide(() -> endList(list.removesUnnamedHosts()));
         }
     }
 
--- a/src/main/java/linenring/controller/FleetState.java
+++ b/src/main/java/linenring/controller/FleetState.java
@@ -27,7 +27,7 @@
     private final Messages messages = new Messages(this);
     private final PriorityQueue<Double> alarms = new PriorityQueue<>();
     private final Set<Proxy> concerned = new LinkedHashSet<>(); // in the order in which they came to be
-    private int mark = ConfigurationUpdate.NO_MARK;
+    private int mark = ConfigurationUpdate.NO_NONCE;
 
     FleetState(List<String> operations, int proxies, Log log) {
         this.operations = operations;
@@ -176,7 +176,8 @@
 
     @Override
     public void setAdmission(int table, int mask, double admissionRatio, RetryPolicy tries) {
-        ConfigurationUpdate.Level level = new ConfigurationUpdate.Level(admissionRatio, tries.ordinal());
+        ConfigurationUpdate.AdmissionPolicy level =
+                new ConfigurationUpdate.AdmissionPolicy(admissionRatio, tries.ordinal());
         for (int k = 0; k < operations.size(); k++) {
             if (!meant(mask, k)) {
                 continue;
@@ -199,7 +200,7 @@
             return reckoned;
         }
         p.next = messages.to(p, mark);
-        return p.next.lineCount();
+        return p.next.entryCount();
     }
 
     @Override
@@ -225,7 +226,7 @@
                         && proxies.stream().noneMatch(p -> p.uses(e.getKey())));
         outChanged.clear();
         concerned.clear();
-        mark = ConfigurationUpdate.NO_MARK;
+        mark = ConfigurationUpdate.NO_NONCE;
     }
 
     /** What a fault keeps from one proxy keeps nothing from the others; it is let go, joins anew and gets its table whole. */
--- a/src/main/java/linenring/controller/Messages.java
+++ b/src/main/java/linenring/controller/Messages.java
@@ -59,8 +59,8 @@
         // hosts and the mark go into the last part
         ConfigurationUpdate.Part e =
                 parts.isEmpty() ? part(List.of(), false, List.of(), null) : parts.remove(parts.size() - 1);
-        parts.add(
-                new ConfigurationUpdate.Part(e.operations(), e.whole(), e.lines(), e.level(), ejected, restored, mark));
+        parts.add(new ConfigurationUpdate.Part(
+                e.operations(), e.replacesTable(), e.entries(), e.admission(), ejected, restored, mark));
         return new ConfigurationUpdate(parts);
     }
 
@@ -96,33 +96,33 @@
     private static ConfigurationUpdate.Part part(
             List<String> operations,
             boolean whole,
-            List<ConfigurationUpdate.Line> lines,
-            ConfigurationUpdate.Level level) {
+            List<ConfigurationUpdate.TableEntry> lines,
+            ConfigurationUpdate.AdmissionPolicy level) {
         return new ConfigurationUpdate.Part(
-                operations, whole, lines, level, List.of(), List.of(), ConfigurationUpdate.NO_MARK);
+                operations, whole, lines, level, List.of(), List.of(), ConfigurationUpdate.NO_NONCE);
     }
 
     /** Adds the parts that tell of one table; tells how many levels they have. */
     private int tableParts(List<ConfigurationUpdate.Part> parts, Table t, boolean whole, BitSet alike) {
-        List<ConfigurationUpdate.Line> lines = new ArrayList<>();
+        List<ConfigurationUpdate.TableEntry> lines = new ArrayList<>();
         for (int h : t == null ? Set.<Integer>of() : whole ? t.lines.keySet() : t.changed) {
-            lines.add(new ConfigurationUpdate.Line(fleetState.hostIds.name(h), t.lines.getOrDefault(h, 0.0)));
+            lines.add(new ConfigurationUpdate.TableEntry(fleetState.hostIds.name(h), t.lines.getOrDefault(h, 0.0)));
         }
-        Map<ConfigurationUpdate.Level, BitSet> levels = new LinkedHashMap<>(); // operations by their level
+        Map<ConfigurationUpdate.AdmissionPolicy, BitSet> levels = new LinkedHashMap<>(); // operations by their level
         alike.stream().filter(k -> whole || t == null || t.levelled.get(k)).forEach(k -> {
-            ConfigurationUpdate.Level level = t == null ? null : t.levels[k];
+            ConfigurationUpdate.AdmissionPolicy level = t == null ? null : t.levels[k];
             if (level != null) {
                 levels.computeIfAbsent(level, l -> new BitSet()).set(k);
             }
         });
-        ConfigurationUpdate.Level forAll =
+        ConfigurationUpdate.AdmissionPolicy forAll =
                 levels.size() == 1 && levels.values().iterator().next().equals(alike)
                         ? levels.keySet().iterator().next()
                         : null;
         for (int from = 0;
                 from == 0 ? whole || !lines.isEmpty() || forAll != null : from < lines.size();
                 from += LINES_MOST) {
-            List<ConfigurationUpdate.Line> some = lines.subList(from, Math.min(lines.size(), from + LINES_MOST));
+            List<ConfigurationUpdate.TableEntry> some = lines.subList(from, Math.min(lines.size(), from + LINES_MOST));
             parts.add(part(names(alike), whole && from == 0, some, from == 0 ? forAll : null));
         }
         if (forAll == null) {
--- a/src/main/java/linenring/discovery/AgentConnection.java
+++ b/src/main/java/linenring/discovery/AgentConnection.java
@@ -242,8 +242,9 @@
             entriesTold = 0;
         }
         list.feed(bytes, start, to);
-        if (list.result() != null && list.result().value() == null) {
-            broken = unreadable(list.result().fault());
+        DecodeResult<HostList> result = list.result().orElse(null);
+        if (result instanceof DecodeResult.Failed<HostList> failed) {
+            broken = unreadable(failed.error());
         } else if (list.entriesRead() - entriesTold >= ENTRIES_A_WORD) {
             entriesTold = list.entriesRead();
             lineAt = watch.now();
@@ -255,8 +256,8 @@
     }
 
     private String unreadable(DecodeError fault) {
-        return fault.reached() == DecodeError.Reached.SIZE
-                ? watch.tooLarge(source, fault.what())
+        return fault.stage() == DecodeError.Stage.SIZE
+                ? watch.tooLarge(source, fault.reason())
                 : "can't be read, " + fault;
     }
 
@@ -269,11 +270,11 @@
         }
         DecodeResult<HostList> read = list.end();
         letListGo();
-        if (read.value() == null) {
-            broken = unreadable(read.fault());
+        if (read instanceof DecodeResult.Failed<HostList> failed) {
+            broken = unreadable(failed.error());
             return;
         }
-        String fault = watch.told(source, read.value(), revision);
+        String fault = watch.told(source, read.orElseThrow(), revision);
         reached = fault == null ? Reached.TOLD : reached;
         broken = fault;
     }
--- a/src/main/java/linenring/discovery/HeldHosts.java
+++ b/src/main/java/linenring/discovery/HeldHosts.java
@@ -20,7 +20,7 @@
     /** Takes a list, or changes of the one that is held, which were read under the same scope. */
     void taken(HostList list) {
         revision++;
-        if (list.whole()) {
+        if (list.isComplete()) {
             takenWhole(list);
         }
         if (scope.isAll()) {
@@ -36,7 +36,7 @@
     }
 
     private void takenWhole(HostList list) {
-        boolean othersStay = holdsList && !list.spoilt().isEmpty();
+        boolean othersStay = holdsList && !list.invalidEntries().isEmpty();
         mayBeAnybody = othersStay && !list.scope().isAll() && (mayBeAnybody || scope.isAll());
         if (!othersStay || list.scope().isAll()) {
             ids = new HashSet<>(); // one that was large is let go
--- a/src/main/java/linenring/discovery/HostWatch.java
+++ b/src/main/java/linenring/discovery/HostWatch.java
@@ -347,16 +347,14 @@
                     }
                 }
                 case TAKEN -> {
-                    if (list.whole() && !list.scope().isAll()) {
+                    if (list.isComplete() && !list.scope().isAll()) {
                         log.info(
                                 "discovery",
-                                "lists " + list.entries().size() + " hosts in scope and " + list.outside()
+                                "lists " + list.entries().size() + " hosts in scope and " + list.outsideScopeCount()
                                         + " outside");
                     }
-                    if (list.leftOut() != null) {
-                        log.warn("spoilt", "discovery lists " + list.leftOut());
-                    }
-                    exchange.listed(list);
+                    list.invalidEntriesSummary().ifPresent(summary -> log.warn("spoilt", "discovery lists " + summary));
+                    exchange.enqueueHostList(list);
                 }
             }
         }
@@ -364,7 +362,7 @@
     }
 
     private synchronized String refuses(Source source, HostList list, long since) {
-        boolean mayMissOneThatLeft = !list.whole() && !list.scope().isAll() && since != revision();
+        boolean mayMissOneThatLeft = !list.isComplete() && !list.scope().isAll() && since != revision();
         if (mayMissOneThatLeft) {
             return "another list came while this one was read";
         }
@@ -379,7 +377,8 @@
                 "tells version " + list.version() + ", which is older than " + versions.version()
                         + " and changes nothing";
             case NONE_IN_SCOPE ->
-                "scope names none of the " + list.outside() + " hosts listed; the list before it stays in force";
+                "scope names none of the " + list.outsideScopeCount()
+                        + " hosts listed; the list before it stays in force";
         };
     }
 
--- a/src/main/java/linenring/discovery/Versions.java
+++ b/src/main/java/linenring/discovery/Versions.java
@@ -68,7 +68,7 @@
 
     /** Null where the list may be used, and its source may take over; what is refused changes nothing that is held. */
     Refusal refuses(HostList list, Told source, long now) {
-        if (!list.whole()) {
+        if (!list.isComplete()) {
             return asksWhole(source) ? Refusal.CHANGES_OF_NOTHING : null;
         }
         if (!held || source.anew && !list.hasNoneInScope()) {
@@ -96,12 +96,12 @@
     }
 
     Verdict judge(HostList list, Told source, long now) {
-        if (!list.whole() && asksWhole(source)) {
+        if (!list.isComplete() && asksWhole(source)) {
             return Verdict.CHANGES_OF_NOTHING;
         }
         // a whole list of the version that is held may name whom a spoilt one left out
         boolean counts =
-                !held || list.version() > version || list.whole() && (list.version() == version || source.anew);
+                !held || list.version() > version || list.isComplete() && (list.version() == version || source.anew);
         if (counts) {
             version = list.version();
             held = true;
--- a/src/main/java/linenring/event/EventQueue.java
+++ b/src/main/java/linenring/event/EventQueue.java
@@ -18,11 +18,11 @@
 public class EventQueue {
     /** What the steward does with each thing that was left. */
     public interface EventHandler {
-        void arrived(ProxyStream from, InboundMessage what);
+        void onMessage(ProxyStream stream, InboundMessage message);
 
-        void ended(ProxyStream which);
+        void onStreamClosed(ProxyStream stream);
 
-        void listed(HostList list);
+        void onHostList(HostList list);
     }
 
     private interface Left {
@@ -43,30 +43,30 @@
     private final List<Consumer<HostList>> followers = new CopyOnWriteArrayList<>();
 
     /** Tells of each list and each change too, on the thread that brings it; for who must know addresses. */
-    public void follow(Consumer<HostList> follower) {
+    public void addHostListListener(Consumer<HostList> follower) {
         followers.add(follower);
     }
 
     /** The number of the next stream: of two of one proxy the one that was opened later counts, whichever is read first. */
-    public long nextStream() {
+    public long nextStreamNumber() {
         return streams.incrementAndGet();
     }
 
-    public void arrived(ProxyStream from, InboundMessage what) {
+    public void enqueueMessage(ProxyStream from, InboundMessage what) {
         boolean isSum = what instanceof InboundMessage.LoadReport || what instanceof InboundMessage.RequestRateReport;
-        leave(taker -> taker.arrived(from, what), isSum ? sums : others);
+        leave(taker -> taker.onMessage(from, what), isSum ? sums : others);
     }
 
-    public void ended(ProxyStream which) {
-        leave(taker -> taker.ended(which), others);
+    public void enqueueStreamClosed(ProxyStream which) {
+        leave(taker -> taker.onStreamClosed(which), others);
     }
 
     /** A follower's fault is thrown on, and the steward is told all the same: nobody tells this list again. */
-    public void listed(HostList list) {
+    public void enqueueHostList(HostList list) {
         try {
             followers.forEach(f -> f.accept(list));
         } finally {
-            leave(taker -> taker.listed(list), others);
+            leave(taker -> taker.onHostList(list), others);
         }
     }
 
@@ -103,7 +103,7 @@
     }
 
     /** Hands over all that is there, in order; tells how many sums were dropped since the last time. */
-    public long drain(EventHandler taker) {
+    public long drainTo(EventHandler taker) {
         List<Left> all = new ArrayList<>();
         long lost;
         lock.lock();
--- a/src/main/java/linenring/event/ProxyStream.java
+++ b/src/main/java/linenring/event/ProxyStream.java
@@ -8,7 +8,7 @@
 
     void close(String why);
 
-    /** As the how manieth it was opened, by {@link EventQueue#nextStream}; 0 where that is not known. */
+    /** As the how manieth it was opened, by {@link EventQueue#nextStreamNumber}; 0 where that is not known. */
     default long number() {
         return 0;
     }
--- a/src/main/java/linenring/gateway/Http2Gateway.java
+++ b/src/main/java/linenring/gateway/Http2Gateway.java
@@ -210,7 +210,7 @@
         client.setStreamIdleTimeout(-1);
         threads.start();
         client.start();
-        exchange.follow(list -> tablesChanged()); // the book has it by then
+        exchange.addHostListListener(list -> tablesChanged()); // the book has it by then
         membership =
                 new Membership(plan, exchange, tables, sums, this::now, threads, scheduler, this::tablesChanged, log);
         server.start();
--- a/src/main/java/linenring/gateway/Membership.java
+++ b/src/main/java/linenring/gateway/Membership.java
@@ -25,7 +25,7 @@
 
     /** One stream to the steward; orders on one that was left change nothing. */
     private final class Joined implements ProxyStream {
-        private final long number = exchange.nextStream();
+        private final long number = exchange.nextStreamNumber();
 
         @Override
         public long number() {
@@ -105,7 +105,8 @@
         }
         Joined now = new Joined();
         joined = now;
-        exchange.arrived(now, new InboundMessage.Subscribe(plan.proxy(), plan.zone(), plan.usual(), tables.isEmpty()));
+        exchange.enqueueMessage(
+                now, new InboundMessage.Subscribe(plan.proxy(), plan.zone(), plan.usual(), tables.isEmpty()));
     }
 
     /** Starts to report every so often. */
@@ -114,14 +115,14 @@
         if (leaving) {
             return;
         }
-        sums.drainReport(clock.getAsDouble()).forEach(a -> exchange.arrived(now, a));
+        sums.drainReport(clock.getAsDouble()).forEach(a -> exchange.enqueueMessage(now, a));
         scheduler.schedule(this::report, (long) plan.reportMs(), TimeUnit.MILLISECONDS);
     }
 
     synchronized void leave() {
         leaving = true;
         if (joined != null) { // else it is between two streams, and has none to end
-            exchange.ended(joined);
+            exchange.enqueueStreamClosed(joined);
         }
     }
 
@@ -134,13 +135,14 @@
         try {
             nonces = tables.apply(order);
         } catch (UnusableUpdateException e) {
-            exchange.ended(on);
+            exchange.enqueueStreamClosed(on);
             broke(on, "brought an order that can't be used: " + e.getMessage());
             return;
         }
         changed.run();
         double took = clock.getAsDouble() - from;
-        nonces.forEach(mark -> exchange.arrived(on, new InboundMessage.Acknowledgement(plan.proxy(), mark, took)));
+        nonces.forEach(
+                mark -> exchange.enqueueMessage(on, new InboundMessage.Acknowledgement(plan.proxy(), mark, took)));
     }
 
     private void broke(Joined was, String why) {
--- a/src/main/java/linenring/handover/HostSnapshot.java
+++ b/src/main/java/linenring/handover/HostSnapshot.java
@@ -5,8 +5,8 @@
 import java.util.TreeMap;
 import linenring.handover.wire.Wire;
 import linenring.protocol.HostList;
+import linenring.protocol.InvalidEntries;
 import linenring.protocol.ServiceScope;
-import linenring.protocol.SpoiltEntries;
 
 /** The list of hosts as it was told, changes and all: what the new process begins with. */
 public final class HostSnapshot {
@@ -15,7 +15,7 @@
     private long version;
 
     public synchronized void listed(HostList list) {
-        if (list.whole()) {
+        if (list.isComplete()) {
             entries.clear();
             scope = list.scope();
         }
@@ -74,6 +74,6 @@
             }
         }
         ServiceScope scope = told.getScoped() ? ServiceScope.of(told.getServicesList()) : ServiceScope.ALL;
-        return new HostList(told.getVersion(), true, entries, SpoiltEntries.NONE, scope, 0);
+        return new HostList(told.getVersion(), true, entries, InvalidEntries.NONE, scope, 0);
     }
 }
--- a/src/main/java/linenring/protocol/Codec.java
+++ b/src/main/java/linenring/protocol/Codec.java
@@ -21,7 +21,7 @@
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import linenring.protocol.DecodeError.Reached;
+import linenring.protocol.DecodeError.Stage;
 import linenring.settings.Names;
 
 /** Reads and writes messages: each is decoded once and encoded once. Unknown fields are passed over. */
@@ -56,11 +56,11 @@
 
     // ---- from proxies and collectors
 
-    public DecodeResult<InboundMessage> arrival(byte[] line, int length) {
+    public DecodeResult<InboundMessage> decodeInbound(byte[] line, int length) {
         Fields f = new Fields();
         try (JsonParser in = json.createParser(line, 0, length)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
-                return DecodeResult.fault(Reached.TEXT, "not a JSON object");
+                return DecodeResult.failed(Stage.TEXT, "not a JSON object");
             }
             InvalidFieldException first =
                     null; // the rest is read all the same: only what is JSON to its end is a message
@@ -75,22 +75,22 @@
                 }
             }
             if (in.nextToken() != null) {
-                return DecodeResult.fault(Reached.TEXT, "more than one JSON object on a line");
+                return DecodeResult.failed(Stage.TEXT, "more than one JSON object on a line");
             }
             if (first != null) {
-                return DecodeResult.fault(Reached.FIELDS, first.getMessage());
+                return DecodeResult.failed(Stage.FIELDS, first.getMessage());
             }
             if (f.type == null) {
-                return DecodeResult.fault(Reached.KIND, "field @type is missing");
+                return DecodeResult.failed(Stage.KIND, "field @type is missing");
             }
-            InboundMessage arrival = arrival(f);
+            InboundMessage arrival = inboundMessage(f);
             return arrival == null
-                    ? DecodeResult.fault(Reached.KIND, "unknown @type '" + shown(f.type) + "'")
-                    : DecodeResult.of(arrival);
+                    ? DecodeResult.failed(Stage.KIND, "unknown @type '" + shown(f.type) + "'")
+                    : new DecodeResult.Decoded<>(arrival);
         } catch (InvalidFieldException e) {
-            return DecodeResult.fault(Reached.FIELDS, e.getMessage());
+            return DecodeResult.failed(Stage.FIELDS, e.getMessage());
         } catch (IOException e) {
-            return DecodeResult.fault(Reached.TEXT, "not JSON");
+            return DecodeResult.failed(Stage.TEXT, "not JSON");
         }
     }
 
@@ -113,7 +113,7 @@
         }
     }
 
-    private InboundMessage arrival(Fields f) throws InvalidFieldException {
+    private InboundMessage inboundMessage(Fields f) throws InvalidFieldException {
         return switch (f.type) {
             case "PING" -> new InboundMessage.Ping();
             case "SOURCE" -> new InboundMessage.Collector(zone(f.site));
@@ -164,7 +164,7 @@
         return new HostListStream(hostLists, names, filter);
     }
 
-    public DecodeResult<HostList> hostList(byte[] line, int length) {
+    public DecodeResult<HostList> decodeHostList(byte[] line, int length) {
         try (HostListStream stream = hostListStream(HostListFilter.NONE)) {
             stream.feed(line, 0, length);
             return stream.end();
@@ -177,19 +177,19 @@
     }
 
     /** Reads a list whose opening brace the parser is at, to its closing one, from a parser that waits for its input. */
-    public DecodeResult<HostList> hostList(JsonParser in, HostListFilter filter) throws IOException {
+    public DecodeResult<HostList> decodeHostList(JsonParser in, HostListFilter filter) throws IOException {
         HostListReader reader = new HostListReader(names, filter);
         int depth = 0;
         try {
             do {
                 JsonToken token = in.currentToken();
                 depth += token.isStructStart() ? 1 : token.isStructEnd() ? -1 : 0;
-                reader.token(in);
+                reader.accept(in);
             } while (depth > 0 && in.nextToken() != null);
         } catch (StreamConstraintsException e) {
-            reader.fails(Reached.TEXT, HostListReader.TOO_LONG);
+            reader.fail(Stage.TEXT, HostListReader.TOO_LONG);
         }
-        reader.fails(Reached.TEXT, "not JSON"); // changes nothing where it is complete
+        reader.fail(Stage.TEXT, "not JSON"); // changes nothing where it is complete
         return reader.result();
     }
 
@@ -199,7 +199,7 @@
         return PONG.clone();
     }
 
-    public byte[] order(ConfigurationUpdate order) {
+    public byte[] encode(ConfigurationUpdate order) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
         try (JsonGenerator out = json.createGenerator(bytes)) {
             out.setRootValueSeparator(null);
@@ -219,12 +219,12 @@
         if (!part.operations().isEmpty()) {
             names(out, "routes", part.operations());
         }
-        if (part.whole()) {
+        if (part.replacesTable()) {
             out.writeBooleanField("full", true);
         }
-        if (part.whole() || !part.lines().isEmpty()) {
+        if (part.replacesTable() || !part.entries().isEmpty()) {
             out.writeArrayFieldStart("endpoints");
-            for (ConfigurationUpdate.Line line : part.lines()) {
+            for (ConfigurationUpdate.TableEntry line : part.entries()) {
                 out.writeStartArray();
                 out.writeString(line.host());
                 figure(out, line.weight());
@@ -232,10 +232,10 @@
             }
             out.writeEndArray();
         }
-        if (part.level() != null) {
+        if (part.admission() != null) {
             out.writeFieldName("admit");
-            figure(out, part.level().admissionRatio());
-            out.writeNumberField("policy", part.level().tries());
+            figure(out, part.admission().admissionRatio());
+            out.writeNumberField("policy", part.admission().retryPolicyCode());
         }
         if (!part.ejected().isEmpty()) {
             names(out, "eject", part.ejected());
@@ -243,8 +243,8 @@
         if (!part.restored().isEmpty()) {
             names(out, "restore", part.restored());
         }
-        if (part.mark() != ConfigurationUpdate.NO_MARK) {
-            out.writeNumberField("nonce_out", part.mark());
+        if (part.nonce() != ConfigurationUpdate.NO_NONCE) {
+            out.writeNumberField("nonce_out", part.nonce());
         }
         if (continued) {
             out.writeBooleanField("continued", true);
--- a/src/main/java/linenring/protocol/DecodeError.java
+++ b/src/main/java/linenring/protocol/DecodeError.java
@@ -1,20 +1,23 @@
 package linenring.protocol;
 
-/** Why something could not be read, and how far reading had come. */
-public record DecodeError(Reached reached, String what) {
-    /**
-     * How far: its text was no JSON; it was, but of no known kind; its kind was known, but a field is wrong;
-     * all was well, but there is more of it than the memory takes.
-     */
-    public enum Reached {
+import java.util.Locale;
+
+/** Why a message could not be decoded, and how far decoding had come. */
+public record DecodeError(Stage stage, String reason) {
+    /** How far decoding had come; log lines show the name in lower case. */
+    public enum Stage {
+        /** The text is not one JSON object. */
         TEXT,
+        /** It is, but of no known type. */
         KIND,
+        /** Its type is known, but a field is missing or has an impossible value. */
         FIELDS,
+        /** All of it is valid, but there is more than the heap has room for. */
         SIZE
     }
 
     @Override
     public String toString() {
-        return reached.name().toLowerCase(java.util.Locale.ROOT) + ": " + what;
+        return stage.name().toLowerCase(Locale.ROOT) + ": " + reason;
     }
 }
--- a/src/main/java/linenring/protocol/DecodeResult.java
+++ b/src/main/java/linenring/protocol/DecodeResult.java
@@ -1,12 +1,25 @@
 package linenring.protocol;
 
-/** What decoding came to: a value, or why there is none. One of the two is null. */
-public record DecodeResult<T>(T value, DecodeError fault) {
-    static <T> DecodeResult<T> of(T value) {
-        return new DecodeResult<>(value, null);
+import linenring.protocol.DecodeError.Stage;
+
+/** The outcome of decoding one message: its value, or the error that kept it from being read. */
+public sealed interface DecodeResult<T> {
+    /** The message was valid. */
+    record Decoded<T>(T value) implements DecodeResult<T> {}
+
+    /** The message could not be read. */
+    record Failed<T>(DecodeError error) implements DecodeResult<T> {}
+
+    /** The value of a message that is known to be valid. */
+    default T orElseThrow() {
+        if (this instanceof Decoded<T> decoded) {
+            return decoded.value();
+        }
+        throw new IllegalStateException("no value was decoded: " + this);
     }
 
-    static <T> DecodeResult<T> fault(DecodeError.Reached reached, String what) {
-        return new DecodeResult<>(null, new DecodeError(reached, what));
+    /** The failure of a message at this stage. */
+    static <T> DecodeResult<T> failed(Stage stage, String reason) {
+        return new Failed<>(new DecodeError(stage, reason));
     }
 }
--- a/src/main/java/linenring/protocol/HostListReader.java
+++ b/src/main/java/linenring/protocol/HostListReader.java
@@ -7,7 +7,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import linenring.protocol.DecodeError.Reached;
+import linenring.protocol.DecodeError.Stage;
 import linenring.settings.Names;
 
 /**
@@ -39,7 +39,7 @@
     private long entryStart;
 
     private Double version;
-    private Boolean whole;
+    private Boolean isComplete;
     private List<HostList.Entry> entries;
     private final Set<String> entered =
             new HashSet<>(); // by changes under a scope: one may leave again on the same line
@@ -62,9 +62,9 @@
         return entriesRead;
     }
 
-    void fails(Reached reached, String what) {
+    void fail(Stage stage, String reason) {
         if (result == null) {
-            result = DecodeResult.fault(reached, what);
+            result = DecodeResult.failed(stage, reason);
             release();
         }
     }
@@ -75,14 +75,14 @@
     }
 
     /** Takes the token that the parser is at. */
-    void token(JsonParser in) throws IOException {
+    void accept(JsonParser in) throws IOException {
         if (result != null) {
             return;
         }
         JsonToken token = in.currentToken();
         boolean marksProgress = token == JsonToken.FIELD_NAME || token == JsonToken.END_OBJECT;
         if (marksProgress && exceedsEntry(in.currentLocation().getByteOffset())) {
-            fails(Reached.TEXT, TOO_LONG);
+            fail(Stage.TEXT, TOO_LONG);
             return;
         }
         if (nested > 0) {
@@ -98,13 +98,13 @@
                 case AFTER -> {}
             }
         } catch (InvalidFieldException e) {
-            fails(Reached.FIELDS, e.getMessage());
+            fail(Stage.FIELDS, e.getMessage());
         }
     }
 
     private void beginList(JsonToken token) {
         if (token != JsonToken.START_OBJECT) {
-            fails(Reached.TEXT, "not a JSON object");
+            fail(Stage.TEXT, "not a JSON object");
         }
         place = Place.LIST;
     }
@@ -120,7 +120,7 @@
         }
         switch (field) {
             case "version" -> version = FieldValues.number(field, in);
-            case "full" -> whole = FieldValues.truth(field, in);
+            case "full" -> isComplete = FieldValues.truth(field, in);
             case "servers" -> {
                 if (token != JsonToken.START_ARRAY) {
                     throw new InvalidFieldException("field servers is not a list");
@@ -183,8 +183,8 @@
     }
 
     private void keep(HostList.Entry read) {
-        if (entries.size() == filter.hostsMost()) {
-            fails(Reached.SIZE, "over " + filter.hostsMost() + " hosts, which is more than fits the heap");
+        if (entries.size() == filter.maxHosts()) {
+            fail(Stage.SIZE, "over " + filter.maxHosts() + " hosts, which is more than fits the heap");
             return;
         }
         entries.add(read);
@@ -203,12 +203,12 @@
     }
 
     private boolean mayBeChanges() {
-        return !filter.scope().isAll() && !Boolean.TRUE.equals(whole);
+        return !filter.scope().isAll() && !Boolean.TRUE.equals(isComplete);
     }
 
     private void spoilt(String reason) {
         spoilt++;
-        if (spoiltReasons.size() < SpoiltEntries.REASONS_MOST) {
+        if (spoiltReasons.size() < InvalidEntries.MAX_REASONS) {
             spoiltReasons.add(reason);
         }
     }
@@ -216,13 +216,13 @@
     private void endList() throws InvalidFieldException {
         place = Place.AFTER;
         long number = (long) FieldValues.from0("version", version, Long.MAX_VALUE);
-        boolean isWhole = FieldValues.present("full", whole);
+        boolean complete = FieldValues.present("full", isComplete);
         List<HostList.Entry> kept = FieldValues.present("servers", entries);
-        if (isWhole && !filter.scope().isAll()) { // told as whole only after its entries: nobody leaves by name
+        if (complete && !filter.scope().isAll()) { // told as whole only after its entries: nobody leaves by name
             kept.removeIf(e -> e.state() == HostList.State.GONE);
         }
-        result = DecodeResult.of(
-                new HostList(number, isWhole, kept, new SpoiltEntries(spoilt, spoiltReasons), filter.scope(), outside));
+        result = new DecodeResult.Decoded<>(new HostList(
+                number, complete, kept, new InvalidEntries(spoilt, spoiltReasons), filter.scope(), outside));
         release();
     }
 
--- a/src/main/java/linenring/protocol/HostListStream.java
+++ b/src/main/java/linenring/protocol/HostListStream.java
@@ -6,7 +6,8 @@
 import com.fasterxml.jackson.core.async.ByteArrayFeeder;
 import com.fasterxml.jackson.core.exc.StreamConstraintsException;
 import java.io.IOException;
-import linenring.protocol.DecodeError.Reached;
+import java.util.Optional;
+import linenring.protocol.DecodeError.Stage;
 import linenring.settings.Names;
 
 /** Reads one host list from bytes as they arrive, without waiting and without keeping them. For one thread at a time. */
@@ -37,21 +38,21 @@
             for (JsonToken token = in.nextToken();
                     token != JsonToken.NOT_AVAILABLE && token != null && reader.result() == null;
                     token = in.nextToken()) {
-                reader.token(in);
+                reader.accept(in);
             }
             if (reader.result() == null && reader.exceedsEntry(fed)) {
-                reader.fails(Reached.TEXT, HostListReader.TOO_LONG);
+                reader.fail(Stage.TEXT, HostListReader.TOO_LONG);
             }
         } catch (StreamConstraintsException e) {
-            reader.fails(Reached.TEXT, HostListReader.TOO_LONG);
+            reader.fail(Stage.TEXT, HostListReader.TOO_LONG);
         } catch (IOException e) {
-            reader.fails(Reached.TEXT, "not JSON");
+            reader.fail(Stage.TEXT, "not JSON");
         }
     }
 
-    /** The list, or why there is none; null while it goes on. */
-    public DecodeResult<HostList> result() {
-        return reader.result();
+    /** The list, or why there is none; empty while more of it is expected. */
+    public Optional<DecodeResult<HostList>> result() {
+        return Optional.ofNullable(reader.result());
     }
 
     /** How many entries have come to their end. */
@@ -61,7 +62,7 @@
 
     /** No more comes: the list, or why there is none. */
     public DecodeResult<HostList> end() {
-        reader.fails(Reached.TEXT, "not JSON"); // changes nothing where it is complete
+        reader.fail(Stage.TEXT, "not JSON"); // changes nothing where it is complete
         return reader.result();
     }
 
--- a/src/main/java/linenring/routing/HostRegistry.java
+++ b/src/main/java/linenring/routing/HostRegistry.java
@@ -30,7 +30,7 @@
     /** Applies an endpoint list or its changes; a host that a complete list no longer names is gone. */
     public synchronized void apply(HostList list) {
         Host[] next = hosts.clone();
-        if (list.whole()) {
+        if (list.isComplete()) {
             Arrays.setAll(next, index -> hosts[index].asGone());
         }
         for (HostList.Entry entry : list.entries()) {
--- a/src/main/java/linenring/routing/TableUpdate.java
+++ b/src/main/java/linenring/routing/TableUpdate.java
@@ -14,7 +14,7 @@
  * {@link Tables} takes over all of them or, where one cannot be used, none. Used by one thread, once.
  */
 final class TableUpdate {
-    /** By their number in a {@link ConfigurationUpdate.Level}. */
+    /** By their number in a {@link ConfigurationUpdate.AdmissionPolicy}. */
     static final List<RetryPolicy> RETRY_POLICIES =
             List.of(RetryPolicy.NONE, RetryPolicy.ONE_IF_NOT_EXECUTED, RetryPolicy.ONE, RetryPolicy.TWO);
 
@@ -42,12 +42,12 @@
     void apply(ConfigurationUpdate.Part part) throws UnusableUpdateException {
         BitSet operations = operations(part);
         Map<Integer, Double> entries = entries(part);
-        checkAdmission(part.level());
+        checkAdmission(part.admission());
         operations.stream().forEach(operation -> tables[operation] = changed(tables[operation], part, entries));
         setEjected(part.ejected(), true);
         setEjected(part.restored(), false);
-        if (part.mark() != ConfigurationUpdate.NO_MARK) {
-            nonces.add(part.mark());
+        if (part.nonce() != ConfigurationUpdate.NO_NONCE) {
+            nonces.add(part.nonce());
         }
     }
 
@@ -83,7 +83,7 @@
 
     private Map<Integer, Double> entries(ConfigurationUpdate.Part part) throws UnusableUpdateException {
         Map<Integer, Double> weights = new TreeMap<>();
-        for (ConfigurationUpdate.Line entry : part.lines()) {
+        for (ConfigurationUpdate.TableEntry entry : part.entries()) {
             int host = listedHost(entry.host());
             if (!(entry.weight() >= 0) || Double.isInfinite(entry.weight())) {
                 throw UnusableUpdateException.invalidWeight(entry.host(), entry.weight());
@@ -93,22 +93,26 @@
         return weights;
     }
 
-    private static void checkAdmission(ConfigurationUpdate.Level level) throws UnusableUpdateException {
+    private static void checkAdmission(ConfigurationUpdate.AdmissionPolicy level) throws UnusableUpdateException {
         int policies = RETRY_POLICIES.size();
-        if (level != null && (!(level.admissionRatio() >= 0) || level.tries() < 0 || level.tries() >= policies)) {
-            throw UnusableUpdateException.invalidAdmission(level.admissionRatio(), level.tries(), policies);
+        if (level != null
+                && (!(level.admissionRatio() >= 0)
+                        || level.retryPolicyCode() < 0
+                        || level.retryPolicyCode() >= policies)) {
+            throw UnusableUpdateException.invalidAdmission(level.admissionRatio(), level.retryPolicyCode(), policies);
         }
     }
 
     /** A complete table replaces the entries; without a level it also forgets the one that was ordered before. */
     private OperationTable changed(OperationTable before, ConfigurationUpdate.Part part, Map<Integer, Double> entries) {
-        OperationTable next = (part.whole() ? OperationTable.EMPTY : before).withEntries(entries);
-        ConfigurationUpdate.Level level = part.level();
+        OperationTable next = (part.replacesTable() ? OperationTable.EMPTY : before).withEntries(entries);
+        ConfigurationUpdate.AdmissionPolicy level = part.admission();
         if (level == null) {
             return next;
         }
         return next.withAdmission(
-                before.admission().withLimit(level.admissionRatio(), measure), RETRY_POLICIES.get(level.tries()));
+                before.admission().withLimit(level.admissionRatio(), measure),
+                RETRY_POLICIES.get(level.retryPolicyCode()));
     }
 
     private void setEjected(List<String> ids, boolean ejected) throws UnusableUpdateException {
--- a/src/main/java/linenring/scale/fleet/ArrivalJson.java
+++ b/src/main/java/linenring/scale/fleet/ArrivalJson.java
@@ -35,31 +35,31 @@
             out.writeStringField("@type", "SUBSCRIBE");
             out.writeNumberField("id", joining.proxy());
             out.writeStringField("site", layout.zones().get(joining.zone()));
-            out.writeNumberField("rps", joining.usual());
-            out.writeBooleanField("new", joining.fresh());
+            out.writeNumberField("rps", joining.usualRequestsPerSecond());
+            out.writeBooleanField("new", joining.isNew());
         } else if (what instanceof InboundMessage.Collector collector) {
             out.writeStringField("@type", "SOURCE");
             out.writeStringField("site", layout.zones().get(collector.zone()));
         } else if (what instanceof InboundMessage.Acknowledgement applied) {
             out.writeStringField("@type", "ACK");
             out.writeNumberField("id", applied.proxy());
-            out.writeNumberField("seq", applied.mark());
-            out.writeNumberField("ms", Math.round(applied.tookMs() * 10) / 10.0);
+            out.writeNumberField("seq", applied.nonce());
+            out.writeNumberField("ms", Math.round(applied.elapsedMs() * 10) / 10.0);
         } else if (what instanceof InboundMessage.RequestRateReport usage) {
             out.writeStringField("@type", "RATE");
             out.writeNumberField("id", usage.proxy());
             out.writeStringField("lane", layout.operations().get(usage.operation()));
-            out.writeNumberField("count", usage.total());
+            out.writeNumberField("count", usage.requests());
             out.writeNumberField("fail", 0);
-            out.writeNumberField("over", usage.spanMs());
+            out.writeNumberField("over", usage.periodMs());
         } else if (what instanceof InboundMessage.LoadReport sums) {
             out.writeStringField("@type", "LOAD");
             out.writeStringField("site", layout.zones().get(sums.zone()));
             out.writeStringField("target", sums.host());
-            out.writeNumberField("count", sums.total());
-            out.writeNumberField("fail", sums.bad());
-            out.writeNumberField("mean", sums.meanMs());
-            out.writeNumberField("over", sums.spanMs());
+            out.writeNumberField("count", sums.requests());
+            out.writeNumberField("fail", sums.failed());
+            out.writeNumberField("mean", sums.meanLatencyMs());
+            out.writeNumberField("over", sums.periodMs());
         } else {
             out.writeStringField("@type", "PING");
         }
--- a/src/main/java/linenring/scale/fleet/HollowFleet.java
+++ b/src/main/java/linenring/scale/fleet/HollowFleet.java
@@ -100,7 +100,7 @@
 
     /** An order has come whole on a stream; it takes effect when the channel has delivered it. */
     void ordered(int id, int stream, ConfigurationUpdate order, double now) {
-        double at = channel.deliveredAt(now, order.lineCount());
+        double at = channel.deliveredAt(now, order.entryCount());
         at(at, () -> apply(proxies.get(id), stream, order, now, at));
     }
 
--- a/src/main/java/linenring/scale/fleet/HollowSteward.java
+++ b/src/main/java/linenring/scale/fleet/HollowSteward.java
@@ -50,7 +50,7 @@
         executor = new ThreadPoolExecutor( // threads stay, as the time of those that end is not known any more
                 0, Integer.MAX_VALUE, 1, TimeUnit.HOURS, new SynchronousQueue<>(), factory);
         if (ledger != null) {
-            exchange.follow(ledger::listed);
+            exchange.addHostListListener(ledger::listed);
         }
     }
 
--- a/src/main/java/linenring/scale/fleet/ListLedger.java
+++ b/src/main/java/linenring/scale/fleet/ListLedger.java
@@ -19,11 +19,11 @@
 
     /** Takes one line in. */
     public synchronized void listed(HostList list) {
-        boolean again = list.whole() && list.version() == version; // a whole list may repeat the version held
+        boolean again = list.isComplete() && list.version() == version; // a whole list may repeat the version held
         if (version >= 0 && list.version() <= version && !again) {
             fault("version " + list.version() + " after " + version);
         }
-        if (list.whole()) {
+        if (list.isComplete()) {
             wholeLists++;
             hosts.clear();
         } else {
--- a/src/main/java/linenring/scale/fleet/MemoryFleets.java
+++ b/src/main/java/linenring/scale/fleet/MemoryFleets.java
@@ -38,7 +38,7 @@
         @Override
         public void join(int stream, InboundMessage.Subscribe joining) {
             if (exchange != null) {
-                streams[joining.proxy()] = new MemoryStream(this, joining.proxy(), stream, exchange.nextStream());
+                streams[joining.proxy()] = new MemoryStream(this, joining.proxy(), stream, exchange.nextStreamNumber());
                 say(joining.proxy(), joining);
             }
         }
@@ -46,7 +46,7 @@
         @Override
         public void leave(int proxy) {
             if (exchange != null && streams[proxy] != null) {
-                exchange.ended(streams[proxy]);
+                exchange.enqueueStreamClosed(streams[proxy]);
             }
             streams[proxy] = null;
         }
@@ -55,7 +55,7 @@
         public void say(int proxy, InboundMessage what) {
             if (exchange != null && streams[proxy] != null) {
                 traffic.messagesIn.increment();
-                exchange.arrived(streams[proxy], what);
+                exchange.enqueueMessage(streams[proxy], what);
             }
         }
 
@@ -63,7 +63,7 @@
         public void report(InboundMessage.LoadReport sums) {
             if (exchange != null) {
                 traffic.messagesIn.increment();
-                exchange.arrived(null, sums);
+                exchange.enqueueMessage(null, sums);
             }
         }
 
@@ -106,7 +106,7 @@
 
         @Override
         public void write(ConfigurationUpdate order) {
-            of.traffic.bytesOut.add(of.codec.order(order).length);
+            of.traffic.bytesOut.add(of.codec.encode(order).length);
             of.traffic.messagesOut.increment();
             tasks.add(() -> of.fleet.ordered(proxy, fleetsNumber, order, now()));
         }
--- a/src/main/java/linenring/scale/fleet/OrderReader.java
+++ b/src/main/java/linenring/scale/fleet/OrderReader.java
@@ -18,12 +18,12 @@
     private static final class Fields {
         String type;
         List<String> operations = List.of();
-        List<ConfigurationUpdate.Line> lines = new ArrayList<>();
+        List<ConfigurationUpdate.TableEntry> lines = new ArrayList<>();
         List<String> ejected = List.of(), restored = List.of();
         boolean whole, continued;
         double admissionRatio = Double.NaN;
         int tries;
-        int mark = ConfigurationUpdate.NO_MARK;
+        int mark = ConfigurationUpdate.NO_NONCE;
     }
 
     /** The order that this line completes, or null where more of it comes. */
@@ -42,9 +42,9 @@
         if (!"CONFIG".equals(fields.type)) {
             return null; // a PONG
         }
-        ConfigurationUpdate.Level level = Double.isNaN(fields.admissionRatio)
+        ConfigurationUpdate.AdmissionPolicy level = Double.isNaN(fields.admissionRatio)
                 ? null
-                : new ConfigurationUpdate.Level(fields.admissionRatio, fields.tries);
+                : new ConfigurationUpdate.AdmissionPolicy(fields.admissionRatio, fields.tries);
         parts.add(new ConfigurationUpdate.Part(
                 fields.operations, fields.whole, fields.lines, level, fields.ejected, fields.restored, fields.mark));
         if (fields.continued) {
@@ -79,13 +79,13 @@
         return words;
     }
 
-    private static List<ConfigurationUpdate.Line> lines(JsonParser in) throws IOException {
-        List<ConfigurationUpdate.Line> lines = new ArrayList<>();
+    private static List<ConfigurationUpdate.TableEntry> lines(JsonParser in) throws IOException {
+        List<ConfigurationUpdate.TableEntry> lines = new ArrayList<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
             in.nextToken();
             String host = in.getText();
             in.nextToken();
-            lines.add(new ConfigurationUpdate.Line(host, in.getDoubleValue()));
+            lines.add(new ConfigurationUpdate.TableEntry(host, in.getDoubleValue()));
             in.nextToken(); // its end
         }
         return lines;
--- a/src/main/java/linenring/stream/OutstandingNonces.java
+++ b/src/main/java/linenring/stream/OutstandingNonces.java
@@ -32,14 +32,14 @@
      */
     void acknowledged(InboundMessage.Acknowledgement acknowledgement, long nowNanos) throws MessageRejectedException {
         Outstanding found = outstanding.stream()
-                .filter(update -> update.nonce() == acknowledgement.mark())
+                .filter(update -> update.nonce() == acknowledgement.nonce())
                 .findFirst()
-                .orElseThrow(() -> new MessageRejectedException("no acknowledgement of nonce " + acknowledgement.mark()
+                .orElseThrow(() -> new MessageRejectedException("no acknowledgement of nonce " + acknowledgement.nonce()
                         + " is due from proxy " + acknowledgement.proxy()));
         long mostNanos = nowNanos - found.sentAtNanos() + CLOCK_TOLERANCE_NANOS;
-        if (acknowledgement.tookMs() * NANOS_PER_MS > mostNanos) {
+        if (acknowledgement.elapsedMs() * NANOS_PER_MS > mostNanos) {
             throw new MessageRejectedException(
-                    "field ms: " + acknowledgement.tookMs() + " is more than has passed since the update was sent");
+                    "field ms: " + acknowledgement.elapsedMs() + " is more than has passed since the update was sent");
         }
         while (!outstanding.remove().equals(found)) {
             // an acknowledgement that was lost is made up for by the next one
--- a/src/main/java/linenring/stream/PeerConnection.java
+++ b/src/main/java/linenring/stream/PeerConnection.java
@@ -120,7 +120,7 @@
         server.closed(this);
         synchronized (this) { // a line that is being handled is queued first: no end overtakes its subscription
             if (session.state() == PeerSession.State.PROXY) {
-                server.eventQueue().ended(this);
+                server.eventQueue().enqueueStreamClosed(this);
             }
         }
     }
@@ -156,33 +156,34 @@
     /** Who is known may err in one message; whoever sends what is no message at all is none of our peers. */
     private InboundMessage decode(byte[] line, int length)
             throws ConnectionRejectedException, MessageRejectedException {
-        DecodeResult<InboundMessage> decoded = server.codec().arrival(line, length);
-        if (decoded.value() != null) {
-            return decoded.value();
-        }
-        if (session.isIdentified() && decoded.fault().reached() != DecodeError.Reached.TEXT) {
-            throw new MessageRejectedException(decoded.fault().toString());
+        DecodeResult<InboundMessage> decoded = server.codec().decodeInbound(line, length);
+        if (decoded instanceof DecodeResult.Failed<InboundMessage> failed) {
+            DecodeError error = failed.error();
+            if (session.isIdentified() && error.stage() != DecodeError.Stage.TEXT) {
+                throw new MessageRejectedException(error.toString());
+            }
+            throw new ConnectionRejectedException("sends unreadable data, " + error);
         }
-        throw new ConnectionRejectedException("sends unreadable data, " + decoded.fault());
+        return decoded.orElseThrow();
     }
 
     private void handle(InboundMessage message) throws ConnectionRejectedException, MessageRejectedException {
         session.accept(message, server.nowNanos());
         framer.setMaxLineBytes(MAX_LINE_BYTES); // whoever was accepted is identified
         if (!(message instanceof InboundMessage.Collector)) {
-            server.eventQueue().arrived(this, message);
+            server.eventQueue().enqueueMessage(this, message);
         }
     }
 
     @Override
     public void write(ConfigurationUpdate update) {
-        int nonce = update.parts().get(update.parts().size() - 1).mark();
-        if (nonce != ConfigurationUpdate.NO_MARK) {
+        int nonce = update.parts().get(update.parts().size() - 1).nonce();
+        if (nonce != ConfigurationUpdate.NO_NONCE) {
             synchronized (this) { // before it is sent: its acknowledgement may come at once
                 session.updateSent(nonce, server.nowNanos());
             }
         }
-        send(server.codec().order(update));
+        send(server.codec().encode(update));
     }
 
     private void send(byte[] message) {
--- a/src/main/java/linenring/stream/PeerSession.java
+++ b/src/main/java/linenring/stream/PeerSession.java
@@ -72,7 +72,7 @@
 
     private void requireOwn(InboundMessage.Acknowledgement acknowledgement) throws MessageRejectedException {
         if (acknowledgement.proxy() != subscription.proxy()) {
-            throw new MessageRejectedException("no acknowledgement of nonce " + acknowledgement.mark()
+            throw new MessageRejectedException("no acknowledgement of nonce " + acknowledgement.nonce()
                     + " is due from proxy " + acknowledgement.proxy());
         }
     }
--- a/src/main/java/linenring/stream/StreamServer.java
+++ b/src/main/java/linenring/stream/StreamServer.java
@@ -115,7 +115,7 @@
 
     @Override
     protected void accepted(SelectableChannel accepted) throws IOException {
-        long number = eventQueue.nextStream(); // drawn here, where connections come in the order of their making
+        long number = eventQueue.nextStreamNumber(); // drawn here, where connections come in the order of their making
         if (!connections.reserve(accepted)) {
             accepted.close();
             return;
--- a/src/test/java/linenring/controller/ChannelAccountTest.java
+++ b/src/test/java/linenring/controller/ChannelAccountTest.java
@@ -44,14 +44,14 @@
 
         @Override
         public void write(ConfigurationUpdate order) {
-            double lines = HEAD + order.lineCount();
+            double lines = HEAD + order.entryCount();
             freeAt = Math.max(now, freeAt) + lines / (PACE / slower);
             order.parts().forEach(part -> part.ejected().forEach(h -> shutAt.merge(h, freeAt + TRANSIT, Math::max)));
             Sent sent = new Sent(
                     this,
                     lines,
                     freeAt,
-                    order.parts().get(order.parts().size() - 1).mark(),
+                    order.parts().get(order.parts().size() - 1).nonce(),
                     now);
             channel.add(sent);
             inOrder.add(sent);
--- a/src/test/java/linenring/controller/ColdFleetStartTest.java
+++ b/src/test/java/linenring/controller/ColdFleetStartTest.java
@@ -51,7 +51,7 @@
         for (int s = 0; s < count; s++) {
             ControlLoopFixture steward = new ControlLoopFixture(known ? list : null, proxies);
             if (!known) {
-                steward.exchange.listed(list);
+                steward.exchange.enqueueHostList(list);
             }
             stewards.add(steward.joinAll(proxies, true));
         }
@@ -83,7 +83,7 @@
                 IntStream.range(first, hosts)
                         .mapToObj(h -> host(h, State.READY, startedAt[h]))
                         .toList());
-        stewards.forEach(steward -> steward.exchange.listed(later));
+        stewards.forEach(steward -> steward.exchange.enqueueHostList(later));
         play(PLAYED_MS, later);
     }
 
--- a/src/test/java/linenring/controller/ControlLoopFixture.java
+++ b/src/test/java/linenring/controller/ControlLoopFixture.java
@@ -75,13 +75,13 @@
 
     /** The proxy joins on a new stream; the end of an earlier one is not told. */
     RecordingProxy join(int id, boolean fresh) {
-        RecordingProxy proxy = new RecordingProxy(id, exchange.nextStream(), this::now);
+        RecordingProxy proxy = new RecordingProxy(id, exchange.nextStreamNumber(), this::now);
         if (id < proxies.size()) {
             proxies.set(id, proxy);
         } else {
             proxies.add(proxy);
         }
-        exchange.arrived(proxy, new InboundMessage.Subscribe(id, id % ZONES.size(), 5, fresh));
+        exchange.enqueueMessage(proxy, new InboundMessage.Subscribe(id, id % ZONES.size(), 5, fresh));
         return proxy;
     }
 
@@ -98,7 +98,7 @@
     private void answer(RecordingProxy proxy) {
         while (!proxy.unanswered.isEmpty() && proxy.unanswered.peek().writtenAt() + TRANSIT_MS <= now) {
             RecordingProxy.Mark mark = proxy.unanswered.poll();
-            exchange.arrived(
+            exchange.enqueueMessage(
                     proxy, new InboundMessage.Acknowledgement(proxy.id, mark.number(), now - mark.writtenAt()));
         }
     }
@@ -109,7 +109,7 @@
 
     /** What the proxies of a zone met at a host within the last second. */
     void report(int zone, String host, int total, int failed, double meanMs) {
-        exchange.arrived(null, new InboundMessage.LoadReport(host, zone, total, failed, meanMs, 1000));
+        exchange.enqueueMessage(null, new InboundMessage.LoadReport(host, zone, total, failed, meanMs, 1000));
     }
 
     static HostList.Entry host(int number, State state, double startedMs) {
--- a/src/test/java/linenring/controller/ControlLoopTest.java
+++ b/src/test/java/linenring/controller/ControlLoopTest.java
@@ -42,7 +42,7 @@
     /** What one proxy makes of its orders: the same for both ways of telling it. */
     private static final class Seen implements ProxyStream {
         final TreeMap<String, TreeMap<String, Double>> lines = new TreeMap<>(); // by operation
-        final TreeMap<String, ConfigurationUpdate.Level> levels = new TreeMap<>();
+        final TreeMap<String, ConfigurationUpdate.AdmissionPolicy> levels = new TreeMap<>();
         final TreeSet<String> out = new TreeSet<>();
         final List<Integer> marks = new ArrayList<>();
         String closed;
@@ -52,24 +52,24 @@
             for (ConfigurationUpdate.Part part : order.parts()) {
                 for (String op : part.operations().isEmpty() ? List.of("lookup", "order") : part.operations()) {
                     TreeMap<String, Double> table = lines.computeIfAbsent(op, o -> new TreeMap<>());
-                    if (part.whole()) {
+                    if (part.replacesTable()) {
                         table.clear();
                         levels.remove(op);
                     }
-                    part.lines().forEach(l -> table.put(l.host(), rounded(l.weight())));
+                    part.entries().forEach(l -> table.put(l.host(), rounded(l.weight())));
                     table.values().removeIf(w -> w == 0);
-                    if (part.level() != null) {
+                    if (part.admission() != null) {
                         levels.put(
                                 op,
-                                new ConfigurationUpdate.Level(
-                                        rounded(part.level().admissionRatio()),
-                                        part.level().tries()));
+                                new ConfigurationUpdate.AdmissionPolicy(
+                                        rounded(part.admission().admissionRatio()),
+                                        part.admission().retryPolicyCode()));
                     }
                 }
                 out.addAll(part.ejected());
                 out.removeAll(part.restored());
-                if (part.mark() != ConfigurationUpdate.NO_MARK) {
-                    marks.add(part.mark());
+                if (part.nonce() != ConfigurationUpdate.NO_NONCE) {
+                    marks.add(part.nonce());
                 }
             }
         }
@@ -94,7 +94,7 @@
     /** Carries a reply of the simulator's wire out, as its page words it. */
     private static final class WireFleet {
         final Map<String, TreeMap<String, Double>> tables = new HashMap<>();
-        final Map<String, TreeMap<String, ConfigurationUpdate.Level>> levels = new HashMap<>();
+        final Map<String, TreeMap<String, ConfigurationUpdate.AdmissionPolicy>> levels = new HashMap<>();
         final Map<Integer, String> bound = new TreeMap<>();
         final TreeSet<String> out = new TreeSet<>();
 
@@ -128,7 +128,7 @@
                 levels.computeIfAbsent(table, t -> new TreeMap<>())
                         .put(
                                 op,
-                                new ConfigurationUpdate.Level(
+                                new ConfigurationUpdate.AdmissionPolicy(
                                         Double.parseDouble(field(line, "Level")),
                                         Integer.parseInt(field(line, "OnFailure"))));
             }
@@ -137,7 +137,7 @@
         String seen(int proxy) {
             String table = bound.get(proxy);
             TreeMap<String, TreeMap<String, Double>> lines = new TreeMap<>();
-            TreeMap<String, ConfigurationUpdate.Level> level = new TreeMap<>();
+            TreeMap<String, ConfigurationUpdate.AdmissionPolicy> level = new TreeMap<>();
             if (table != null) {
                 lines.put("lookup", tables.get(table));
                 lines.put("order", tables.get(table));
@@ -218,7 +218,7 @@
 
     private void listed(double ms, boolean whole, HostList.Entry... entries) {
         String text = list(whole ? "whole" : "patch", List.of(entries));
-        at(ms, text, () -> exchange.listed(new HostList(version, whole, List.of(entries))));
+        at(ms, text, () -> exchange.enqueueHostList(new HostList(version, whole, List.of(entries))));
     }
 
     @Test
@@ -242,7 +242,8 @@
             at(
                     20 + p,
                     "joined StewardId=0 Sidecar=" + p + " Flag=1 Dc=" + p + " Heft=6.5\n",
-                    () -> exchange.arrived(proxies[proxy], new InboundMessage.Subscribe(proxy, proxy, 6.5, true)));
+                    () -> exchange.enqueueMessage(
+                            proxies[proxy], new InboundMessage.Subscribe(proxy, proxy, 6.5, true)));
         }
         for (double ms = 150; ms < 16_000; ms += 100) {
             List<String> events = new ArrayList<>(List.of("elapsed StewardId=0 Handle=1\n"));
@@ -252,20 +253,20 @@
                         mark = proxies[p].marks.isEmpty() ? -1 : proxies[p].marks.get(proxies[p].marks.size() - 1);
                 if (mark >= 0) {
                     events.add("in_force StewardId=0 Sidecar=" + p + " Rev=" + mark + " Rtt=130000\n");
-                    calls.add(() ->
-                            exchange.arrived(proxies[proxy], new InboundMessage.Acknowledgement(proxy, mark, 130)));
+                    calls.add(() -> exchange.enqueueMessage(
+                            proxies[proxy], new InboundMessage.Acknowledgement(proxy, mark, 130)));
                 }
                 events.add("traffic StewardId=0 Sidecar=" + p + " Qos=0 Total=40 Bad=0 Elapsed=100000\n");
-                calls.add(() ->
-                        exchange.arrived(proxies[proxy], new InboundMessage.RequestRateReport(proxy, 0, 40, 100)));
+                calls.add(() -> exchange.enqueueMessage(
+                        proxies[proxy], new InboundMessage.RequestRateReport(proxy, 0, 40, 100)));
             }
             for (int h = 0; h < 4; h++) { // one host fails, later all are late, so that levels fall
                 int host = h, bad = h == 1 && ms > 5000 && ms < 8000 ? 4 : 0;
                 double mean = ms > 10_000 ? 900 : 100;
                 events.add("tally StewardId=0 Host=s-" + h + " Dc=0 Total=5 Bad=" + bad + " Rtt="
                         + Math.round(mean * 1000) + "\n");
-                calls.add(() ->
-                        exchange.arrived(proxies[0], new InboundMessage.LoadReport("s-" + host, 0, 5, bad, mean, 500)));
+                calls.add(() -> exchange.enqueueMessage(
+                        proxies[0], new InboundMessage.LoadReport("s-" + host, 0, 5, bad, mean, 500)));
             }
             at(ms, String.join("", events), () -> calls.forEach(Runnable::run));
             if (ms == 3050) {
@@ -302,17 +303,17 @@
     @Test
     void aLateEndOfAnOldStreamAndItsAnswersAreNotTheProxys() {
         steward = start(new Log(new PrintStream(logged)));
-        steward.listed(new HostList(1, true, List.of(entry(0, State.READY, Double.NEGATIVE_INFINITY))));
+        steward.onHostList(new HostList(1, true, List.of(entry(0, State.READY, Double.NEGATIVE_INFINITY))));
         Seen old = proxies[0], fresh = proxies[1];
-        exchange.arrived(old, new InboundMessage.Subscribe(0, 0, 1, true));
+        exchange.enqueueMessage(old, new InboundMessage.Subscribe(0, 0, 1, true));
         steward.round(T0 + 10);
         assertEquals(1, old.marks.size());
-        exchange.arrived(fresh, new InboundMessage.Subscribe(0, 0, 1, false));
-        exchange.ended(old);
+        exchange.enqueueMessage(fresh, new InboundMessage.Subscribe(0, 0, 1, false));
+        exchange.enqueueStreamClosed(old);
         steward.round(T0 + 20);
         assertTrue(old.closed != null);
         assertEquals(1, fresh.marks.size()); // bound anew on its new stream
-        exchange.listed(new HostList(2, false, List.of(entry(1, State.READY, Double.NEGATIVE_INFINITY))));
+        exchange.enqueueHostList(new HostList(2, false, List.of(entry(1, State.READY, Double.NEGATIVE_INFINITY))));
         for (int i = 3; i < 40; i++) {
             steward.round(T0 + 100 * i);
         }
@@ -323,10 +324,10 @@
     @Test
     void sumsOfAHostThatWasNeverListedPutItInNoOrder() {
         steward = start(new Log(new PrintStream(OutputStream.nullOutputStream())));
-        steward.listed(new HostList(1, true, List.of(entry(0, State.READY, Double.NEGATIVE_INFINITY))));
-        exchange.arrived(proxies[0], new InboundMessage.Subscribe(0, 0, 1, true));
+        steward.onHostList(new HostList(1, true, List.of(entry(0, State.READY, Double.NEGATIVE_INFINITY))));
+        exchange.enqueueMessage(proxies[0], new InboundMessage.Subscribe(0, 0, 1, true));
         for (int i = 1; i < 60; i++) {
-            exchange.arrived(proxies[1], new InboundMessage.LoadReport("s-9", 0, 50, 50, 0, 500));
+            exchange.enqueueMessage(proxies[1], new InboundMessage.LoadReport("s-9", 0, 50, 50, 0, 500));
             steward.round(T0 + 100 * i);
         }
         assertEquals("[s-0]", proxies[0].lines.get("order").keySet().toString());
@@ -341,16 +342,16 @@
         for (int h = 0; h < hosts.length; h++) {
             hosts[h] = entry(h, State.READY, Double.NEGATIVE_INFINITY);
         }
-        steward.listed(new HostList(1, true, List.of(hosts)));
+        steward.onHostList(new HostList(1, true, List.of(hosts)));
         Seen silent = proxies[0], well = proxies[1];
-        exchange.arrived(silent, new InboundMessage.Subscribe(0, 0, 1, true));
-        exchange.arrived(well, new InboundMessage.Subscribe(1, 1, 1, true));
+        exchange.enqueueMessage(silent, new InboundMessage.Subscribe(0, 0, 1, true));
+        exchange.enqueueMessage(well, new InboundMessage.Subscribe(1, 1, 1, true));
         steward.round(T0 + 10);
         for (int h = 0; h < 16; h++) {
-            exchange.listed(new HostList(2 + h, false, List.of(entry(h, State.TERMINATING, 0))));
+            exchange.enqueueHostList(new HostList(2 + h, false, List.of(entry(h, State.TERMINATING, 0))));
             for (int i = 0; i < 10; i++) {
                 steward.round(T0 + 6000 + 1000 * h + 100 * i);
-                exchange.arrived(
+                exchange.enqueueMessage(
                         well, new InboundMessage.Acknowledgement(1, well.marks.get(well.marks.size() - 1), 100));
             }
             assertTrue(well.out.contains("s-" + h), "s-" + h);
@@ -363,20 +364,20 @@
     @Test
     void aFaultAtOneEntryOfAListLeavesOutThatEntryAndNobodyGoesForIt() {
         steward = start(new Log(new PrintStream(logged)));
-        steward.listed(new HostList(
+        steward.onHostList(new HostList(
                 1,
                 true,
                 List.of(
                         entry(0, State.READY, Double.NEGATIVE_INFINITY),
                         entry(1, State.READY, Double.NEGATIVE_INFINITY))));
-        exchange.listed(new HostList(
+        exchange.enqueueHostList(new HostList(
                 2,
                 true,
                 List.of(
                         entry(0, State.READY, Double.NEGATIVE_INFINITY),
                         entry(1, null, 0),
                         entry(2, State.READY, Double.NEGATIVE_INFINITY))));
-        exchange.arrived(proxies[0], new InboundMessage.Subscribe(0, 0, 1, true));
+        exchange.enqueueMessage(proxies[0], new InboundMessage.Subscribe(0, 0, 1, true));
         steward.round(T0 + 10);
         assertEquals("[s-0, s-1, s-2]", proxies[0].lines.get("order").keySet().toString());
         assertEquals(
@@ -390,7 +391,7 @@
     @Test
     void aProxyThatCannotBeWrittenToKeepsNothingFromTheOthers() {
         steward = start(new Log(new PrintStream(logged)));
-        steward.listed(new HostList(1, true, List.of(entry(0, State.READY, Double.NEGATIVE_INFINITY))));
+        steward.onHostList(new HostList(1, true, List.of(entry(0, State.READY, Double.NEGATIVE_INFINITY))));
         List<String> closed = new ArrayList<>();
         ProxyStream broken = new ProxyStream() {
             @Override
@@ -404,14 +405,14 @@
                 throw new IllegalStateException("a fault in closing");
             }
         };
-        exchange.arrived(broken, new InboundMessage.Subscribe(0, 0, 2, true)); // asked most: written to first
-        exchange.arrived(proxies[1], new InboundMessage.Subscribe(1, 0, 1, true));
+        exchange.enqueueMessage(broken, new InboundMessage.Subscribe(0, 0, 2, true)); // asked most: written to first
+        exchange.enqueueMessage(proxies[1], new InboundMessage.Subscribe(1, 0, 1, true));
         steward.round(T0 + 10);
         assertEquals("[s-0]", proxies[1].lines.get("order").keySet().toString());
         assertEquals(List.of("can't be written to"), closed);
-        exchange.arrived(
+        exchange.enqueueMessage(
                 proxies[0], new InboundMessage.Subscribe(0, 0, 2, false)); // its old stream can't be closed either
-        exchange.listed(new HostList(2, false, List.of(entry(1, State.READY, Double.NEGATIVE_INFINITY))));
+        exchange.enqueueHostList(new HostList(2, false, List.of(entry(1, State.READY, Double.NEGATIVE_INFINITY))));
         for (int i = 1; i < 40; i++) {
             steward.round(T0 + 100 * i); // and the thread goes on
         }
@@ -422,10 +423,10 @@
     @Test
     void aProxyThatCannotBeTakenInIsLetGoAndDialsAgain() {
         steward = start(new Log(new PrintStream(logged)));
-        exchange.arrived(
+        exchange.enqueueMessage(
                 proxies[0],
                 new InboundMessage.Subscribe(99, 0, 1, true)); // no such proxy: the reader lets none through
-        exchange.arrived(proxies[1], new InboundMessage.Subscribe(1, 0, 1, true));
+        exchange.enqueueMessage(proxies[1], new InboundMessage.Subscribe(1, 0, 1, true));
         steward.round(T0 + 10);
         assertEquals("can't be taken in", proxies[0].closed);
         assertEquals(null, proxies[1].closed);
--- a/src/test/java/linenring/controller/FaultAtRestTest.java
+++ b/src/test/java/linenring/controller/FaultAtRestTest.java
@@ -35,7 +35,7 @@
         thread.start();
         try {
             TimeUnit.SECONDS.sleep(1); // it has come to rest
-            exchange.listed(
+            exchange.enqueueHostList(
                     new HostList(2, false, List.of(new HostList.Entry("s-9", 0, NO_KIND, State.READY, 1, LONG_AGO))));
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
             while (faults() < ATTEMPTS && System.nanoTime() < end) {
--- a/src/test/java/linenring/controller/FleetStateTest.java
+++ b/src/test/java/linenring/controller/FleetStateTest.java
@@ -11,9 +11,9 @@
 import linenring.log.Log;
 import linenring.planner.Commands.RetryPolicy;
 import linenring.protocol.ConfigurationUpdate;
-import linenring.protocol.ConfigurationUpdate.Level;
-import linenring.protocol.ConfigurationUpdate.Line;
+import linenring.protocol.ConfigurationUpdate.AdmissionPolicy;
 import linenring.protocol.ConfigurationUpdate.Part;
+import linenring.protocol.ConfigurationUpdate.TableEntry;
 import org.junit.jupiter.api.Test;
 
 class FleetStateTest {
@@ -59,7 +59,12 @@
     }
 
     private static Part part(
-            List<Line> lines, boolean whole, Level level, List<String> out, List<String> back, int mark) {
+            List<TableEntry> lines,
+            boolean whole,
+            AdmissionPolicy level,
+            List<String> out,
+            List<String> back,
+            int mark) {
         return new Part(NONE, whole, lines, level, out, back, mark);
     }
 
@@ -78,9 +83,9 @@
         assertEquals(2, way.commands.size());
         assertEquals(
                 List.of(part(
-                        List.of(new Line("s-0", 1), new Line("s-1", 1), new Line("s-2", 1)),
+                        List.of(new TableEntry("s-0", 1), new TableEntry("s-1", 1), new TableEntry("s-2", 1)),
                         true,
-                        new Level(0.8, 1),
+                        new AdmissionPolicy(0.8, 1),
                         List.of("s-1"),
                         NONE,
                         906)),
@@ -96,7 +101,8 @@
         fleetState.requestAcknowledgement(2);
         fleetState.send();
         assertEquals(
-                List.of(part(List.of(new Line("s-1", 0), new Line("s-2", 0.5)), false, null, NONE, NONE, 2)),
+                List.of(part(
+                        List.of(new TableEntry("s-1", 0), new TableEntry("s-2", 0.5)), false, null, NONE, NONE, 2)),
                 way.last());
         assertEquals(0, other.commands.size());
     }
@@ -129,12 +135,12 @@
                         new Part(
                                 List.of("lookup"),
                                 true,
-                                List.of(new Line("s-0", 1)),
-                                new Level(0.7, 0),
+                                List.of(new TableEntry("s-0", 1)),
+                                new AdmissionPolicy(0.7, 0),
                                 NONE,
                                 NONE,
-                                ConfigurationUpdate.NO_MARK),
-                        new Part(List.of("order"), true, List.of(new Line("s-0", 0.5)), null, NONE, NONE, 3)),
+                                ConfigurationUpdate.NO_NONCE),
+                        new Part(List.of("order"), true, List.of(new TableEntry("s-0", 0.5)), null, NONE, NONE, 3)),
                 way.last());
     }
 
@@ -148,16 +154,22 @@
         fleetState.send();
         assertEquals(
                 List.of(
-                        part(List.of(new Line("s-0", 0.5)), false, null, NONE, NONE, ConfigurationUpdate.NO_MARK),
+                        part(
+                                List.of(new TableEntry("s-0", 0.5)),
+                                false,
+                                null,
+                                NONE,
+                                NONE,
+                                ConfigurationUpdate.NO_NONCE),
                         new Part(
                                 List.of("lookup"),
                                 false,
                                 List.of(),
-                                new Level(0.4, 1),
+                                new AdmissionPolicy(0.4, 1),
                                 NONE,
                                 NONE,
-                                ConfigurationUpdate.NO_MARK),
-                        new Part(List.of("order"), false, List.of(), new Level(1, 1), NONE, NONE, 4)),
+                                ConfigurationUpdate.NO_NONCE),
+                        new Part(List.of("order"), false, List.of(), new AdmissionPolicy(1, 1), NONE, NONE, 4)),
                 way.last());
     }
 
@@ -173,24 +185,24 @@
                                 List.of("lookup"),
                                 false,
                                 List.of(),
-                                new Level(0.4, 0),
+                                new AdmissionPolicy(0.4, 0),
                                 NONE,
                                 NONE,
-                                ConfigurationUpdate.NO_MARK),
+                                ConfigurationUpdate.NO_NONCE),
                         new Part(
                                 List.of("order"),
                                 false,
                                 List.of(),
-                                new Level(0.6, 2),
+                                new AdmissionPolicy(0.6, 2),
                                 NONE,
                                 NONE,
-                                ConfigurationUpdate.NO_MARK)),
+                                ConfigurationUpdate.NO_NONCE)),
                 way.last());
         fleetState.joined(1, other, true);
         fleetState.bindProxy(7, 0, 1);
         fleetState.send();
-        assertEquals(new Level(0.4, 0), other.last().get(1).level());
-        assertEquals(new Level(0.6, 2), other.last().get(2).level());
+        assertEquals(new AdmissionPolicy(0.4, 0), other.last().get(1).admission());
+        assertEquals(new AdmissionPolicy(0.6, 2), other.last().get(2).admission());
     }
 
     @Test
@@ -253,7 +265,7 @@
         fleetState.setEjected(1, true);
         fleetState.send();
         assertEquals(
-                List.of(part(List.of(), false, null, List.of("s-1"), NONE, ConfigurationUpdate.NO_MARK)), way.last());
+                List.of(part(List.of(), false, null, List.of("s-1"), NONE, ConfigurationUpdate.NO_NONCE)), way.last());
         assertEquals(
                 List.of(1, 0, 1),
                 List.of(
@@ -283,11 +295,11 @@
         fleetState.send();
         assertEquals(
                 List.of(10_000, 10_000, 5000),
-                way.last().stream().map(e -> e.lines().size()).toList());
+                way.last().stream().map(e -> e.entries().size()).toList());
         assertEquals(
                 List.of(true, false, false),
-                way.last().stream().map(Part::whole).toList());
-        assertEquals(1, way.last().get(2).mark());
+                way.last().stream().map(Part::replacesTable).toList());
+        assertEquals(1, way.last().get(2).nonce());
     }
 
     @Test
@@ -342,6 +354,6 @@
         bound();
         fleetState.clearTable(7);
         fleetState.send();
-        assertEquals(List.of(part(List.of(), true, null, NONE, NONE, ConfigurationUpdate.NO_MARK)), way.last());
+        assertEquals(List.of(part(List.of(), true, null, NONE, NONE, ConfigurationUpdate.NO_NONCE)), way.last());
     }
 }
--- a/src/test/java/linenring/controller/LateSilenceTest.java
+++ b/src/test/java/linenring/controller/LateSilenceTest.java
@@ -34,7 +34,7 @@
     private void serve(double ms, int... zones) {
         for (double end = fixture.now() + ms; fixture.now() < end; ) {
             int leaves = oldest++, comes = next++;
-            fixture.exchange.listed(new HostList(
+            fixture.exchange.enqueueHostList(new HostList(
                     ++version,
                     false,
                     List.of(host(leaves, State.TERMINATING, LONG_AGO), host(comes, State.READY, fixture.now()))));
@@ -47,7 +47,8 @@
                 }
                 fixture.pass(1000);
             }
-            fixture.exchange.listed(new HostList(++version, false, List.of(host(leaves, State.GONE, LONG_AGO))));
+            fixture.exchange.enqueueHostList(
+                    new HostList(++version, false, List.of(host(leaves, State.GONE, LONG_AGO))));
         }
     }
 
@@ -166,7 +167,7 @@
         for (int h = next; h < next + HOSTS / 2; h++) {
             caughtUp.add(host(h, State.READY, told - 60_000));
         }
-        fixture.exchange.listed(new HostList(version + 40, true, caughtUp));
+        fixture.exchange.enqueueHostList(new HostList(version + 40, true, caughtUp));
         fixture.pass(20_000);
         for (RecordingProxy proxy : fixture.proxies) {
             assertDrainsInGrace(proxy, told);
--- a/src/test/java/linenring/controller/RecordingProxy.java
+++ b/src/test/java/linenring/controller/RecordingProxy.java
@@ -43,17 +43,17 @@
     public void write(ConfigurationUpdate order) {
         messages++;
         for (ConfigurationUpdate.Part part : order.parts()) {
-            if (part.whole()) {
+            if (part.replacesTable()) {
                 weights.clear();
             }
-            part.lines().forEach(line -> weights.put(line.host(), line.weight()));
+            part.entries().forEach(line -> weights.put(line.host(), line.weight()));
             weights.values().removeIf(weight -> weight == 0);
             part.ejected().forEach(host -> record(shutOutAt, host));
             part.restored().forEach(host -> record(letBackAt, host));
             ejected.addAll(part.ejected());
             ejected.removeAll(part.restored());
-            if (part.mark() != ConfigurationUpdate.NO_MARK) {
-                unanswered.add(new Mark(part.mark(), clock.getAsDouble()));
+            if (part.nonce() != ConfigurationUpdate.NO_NONCE) {
+                unanswered.add(new Mark(part.nonce(), clock.getAsDouble()));
             }
         }
     }
--- a/src/test/java/linenring/controller/ReplacedHostsTest.java
+++ b/src/test/java/linenring/controller/ReplacedHostsTest.java
@@ -65,7 +65,7 @@
         assertTrue(proxy.ejected.contains("s-0"), "the proxy keeps what it was told");
         List<HostList.Entry> entries = new ArrayList<>(entries(turns));
         entries.add(host(0, State.READY, LONG_AGO));
-        fixture.exchange.listed(new HostList(++version, true, entries));
+        fixture.exchange.enqueueHostList(new HostList(++version, true, entries));
         fixture.pass(TURN_MS);
         assertTrue(proxy.pickable().containsKey("s-0"));
         assertFalse(proxy.ejected.contains("s-0"));
@@ -77,7 +77,7 @@
         int before = fixture.hostIds();
         for (int turn = 0; turn < 50; turn++) {
             State state = turn % 2 == 0 ? State.GONE : State.READY;
-            fixture.exchange.listed(new HostList(++version, false, List.of(host(7, state, LONG_AGO))));
+            fixture.exchange.enqueueHostList(new HostList(++version, false, List.of(host(7, state, LONG_AGO))));
             fixture.pass(TURN_MS);
         }
         assertEquals(before, fixture.hostIds());
@@ -92,7 +92,7 @@
 
     /** All hosts of the turn before are gone and others have come, in one list. */
     private void replaceAll(ControlLoopFixture fixture, int turn) {
-        fixture.exchange.listed(new HostList(++version, true, entries(turn)));
+        fixture.exchange.enqueueHostList(new HostList(++version, true, entries(turn)));
     }
 
     private static List<HostList.Entry> entries(int turn) {
--- a/src/test/java/linenring/controller/WholeListsTest.java
+++ b/src/test/java/linenring/controller/WholeListsTest.java
@@ -64,8 +64,8 @@
             catalogue.changes.clear();
             changeSomeHosts(catalogue, byChanges.now(), chance);
             HostList changes = catalogue.nextChanges();
-            byChanges.exchange.listed(changes);
-            byWholeLists.exchange.listed(step % 3 == 0 ? changes : catalogue.whole());
+            byChanges.exchange.enqueueHostList(changes);
+            byWholeLists.exchange.enqueueHostList(step % 3 == 0 ? changes : catalogue.whole());
             double ms = 100 + 50 * chance.nextInt(12);
             byChanges.pass(ms);
             byWholeLists.pass(ms);
@@ -105,7 +105,7 @@
                 .joinAll(40, true)
                 .pass(20_000);
         double told = fixture.now();
-        fixture.exchange.listed(new HostList(2, false, draining()));
+        fixture.exchange.enqueueHostList(new HostList(2, false, draining()));
         fixture.pass(ControlLoopFixture.STEP_MS);
         assertTrue(
                 fixture.proxies.stream().anyMatch(proxy -> proxy.ejected.size() < DRAINING.size()),
@@ -113,7 +113,7 @@
         fixture.pass(afterMs - ControlLoopFixture.STEP_MS);
         List<HostList.Entry> whole = new ArrayList<>(draining());
         IntStream.range(DRAINING.size(), HOSTS).forEach(h -> whole.add(host(h, State.READY, LONG_AGO)));
-        fixture.exchange.listed(new HostList(3, true, whole));
+        fixture.exchange.enqueueHostList(new HostList(3, true, whole));
         fixture.pass(10_000);
         for (RecordingProxy proxy : fixture.proxies) {
             assertEquals(DRAINING, proxy.ejected);
@@ -131,10 +131,10 @@
         ControlLoopFixture fixture = new ControlLoopFixture(warmHosts(1, HOSTS), PROXIES)
                 .joinAll(PROXIES, true)
                 .pass(20_000);
-        fixture.exchange.listed(new HostList(2, false, draining()));
+        fixture.exchange.enqueueHostList(new HostList(2, false, draining()));
         fixture.pass(ControlLoopFixture.STEP_MS);
         double told = fixture.now();
-        fixture.exchange.listed(new HostList(
+        fixture.exchange.enqueueHostList(new HostList(
                 3,
                 true,
                 IntStream.range(DRAINING.size() + 1, HOSTS)
@@ -157,11 +157,11 @@
         ControlLoopFixture fixture = new ControlLoopFixture(warmHosts(1, HOSTS), PROXIES)
                 .joinAll(PROXIES, true)
                 .pass(20_000);
-        fixture.exchange.listed(new HostList(2, false, draining()));
+        fixture.exchange.enqueueHostList(new HostList(2, false, draining()));
         fixture.pass(3000);
         List<HostList.Entry> whole = new ArrayList<>(List.of(host(0, State.READY, fixture.now())));
         IntStream.range(DRAINING.size(), HOSTS).forEach(h -> whole.add(host(h, State.READY, LONG_AGO)));
-        fixture.exchange.listed(new HostList(3, true, whole));
+        fixture.exchange.enqueueHostList(new HostList(3, true, whole));
         fixture.pass(2000);
         for (RecordingProxy proxy : fixture.proxies) {
             double cold = proxy.pickable().getOrDefault("s-0", 0.0);
@@ -181,7 +181,7 @@
         ControlLoopFixture fixture = new ControlLoopFixture(warmHosts(1, HOSTS), PROXIES)
                 .joinAll(PROXIES, true)
                 .pass(20_000);
-        fixture.exchange.listed(new HostList(2, true, draining(), List.of("s-9: no zone")));
+        fixture.exchange.enqueueHostList(new HostList(2, true, draining(), List.of("s-9: no zone")));
         fixture.pass(5000);
         for (RecordingProxy proxy : fixture.proxies) {
             assertEquals(DRAINING, proxy.ejected);
--- a/src/test/java/linenring/discovery/DiscoveryMoveTest.java
+++ b/src/test/java/linenring/discovery/DiscoveryMoveTest.java
@@ -150,7 +150,7 @@
         assertTrue(
                 exchange.await(TimeUnit.SECONDS.toNanos(WAIT_SECONDS)), "version " + version + " reaches the exchange");
         RecordingEventHandler taker = new RecordingEventHandler();
-        exchange.drain(taker);
+        exchange.drainTo(taker);
         assertEquals(List.of(version), taker.versions());
     }
 }
--- a/src/test/java/linenring/discovery/DiscoverySilenceTest.java
+++ b/src/test/java/linenring/discovery/DiscoverySilenceTest.java
@@ -89,7 +89,7 @@
 
     private List<Long> versions() {
         RecordingEventHandler taker = new RecordingEventHandler();
-        exchange.drain(taker);
+        exchange.drainTo(taker);
         return taker.versions();
     }
 
--- a/src/test/java/linenring/discovery/HostWatchTest.java
+++ b/src/test/java/linenring/discovery/HostWatchTest.java
@@ -63,7 +63,7 @@
 
     private List<Long> versions() {
         RecordingEventHandler taker = new RecordingEventHandler();
-        exchange.drain(taker);
+        exchange.drainTo(taker);
         return taker.versions();
     }
 
--- a/src/test/java/linenring/discovery/ScopeChangeTest.java
+++ b/src/test/java/linenring/discovery/ScopeChangeTest.java
@@ -17,8 +17,8 @@
 import java.nio.charset.StandardCharsets;
 import linenring.discovery.AgentFixture.Agent;
 import linenring.protocol.HostList;
+import linenring.protocol.InvalidEntries;
 import linenring.protocol.ServiceScope;
-import linenring.protocol.SpoiltEntries;
 import org.junit.jupiter.api.Test;
 
 /** What the watch does where its scope changes. */
@@ -159,7 +159,7 @@
     void anOlderListUnderAnotherScopeIsPassedOverAndVersionsThatRestartAreTakenInTheEnd() {
         Versions versions = new Versions(known(ONE, "s-1"));
         Versions.Told source = new Versions.Told(true, TWO);
-        HostList old = new HostList(7, true, known(TWO, "s-2").entries(), SpoiltEntries.NONE, TWO, 3);
+        HostList old = new HostList(7, true, known(TWO, "s-2").entries(), InvalidEntries.NONE, TWO, 3);
         assertTrue(versions.asksWhole(source));
         assertEquals(Versions.Refusal.TOO_OLD_FOR_ITS_SCOPE, versions.refuses(old, source, 0));
         assertEquals(Versions.Refusal.TOO_OLD_FOR_ITS_SCOPE, versions.refuses(old, source, 6_000_000_000L));
--- a/src/test/java/linenring/discovery/ScopedWatchFixture.java
+++ b/src/test/java/linenring/discovery/ScopedWatchFixture.java
@@ -21,8 +21,8 @@
 import linenring.log.Log;
 import linenring.protocol.Codec;
 import linenring.protocol.HostList;
+import linenring.protocol.InvalidEntries;
 import linenring.protocol.ServiceScope;
-import linenring.protocol.SpoiltEntries;
 import linenring.settings.Names;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
@@ -83,7 +83,7 @@
         for (String id : ids) {
             entries.add(new HostList.Entry(id, 0, 0, HostList.State.READY, 1, Double.NEGATIVE_INFINITY));
         }
-        return new HostList(41, true, entries, SpoiltEntries.NONE, scope, 0);
+        return new HostList(41, true, entries, InvalidEntries.NONE, scope, 0);
     }
 
     /** One entry: id, service (empty: none) and state, a space between. */
@@ -107,7 +107,7 @@
     }
 
     void take(HostList list) {
-        if (list.whole() && list.spoilt().isEmpty()) { // as the steward does
+        if (list.isComplete() && list.invalidEntries().isEmpty()) { // as the steward does
             hosts.clear();
         }
         for (HostList.Entry e : list.entries()) {
@@ -122,7 +122,7 @@
     /** The hosts as whoever follows the exchange has them now. */
     String hosts() {
         RecordingEventHandler taker = new RecordingEventHandler();
-        exchange.drain(taker);
+        exchange.drainTo(taker);
         taker.lists().forEach(this::take);
         return String.join(" ", new TreeSet<>(hosts.keySet()));
     }
--- a/src/test/java/linenring/discovery/ScopedWatchTest.java
+++ b/src/test/java/linenring/discovery/ScopedWatchTest.java
@@ -59,7 +59,7 @@
     void aHostNeverHeldIsNotToldOfWhenItGoes() {
         HostWatch watch = watch(ONE, known(ONE, "s-1"), Integer.MAX_VALUE);
         List<HostList> told = new ArrayList<>();
-        exchange.follow(told::add);
+        exchange.addHostListListener(told::add);
         new Agent(watch, "/", false)
                 .addInput(OK + chunk(list(42, false, "s-2 svc-9 Ready", "s-3 svc-9 Gone", "s-4  Gone")));
         assertEquals(List.of(), told.get(0).entries());
@@ -100,7 +100,7 @@
     void aStartWhoseScopeNamesNobodyTakesTheListAndHearsOfWhoComes() {
         HostWatch watch = watch(ONE, null, Integer.MAX_VALUE);
         List<HostList> told = new ArrayList<>();
-        exchange.follow(told::add);
+        exchange.addHostListListener(told::add);
         new Agent(watch, "/", true).addInput(body(list(42, true, "s-1 svc-9 Ready")));
         assertEquals(42, told.get(0).version());
         assertTrue(logged.toString().contains("lists 0 hosts in scope and 1 outside"));
--- a/src/test/java/linenring/event/EventQueueTest.java
+++ b/src/test/java/linenring/event/EventQueueTest.java
@@ -18,11 +18,11 @@
     @Test
     void whatIsLeftIsTakenOnceAndInOrder() throws InterruptedException {
         HostList list = new HostList(1, true, List.of());
-        exchange.arrived(null, new InboundMessage.Subscribe(1, 0, 1, true));
-        exchange.listed(list);
-        exchange.ended(null);
+        exchange.enqueueMessage(null, new InboundMessage.Subscribe(1, 0, 1, true));
+        exchange.enqueueHostList(list);
+        exchange.enqueueStreamClosed(null);
         assertTrue(exchange.await(0));
-        assertEquals(0, exchange.drain(taker));
+        assertEquals(0, exchange.drainTo(taker));
         assertEquals(List.of(new InboundMessage.Subscribe(1, 0, 1, true), list, "ended"), taken);
         assertFalse(exchange.await(0));
     }
@@ -30,25 +30,25 @@
     @Test
     void aFloodOfSumsIsCutAndCountedAndNothingElseIsLost() {
         for (int i = 0; i < 30_000; i++) {
-            exchange.arrived(null, new InboundMessage.RequestRateReport(1, 0, i, 500));
+            exchange.enqueueMessage(null, new InboundMessage.RequestRateReport(1, 0, i, 500));
         }
-        exchange.arrived(null, new InboundMessage.Acknowledgement(1, 7, 100));
-        exchange.ended(null);
-        assertEquals(10_000, exchange.drain(taker));
+        exchange.enqueueMessage(null, new InboundMessage.Acknowledgement(1, 7, 100));
+        exchange.enqueueStreamClosed(null);
+        assertEquals(10_000, exchange.drainTo(taker));
         assertEquals(20_002, taken.size());
-        assertEquals(0, exchange.drain(taker));
+        assertEquals(0, exchange.drainTo(taker));
     }
 
     @Test
     void inAFloodOfSumsTheNewestAreKeptInTheirPlaceAmongTheRest() {
-        exchange.arrived(null, new InboundMessage.Subscribe(1, 0, 1, true));
+        exchange.enqueueMessage(null, new InboundMessage.Subscribe(1, 0, 1, true));
         for (int i = 0; i < 30_000; i++) {
-            exchange.arrived(null, new InboundMessage.RequestRateReport(1, 0, i, 500));
+            exchange.enqueueMessage(null, new InboundMessage.RequestRateReport(1, 0, i, 500));
             if (i == 29_000) {
-                exchange.arrived(null, new InboundMessage.Acknowledgement(1, 7, 100));
+                exchange.enqueueMessage(null, new InboundMessage.Acknowledgement(1, 7, 100));
             }
         }
-        exchange.drain(taker);
+        exchange.drainTo(taker);
         assertEquals(new InboundMessage.Subscribe(1, 0, 1, true), taken.get(0));
         assertEquals(
                 new InboundMessage.RequestRateReport(1, 0, 10_000, 500),
@@ -63,11 +63,11 @@
     @Test
     void aListReachesTheStewardThoughOneWhoFollowsItFails() {
         HostList list = new HostList(7, true, List.of());
-        exchange.follow(l -> {
+        exchange.addHostListListener(l -> {
             throw new IllegalStateException("a follower's fault");
         });
-        assertThrows(IllegalStateException.class, () -> exchange.listed(list));
-        exchange.drain(taker);
+        assertThrows(IllegalStateException.class, () -> exchange.enqueueHostList(list));
+        exchange.drainTo(taker);
         assertEquals(List.of(list), taken);
     }
 }
--- a/src/test/java/linenring/event/RecordingEventHandler.java
+++ b/src/test/java/linenring/event/RecordingEventHandler.java
@@ -33,17 +33,17 @@
     }
 
     @Override
-    public void arrived(ProxyStream from, InboundMessage what) {
+    public void onMessage(ProxyStream from, InboundMessage what) {
         taken.add(what);
     }
 
     @Override
-    public void ended(ProxyStream which) {
+    public void onStreamClosed(ProxyStream which) {
         taken.add(ENDED);
     }
 
     @Override
-    public void listed(HostList list) {
+    public void onHostList(HostList list) {
         taken.add(list);
     }
 }
--- a/src/test/java/linenring/gateway/GatewayBesideControllerTest.java
+++ b/src/test/java/linenring/gateway/GatewayBesideControllerTest.java
@@ -53,7 +53,7 @@
             nodes.add(new TestBackend());
         }
         HostRegistry book = new HostRegistry();
-        exchange.follow(book::apply);
+        exchange.addHostListListener(book::apply);
         ControlLoop steward = new ControlLoop(figures, GatewayFixture.NAMES, null, exchange, log);
         thread = new Thread(steward::run, "steward");
         thread.setDaemon(true);
@@ -79,7 +79,7 @@
 
     private void list(HostList.State state, int... hosts) {
         version++;
-        exchange.listed(new HostList(
+        exchange.enqueueHostList(new HostList(
                 version,
                 version == 1,
                 IntStream.of(hosts)
--- a/src/test/java/linenring/gateway/GatewayFixture.java
+++ b/src/test/java/linenring/gateway/GatewayFixture.java
@@ -71,7 +71,7 @@
         GatewaySettings plan = SettingsText.plan(String.format(PLAN, more), NAMES);
         HostRegistry book = new HostRegistry();
         book.apply(list());
-        exchange.follow(book::apply);
+        exchange.addHostListListener(book::apply);
         Log log = new Log(new PrintStream(logged, true));
         Http2Gateway.Opened opened =
                 Http2Gateway.open(plan, Measure.SHARE, book, exchange, null, true, log, clientFactory);
@@ -79,7 +79,7 @@
             throw new IOException(opened.fault());
         }
         front = opened.front();
-        exchange.drain(this);
+        exchange.drainTo(this);
         all(RetryPolicy.ONE_IF_NOT_EXECUTED);
     }
 
@@ -110,9 +110,9 @@
                 List.of(),
                 true,
                 IntStream.of(hosts)
-                        .mapToObj(h -> new ConfigurationUpdate.Line("s-" + h, 1))
+                        .mapToObj(h -> new ConfigurationUpdate.TableEntry("s-" + h, 1))
                         .toList(),
-                new ConfigurationUpdate.Level(level, tries.ordinal()),
+                new ConfigurationUpdate.AdmissionPolicy(level, tries.ordinal()),
                 List.of(),
                 List.of(),
                 ++mark));
@@ -128,9 +128,9 @@
         LoadClient.awaiting(
                 this,
                 () -> {
-                    exchange.drain(this);
+                    exchange.drainTo(this);
                     return heard.stream()
-                            .anyMatch(a -> a instanceof InboundMessage.Acknowledgement done && done.mark() == asked);
+                            .anyMatch(a -> a instanceof InboundMessage.Acknowledgement done && done.nonce() == asked);
                 },
                 "mark " + asked + " is answered");
     }
@@ -150,7 +150,7 @@
     }
 
     @Override
-    public void arrived(ProxyStream from, InboundMessage what) {
+    public void onMessage(ProxyStream from, InboundMessage what) {
         if (what instanceof InboundMessage.Subscribe) {
             stream = from;
         }
@@ -158,12 +158,12 @@
     }
 
     @Override
-    public void ended(ProxyStream which) {
+    public void onStreamClosed(ProxyStream which) {
         stream = null;
     }
 
     @Override
-    public void listed(HostList list) {
+    public void onHostList(HostList list) {
         // the front hears of it by itself
     }
 
--- a/src/test/java/linenring/gateway/Http2GatewayTest.java
+++ b/src/test/java/linenring/gateway/Http2GatewayTest.java
@@ -347,10 +347,10 @@
             LoadClient.awaiting(
                     this,
                     () -> {
-                        rig.exchange.drain(rig);
+                        rig.exchange.drainTo(rig);
                         return List.copyOf(rig.heard).stream()
                                         .filter(a -> a instanceof InboundMessage.LoadReport)
-                                        .mapToInt(a -> ((InboundMessage.LoadReport) a).total())
+                                        .mapToInt(a -> ((InboundMessage.LoadReport) a).requests())
                                         .sum()
                                 == 8;
                     },
@@ -360,13 +360,13 @@
                     1,
                     heard.stream()
                             .filter(a -> a instanceof InboundMessage.LoadReport)
-                            .mapToInt(a -> ((InboundMessage.LoadReport) a).bad())
+                            .mapToInt(a -> ((InboundMessage.LoadReport) a).failed())
                             .sum());
             assertEquals(
                     7,
                     heard.stream()
                             .filter(a -> a instanceof InboundMessage.RequestRateReport u && u.operation() == 0)
-                            .mapToInt(a -> ((InboundMessage.RequestRateReport) a).total())
+                            .mapToInt(a -> ((InboundMessage.RequestRateReport) a).requests())
                             .sum());
         }
     }
--- a/src/test/java/linenring/handover/KnownListTest.java
+++ b/src/test/java/linenring/handover/KnownListTest.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import linenring.handover.wire.Wire;
 import linenring.protocol.HostList;
+import linenring.protocol.InvalidEntries;
 import linenring.protocol.ServiceScope;
-import linenring.protocol.SpoiltEntries;
 import org.junit.jupiter.api.Test;
 
 class KnownListTest {
@@ -15,7 +15,7 @@
     }
 
     private static HostList list(boolean whole, ServiceScope scope, String id) {
-        return new HostList(41, whole, List.of(host(id)), SpoiltEntries.NONE, scope, 0);
+        return new HostList(41, whole, List.of(host(id)), InvalidEntries.NONE, scope, 0);
     }
 
     @Test
--- a/src/test/java/linenring/protocol/CodecTest.java
+++ b/src/test/java/linenring/protocol/CodecTest.java
@@ -1,11 +1,12 @@
 package linenring.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import linenring.protocol.DecodeError.Reached;
+import linenring.protocol.DecodeError.Stage;
 import linenring.settings.Names;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -17,43 +18,46 @@
 
     private DecodeResult<InboundMessage> arrival(String line) {
         byte[] bytes = (line + "left over").getBytes(StandardCharsets.UTF_8);
-        return codec.arrival(bytes, line.length());
+        return codec.decodeInbound(bytes, line.length());
+    }
+
+    private DecodeResult<HostList> decodeHostList(String line) {
+        return codec.decodeHostList(line.getBytes(StandardCharsets.UTF_8), line.length());
     }
 
     private HostList list(String line) {
-        return codec.hostList(line.getBytes(StandardCharsets.UTF_8), line.length())
-                .value();
+        return decodeHostList(line).orElseThrow();
     }
 
     @Test
     void eachKindIsReadAndUnknownFieldsArePassedOver() {
-        assertEquals(new InboundMessage.Ping(), arrival("{\"@type\":\"PING\"}").value());
+        assertEquals(new InboundMessage.Ping(), arrival("{\"@type\":\"PING\"}").orElseThrow());
         assertEquals(
                 new InboundMessage.Collector(1),
                 arrival("{\"site\":\"b\",\"x\":{\"y\":[1]},\"@type\":\"SOURCE\"}")
-                        .value());
+                        .orElseThrow());
         assertEquals(
                 new InboundMessage.Subscribe(17, 0, 21.5, true),
                 arrival("{\"@type\":\"SUBSCRIBE\",\"id\":17,\"site\":\"a\",\"rps\":21.5,\"new\":true}")
-                        .value());
+                        .orElseThrow());
         assertEquals(
                 new InboundMessage.Acknowledgement(17, 905, 310.4),
                 arrival("{\"@type\":\"ACK\",\"id\":17,\"seq\":905,\"ms\":310.4}")
-                        .value());
+                        .orElseThrow());
         assertEquals(
                 new InboundMessage.RequestRateReport(17, 1, 19, 1000),
                 arrival("{\"@type\":\"RATE\",\"id\":17,\"lane\":\"order\",\"count\":19,\"fail\":0,\"over\":1000.0}")
-                        .value());
+                        .orElseThrow());
         assertEquals(
                 new InboundMessage.RequestRateReport(17, 1, 0, 500), // what failed now may have come before
                 arrival("{\"@type\":\"RATE\",\"id\":17,\"lane\":\"order\",\"count\":0,\"fail\":1,\"over\":500}")
-                        .value());
+                        .orElseThrow());
         assertEquals(
                 new InboundMessage.LoadReport("s-1", 0, 212, 3, 41.7, 1000),
                 arrival(
                                 "{\"@type\":\"LOAD\",\"site\":\"a\","
                                         + "\"target\":\"s-1\",\"count\":212,\"fail\":3,\"mean\":41.7,\"over\":1000.0,\"util\":{\"util\":0.6}}")
-                        .value());
+                        .orElseThrow());
     }
 
     @ParameterizedTest
@@ -88,10 +92,9 @@
                         + "| field fail: 3.0 is not a whole number from 0 to 2",
                 "{\"@type\":\"LOAD\",\"site\":\"a\",\"target\":\"s\",\"count\":\"2\"} | FIELDS | field count is not a number"
             })
-    void whatCannotBeReadTellsHowFarReadingCame(String line, Reached reached, String what) {
+    void whatCannotBeReadTellsHowFarReadingCame(String line, Stage stage, String reason) {
         DecodeResult<InboundMessage> decoded = arrival(line);
-        assertNull(decoded.value());
-        assertEquals(new DecodeError(reached, what), decoded.fault());
+        assertEquals(DecodeResult.failed(stage, reason), decoded);
     }
 
     @Test
@@ -116,32 +119,34 @@
                                         3),
                                 new HostList.Entry("s-2", 0, 0, HostList.State.TERMINATING, 1, 1700000000123.0))),
                 list);
-        assertNull(list("{\"version\":\"x\",\"full\":false,\"servers\":[]}"));
-        assertNull(list("{\"version\":43,\"full\":false}"));
-        assertNull(list("{\"version\":43,\"full\":fal"));
+        assertInstanceOf(
+                DecodeResult.Failed.class, decodeHostList("{\"version\":\"x\",\"full\":false,\"servers\":[]}"));
+        assertInstanceOf(DecodeResult.Failed.class, decodeHostList("{\"version\":43,\"full\":false}"));
+        assertInstanceOf(DecodeResult.Failed.class, decodeHostList("{\"version\":43,\"full\":fal"));
     }
 
     @Test
     void theTextOfALongStrangersWordIsNotRepeatedInFull() {
-        String fault =
-                arrival("{\"@type\":\"" + "x".repeat(5000) + "\"}").fault().what();
-        assertEquals(true, fault.length() < 100);
+        DecodeResult<InboundMessage> result = arrival("{\"@type\":\"" + "x".repeat(5000) + "\"}");
+        String reason =
+                assertInstanceOf(DecodeResult.Failed.class, result).error().reason();
+        assertTrue(reason.length() < 100);
     }
 
     @Test
     void thePartsOfOneOrderStandOnLinesOfTheirOwnAndAllButTheLastAreContinued() {
         String written = new String(
-                codec.order(new ConfigurationUpdate(List.of(
+                codec.encode(new ConfigurationUpdate(List.of(
                         new ConfigurationUpdate.Part(
                                 List.of("lookup"),
                                 true,
                                 List.of(
-                                        new ConfigurationUpdate.Line("s-1", 1.5),
-                                        new ConfigurationUpdate.Line("s-2", 0.12344)),
-                                new ConfigurationUpdate.Level(0.9, 1),
+                                        new ConfigurationUpdate.TableEntry("s-1", 1.5),
+                                        new ConfigurationUpdate.TableEntry("s-2", 0.12344)),
+                                new ConfigurationUpdate.AdmissionPolicy(0.9, 1),
                                 List.of(),
                                 List.of(),
-                                ConfigurationUpdate.NO_MARK),
+                                ConfigurationUpdate.NO_NONCE),
                         new ConfigurationUpdate.Part(
                                 List.of(), false, List.of(), null, List.of("s-3"), List.of("s-4"), 905)))),
                 StandardCharsets.UTF_8);
@@ -158,12 +163,12 @@
                 + "{\"id\":\"s-1\",\"zone\":{\"x\":[1]},\"kind\":\"m1\",\"state\":\"Ready\"},7,[{}],"
                 + "{\"id\":\"s-2\",\"zone\":\"q\",\"kind\":\"m9\",\"state\":\"Ready\"},"
                 + "{\"id\":\"s-3\",\"zone\":\"b\",\"kind\":\"m9\",\"state\":\"Asleep\"}]}");
-        assertEquals(4, list.spoilt().size());
+        assertEquals(4, list.invalidEntries().count());
         assertEquals(
                 List.of(new HostList.Entry("s-2", 2, 2, HostList.State.READY, 1, Double.NEGATIVE_INFINITY)),
                 list.entries());
         assertEquals(
                 new InboundMessage.Collector(2),
-                arrival("{\"@type\":\"SOURCE\",\"site\":\"q\"}").value());
+                arrival("{\"@type\":\"SOURCE\",\"site\":\"q\"}").orElseThrow());
     }
 }
--- a/src/test/java/linenring/protocol/HostListStreamTest.java
+++ b/src/test/java/linenring/protocol/HostListStreamTest.java
@@ -1,15 +1,15 @@
 package linenring.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
-import linenring.protocol.DecodeError.Reached;
+import linenring.protocol.DecodeError.Stage;
 import linenring.settings.Names;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -64,22 +64,23 @@
     }
 
     private List<String> told(HostListFilter filter, String text) {
-        return read(filter, text).value().entries().stream()
+        return read(filter, text).orElseThrow().entries().stream()
                 .map(e -> e.host() + " " + e.state())
                 .toList();
     }
 
     @Test
     void readsTheSameListWhereverItIsCutBetweenTwoReads() {
-        HostList once = read(scoped(), LIST).value();
+        HostList once = read(scoped(), LIST).orElseThrow();
         assertEquals(
                 List.of("s-1", "s-é", "s-é5"),
                 once.entries().stream().map(HostList.Entry::host).toList());
-        assertEquals(1, once.outside());
-        assertEquals(List.of("field state: unknown 'Asleep'"), once.spoilt().firstReasons());
+        assertEquals(1, once.outsideScopeCount());
+        assertEquals(
+                List.of("field state: unknown 'Asleep'"), once.invalidEntries().firstReasons());
         int bytes = LIST.getBytes(StandardCharsets.UTF_8).length;
         for (int cut = 0; cut <= bytes; cut++) {
-            assertEquals(once, read(scoped(), LIST, cut).value(), "cut at " + cut);
+            assertEquals(once, read(scoped(), LIST, cut).orElseThrow(), "cut at " + cut);
         }
     }
 
@@ -87,7 +88,8 @@
     void readsTheSameListInAnyParts(@ForAll @Size(max = 40) List<@IntRange(max = 900) Integer> cuts) {
         int bytes = LIST.getBytes(StandardCharsets.UTF_8).length;
         int[] ends = cuts.stream().mapToInt(c -> Math.min(c, bytes)).sorted().toArray();
-        assertEquals(read(scoped(), LIST).value(), read(scoped(), LIST, ends).value());
+        assertEquals(
+                read(scoped(), LIST).orElseThrow(), read(scoped(), LIST, ends).orElseThrow());
     }
 
     @Test
@@ -96,9 +98,8 @@
         for (int length = 0; length < all.length; length++) {
             try (HostListStream stream = codec.hostListStream(scoped())) {
                 stream.feed(all, 0, length);
-                assertNull(stream.result(), "after " + length);
-                assertEquals(
-                        new DecodeError(Reached.TEXT, "not JSON"), stream.end().fault(), "after " + length);
+                assertEquals(Optional.empty(), stream.result(), "after " + length);
+                assertEquals(DecodeResult.failed(Stage.TEXT, "not JSON"), stream.end(), "after " + length);
             }
         }
     }
@@ -117,7 +118,7 @@
         assertEquals(List.of("s-1 READY"), told(HostListFilter.NONE, odd));
         assertEquals(
                 List.of("field service is not text"),
-                read(scoped(), odd).value().spoilt().firstReasons());
+                read(scoped(), odd).orElseThrow().invalidEntries().firstReasons());
     }
 
     @Test
@@ -138,7 +139,7 @@
                 "{\"service\":\"svc-9\",\"state\":\"Gone\",\"id\":\"s-6\"}");
         assertEquals(
                 List.of("s-1 GONE", "s-3 READY", "s-4 GONE", "s-6 GONE"), told(scoped("s-1", "s-4", "s-6"), changes));
-        assertEquals(3, read(scoped(), changes).value().outside());
+        assertEquals(3, read(scoped(), changes).orElseThrow().outsideScopeCount());
     }
 
     @Test
@@ -163,8 +164,8 @@
     @Test
     void aFaultOfAnEntryOutsideTheScopeDoesNotSpoilTheList() {
         HostList read = read(scoped(), list(true, "{\"id\":7,\"zone\":1,\"service\":\"svc-9\"}"))
-                .value();
-        assertTrue(read.spoilt().isEmpty());
+                .orElseThrow();
+        assertTrue(read.invalidEntries().isEmpty());
         assertTrue(read.hasNoneInScope());
     }
 
@@ -175,12 +176,13 @@
             entries.add(i % 3 == 0 ? entry("s-" + i, "svc-1", "Asleep") : entry("s-" + i, "svc-1", "Ready"));
         }
         HostList read = read(HostListFilter.NONE, list(true, entries.toArray(String[]::new)))
-                .value();
+                .orElseThrow();
         assertEquals(2000, read.entries().size());
-        assertEquals(1000, read.spoilt().size());
-        assertEquals(3, read.spoilt().firstReasons().size());
-        assertTrue(read.leftOut().startsWith("1000 hosts that are left out, the first: field state: unknown 'Asleep'"));
-        assertTrue(read.leftOut().length() < 200);
+        assertEquals(1000, read.invalidEntries().count());
+        assertEquals(3, read.invalidEntries().firstReasons().size());
+        String summary = read.invalidEntriesSummary().orElseThrow();
+        assertTrue(summary.startsWith("1000 hosts that are left out, the first: field state: unknown 'Asleep'"));
+        assertTrue(summary.length() < 200);
     }
 
     @Test
@@ -196,8 +198,8 @@
             int[] parts = new int[text.length() / 1000];
             Arrays.setAll(parts, i -> 1000 * (i + 1));
             assertEquals(
-                    new DecodeError(Reached.TEXT, "an entry of over 65536 bytes"),
-                    read(HostListFilter.NONE, text, parts).fault(),
+                    DecodeResult.failed(Stage.TEXT, "an entry of over 65536 bytes"),
+                    read(HostListFilter.NONE, text, parts),
                     more.substring(0, 20));
         }
         String within = small.replace("\"cell\":3", "\"more\":\"" + "x".repeat(most / 2) + "\"");
@@ -213,8 +215,8 @@
         assertEquals(List.of("s-1 READY", "s-3 READY"), told(two, list(true, entries)));
         entries[1] = entries[1].replace("svc-9", "svc-1");
         assertEquals(
-                new DecodeError(Reached.SIZE, "over 2 hosts, which is more than fits the heap"),
-                read(two, list(true, entries)).fault());
+                DecodeResult.failed(Stage.SIZE, "over 2 hosts, which is more than fits the heap"),
+                read(two, list(true, entries)));
     }
 
     @Test
@@ -234,6 +236,6 @@
         assertEquals(List.of("s-2 READY"), told(HostListFilter.NONE, odd));
         assertEquals(
                 List.of("field weight: NaN is out of range"),
-                read(HostListFilter.NONE, odd).value().spoilt().firstReasons());
+                read(HostListFilter.NONE, odd).orElseThrow().invalidEntries().firstReasons());
     }
 }
--- a/src/test/java/linenring/protocol/MessageSizeMeasurement.java
+++ b/src/test/java/linenring/protocol/MessageSizeMeasurement.java
@@ -37,14 +37,12 @@
         order("one changed weight", part(false, 1, null, NO_HOSTS));
         order("one host ejected", part(false, 0, null, hosts(1)));
         order("56 hosts ejected", part(false, 0, null, hosts(56)));
-        order("an admission level", part(false, 0, new ConfigurationUpdate.Level(0.8123, 1), NO_HOSTS));
+        order("an admission level", part(false, 0, new ConfigurationUpdate.AdmissionPolicy(0.8123, 1), NO_HOSTS));
     }
 
     private static void arrival(String name, String line) {
         byte[] bytes = line.getBytes(StandardCharsets.UTF_8);
-        if (CODEC.arrival(bytes, bytes.length).value() == null) {
-            throw new IllegalStateException(name + " cannot be read: " + line);
-        }
+        CODEC.decodeInbound(bytes, bytes.length).orElseThrow();
         row(name, bytes.length + 1);
     }
 
@@ -55,21 +53,21 @@
         String line = "{\"version\":123456,\"full\":false,\"servers\":["
                 + String.join(",", java.util.Collections.nCopies(count, entry)) + "]}";
         byte[] bytes = line.getBytes(StandardCharsets.UTF_8);
-        HostList list = CODEC.hostList(bytes, bytes.length).value();
-        if (list == null || list.entries().size() != count) {
+        HostList list = CODEC.decodeHostList(bytes, bytes.length).orElseThrow();
+        if (list.entries().size() != count) {
             throw new IllegalStateException("the list cannot be read");
         }
         row("list of hosts, " + count, bytes.length + 1);
     }
 
     private static void order(String name, ConfigurationUpdate.Part part) {
-        row("order (CONFIG): " + name, CODEC.order(new ConfigurationUpdate(List.of(part))).length);
+        row("order (CONFIG): " + name, CODEC.encode(new ConfigurationUpdate(List.of(part))).length);
     }
 
     private static ConfigurationUpdate.Part part(
-            boolean whole, int lines, ConfigurationUpdate.Level level, List<String> ejected) {
-        List<ConfigurationUpdate.Line> table = hosts(lines).stream()
-                .map(host -> new ConfigurationUpdate.Line(host, 0.8125))
+            boolean whole, int lines, ConfigurationUpdate.AdmissionPolicy level, List<String> ejected) {
+        List<ConfigurationUpdate.TableEntry> table = hosts(lines).stream()
+                .map(host -> new ConfigurationUpdate.TableEntry(host, 0.8125))
                 .toList();
         return new ConfigurationUpdate.Part(ALL_OPERATIONS, whole, table, level, ejected, NO_HOSTS, MARK);
     }
--- a/src/test/java/linenring/routing/RoutingFixture.java
+++ b/src/test/java/linenring/routing/RoutingFixture.java
@@ -60,21 +60,27 @@
         budget = newBudget;
     }
 
-    static ConfigurationUpdate.Line entry(int host, double weight) {
-        return new ConfigurationUpdate.Line("s-" + host, weight);
+    static ConfigurationUpdate.TableEntry entry(int host, double weight) {
+        return new ConfigurationUpdate.TableEntry("s-" + host, weight);
     }
 
-    static ConfigurationUpdate.Level level(double admissionRatio, RetryPolicy retryPolicy) {
-        return new ConfigurationUpdate.Level(admissionRatio, TableUpdate.RETRY_POLICIES.indexOf(retryPolicy));
+    static ConfigurationUpdate.AdmissionPolicy level(double admissionRatio, RetryPolicy retryPolicy) {
+        return new ConfigurationUpdate.AdmissionPolicy(admissionRatio, TableUpdate.RETRY_POLICIES.indexOf(retryPolicy));
     }
 
     static ConfigurationUpdate.Part part(
             List<String> operations,
             boolean complete,
-            ConfigurationUpdate.Level level,
-            ConfigurationUpdate.Line... entries) {
+            ConfigurationUpdate.AdmissionPolicy level,
+            ConfigurationUpdate.TableEntry... entries) {
         return new ConfigurationUpdate.Part(
-                operations, complete, Arrays.asList(entries), level, List.of(), List.of(), ConfigurationUpdate.NO_MARK);
+                operations,
+                complete,
+                Arrays.asList(entries),
+                level,
+                List.of(),
+                List.of(),
+                ConfigurationUpdate.NO_NONCE);
     }
 
     static ConfigurationUpdate update(ConfigurationUpdate.Part... parts) {
@@ -95,9 +101,10 @@
     }
 
     /** Replaces all tables by one that holds the first hosts, with equal weights. */
-    RoutingFixture withCompleteTables(int count, ConfigurationUpdate.Level level) {
-        ConfigurationUpdate.Line[] entries =
-                IntStream.range(0, count).mapToObj(host -> entry(host, 1)).toArray(ConfigurationUpdate.Line[]::new);
+    RoutingFixture withCompleteTables(int count, ConfigurationUpdate.AdmissionPolicy level) {
+        ConfigurationUpdate.TableEntry[] entries = IntStream.range(0, count)
+                .mapToObj(host -> entry(host, 1))
+                .toArray(ConfigurationUpdate.TableEntry[]::new);
         apply(update(part(List.of(), true, level, entries)));
         return this;
     }
--- a/src/test/java/linenring/routing/TablesTest.java
+++ b/src/test/java/linenring/routing/TablesTest.java
@@ -74,8 +74,8 @@
                 part(List.of(), false, null, entry(9, 1)), Problem.UNLISTED_HOST,
                 part(List.of(), false, null, entry(1, -1)), Problem.INVALID_WEIGHT,
                 part(List.of(), false, null, entry(1, Double.NaN)), Problem.INVALID_WEIGHT,
-                part(List.of(), false, new ConfigurationUpdate.Level(-1, 0)), Problem.INVALID_ADMISSION,
-                part(List.of(), false, new ConfigurationUpdate.Level(1, 4)), Problem.INVALID_ADMISSION);
+                part(List.of(), false, new ConfigurationUpdate.AdmissionPolicy(-1, 0)), Problem.INVALID_ADMISSION,
+                part(List.of(), false, new ConfigurationUpdate.AdmissionPolicy(1, 4)), Problem.INVALID_ADMISSION);
         unusable.forEach((part, problem) -> assertUnusable(fixture, problem, update(usable, part)));
         assertUnusable(fixture, Problem.UNLISTED_HOST, ejections(List.of("s-0", "s-9"), List.of(), 4));
         assertEquals(0, fixture.tables().pick(0, 0, 0.5));
@@ -84,11 +84,11 @@
     @Test
     void neverPicksEjectedHostUntilItIsRestoredWhateverTablesCome() {
         RoutingFixture fixture = new RoutingFixture(3).withCompleteTables(3, null);
-        fixture.apply(ejections(List.of("s-1"), List.of(), ConfigurationUpdate.NO_MARK));
+        fixture.apply(ejections(List.of("s-1"), List.of(), ConfigurationUpdate.NO_NONCE));
         fixture.withCompleteTables(3, null); // as a new stream brings it
         assertEquals(hosts(0, 2), picked(fixture, 0));
         assertFalse(fixture.tables().isEligibleAnywhere(1));
-        fixture.apply(ejections(List.of(), List.of("s-1"), ConfigurationUpdate.NO_MARK));
+        fixture.apply(ejections(List.of(), List.of("s-1"), ConfigurationUpdate.NO_NONCE));
         assertEquals(hosts(0, 1, 2), picked(fixture, 0));
     }
 
@@ -167,7 +167,7 @@
     @Test
     void picksFollowWeights() {
         RoutingFixture fixture = new RoutingFixture(20);
-        ConfigurationUpdate.Line[] entries = new ConfigurationUpdate.Line[20];
+        ConfigurationUpdate.TableEntry[] entries = new ConfigurationUpdate.TableEntry[20];
         double sum = 0;
         for (int h = 0; h < 20; h++) {
             entries[h] = entry(h, 1 + h % 5);
@@ -201,7 +201,7 @@
     }
 
     private static ConfigurationUpdate randomUpdate(RoutingFixture fixture, int host) {
-        ConfigurationUpdate.Line entry = entry(host, fixture.random().nextInt(3));
+        ConfigurationUpdate.TableEntry entry = entry(host, fixture.random().nextInt(3));
         return switch (fixture.random().nextInt(4)) {
             case 0 -> update(part(List.of(), fixture.random().nextInt(5) == 0, null, entry));
             case 1 -> ejections(List.of("s-" + host), List.of(), 1);
--- a/src/test/java/linenring/scale/catalogue/CatalogueAnswersTest.java
+++ b/src/test/java/linenring/scale/catalogue/CatalogueAnswersTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.charset.StandardCharsets;
@@ -21,14 +21,14 @@
     private DecodeResult<HostList> read(byte[] bytes, int length) {
         CatalogueLayout layout = catalogue.layout();
         Names names = new Names(layout.zoneNames(), layout.kindNames(), List.of("lookup"), 1, 4);
-        return new Codec(names).hostList(bytes, length);
+        return new Codec(names).decodeHostList(bytes, length);
     }
 
     @Test
     void aListIsReadAsTheStewardReadsIt() {
         CatalogueAnswers.Body body = answers.list();
         assertFalse(body.isCut());
-        HostList list = read(body.bytes(), body.length()).value();
+        HostList list = read(body.bytes(), body.length()).orElseThrow();
         assertEquals(catalogue.snapshot().asHostList(), list);
     }
 
@@ -37,7 +37,7 @@
         answers.cutNextLists(1);
         CatalogueAnswers.Body cut = answers.list();
         assertTrue(cut.isCut());
-        assertNull(read(cut.bytes(), cut.length()).value());
+        assertInstanceOf(DecodeResult.Failed.class, read(cut.bytes(), cut.length()));
         String sent = new String(cut.bytes(), 0, cut.length(), StandardCharsets.UTF_8);
         assertTrue(sent.contains("\"id\"") && !sent.endsWith("},"), sent);
         assertFalse(answers.list().isCut());
@@ -47,19 +47,20 @@
     void spoiltEntriesAreLeftOutAloneAndTheNextListIsSound() {
         answers.spoilNextLists(1, 4);
         CatalogueAnswers.Body body = answers.list();
-        HostList spoilt = read(body.bytes(), body.length()).value();
+        HostList spoilt = read(body.bytes(), body.length()).orElseThrow();
         assertNotNull(spoilt);
         assertEquals(26, spoilt.entries().size());
-        assertEquals(4, spoilt.spoilt().size());
+        assertEquals(4, spoilt.invalidEntries().count());
         CatalogueAnswers.Body next = answers.list();
-        assertEquals(30, read(next.bytes(), next.length()).value().entries().size());
+        assertEquals(
+                30, read(next.bytes(), next.length()).orElseThrow().entries().size());
     }
 
     @Test
     void anEntryThatIsGoneIsReadAsGone() {
         CatalogueChange gone = catalogue.remove(catalogue.hosts(h -> h.zone() == 1));
-        HostList list = read(gone.encoded(), gone.encoded().length).value();
-        assertFalse(list.whole());
+        HostList list = read(gone.encoded(), gone.encoded().length).orElseThrow();
+        assertFalse(list.isComplete());
         assertEquals(15, list.entries().size());
         assertTrue(list.entries().stream().allMatch(e -> e.state() == HostList.State.GONE));
     }
--- a/src/test/java/linenring/scale/fleet/HollowFleetTest.java
+++ b/src/test/java/linenring/scale/fleet/HollowFleetTest.java
@@ -67,15 +67,16 @@
     }
 
     private static ConfigurationUpdate table(int mark, String... hosts) {
-        List<ConfigurationUpdate.Line> lines =
-                Stream.of(hosts).map(h -> new ConfigurationUpdate.Line(h, 1)).toList();
+        List<ConfigurationUpdate.TableEntry> lines = Stream.of(hosts)
+                .map(h -> new ConfigurationUpdate.TableEntry(h, 1))
+                .toList();
         return new ConfigurationUpdate(
                 List.of(new ConfigurationUpdate.Part(List.of(), true, lines, null, List.of(), List.of(), mark)));
     }
 
     private static ConfigurationUpdate eject(String host) {
         return new ConfigurationUpdate(List.of(new ConfigurationUpdate.Part(
-                List.of(), false, List.of(), null, List.of(host), List.of(), ConfigurationUpdate.NO_MARK)));
+                List.of(), false, List.of(), null, List.of(host), List.of(), ConfigurationUpdate.NO_NONCE)));
     }
 
     @Test
@@ -187,6 +188,6 @@
         assertEquals(List.of(0, 1, 2), noted.left);
         fleet.advance(1000);
         assertEquals(6, noted.joined.size());
-        assertTrue(noted.joined.subList(3, 6).stream().noneMatch(InboundMessage.Subscribe::fresh));
+        assertTrue(noted.joined.subList(3, 6).stream().noneMatch(InboundMessage.Subscribe::isNew));
     }
 }
--- a/src/test/java/linenring/scale/fleet/LinesTest.java
+++ b/src/test/java/linenring/scale/fleet/LinesTest.java
@@ -23,7 +23,7 @@
     private ConfigurationUpdate read(ConfigurationUpdate order) throws IOException {
         ConfigurationUpdate read = null;
         List<String> lines =
-                new String(codec.order(order), StandardCharsets.UTF_8).lines().toList();
+                new String(codec.encode(order), StandardCharsets.UTF_8).lines().toList();
         for (int i = 0; i < lines.size(); i++) {
             byte[] line = lines.get(i).getBytes(StandardCharsets.UTF_8);
             read = reader.line(line, 0, line.length);
@@ -40,11 +40,13 @@
                 new ConfigurationUpdate.Part(
                         List.of("lookup"),
                         true,
-                        List.of(new ConfigurationUpdate.Line("s-1", 1.5), new ConfigurationUpdate.Line("s-2", 0)),
-                        new ConfigurationUpdate.Level(0.5, 2),
+                        List.of(
+                                new ConfigurationUpdate.TableEntry("s-1", 1.5),
+                                new ConfigurationUpdate.TableEntry("s-2", 0)),
+                        new ConfigurationUpdate.AdmissionPolicy(0.5, 2),
                         List.of(),
                         List.of(),
-                        ConfigurationUpdate.NO_MARK),
+                        ConfigurationUpdate.NO_NONCE),
                 new ConfigurationUpdate.Part(
                         List.of(), false, List.of(), null, List.of("s-3"), List.of("s-4", "s-5"), 77)));
         assertEquals(order, read(order));
@@ -64,7 +66,7 @@
         for (InboundMessage what : all) {
             byte[] line = new ArrivalJson(layout).line(what);
             assertEquals('\n', line[line.length - 1]);
-            assertEquals(what, codec.arrival(line, line.length).value());
+            assertEquals(what, codec.decodeInbound(line, line.length).orElseThrow());
         }
     }
 }
--- a/src/test/java/linenring/scale/run/CatalogueFaultsTest.java
+++ b/src/test/java/linenring/scale/run/CatalogueFaultsTest.java
@@ -50,7 +50,7 @@
 
     private void watch() throws Exception {
         EventQueue exchange = new EventQueue();
-        exchange.follow(ledger::listed);
+        exchange.addHostListListener(ledger::listed);
         CatalogueLayout layout = catalogue.layout();
         Names names = new Names(layout.zoneNames(), layout.kindNames(), List.of("lookup"), 1, 4);
         Log log = new Log(new PrintStream(logged, true));
--- a/src/test/java/linenring/stream/ConnectionLossTest.java
+++ b/src/test/java/linenring/stream/ConnectionLossTest.java
@@ -266,7 +266,7 @@
     }
 
     private List<Object> arrivals() {
-        eventQueue.drain(handler);
+        eventQueue.drainTo(handler);
         return handler.taken();
     }
 }
--- a/src/test/java/linenring/stream/ConnectionRaceTest.java
+++ b/src/test/java/linenring/stream/ConnectionRaceTest.java
@@ -164,7 +164,7 @@
         List<String> order = Collections.synchronizedList(new ArrayList<>());
         open(new EventQueue() {
             @Override
-            public void arrived(ProxyStream from, InboundMessage message) {
+            public void enqueueMessage(ProxyStream from, InboundMessage message) {
                 Thread closer = new Thread(() -> from.close("at the wrong moment"), "closer");
                 closer.start();
                 while (order.isEmpty()
@@ -179,7 +179,7 @@
             }
 
             @Override
-            public void ended(ProxyStream stream) {
+            public void enqueueStreamClosed(ProxyStream stream) {
                 order.add("ended");
                 ended.countDown();
             }
--- a/src/test/java/linenring/stream/FragmentedMessagesTest.java
+++ b/src/test/java/linenring/stream/FragmentedMessagesTest.java
@@ -75,7 +75,7 @@
 
     private List<Object> arrived() {
         RecordingEventHandler handler = new RecordingEventHandler();
-        eventQueue.drain(handler);
+        eventQueue.drainTo(handler);
         return handler.taken();
     }
 
--- a/src/test/java/linenring/stream/StreamServerTest.java
+++ b/src/test/java/linenring/stream/StreamServerTest.java
@@ -64,20 +64,20 @@
     /** What has arrived since the last call. */
     private List<Object> arrivals() {
         arrivals.clear();
-        eventQueue.drain(new EventQueue.EventHandler() {
+        eventQueue.drainTo(new EventQueue.EventHandler() {
             @Override
-            public void arrived(ProxyStream from, InboundMessage message) {
+            public void onMessage(ProxyStream from, InboundMessage message) {
                 lastStream = from;
                 arrivals.add(message);
             }
 
             @Override
-            public void ended(ProxyStream stream) {
+            public void onStreamClosed(ProxyStream stream) {
                 arrivals.add("ended");
             }
 
             @Override
-            public void listed(HostList list) {
+            public void onHostList(HostList list) {
                 arrivals.add(list);
             }
         });
