--- a/src/main/java/linenring/planner/ChannelLedger.java
+++ b/src/main/java/linenring/planner/ChannelLedger.java
@@ -4,80 +4,84 @@
 import java.util.List;
 
 /**
- * The account of what waits in the channel, in lines. A message waits until its proxy answers it or a later one, and counts
- * until all older ones have left: in the room of lost ones it may overtake them. Where no answer comes it has left once the
- * channel had time for all ahead of it, as slow as it last was, and its stream ended or a later message was answered.
+ * The account of what waits in the channel to the proxies, in entries. It guards against a queue that is fuller than its limit,
+ * which the product forbids: the channel carries so many entries a second and reports nothing but acknowledgements.
+ *
+ * <p>A message waits until its proxy acknowledges it or a later one, and counts until all older ones have left: in the room of
+ * lost ones it may overtake them. Where no acknowledgement comes it has left once the channel had time for all ahead of it, as
+ * slow as it last was, and its stream ended or a later message was acknowledged. The account could do harm where acknowledgements
+ * are lost and the channel is fast: then it counts entries that have left, and writes wait.
  */
 final class ChannelLedger {
-    private final double linesPerMs;
-    private final double transitMost;
-    private final double longestWait;
+    private final double entriesPerMs;
+    private final double longestTransitMs;
+    private final double longestWaitMs;
     /** In the order in which they were sent. */
     private final List<SentMessage> messages = new ArrayList<>();
 
-    private double waiting;
-    /** When the latest message that was answered was sent. */
-    private double answeredUpTo;
+    private double waitingEntries;
+    private double latestAcknowledgedSentAtMs;
 
-    /** The longest wait is that of a message that nothing tells of, in milliseconds. */
-    ChannelLedger(PlannerSettings.Channel channel, double longestWait) {
-        linesPerMs = channel.linesPerMs();
-        transitMost = channel.transitMost();
-        this.longestWait = longestWait;
+    /** The longest wait is that of a message that nothing is heard of. */
+    ChannelLedger(PlannerSettings.Channel channel, double longestWaitMs) {
+        entriesPerMs = channel.entriesPerMs();
+        longestTransitMs = channel.longestTransitMs();
+        this.longestWaitMs = longestWaitMs;
     }
 
-    /** Lines that wait, those that are reserved included. */
-    double waiting() {
-        return waiting;
+    /** Entries that wait, those that are reserved included. */
+    double waitingEntries() {
+        return waitingEntries;
     }
 
     boolean isEmpty() {
         return messages.isEmpty();
     }
 
-    /** Counts lines of messages that are being made; the next {@link #update} forgets them. */
-    void reserve(double lines) {
-        waiting += lines;
+    /** Counts entries of messages that are being written; the next {@link #update} forgets them. */
+    void reserve(double entries) {
+        waitingEntries += entries;
     }
 
-    SentMessage send(int mark, double now, double lines) {
-        waiting += lines;
-        SentMessage message = new SentMessage(mark, now, lines, now + waiting / linesPerMs);
+    SentMessage send(int nonce, double nowMs, double entries) {
+        waitingEntries += entries;
+        SentMessage message = new SentMessage(nonce, nowMs, entries, nowMs + waitingEntries / entriesPerMs);
         messages.add(message);
         return message;
     }
 
-    /** Takes an answer as proof of how slow the channel was for what was sent with that message and after it. */
+    /** Takes an acknowledgement as proof of how slow the channel was for what was sent with that message and after it. */
     void acknowledged(SentMessage message, double tookMs) {
-        answeredUpTo = Math.max(answeredUpTo, message.sentAt);
-        double slowdown = Math.max(1, tookMs / (message.leavesBy - message.sentAt + transitMost));
+        latestAcknowledgedSentAtMs = Math.max(latestAcknowledgedSentAtMs, message.sentAtMs());
+        double statedMs = message.leavesByMs() - message.sentAtMs() + longestTransitMs;
+        double slowdown = Math.max(1, tookMs / statedMs);
         for (SentMessage other : messages) {
-            if (other.sentAt >= message.sentAt) {
-                other.slowdown = slowdown;
+            if (other.sentAtMs() >= message.sentAtMs()) {
+                other.slowedBy(slowdown);
             }
         }
     }
 
     /** Takes out what has left by now. */
-    void update(double now) {
-        messages.removeIf(m -> !m.acknowledged && now > m.sentAt + transitMost + longestWait(m));
-        double oldest = oldestUnanswered(now);
-        messages.removeIf(m -> m.acknowledged && m.sentAt <= oldest);
-        waiting = messages.stream().mapToDouble(m -> m.lines).sum();
+    void update(double nowMs) {
+        messages.removeIf(message ->
+                !message.isAcknowledged() && nowMs > message.sentAtMs() + longestTransitMs + longestWaitMs(message));
+        double oldestMs = oldestUnacknowledgedSentAtMs(nowMs);
+        messages.removeIf(message -> message.isAcknowledged() && message.sentAtMs() <= oldestMs);
+        waitingEntries = messages.stream().mapToDouble(SentMessage::entries).sum();
     }
 
-    private double oldestUnanswered(double otherwise) {
+    private double oldestUnacknowledgedSentAtMs(double otherwiseMs) {
         for (SentMessage message : messages) {
-            if (!message.acknowledged && !message.lost) {
-                return message.sentAt;
+            if (!message.isAcknowledged() && !message.isLost()) {
+                return message.sentAtMs();
             }
         }
-        return otherwise;
+        return otherwiseMs;
     }
 
-    private double longestWait(SentMessage message) {
-        boolean mustHaveLeft = message.lost || message.sentAt < answeredUpTo;
-        double shown = message.slowdown * (message.leavesBy - message.sentAt);
-        return mustHaveLeft ? Math.min(longestWait, shown) : longestWait;
+    private double longestWaitMs(SentMessage message) {
+        boolean mustHaveLeft = message.isLost() || message.sentAtMs() < latestAcknowledgedSentAtMs;
+        return mustHaveLeft ? Math.min(longestWaitMs, message.shownWaitMs()) : longestWaitMs;
     }
 }
--- a/src/main/java/linenring/planner/Commands.java
+++ b/src/main/java/linenring/planner/Commands.java
@@ -1,58 +1,62 @@
 package linenring.planner;
 
 /**
- * What the decisions call to give orders. All orders of one input take effect together: each proxy concerned
- * gets them as one message, in the order given. Hosts, proxies, tables and operations are small indices;
- * times are milliseconds on the clock that the inputs carry.
+ * What the decisions call to act. All commands of one reconciliation take effect together: each proxy concerned gets them as one
+ * message, in the order given. Hosts, proxies, tables and operations are small indices; times are milliseconds on the clock that
+ * the inputs carry.
  */
 public interface Commands {
-    /** Sets one line of a table; weight 0 takes it out. */
+    /** Writes the entry of a host in a table; weight 0 takes it out. */
     void setWeight(int table, int host, double weight);
 
-    /** Takes all lines and levels out of a table. */
+    /** Takes all entries and admissions out of a table. */
     void clearTable(int table);
 
-    /** Shuts a host out of every table that joined proxies hold, or lets it back in. */
-    void setEjected(int host, boolean out);
+    /** Ejects a host from every table that joined proxies hold, or restores it. */
+    void setEjected(int host, boolean ejected);
 
-    /** Puts a proxy on a table for the operations in the mask (bit k for operation k; 0 for all). */
+    /** Binds a proxy to a table for the operations in the mask (bit k for operation k; 0 for all). */
     void bindProxy(int table, int operations, int proxy);
 
     /**
-     * How many lines a bind would take beyond the table's own, its levels and its withdrawn hosts; asked before it is
-     * ordered, as the channel may hold only so many.
+     * How many entries a bind would take beyond the table's own, its admissions and its ejected hosts; asked before the bind, as
+     * the channel may hold only so many.
      */
     int extraEntriesOfBind(int table, int proxy);
 
     /**
-     * How many lines one for this host would take at a proxy beyond itself: it may have to be let back there, or shut out;
-     * asked before it is ordered.
+     * How many entries one for this host would take at a proxy beyond itself, as the host may have to be restored there, or ejected;
+     * asked before the entry is written.
      */
     int extraEntriesOfWeight(int host, int proxy);
 
-    /** Sets how much of the operations is let in, and how proxies try again. */
-    void setAdmission(int table, int operations, double admissionRatio, RetryPolicy tries);
+    /** Sets how much of the operations is admitted, in the unit of the settings' measure, and how proxies retry. */
+    void setAdmission(int table, int operations, double admissionRatio, RetryPolicy retryPolicy);
 
-    /** Asks each proxy that gets a message of this input to answer with this mark once it has applied it. */
-    void requestAcknowledgement(int mark);
+    /** Asks each proxy that gets a message of this reconciliation to acknowledge it by this nonce once it has applied it. */
+    void requestAcknowledgement(int nonce);
 
     /**
-     * Tells how many lines the message to a proxy takes beside its head and the mark, where so many are reckoned
-     * with. Asked once all that it holds is ordered.
+     * How many entries the message to a proxy takes beside its head and the nonce, where so many are expected; asked once all
+     * commands that it holds are given.
      */
-    double entriesInMessage(int proxy, double reckoned);
+    double entriesInMessage(int proxy, double expected);
 
-    /** Asks for a call of {@code requestCall} at that time. */
-    void requestCall(double at);
+    /** Asks for a call of {@link Planner#reconcile} at that time. */
+    void requestCall(double atMs);
 
-    /** Asks to be kept told of changes to the list. */
+    /** Asks to be notified of changes to the host list. */
     void watchHostList();
 
-    /** When a proxy sends an invocation to another host. */
+    /** When a proxy retries a request at another host. */
     enum RetryPolicy {
+        /** Never. */
         NONE,
+        /** Once, on proof that the attempt was not executed. */
         ONE_IF_NOT_EXECUTED,
+        /** Once. */
         ONE,
+        /** Twice. */
         TWO
     }
 }
--- a/src/main/java/linenring/planner/Fleet.java
+++ b/src/main/java/linenring/planner/Fleet.java
@@ -1,53 +1,63 @@
 package linenring.planner;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.IntFunction;
 import java.util.function.Predicate;
 
-/** The hosts, proxies and zones by their ids, and the proxies that are joined. Each comes to be when its id is first named. */
+/** The hosts, proxies and zones by their ids, and the proxies that are joined. Each is created when its id is first named. */
 final class Fleet {
-    final List<Host> hosts = new ArrayList<>();
-    final List<Zone> zones = new ArrayList<>();
-    /** Those of most requests first. */
-    final List<Proxy> joined = new ArrayList<>();
-    /** Sums of the warm hosts that are in, by their kind. */
-    final List<Outcomes> outcomesByKind = new ArrayList<>();
-
-    private final List<Proxy> proxies = new ArrayList<>();
+    private final List<Host> hosts = new ArrayList<>();
+    private final List<Zone> zones = new ArrayList<>();
+    private final List<ProxyState> proxies = new ArrayList<>();
+    private final List<ProxyState> joined = new ArrayList<>();
 
     Host host(int id) {
         return grown(hosts, id, Host::new);
     }
 
-    Proxy proxy(int id) {
-        return grown(proxies, id, Proxy::new);
+    ProxyState proxy(int id) {
+        return grown(proxies, id, ProxyState::new);
     }
 
     Zone zone(int id) {
-        return grown(zones, id, index -> new Zone());
+        return grown(zones, id, Zone::new);
+    }
+
+    /** All hosts by their id, released places included; a live view. */
+    List<Host> hosts() {
+        return Collections.unmodifiableList(hosts);
     }
 
-    Outcomes ofKind(int kind) {
-        return grown(outcomesByKind, kind, index -> new Outcomes());
+    /** The list of all hosts itself, for tables that any host may be in. */
+    List<Host> sharedHosts() {
+        return hosts;
+    }
+
+    List<Zone> zones() {
+        return Collections.unmodifiableList(zones);
+    }
+
+    /** Joined proxies, those of most requests first; a live view. */
+    List<ProxyState> joined() {
+        return Collections.unmodifiableList(joined);
     }
 
     /** Whether a host has this id. */
     boolean isKnown(int id) {
-        return id < hosts.size() && !hosts.get(id).released;
+        return id < hosts.size() && !hosts.get(id).isReleased();
     }
 
-    /** Whether the host is gone and proxies were told so. */
+    /** Whether the host is gone and proxies were notified of it. */
     boolean isRemoved(int id) {
-        return isKnown(id) && !hosts.get(id).running && !hosts.get(id).mustDrain();
+        return isKnown(id) && !hosts.get(id).isRunning() && !hosts.get(id).mustDrain();
     }
 
-    /** Puts a blank in the host's place; the host. */
+    /** Forgets the host with this id; that host. */
     Host release(int id) {
-        Host blank = new Host(id);
-        blank.released = true;
-        return hosts.set(id, blank);
+        return hosts.set(id, Host.released(id));
     }
 
     /** Acts on each host for which the condition holds when its turn comes; whether there was one. */
@@ -62,14 +72,23 @@
         return any;
     }
 
-    void join(Proxy proxy) {
+    void join(ProxyState proxy) {
         int place = 0;
-        while (place < joined.size() && joined.get(place).usualRate >= proxy.usualRate) {
+        while (place < joined.size() && joined.get(place).usualRequestsPerSecond() >= proxy.usualRequestsPerSecond()) {
             place++;
         }
         joined.add(place, proxy);
     }
 
+    void leave(ProxyState proxy) {
+        proxy.disconnect();
+        joined.remove(proxy);
+    }
+
+    boolean hasNewcomer() {
+        return joined.stream().anyMatch(ProxyState::isNewcomer);
+    }
+
     private static <T> T grown(List<T> list, int index, IntFunction<T> create) {
         while (list.size() <= index) {
             list.add(create.apply(list.size()));
--- a/src/main/java/linenring/planner/Host.java
+++ b/src/main/java/linenring/planner/Host.java
@@ -1,82 +1,149 @@
 package linenring.planner;
 
-/** What the planner holds of one host. Times are milliseconds on the planner's clock. */
+/** What the planner knows of one host. Times are milliseconds on the planner's clock. */
 final class Host {
-    final int id;
-    int zone;
-    int kind;
-    double weight = 1;
-    double started = Double.NEGATIVE_INFINITY;
-    /** Listed as ready. */
-    boolean running;
-    /** The list says that it drains or is gone. */
-    boolean told;
-    /** Named in the list that is being read. */
-    boolean inList;
-    /** Nobody's state: the host that had this id is forgotten, and no other has it yet. */
-    boolean released;
-    /** Shut out at the proxies. */
-    boolean ejected;
-    /** To be shut out for its health. */
-    boolean unhealthy;
-    /** When an unhealthy host is tried again. */
-    double retryAt;
-    /** Start of the probation's current step, or -1 outside one. */
-    double probationSince = -1;
-    /** Until then its lateness is not judged. */
-    double restUntil;
-    /** Failed probations in a row. */
-    int consecutiveFailures;
-    /** The part of the fleet that it is dealt to, or -1. */
-    int part = -1;
-    /** The part of its weight that its health allows now. */
-    double share = 1;
-    /** What its share may grow to by probation. */
-    double shareLimit = 1;
-
-    final Outcomes outcomes = new Outcomes();
+    /** A host that is in no subset. */
+    static final int NO_SUBSET = -1;
+
+    private final int id;
+    private final HostHealth health = new HostHealth();
+    private final Outcomes outcomes = new Outcomes();
+    private int zone;
+    private int kind;
+    private double weight = 1;
+    private double startedMs = Double.NEGATIVE_INFINITY;
+    private boolean running;
+    private boolean leaving;
+    private boolean listed;
+    private boolean released;
+    private boolean ejected;
+    private int subset = NO_SUBSET;
 
     Host(int id) {
         this.id = id;
     }
 
+    /** A place for an id whose host is forgotten and that no other host has yet. */
+    static Host released(int id) {
+        Host blank = new Host(id);
+        blank.released = true;
+        return blank;
+    }
+
+    int id() {
+        return id;
+    }
+
+    int zone() {
+        return zone;
+    }
+
+    /** The kind of machine. */
+    int kind() {
+        return kind;
+    }
+
+    /** The weight that the host list gives it. */
+    double weight() {
+        return weight;
+    }
+
+    double startedMs() {
+        return startedMs;
+    }
+
+    HostHealth health() {
+        return health;
+    }
+
+    /** Outcomes of attempts at it, decaying. */
+    Outcomes outcomes() {
+        return outcomes;
+    }
+
+    /** Listed as ready. */
+    boolean isRunning() {
+        return running;
+    }
+
+    /** Named in the list that is being read. */
+    boolean isListed() {
+        return listed;
+    }
+
+    boolean isReleased() {
+        return released;
+    }
+
+    /** Ejected at the proxies, for its health or because it leaves. */
+    boolean isEjected() {
+        return ejected;
+    }
+
+    void setEjected(boolean eject) {
+        ejected = eject;
+    }
+
+    /** The subset of the fleet that it is assigned to, or {@link #NO_SUBSET}. */
+    int subset() {
+        return subset;
+    }
+
+    void assignTo(int newSubset) {
+        subset = newSubset;
+    }
+
+    /** Another list is being read, which has not named it yet. */
+    void beginList() {
+        listed = false;
+    }
+
     /** The list that is being read names it. */
-    void name() {
-        inList = true;
+    void markListed() {
+        listed = true;
         released = false;
     }
 
-    /** Takes what the list tells of it; a weight of 0 or under stands for none given. */
-    void list(int zone, int kind, double weight) {
-        name();
-        this.zone = zone;
-        this.kind = kind;
-        this.weight = weight > 0 ? weight : 1;
+    /** Takes what the list says of it; a weight of 0 or under stands for none given. */
+    void update(int newZone, int newKind, double newWeight) {
+        markListed();
+        zone = newZone;
+        kind = newKind;
+        weight = newWeight > 0 ? newWeight : 1;
     }
 
-    /** Whether it drains or is gone and proxies have yet to be told. */
-    boolean mustDrain() {
-        return told && !ejected;
+    /** The list says that it is ready. What was seen of an earlier process says nothing about a new one. */
+    void markReady(double newStartedMs) {
+        if (!running || newStartedMs > startedMs) {
+            health.forget();
+            outcomes.clear();
+        }
+        startedMs = newStartedMs;
+        running = true;
+        leaving = false;
     }
 
-    /** Its process is a new one: what was seen of the old one tells nothing. */
-    void forgetHealth() {
-        unhealthy = false;
-        share = 1;
-        shareLimit = 1;
-        probationSince = -1;
-        outcomes.scale(0);
+    /** The list says that it drains or is gone; whether proxies know that it is ejected, if it is. */
+    void markLeaving(boolean ejectionIsKnown) {
+        running = false;
+        ejected &= ejectionIsKnown;
+        leaving = true;
+    }
+
+    /** Whether it drains or is gone and proxies have yet to be notified. */
+    boolean mustDrain() {
+        return leaving && !ejected;
     }
 
     /**
-     * When time alone may next change what is decided for it: now while it warms up, is judged or waits for an order, and
+     * When time alone may next change what is decided for it: now while it warms up, is judged or waits to be written, and
      * infinity where time changes nothing.
      */
-    double nextDue(double now, double warmUpMs) {
-        boolean comesIn = running && (now - started < warmUpMs || ejected != unhealthy);
-        if (outcomes.ended > 0 || mustDrain() || comesIn || probationSince >= 0) {
-            return now;
+    double nextDueMs(double nowMs, double rampMs) {
+        boolean isUnsettled = running && (nowMs - startedMs < rampMs || ejected != health.isUnhealthy());
+        if (outcomes.ended() > 0 || mustDrain() || isUnsettled || health.isOnProbation()) {
+            return nowMs;
         }
-        return running && unhealthy ? retryAt : Double.POSITIVE_INFINITY;
+        return running && health.isUnhealthy() ? health.retryAtMs() : Double.POSITIVE_INFINITY;
     }
 }
--- a/src/main/java/linenring/planner/PlannerSettings.java
+++ b/src/main/java/linenring/planner/PlannerSettings.java
@@ -2,77 +2,131 @@
 
 import java.util.List;
 
-/** What a steward is told at its start and decides by. Times are milliseconds, rates are per second. */
+/**
+ * What a controller is given at its start and decides by.
+ *
+ * @param operations what proxies request, by index
+ * @param coldStart what a host can do before it is warm
+ * @param channel the way of messages to proxies
+ * @param shards the shards of keys, where there are any
+ * @param measure what a number of admission means
+ * @param listMustBePolled whether the host list comes only when it is asked for
+ * @param pollListWithinMs how often it must be asked for then
+ * @param removedHostsKeepRunning whether a host that is gone from the list goes on serving
+ * @param standingTableEntries entries of the table that a proxy holds when it starts
+ */
 public record PlannerSettings(
         List<Operation> operations,
-        ColdStart cold,
+        ColdStart coldStart,
         Channel channel,
-        Slices slices,
+        Shards shards,
         Measure measure,
-        boolean listMustBeAsked,
-        double askListWithin,
-        boolean goneNeedNotStop,
-        int standing) {
+        boolean listMustBePolled,
+        double pollListWithinMs,
+        boolean removedHostsKeepRunning,
+        int standingTableEntries) {
 
     /** Mask of the operations that are open to the same hosts as this one. */
-    int alike(int operation) {
+    int operationsOpenToSameHosts(int operation) {
         int mask = 0;
-        for (int other = 0; other < operations.size(); other++) {
-            mask |= operations.get(other).openTo(operations.get(operation)) ? 1 << other : 0;
+        for (int i = 0; i < operations.size(); i++) {
+            mask |= operations.get(i).isOpenToSameHosts(operations.get(operation)) ? 1 << i : 0;
         }
         return mask;
     }
 
-    /** One operation; the masks have a bit for each zone and machine kind that it is open to. */
+    /**
+     * One operation.
+     *
+     * @param objectiveMs its latency objective
+     * @param value what one answer in time is worth
+     * @param zones mask of the zones whose hosts may run it; -1 for all
+     * @param kinds mask of the kinds of machines that may run it; -1 for all
+     * @param homeZoneOnly whether only hosts of the proxy's own zone may run it
+     * @param zoneCount how many zones there are
+     */
     public record Operation(
-            double objective, double value, long zones, long kinds, boolean homeZoneOnly, int zoneCount) {
+            double objectiveMs, double value, long zones, long kinds, boolean homeZoneOnly, int zoneCount) {
+        private static final long ALL = -1;
+
         /** Whether the other is open to the very same hosts. */
-        boolean openTo(Operation other) {
+        boolean isOpenToSameHosts(Operation other) {
             return zones == other.zones && kinds == other.kinds && homeZoneOnly == other.homeZoneOnly;
         }
 
-        /** Whether hosts of this zone and kind may run it; -1 is all, and other masks know the first 64 of them. */
+        /** Whether hosts of this zone and kind may run it; a mask other than all knows the first 64 of them. */
         boolean isOpenTo(int zone, int kind) {
-            return (zones == -1 || zone < Long.SIZE && (zones >> zone & 1) != 0)
-                    && (kinds == -1 || kind < Long.SIZE && (kinds >> kind & 1) != 0);
+            return hasBit(zones, zone) && hasBit(kinds, kind);
+        }
+
+        private static boolean hasBit(long mask, int index) {
+            return mask == ALL || index < Long.SIZE && (mask >> index & 1) != 0;
         }
     }
 
-    /** A host that has just started: its share of capacity at least, and when it is warm. */
-    public record ColdStart(double startsAt, double warmAfter) {}
+    /**
+     * A host that has just started.
+     *
+     * @param initialCapacity what it can do at its start at least, as a share of what it can do when warm
+     * @param warmAfterMs when it is warm
+     */
+    public record ColdStart(double initialCapacity, double warmAfterMs) {}
 
-    /** The way of an order: lines a second, its costs and its limits. */
+    /**
+     * The way of messages to proxies, with its costs and its limits.
+     *
+     * @param entriesPerSecond its rate
+     * @param headEntries entries that the head of a message counts as
+     * @param maxQueuedEntries entries that may wait in it
+     * @param maxMessages messages that one proxy may be sent within the span; 0 for no limit
+     * @param messageLimitSpanMs the span of that limit
+     * @param transitMs how long a message usually takes beside its wait
+     * @param longestTransitMs how long it takes at most
+     * @param drainGraceMs how long a host that drains still answers
+     */
     public record Channel(
-            double pace,
-            double perMessage,
-            double mostWaiting,
-            int messagesMost,
-            double messagesOver,
-            double transit,
-            double transitMost,
-            double grace) {
-        double linesPerMs() {
-            return pace / 1000;
+            double entriesPerSecond,
+            double headEntries,
+            double maxQueuedEntries,
+            int maxMessages,
+            double messageLimitSpanMs,
+            double transitMs,
+            double longestTransitMs,
+            double drainGraceMs) {
+        private static final double MS_PER_SECOND = 1000;
+
+        double entriesPerMs() {
+            return entriesPerSecond / MS_PER_SECOND;
         }
 
-        /** Lines that a message takes beside those it holds: its head, and one for the barrier request. */
+        /** Entries that a message takes beside those it holds: its head, and one for the acknowledgement request. */
         double messageCost() {
-            return perMessage + 1;
+            return headEntries + 1;
         }
     }
 
-    /** Slices of keys, where there are any (count above 0). */
-    public record Slices(int count, boolean singleOwner, double lease, double lingers) {
-        /** How long after a steward has lost a slice proxies may go on writing to its owner. */
-        double writesEndWithin() {
-            return lease + lingers;
+    /**
+     * Shards of keys, where there are any (count above 0).
+     *
+     * @param count how many
+     * @param singleOwner whether two hosts must never write the same shard
+     * @param leaseMs for how long an owner may write after its controller has lost the shard
+     * @param lingeringMs for how long writes may go on after the lease
+     */
+    public record Shards(int count, boolean singleOwner, double leaseMs, double lingeringMs) {
+        /** How long after a controller has lost a shard proxies may go on writing to its owner. */
+        double writesEndWithinMs() {
+            return leaseMs + lingeringMs;
         }
     }
 
-    /** What the figure of a level means. */
+    /** What a number of admission means. */
     public enum Measure {
+        /** The share of requests that is admitted. */
         SHARE,
+        /** Requests a second that a proxy admits. */
         PER_SECOND,
+        /** Nothing: proxies admit all. */
         NONE
     }
 }
--- a/src/main/java/linenring/planner/SentMessage.java
+++ b/src/main/java/linenring/planner/SentMessage.java
@@ -1,24 +1,65 @@
 package linenring.planner;
 
-/** What one proxy was sent at one time. Times are milliseconds on the planner's clock. */
+/** One message to one proxy, from when it was sent until the channel has carried it. Times are on the planner's clock. */
 final class SentMessage {
-    final int mark;
-    final double sentAt;
-    /** Lines, the cost of the message itself included. */
-    final double lines;
-    /** When it has left the channel if that keeps its stated pace. */
-    final double leavesBy;
-    /** By how much what was sent before it took longer than that. */
-    double slowdown = 1;
-    /** Its answer, or that of a later message to the same proxy, has come. */
-    boolean acknowledged;
-    /** Its stream has ended. */
-    boolean lost;
-
-    SentMessage(int mark, double sentAt, double lines, double leavesBy) {
-        this.mark = mark;
-        this.sentAt = sentAt;
-        this.lines = lines;
-        this.leavesBy = leavesBy;
+    private final int nonce;
+    private final double sentAtMs;
+    private final double entries;
+    private final double leavesByMs;
+    private double slowdown = 1;
+    private boolean acknowledged;
+    private boolean lost;
+
+    SentMessage(int nonce, double sentAtMs, double entries, double leavesByMs) {
+        this.nonce = nonce;
+        this.sentAtMs = sentAtMs;
+        this.entries = entries;
+        this.leavesByMs = leavesByMs;
+    }
+
+    int nonce() {
+        return nonce;
+    }
+
+    double sentAtMs() {
+        return sentAtMs;
+    }
+
+    /** What it takes of the channel, the cost of the message itself included. */
+    double entries() {
+        return entries;
+    }
+
+    /** When it has left the channel if that keeps its stated rate. */
+    double leavesByMs() {
+        return leavesByMs;
+    }
+
+    /** How long it waits for the channel at the pace that acknowledgements have shown since. */
+    double shownWaitMs() {
+        return slowdown * (leavesByMs - sentAtMs);
+    }
+
+    /** An acknowledgement shows that the channel was slower than stated by this factor. */
+    void slowedBy(double factor) {
+        slowdown = factor;
+    }
+
+    /** Its acknowledgement, or that of a later message to the same proxy, has come. */
+    void acknowledge() {
+        acknowledged = true;
+    }
+
+    boolean isAcknowledged() {
+        return acknowledged;
+    }
+
+    /** Its stream has ended: no acknowledgement can come. */
+    void lose() {
+        lost = true;
+    }
+
+    boolean isLost() {
+        return lost;
     }
 }
--- /dev/null
+++ b/src/main/java/linenring/planner/SubsetAssigner.java
@@ -0,0 +1,212 @@
+package linenring.planner;
+
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.List;
+import java.util.stream.IntStream;
+
+/**
+ * Deals the hosts to subsets and decides of how many each proxy's table is made. Inputs: the channel's rate (entries a second)
+ * and what waits in it, the number of proxies and entries, the size of a standing table (entries), usual requests a second.
+ *
+ * <p>Failure guarded against: tables that the channel cannot carry. A full table for each of 160 proxies takes 28 s of 1,200
+ * entries a second; until then newcomers hold a few hosts of old tables, which drains and losses empty. Where full tables for all
+ * proxies take over a third of the ramp of 10 s, by which tables change anyway, each proxy gets what can be sent in that
+ * time; newcomers that would wait over a second for it first get a standing table's size. It could do harm by uneven load, and
+ * a proxy whose few hosts are all slow has no others: so new hosts go where least can be done, and an overloaded subset is
+ * left by some of its proxies.
+ */
+final class SubsetAssigner {
+    /** A table for each proxy may take the channel a third of the ramp of 10 s. */
+    private static final double TABLES_SENT_WITHIN_MS = 3300;
+    /** Full tables are given up only when a quarter too large, so that the choice does not go back and forth. */
+    private static final double MARGIN_BEFORE_SUBSETS = 1.25;
+    /** Newcomers that would wait longer for their tables get one subset first. */
+    private static final double JOIN_SURGE_MS = 1000;
+    /** A standing table has at least so many entries: one host alone could be lost. */
+    private static final int MIN_STANDING_ENTRIES = 2;
+    /** Proxies are shared out among two tables at least, so that one can be left. */
+    private static final int MIN_TABLES = 2;
+    /** The span changes only when it is twice too large or too small: each change moves all proxies. */
+    private static final double SPAN_CHANGE = 2;
+    /** A table is overloaded when so many times the fleet's load is asked of it; the others' two thirds then do as much. */
+    private static final double OVERLOAD = 1.5;
+    /** Stands for the load of a table with no users, so that the weight decides among such. */
+    private static final double NO_LOAD = 1e-6;
+    /** Ranks a subset without a warm host after all others: requests would have cold hosts alone. */
+    private static final double WITHOUT_WARM_HOST = 1e6;
+
+    private final PlannerContext context;
+    private final PendingChanges changes;
+    private final PartitionDetector partitions;
+    /** How many subsets hosts are dealt to; 0 for none. */
+    private int subsets;
+    /** Of how many subsets a table is made, or 0 for full tables. */
+    private int span;
+
+    private boolean joinSurge;
+
+    SubsetAssigner(PlannerContext context, PendingChanges changes, PartitionDetector partitions) {
+        this.context = context;
+        this.changes = changes;
+        this.partitions = partitions;
+    }
+
+    /** Whether more proxies join than the channel has tables for. */
+    boolean isJoinSurge() {
+        return joinSurge;
+    }
+
+    /** Decides on subsets and their span, deals new hosts, and clears tables that nobody needs any more. */
+    void assign() {
+        context.statistics().refresh();
+        int standingEntries = Math.max(MIN_STANDING_ENTRIES, context.settings().standingTableEntries());
+        double affordable = affordableEntries();
+        double entries = context.registry().fullTables().stream()
+                .mapToDouble(table -> table.entryCount() / table.zoneTables())
+                .sum();
+        boolean tooLarge = !isSharded() && entries > (span > 0 ? 1 : MARGIN_BEFORE_SUBSETS) * affordable;
+        joinSurge = isJoinSurge(Math.min(entries, Math.max(standingEntries, affordable)));
+        if ((joinSurge || tooLarge) && subsets == 0) {
+            dealAll(standingEntries);
+        }
+        updateSpan(tooLarge && subsets > 1 ? subsetsThatFit(affordable / entries) : 0);
+        context.fleet().forEachHost(host -> subsets > 0 && host.isRunning() && host.subset() < 0, this::dealNew);
+        clearUnusedTables();
+        if (!joinSurge && !tooLarge && context.registry().tables().stream().noneMatch(EndpointTable::isOfSubsets)) {
+            context.fleet().hosts().forEach(host -> host.assignTo(Host.NO_SUBSET));
+            subsets = 0;
+        }
+    }
+
+    private boolean isSharded() {
+        return context.registry().isSharded();
+    }
+
+    /** Entries of a table that the channel can send to each proxy in time. */
+    private double affordableEntries() {
+        int proxies = Math.max(1, context.fleet().joined().size());
+        return TABLES_SENT_WITHIN_MS * channel().entriesPerMs() / proxies
+                - channel().messageCost()
+                - 1
+                - context.operationCount();
+    }
+
+    private PlannerSettings.Channel channel() {
+        return context.settings().channel();
+    }
+
+    private boolean isJoinSurge(double entriesOfNewcomer) {
+        double newcomers =
+                context.fleet().joined().stream().filter(ProxyState::isNewcomer).count();
+        return !isSharded()
+                && context.flow().waitingEntries() + newcomers * entriesOfNewcomer
+                        > JOIN_SURGE_MS * channel().entriesPerMs();
+    }
+
+    /** Deals hosts that can serve in turn, by zone and kind, so that each subset has some of all. */
+    private void dealAll(int standingEntries) {
+        List<Host> serving = context.fleet().hosts().stream()
+                .filter(host -> host.isRunning()
+                        && !host.isEjected()
+                        && context.warmUp().isWarm(host))
+                .sorted(Comparator.comparingInt(Host::zone).thenComparingInt(Host::kind))
+                .toList();
+        subsets = serving.isEmpty() ? 0 : Math.max(1, serving.size() / standingEntries);
+        IntStream.range(0, serving.size()).forEach(i -> serving.get(i).assignTo(i % subsets));
+    }
+
+    /** How many subsets a table may be made of; 0 where all of them fit. */
+    private int subsetsThatFit(double affordableShare) {
+        return (int) Math.max(1, subsets * Math.min(1, affordableShare)) % subsets;
+    }
+
+    private void updateSpan(int fitting) {
+        boolean isFar = fitting > SPAN_CHANGE * span || SPAN_CHANGE * fitting < span;
+        span = fitting == 0 || span == 0 || isFar ? fitting : span;
+    }
+
+    /** Deals a new host to the subset that can do least. */
+    private void dealNew(Host host) {
+        host.assignTo(IntStream.range(0, subsets)
+                .boxed()
+                .min(Comparator.comparing(this::ability))
+                .orElse(0));
+        context.registry().tables().stream()
+                .filter(table -> table.isOfSubsets() && table.accepts(host))
+                .forEach(table -> table.addMember(host));
+        context.statistics().markStale();
+    }
+
+    /** What a subset's hosts can do; more than that of any other where no warm one is in. */
+    private double ability(int subset) {
+        List<Host> hosts = context.fleet().hosts().stream()
+                .filter(host -> host.isRunning() && host.subset() == subset)
+                .toList();
+        return hosts.stream()
+                        .mapToDouble(host -> host.weight() * context.warmUp().leastAbility(host))
+                        .sum()
+                + (hosts.stream().anyMatch(context.warmUp()::isWarm) ? 0 : WITHOUT_WARM_HOST);
+    }
+
+    private void clearUnusedTables() {
+        List<EndpointTable> unused =
+                context.registry().tables().stream().filter(this::isUnused).toList();
+        unused.forEach(context.writer()::clear);
+        context.registry().removeAll(unused);
+    }
+
+    private boolean isUnused(EndpointTable table) {
+        boolean isOutdated =
+                !table.isOfSubsets() || !joinSurge && (span == 0 || Math.abs(table.subsetCount() - span) > 1);
+        return !context.registry().isInUse(table) && isOutdated && !partitions.isAnyZonePartitioned();
+    }
+
+    /** The tables that share out the subsets in place of a full one, written if they are new; none for full tables. */
+    List<EndpointTable> tablesFor(EndpointTable full, boolean isNewcomer) {
+        int subsetsPerTable = isNewcomer && joinSurge ? 1 : span;
+        int count = subsetsPerTable == 0 ? 0 : Math.min(subsets, Math.max(MIN_TABLES, subsets / subsetsPerTable));
+        List<EndpointTable> tables = IntStream.range(0, count)
+                .mapToObj(i -> subsetTable(full, i * subsets / count, (i + 1) * subsets / count))
+                .toList();
+        context.statistics().refresh();
+        tables.stream().filter(EndpointTable::isEmpty).forEach(changes::write);
+        return tables;
+    }
+
+    private EndpointTable subsetTable(EndpointTable full, int from, int end) {
+        EndpointTable known = context.registry().findSubsetTable(full, from, end - from);
+        if (known != null) {
+            return known;
+        }
+        context.statistics().markStale();
+        return context.registry().addSubsetTable(full, from, end - from);
+    }
+
+    /** The table of which least is asked for what its hosts can do, or the full one where none has a warm host. */
+    EndpointTable leastLoaded(List<EndpointTable> tables, EndpointTable full) {
+        return tables.stream()
+                .filter(table -> table.capacity().warmWeight() > 0)
+                .min(Comparator.comparingDouble(table ->
+                        (load(table.users()) + NO_LOAD) / table.capacity().ableWeight()))
+                .orElse(full);
+    }
+
+    /**
+     * Whether a proxy on this table of subsets must move to another: there are full tables again, the span is twice as large,
+     * or hosts have left the subsets so that more is asked of them than of others.
+     */
+    boolean mustLeave(EndpointTable table) {
+        return span == 0 || !table.isOfSubsets() || SPAN_CHANGE * table.subsetCount() < span || isOverloaded(table);
+    }
+
+    private boolean isOverloaded(EndpointTable table) {
+        TableCapacity full = context.registry().fullTableOf(table).capacity();
+        return load(table.users()) * full.ableWeight()
+                > OVERLOAD * full.requestsPerSecond() * table.capacity().ableWeight();
+    }
+
+    private static double load(Collection<ProxyState> proxies) {
+        return FleetStatistics.usualRequestsPerSecond(proxies);
+    }
+}
--- a/src/main/java/linenring/settings/SettingsReader.java
+++ b/src/main/java/linenring/settings/SettingsReader.java
@@ -40,7 +40,7 @@
                         in.millis("Specifics.Propagation", 0),
                         in.millis("Specifics.TransitMax", 0),
                         in.millis("Contract.StopSendingWithin", 1000)),
-                new PlannerSettings.Slices(
+                new PlannerSettings.Shards(
                         in.index("Specifics.Ranges", 0),
                         in.flag("Specifics.SingleWriter", false),
                         in.millis("Specifics.Lease", 0),
--- a/src/test/java/linenring/configuration/ControllerConfigurationReaderTest.java
+++ b/src/test/java/linenring/configuration/ControllerConfigurationReaderTest.java
@@ -33,12 +33,12 @@
     @Test
     void nestedSettingsBecomeTheSameFiguresInMilliseconds() {
         ControllerConfiguration c = read(GOOD).assignment();
-        assertEquals(750, c.figures().operations().get(0).objective());
+        assertEquals(750, c.figures().operations().get(0).objectiveMs());
         assertEquals(2, c.figures().operations().get(0).zones()); // the second zone alone
         assertEquals(-1, c.figures().operations().get(1).zones());
         assertTrue(c.figures().operations().get(1).homeZoneOnly());
-        assertEquals(18_000, c.figures().cold().warmAfter());
-        assertEquals(2500, c.figures().channel().grace());
+        assertEquals(18_000, c.figures().coldStart().warmAfterMs());
+        assertEquals(2500, c.figures().channel().drainGraceMs());
         assertEquals(4, c.names().quantum());
         assertEquals(1, c.known().entries().get(0).zone());
         assertEquals("/127.0.0.4:3000", c.listen().toString());
--- a/src/test/java/linenring/controller/ChannelAccountTest.java
+++ b/src/test/java/linenring/controller/ChannelAccountTest.java
@@ -88,7 +88,7 @@
                         .toList(),
                 new PlannerSettings.ColdStart(0.2, 18_000),
                 new PlannerSettings.Channel(1000 * PACE, 4, limit, cap, 10_000, TRANSIT, 3 * TRANSIT, grace),
-                new PlannerSettings.Slices(0, false, 0, 0),
+                new PlannerSettings.Shards(0, false, 0, 0),
                 PlannerSettings.Measure.SHARE,
                 false,
                 0,
--- a/src/test/java/linenring/controller/ControlLoopFixture.java
+++ b/src/test/java/linenring/controller/ControlLoopFixture.java
@@ -47,7 +47,7 @@
                 new PlannerSettings.ColdStart(0.2, 18_000),
                 new PlannerSettings.Channel(
                         PACE_PER_SECOND, 4, mostWaiting, MESSAGES_MOST, 10_000, TRANSIT_MS, 2 * TRANSIT_MS, GRACE_MS),
-                new PlannerSettings.Slices(0, false, 0, 0),
+                new PlannerSettings.Shards(0, false, 0, 0),
                 PlannerSettings.Measure.SHARE,
                 false,
                 0,
--- a/src/test/java/linenring/controller/FaultAtRestTest.java
+++ b/src/test/java/linenring/controller/FaultAtRestTest.java
@@ -60,7 +60,7 @@
                 List.of(new PlannerSettings.Operation(1000, 1, -1, -1, false, 3)),
                 new PlannerSettings.ColdStart(0.2, 18_000),
                 new PlannerSettings.Channel(1200, 4, 1000, 30, 10_000, 150, 300, 2000),
-                new PlannerSettings.Slices(0, false, 0, 0),
+                new PlannerSettings.Shards(0, false, 0, 0),
                 PlannerSettings.Measure.SHARE,
                 false,
                 0,
--- a/src/test/java/linenring/gateway/GatewayBesideControllerTest.java
+++ b/src/test/java/linenring/gateway/GatewayBesideControllerTest.java
@@ -43,7 +43,7 @@
                 List.of(open, open, open),
                 new PlannerSettings.ColdStart(0.2, 1000),
                 new PlannerSettings.Channel(5000, 4, 5000, 0, 10_000, 10, 50, 1000),
-                new PlannerSettings.Slices(0, false, 0, 0),
+                new PlannerSettings.Shards(0, false, 0, 0),
                 PlannerSettings.Measure.SHARE,
                 false,
                 0,
--- a/src/test/java/linenring/planner/FakeHost.java
+++ b/src/test/java/linenring/planner/FakeHost.java
@@ -33,10 +33,10 @@
     }
 
     static PlannerSettings figures(int messagesMost, Operation... operations) {
-        return figures(messagesMost, new PlannerSettings.Slices(0, false, 0, 0), operations);
+        return figures(messagesMost, new PlannerSettings.Shards(0, false, 0, 0), operations);
     }
 
-    static PlannerSettings figures(int messagesMost, PlannerSettings.Slices slices, Operation... operations) {
+    static PlannerSettings figures(int messagesMost, PlannerSettings.Shards slices, Operation... operations) {
         return new PlannerSettings(
                 operations.length > 0 ? List.of(operations) : List.of(operation(1, ALL)),
                 new PlannerSettings.ColdStart(0.2, 10_000),
--- a/src/test/java/linenring/planner/PlannerTest.java
+++ b/src/test/java/linenring/planner/PlannerTest.java
@@ -366,7 +366,7 @@
 
     @Test
     void aSliceGetsItsNextOwnerOnlyWhenNoWriteCanBeInTheHandsOfTheLast() {
-        FakeHost f = new FakeHost(figures(0, new PlannerSettings.Slices(4, true, 2000, 3000)));
+        FakeHost f = new FakeHost(figures(0, new PlannerSettings.Shards(4, true, 2000, 3000)));
         f.fleet(3, 0);
         f.planner.charge(2, true);
         f.planner.held(2, 1, 1);
--- a/src/test/java/linenring/planner/RandomFleet.java
+++ b/src/test/java/linenring/planner/RandomFleet.java
@@ -87,10 +87,10 @@
                 ready(planner, host, Double.NEGATIVE_INFINITY);
             }
             planner.endHostList();
-            for (int slice = 1; slice <= shape.settings().slices().count(); slice++) {
-                planner.charge(slice, slice % 3 != 0);
-                if (slice % 5 == 0) {
-                    planner.held(slice, random.nextInt(shape.hosts()), 1 + random.nextInt(2));
+            for (int shard = 1; shard <= shape.settings().shards().count(); shard++) {
+                planner.charge(shard, shard % 3 != 0);
+                if (shard % 5 == 0) {
+                    planner.held(shard, random.nextInt(shape.hosts()), 1 + random.nextInt(2));
                 }
             }
         });
@@ -240,7 +240,7 @@
 
     private double meanObjective() {
         return shape.settings().operations().stream()
-                .mapToDouble(PlannerSettings.Operation::objective)
+                .mapToDouble(PlannerSettings.Operation::objectiveMs)
                 .average()
                 .orElseThrow();
     }
--- a/src/test/java/linenring/planner/ReconcileMeasurement.java
+++ b/src/test/java/linenring/planner/ReconcileMeasurement.java
@@ -24,7 +24,7 @@
                         FakeHost.operation(3, FakeHost.ALL)),
                 new PlannerSettings.ColdStart(0.2, 18_000),
                 new PlannerSettings.Channel(1200, 4, 22.0 * proxies, 30, 10_000, 200, 500, 16_000),
-                new PlannerSettings.Slices(0, false, 0, 0),
+                new PlannerSettings.Shards(0, false, 0, 0),
                 PlannerSettings.Measure.SHARE,
                 false,
                 0,
--- a/src/test/java/linenring/planner/RecordedHistory.java
+++ b/src/test/java/linenring/planner/RecordedHistory.java
@@ -160,8 +160,8 @@
         int requested = nonce;
         double entries = reckoned + MESSAGE_HEAD_ENTRIES;
         channelFreeAt = Math.max(now, channelFreeAt)
-                + entries * channelSlowdown / settings.channel().linesPerMs();
-        double answeredAt = channelFreeAt + 2 * settings.channel().transit();
+                + entries * channelSlowdown / settings.channel().entriesPerMs();
+        double answeredAt = channelFreeAt + 2 * settings.channel().transitMs();
         afterReconcile.add(() ->
                 arrive(answeredAt, to -> to.barrierAcknowledged(proxy, requested, Math.round(answeredAt - sentAt))));
         return reckoned;
--- a/src/test/java/linenring/planner/TableRegistryTest.java
+++ b/src/test/java/linenring/planner/TableRegistryTest.java
@@ -1,33 +1,36 @@
 package linenring.planner;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 class TableRegistryTest {
-    private final Host first = new Host(0);
-    private final Host second = new Host(1);
-    private final List<Host> hosts = new ArrayList<>(List.of(first, second));
+    private final Fleet fleet = new Fleet();
+    private final Host first = fleet.host(0);
+    private final Host second = fleet.host(1);
     private final TableRegistry registry =
-            new TableRegistry(hosts, List.of(FakeHost.operation(1, FakeHost.ALL), FakeHost.operation(2, 1)));
+            new TableRegistry(fleet, List.of(FakeHost.operation(1, FakeHost.ALL), FakeHost.operation(2, 1)), false);
 
     @Test
-    void forgetTakesAHostOutOfPartsAndLeavesTheListOfAllHosts() {
-        Table full = registry.add(0, -1);
-        Table part = registry.add(0, -1);
-        part.members = new ArrayList<>(hosts);
+    void forgetTakesHostOutOfSubsetTablesAndLeavesListOfAllHosts() {
+        EndpointTable full = registry.addFullTable(0, EndpointTable.ALL_ZONES);
+        first.assignTo(0);
+        second.assignTo(0);
+        EndpointTable subset = registry.addSubsetTable(full, 0, 1);
+        assertEquals(List.of(first, second), subset.members());
         registry.forget(first);
-        assertEquals(List.of(second), part.members);
-        assertEquals(2, full.members.size());
+        assertEquals(List.of(second), subset.members());
+        assertEquals(2, full.members().size());
     }
 
     @Test
-    void findsTheTablesThatHoldAHost() {
-        Table full = registry.add(0, -1);
-        registry.add(0, -1);
+    void findsTablesThatHoldHost() {
+        EndpointTable full = registry.addFullTable(0, EndpointTable.ALL_ZONES);
+        registry.addFullTable(0, EndpointTable.ALL_ZONES);
         full.setWeight(second, 0.5);
         assertEquals(List.of(full), registry.holding(second));
         full.setWeight(second, 0);
@@ -35,15 +38,18 @@
     }
 
     @Test
-    void addsASlicesTableOnce() {
-        Table slice = registry.ofSlice(7);
-        assertSame(slice, registry.ofSlice(7));
-        assertEquals(1, registry.tables.size());
+    void addsTableOfShardOnce() {
+        EndpointTable shard = registry.ofShard(7);
+        assertSame(shard, registry.ofShard(7));
+        assertEquals(1, registry.tables().size());
     }
 
     @Test
-    void givesATableTheFirstOperationOfItsMask() {
-        assertEquals(2, registry.add(2, -1).operation.value());
-        assertEquals(1, registry.add(0, -1).operation.value());
+    void givesTableTheHostsOfFirstOperationInItsMask() {
+        first.update(0, 0, 1);
+        second.update(1, 0, 1);
+        assertFalse(registry.addFullTable(2, EndpointTable.ALL_ZONES).accepts(second));
+        assertTrue(registry.addFullTable(2, EndpointTable.ALL_ZONES).accepts(first));
+        assertTrue(registry.addFullTable(0, EndpointTable.ALL_ZONES).accepts(second));
     }
 }
--- a/src/test/java/linenring/stream/ConnectionRaceTest.java
+++ b/src/test/java/linenring/stream/ConnectionRaceTest.java
@@ -119,7 +119,7 @@
                 List.of(new PlannerSettings.Operation(1000, 1, -1, -1, false, 1)),
                 new PlannerSettings.ColdStart(0.2, 18_000),
                 new PlannerSettings.Channel(1200, 4, 1800, 30, 10_000, 100, 300, 2000),
-                new PlannerSettings.Slices(0, false, 0, 0),
+                new PlannerSettings.Shards(0, false, 0, 0),
                 PlannerSettings.Measure.SHARE,
                 false,
                 0,
