--- a/src/main/java/linenring/controller/ControlLoop.java
+++ b/src/main/java/linenring/controller/ControlLoop.java
@@ -35,7 +35,7 @@
         quantum = names.quantum();
         fleetState = new FleetState(names.operations(), names.proxies(), log);
         planner = new Planner(figures, fleetState);
-        planner.clock(clock.now());
+        planner.advanceClock(clock.now());
         if (known != null) {
             onHostList(known);
         }
@@ -66,7 +66,7 @@
     /** Takes in all that has come and acts on it, as of now; a fault at one thing that came leaves out that thing alone. */
     void round(double now) {
         fleetState.alarmsUpTo(now);
-        decide(() -> planner.clock(now));
+        decide(() -> planner.advanceClock(now));
         long dropped = exchange.drainTo(this);
         if (dropped > 0) {
             log.warn("steward", dropped + " sums were dropped, as they came faster than they could be taken");
@@ -115,7 +115,7 @@
                 joined(from, j);
             } else if (what instanceof InboundMessage.Acknowledgement a) {
                 if (fleetState.isCurrent(a.proxy(), from)) { // an old stream's answer tells nothing of the new one
-                    planner.barrierAcknowledged(a.proxy(), a.nonce(), a.elapsedMs());
+                    planner.messageAcknowledged(a.proxy(), a.nonce(), a.elapsedMs());
                 }
             } else if (what instanceof InboundMessage.LoadReport s) {
                 int host = fleetState.hostIds.find(s.host());
@@ -139,7 +139,7 @@
         }
         log.info("proxy", j.proxy() + " joins" + (j.isNew() ? "" : " with a table"));
         fleetState.joined(j.proxy(), from, j.isNew());
-        planner.joined(j.proxy(), j.zone(), j.usualRequestsPerSecond());
+        planner.proxyJoined(j.proxy(), j.zone(), j.usualRequestsPerSecond());
     }
 
     @Override
@@ -149,7 +149,7 @@
             if (proxy >= 0) { // else it has a newer stream, and this end is late
                 log.info("proxy", proxy + " leaves");
                 fleetState.left(proxy);
-                planner.lost(proxy);
+                planner.proxyDisconnected(proxy);
             }
         });
     }
--- a/src/main/java/linenring/planner/DrainScheduler.java
+++ b/src/main/java/linenring/planner/DrainScheduler.java
@@ -53,11 +53,11 @@
         double needed = 0;
         for (ProxyState proxy : concerned) {
             long hosts = draining.stream().filter(host -> mayHold(proxy, host)).count();
-            needed += context.flow().cost(proxy, hosts);
+            needed += context.flow().cost(proxy, (double) hosts);
         }
         double queue = context.settings().channel().maxQueuedEntries();
         double free = queue - context.flow().waitingEntries();
-        return binder.newcomersWait() || needed > free && free < MIN_FREE_QUEUE_SHARE * queue;
+        return binder.newcomersWait() || (needed > free && free < MIN_FREE_QUEUE_SHARE * queue);
     }
 
     private boolean mayHold(ProxyState proxy, Host host) {
--- a/src/main/java/linenring/planner/EndpointTable.java
+++ b/src/main/java/linenring/planner/EndpointTable.java
@@ -83,7 +83,7 @@
 
     /** Whether it is made of subsets of the fleet. */
     boolean isOfSubsets() {
-        return firstSubset != Host.NO_SUBSET;
+        return firstSubset != Host.WITHOUT_SUBSET;
     }
 
     int firstSubset() {
@@ -195,7 +195,7 @@
     }
 
     boolean isFor(int operationIndex) {
-        return operations == 0 || (operations >> operationIndex & 1) != 0;
+        return operations == 0 || ((operations >> operationIndex) & 1) != 0;
     }
 
     boolean servesZone(int zone) {
@@ -208,7 +208,7 @@
     }
 
     private boolean hasSubset(int subset) {
-        return firstSubset < 0 || subset >= firstSubset && subset < firstSubset + subsetCount;
+        return firstSubset < 0 || (subset >= firstSubset && subset < firstSubset + subsetCount);
     }
 
     /** Of a shard: the host of its one entry, or null. */
--- a/src/main/java/linenring/planner/FleetStatistics.java
+++ b/src/main/java/linenring/planner/FleetStatistics.java
@@ -19,18 +19,20 @@
  * ejected; beside broken or unreachable hosts the best third stays good.
  */
 final class FleetStatistics {
-    /** Fewer attempts than this in the whole fleet say nothing about it; found by trial. */
+    /** Fewer attempts than this in the whole fleet say nothing about it. No reason is recorded for the figure. */
     static final double MIN_FLEET_ATTEMPTS = 20;
 
     /** Attempts decay by half in so long, or in the time that a report covers, if that is longer. */
     private static final double HALF_LIFE_MS = 1500;
+
+    private static final double LEFT_AFTER_HALF_LIFE = 0.5;
     /** Reports cover times that change from one to the next: smoothed over about the last 20. */
     private static final double REPORT_SPAN_SMOOTHING = 0.05;
     /** Request rates are smoothed over about the last three reports. */
     private static final double REQUEST_RATE_SMOOTHING = 0.3;
     /** A failed attempt counts as an answer that is late by half an objective. */
     private static final double LATENESS_OF_FAILURE = 1.5;
-    /** Hosts with fewer attempts are left out of the quantiles; found by trial. */
+    /** Hosts with fewer attempts are left out of the quantiles. No reason is recorded for the figure. */
     private static final double MIN_HOST_ATTEMPTS = 3;
     /** The best third of the hosts: good even where others are broken or cut off. */
     private static final double USUAL_QUANTILE = 0.33;
@@ -41,7 +43,7 @@
     /** The objective until the first demand is known. */
     private static final double INITIAL_OBJECTIVE_MS = 1000;
 
-    private static final int MS_PER_SECOND = 1000;
+    private static final int MILLIS_PER_SECOND = 1000;
 
     private final Fleet fleet;
     private final TableRegistry registry;
@@ -87,12 +89,12 @@
     }
 
     void addRequestRate(ProxyState proxy, int operation, double spanMs, int total) {
-        proxy.smoothRequestRate(operation, MS_PER_SECOND * total / Math.max(1, spanMs), REQUEST_RATE_SMOOTHING);
+        proxy.smoothRequestRate(operation, MILLIS_PER_SECOND * total / Math.max(1, spanMs), REQUEST_RATE_SMOOTHING);
     }
 
     /** Lets all outcomes decay over the time that has passed; about as fast as reports are late. */
     void decay(double elapsedMs) {
-        double factor = Math.pow(0.5, elapsedMs / Math.max(HALF_LIFE_MS, reportSpanMs));
+        double factor = Math.pow(LEFT_AFTER_HALF_LIFE, elapsedMs / Math.max(HALF_LIFE_MS, reportSpanMs));
         stale |= !fleet.hosts().isEmpty();
         fleet.hosts().forEach(host -> host.outcomes().decay(factor));
         fleet.zones().forEach(zone -> zone.decay(factor));
--- a/src/main/java/linenring/planner/FlowControl.java
+++ b/src/main/java/linenring/planner/FlowControl.java
@@ -20,23 +20,23 @@
     private static final double ROUND_TRIP_SMOOTHING = 0.2;
     /** The paper's window of unacknowledged messages. */
     private static final int WINDOW_MESSAGES = 5;
-    /** A proxy is out of the gate once its oldest message is older than so many round trips; found by trial. */
+    /** A proxy's window counts no more once its oldest message is older than so many round trips. No reason is recorded. */
     private static final double OVERDUE_ROUND_TRIPS = 3;
     /** A message to a proxy is overdue after so many of its longest transits, there and back. */
     private static final double OVERDUE_TRANSITS = 2;
     /** Ordinary entries wait two seconds at most: the queue may hold 15 s of them, and drains come behind. */
     private static final double ORDINARY_WAIT_MS = 2000;
-    /** Drains and ordinary entries share a drain's grace by halves. */
+    /** Ordinary entries wait for half of the drain grace at most: behind two seconds of them a drain missed 1.5 s. */
     private static final double GRACE_SHARE = 0.5;
-    /** There is room for so many messages of one entry to each user of a table, however short the queue. */
+    /** There is room for some messages of one entry to each user, however slow the channel; no reason is recorded for two. */
     private static final double MIN_MESSAGES_PER_USER = 2;
     /** Round trips over this share of the drain grace mean that a drain comes too late behind other entries. */
     private static final double SLOW_ROUND_TRIP_SHARE_OF_GRACE = 0.5;
-    /** The channel counts as slow only where more than this share of the queue waits. */
+    /** The channel counts as slow only where more than this share of the queue waits. No reason is recorded for the figure. */
     private static final double SLOW_QUEUE_SHARE = 0.25;
     /** Messages to all of a table may take a quarter of the channel for their heads. */
     private static final double INVERSE_SHARE_FOR_HEADS = 4;
-    /** Spaced messages use this share of the message limit; the rest is for what is urgent. Found by trial. */
+    /** Spaced messages use this share of the message limit; the rest is for what is urgent. No reason is recorded for the figure. */
     private static final double SPACED_MESSAGE_SHARE = 0.6;
     /** A sub-update that no queue holds goes in pieces of half of what ordinary entries may fill. */
     private static final double PIECE_SHARE = 0.5;
@@ -110,7 +110,7 @@
         double cost =
                 proxies.stream().mapToDouble(proxy -> cost(proxy, entries)).sum();
         boolean isDrain = priority == WritePriority.DRAIN;
-        return (isDrain || !drainsWait && !isSlow())
+        return (isDrain || (!drainsWait && !isSlow()))
                 && ledger.waitingEntries() + cost <= maxWaitingEntries(priority, proxies.size())
                 && isUnderMessageLimit(proxies, priority);
     }
--- a/src/main/java/linenring/planner/Host.java
+++ b/src/main/java/linenring/planner/Host.java
@@ -3,7 +3,7 @@
 /** What the planner knows of one host. Times are milliseconds on the planner's clock. */
 final class Host {
     /** A host that is in no subset. */
-    static final int NO_SUBSET = -1;
+    static final int WITHOUT_SUBSET = -1;
 
     private final int id;
     private final HostHealth health = new HostHealth();
@@ -17,7 +17,7 @@
     private boolean listed;
     private boolean released;
     private boolean ejected;
-    private int subset = NO_SUBSET;
+    private int subset = WITHOUT_SUBSET;
 
     Host(int id) {
         this.id = id;
@@ -84,7 +84,7 @@
         ejected = eject;
     }
 
-    /** The subset of the fleet that it is assigned to, or {@link #NO_SUBSET}. */
+    /** The subset of the fleet that it is assigned to, or {@link #WITHOUT_SUBSET}. */
     int subset() {
         return subset;
     }
--- a/src/main/java/linenring/planner/HostHealth.java
+++ b/src/main/java/linenring/planner/HostHealth.java
@@ -5,11 +5,11 @@
  * of its weight. Times are milliseconds on the planner's clock.
  */
 final class HostHealth {
-    /** The first retry comes after so long; a host that was only restarted serves again by then. */
+    /** The first retry comes after so long. No reason is recorded for the figure. */
     private static final double FIRST_RETRY_MS = 3000;
-    /** Each failed probation in a row lengthens the next wait by this factor; found by trial. */
+    /** Each failed probation in a row lengthens the next wait by this factor. No reason is recorded for the figure. */
     private static final double RETRY_BACKOFF = 1.5;
-    /** Waits grow no further after so many failed probations, which is 15 s; found by trial. */
+    /** Waits grow no further after so many failed probations: up to 15 s for what stays bad. */
     private static final int MAX_BACKOFF_STEPS = 4;
     /** A probation that is passed lets the share grow fourfold: two steps at most, so that few messages are spent. */
     private static final double PROBATION_GROWTH = 4;
--- a/src/main/java/linenring/planner/OutlierDetector.java
+++ b/src/main/java/linenring/planner/OutlierDetector.java
@@ -16,7 +16,7 @@
  * <p>A halved weight is a verdict on health: no weight follows a load or a speed.
  */
 final class OutlierDetector {
-    /** Failed attempts that prove enough. */
+    /** Failed attempts that prove enough. No reason is recorded for the figure. */
     private static final double MIN_FAILURES = 4;
     /** Failed attempts that prove enough on probation, where few attempts come. */
     private static final double MIN_FAILURES_ON_PROBATION = 2;
@@ -29,8 +29,8 @@
     /** A failing host's ratio is over this and some times the usual failure ratio; no reason is recorded for the figures. */
     private static final double FAILING_RATIO_MARGIN = 0.15;
 
+    /** See {@link #FAILING_RATIO_MARGIN}. */
     private static final double FAILING_TIMES_USUAL = 2.2;
-
     /** Share of the weight on probation: an attempt a second or so, which is enough to judge by. */
     private static final double PROBATION_SHARE = 0.15;
     /** Reports are up to 1.6 s late: a step of the probation lasts about so long at least... */
@@ -46,15 +46,15 @@
     private static final double WEIGHT_REDUCTION = 0.5;
     /** A share is halved twice at most: one under this is not halved again. */
     private static final double MIN_REDUCIBLE_SHARE = 0.3;
-    /** A slow host takes more than this part of the objective... */
+    /** A slow host takes more than this part of the objective (no reason is recorded for the figure)... */
     private static final double SLOW_LATENESS = 0.55;
-    /** ... and than so many times the best third... */
+    /** ... and than so many times the best third (likewise)... */
     private static final double SLOW_TIMES_USUAL = 1.6;
     /** ... whose own lateness is under half: else there is an overload. */
     private static final double MAX_USUAL_LATENESS = 0.5;
     /** Lateness over so many attempts says all; fewer say as much as they are of these. */
     private static final double FULL_EVIDENCE_ATTEMPTS = 8;
-    /** Fewer attempts say nothing of a host's lateness. */
+    /** Fewer attempts say nothing of a host's lateness. No reason is recorded for the figure. */
     private static final double MIN_ATTEMPTS = 4;
     /** A reduced weight is kept at least so long after its rest, 48 s in all, and until the host is quicker than usual. */
     private static final double REDUCTION_LASTS_MS = 40_000;
--- a/src/main/java/linenring/planner/PartitionDetector.java
+++ b/src/main/java/linenring/planner/PartitionDetector.java
@@ -10,9 +10,9 @@
  * where only hosts elsewhere are lost: then the hosts of the zone carry more than they need to for 10 s.
  */
 final class PartitionDetector {
-    /** Fewer attempts at hosts of the own zone prove nothing; found by trial. */
+    /** Fewer attempts at hosts of the own zone prove nothing. No reason is recorded for the figure. */
     private static final double MIN_NEAR_ATTEMPTS = 5;
-    /** Fewer attempts at hosts of other zones prove nothing; found by trial. */
+    /** Fewer attempts at hosts of other zones prove nothing. No reason is recorded for the figure. */
     private static final double MIN_FAR_ATTEMPTS = 10;
     /** Far attempts are later than near ones by half an objective... */
     private static final double MIN_LATENESS_DIFFERENCE = 0.5;
--- a/src/main/java/linenring/planner/PendingChanges.java
+++ b/src/main/java/linenring/planner/PendingChanges.java
@@ -30,7 +30,7 @@
         return (written > 0 || !storm.holdsBack(host))
                 && ((wanted == 0) != (written == 0)
                         || Math.abs(wanted - written) > MIN_WEIGHT_CHANGE * Math.max(wanted, written)
-                        || wanted == host.weight() && written != wanted);
+                        || (wanted == host.weight() && written != wanted));
     }
 
     private Stream<Host> dueHosts(EndpointTable table) {
--- a/src/main/java/linenring/planner/Planner.java
+++ b/src/main/java/linenring/planner/Planner.java
@@ -5,7 +5,7 @@
 import java.util.function.Predicate;
 
 /**
- * Every decision of one controller. Called with what is seen: {@link #clock}, then any of the other inputs, then
+ * Every decision of one controller. Called with what is seen: {@link #advanceClock}, then any of the other inputs, then
  * {@link #reconcile}, which goes through the rules until none changes anything. It acts through {@link Commands} and is given
  * {@link PlannerSettings} at its start. All times are milliseconds on the clock of the inputs; hosts, proxies, zones, kinds of
  * machines, operations and tables are small indices. One thread owns it.
@@ -120,7 +120,7 @@
     // ---- inputs
 
     /** It is now this time; comes before all else that is seen then. */
-    public void clock(double nowMs) {
+    public void advanceClock(double nowMs) {
         time.advanceTo(nowMs);
         storm.start();
         membership.start();
@@ -162,8 +162,8 @@
     }
 
     /** A proxy has a new stream, on which it holds no table of ours; its requests a second are usually so many. */
-    public void joined(int id, int zone, double usualRequestsPerSecond) {
-        lost(id);
+    public void proxyJoined(int id, int zone, double usualRequestsPerSecond) {
+        proxyDisconnected(id);
         ProxyState proxy = fleet.proxy(id);
         proxy.join(zone, usualRequestsPerSecond, context.registry().fullTableCount());
         fleet.join(proxy);
@@ -173,12 +173,12 @@
      * A proxy's stream has ended. Its windows are free at once, since acknowledgements cannot come; what is on its way to it
      * is in the channel still.
      */
-    public void lost(int id) {
+    public void proxyDisconnected(int id) {
         fleet.leave(fleet.proxy(id));
     }
 
     /** A proxy has applied the message with this nonce, and so all that was sent to it before. */
-    public void barrierAcknowledged(int id, int nonce, double tookMs) {
+    public void messageAcknowledged(int id, int nonce, double tookMs) {
         context.flow().acknowledged(fleet.proxy(id), nonce, tookMs);
     }
 
@@ -193,12 +193,12 @@
     }
 
     /** This controller is in charge of the shard from now on, or no more. */
-    public void charge(int shard, boolean inCharge) {
+    public void setShardInCharge(int shard, boolean inCharge) {
         shards.setInCharge(shard, inCharge);
     }
 
     /** The shard is owned by the host, whose entry its proxies have with this weight. */
-    public void held(int shard, int id, double weight) {
+    public void setShardOwner(int shard, int id, double weight) {
         shards.setOwner(shard, fleet.host(id), weight);
     }
 
--- a/src/main/java/linenring/planner/PlannerSettings.java
+++ b/src/main/java/linenring/planner/PlannerSettings.java
@@ -60,7 +60,7 @@
         }
 
         private static boolean hasBit(long mask, int index) {
-            return mask == ALL || index < Long.SIZE && (mask >> index & 1) != 0;
+            return mask == ALL || (index < Long.SIZE && ((mask >> index) & 1) != 0);
         }
     }
 
@@ -93,10 +93,10 @@
             double transitMs,
             double longestTransitMs,
             double drainGraceMs) {
-        private static final double MS_PER_SECOND = 1000;
+        private static final double MILLIS_PER_SECOND = 1000;
 
         double entriesPerMs() {
-            return entriesPerSecond / MS_PER_SECOND;
+            return entriesPerSecond / MILLIS_PER_SECOND;
         }
 
         /** Entries that a message takes beside those it holds: its head, and one for the acknowledgement request. */
--- a/src/main/java/linenring/planner/RetryStormGuard.java
+++ b/src/main/java/linenring/planner/RetryStormGuard.java
@@ -19,7 +19,7 @@
     private static final double STORM_FAILURE_RATIO = 0.3;
     /** A storm is on where the host at 62 in 100 takes so many times the fastest usual answer... */
     private static final double STORM_SLOWDOWN = 4;
-    /** ... and so many objectives. Both found by trial. */
+    /** ... and so many objectives. No reason is recorded for either. */
     private static final double STORM_LATENESS = 0.45;
     /** The usual lateness of an unhurried fleet until reports show it. */
     private static final double INITIAL_UNHURRIED_LATENESS = 0.2;
--- a/src/main/java/linenring/planner/ShardPlacement.java
+++ b/src/main/java/linenring/planner/ShardPlacement.java
@@ -13,7 +13,7 @@
  */
 final class ShardPlacement {
     /** Where a shard may have several writers the next owner comes at once. */
-    private static final double NO_WAIT_MS = -1;
+    private static final double WITHOUT_WAIT_MS = -1;
 
     private final PlannerContext context;
     private final double ownerlessForMs;
@@ -23,7 +23,7 @@
         PlannerSettings settings = context.settings();
         ownerlessForMs = settings.shards().singleOwner()
                 ? settings.shards().writesEndWithinMs() + settings.channel().drainGraceMs()
-                : NO_WAIT_MS;
+                : WITHOUT_WAIT_MS;
     }
 
     /** This controller is in charge of the shard from now on, or no more. */
--- a/src/main/java/linenring/planner/SlowStart.java
+++ b/src/main/java/linenring/planner/SlowStart.java
@@ -15,11 +15,11 @@
     private static final double INITIAL_RAMP_WEIGHT = 0.5;
     /** ... and gains the other half in 10 s. */
     private static final double RAMP_MS_PER_WEIGHT = 20_000;
-    /** A host that has just started gets three quarters of what it can surely do, and all of it once it is warm. */
+    /** A host that has just started gets three quarters of what it can surely do. No reason is recorded for the figure. */
     private static final double INITIAL_SHARE_OF_ABILITY = 0.75;
-    /** A cold host keeps this much of its weight though every attempt fails: an entry needs a weight over 0. */
+    /** A cold host keeps this much of its weight though every attempt fails: weight 0 would take the entry out. */
     private static final double MIN_SUCCESS_FACTOR = 0.01;
-    /** A host's weight is cut past the windows where it should be under this part of what is written; found by trial. */
+    /** A host's weight is cut past the windows where it should be under this part of what is written. No reason is recorded. */
     private static final double CUT_BELOW = 0.6;
 
     private final PlannerContext context;
--- a/src/main/java/linenring/planner/SubsetAssigner.java
+++ b/src/main/java/linenring/planner/SubsetAssigner.java
@@ -19,20 +19,20 @@
 final class SubsetAssigner {
     /** A table for each proxy may take the channel a third of the ramp of 10 s. */
     private static final double TABLES_SENT_WITHIN_MS = 3300;
-    /** Full tables are given up only when a quarter too large, so that the choice does not go back and forth. */
+    /** Full tables are given up only when a quarter too large, which keeps the choice from going back and forth. */
     private static final double MARGIN_BEFORE_SUBSETS = 1.25;
     /** Newcomers that would wait longer for their tables get one subset first. */
     private static final double JOIN_SURGE_MS = 1000;
-    /** A standing table has at least so many entries: one host alone could be lost. */
+    /** A subset has at least so many hosts. No reason is recorded for the figure. */
     private static final int MIN_STANDING_ENTRIES = 2;
-    /** Proxies are shared out among two tables at least, so that one can be left. */
+    /** Proxies are shared out among two tables at least, as it may be that one has to be left. */
     private static final int MIN_TABLES = 2;
-    /** The span changes only when it is twice too large or too small: each change moves all proxies. */
+    /** The span changes only when it is twice too large or too small, as each change moves proxies. */
     private static final double SPAN_CHANGE = 2;
-    /** A table is overloaded when so many times the fleet's load is asked of it; the others' two thirds then do as much. */
+    /** A table is left when so many times the fleet's load is asked of it: it can do two thirds of what others can for it. */
     private static final double OVERLOAD = 1.5;
     /** Stands for the load of a table with no users, so that the weight decides among such. */
-    private static final double NO_LOAD = 1e-6;
+    private static final double IDLE_LOAD = 1e-6;
     /** Ranks a subset without a warm host after all others: requests would have cold hosts alone. */
     private static final double WITHOUT_WARM_HOST = 1e6;
 
@@ -71,10 +71,20 @@
             dealAll(standingEntries);
         }
         updateSpan(tooLarge && subsets > 1 ? subsetsThatFit(affordable / entries) : 0);
-        context.fleet().forEachHost(host -> subsets > 0 && host.isRunning() && host.subset() < 0, this::dealNew);
+        context.fleet().forEachHost(this::mustBeDealt, this::dealNew);
         clearUnusedTables();
-        if (!joinSurge && !tooLarge && context.registry().tables().stream().noneMatch(EndpointTable::isOfSubsets)) {
-            context.fleet().hosts().forEach(host -> host.assignTo(Host.NO_SUBSET));
+        if (!joinSurge && !tooLarge) {
+            dissolveUnlessUsed();
+        }
+    }
+
+    private boolean mustBeDealt(Host host) {
+        return subsets > 0 && host.isRunning() && host.subset() == Host.WITHOUT_SUBSET;
+    }
+
+    private void dissolveUnlessUsed() {
+        if (context.registry().tables().stream().noneMatch(EndpointTable::isOfSubsets)) {
+            context.fleet().hosts().forEach(host -> host.assignTo(Host.WITHOUT_SUBSET));
             subsets = 0;
         }
     }
@@ -113,7 +123,7 @@
                 .sorted(Comparator.comparingInt(Host::zone).thenComparingInt(Host::kind))
                 .toList();
         subsets = serving.isEmpty() ? 0 : Math.max(1, serving.size() / standingEntries);
-        IntStream.range(0, serving.size()).forEach(i -> serving.get(i).assignTo(i % subsets));
+        IntStream.range(0, serving.size()).forEach(index -> serving.get(index).assignTo(index % subsets));
     }
 
     /** How many subsets a table may be made of; 0 where all of them fit. */
@@ -158,7 +168,7 @@
 
     private boolean isUnused(EndpointTable table) {
         boolean isOutdated =
-                !table.isOfSubsets() || !joinSurge && (span == 0 || Math.abs(table.subsetCount() - span) > 1);
+                !table.isOfSubsets() || (!joinSurge && (span == 0 || Math.abs(table.subsetCount() - span) > 1));
         return !context.registry().isInUse(table) && isOutdated && !partitions.isAnyZonePartitioned();
     }
 
@@ -167,7 +177,7 @@
         int subsetsPerTable = isNewcomer && joinSurge ? 1 : span;
         int count = subsetsPerTable == 0 ? 0 : Math.min(subsets, Math.max(MIN_TABLES, subsets / subsetsPerTable));
         List<EndpointTable> tables = IntStream.range(0, count)
-                .mapToObj(i -> subsetTable(full, i * subsets / count, (i + 1) * subsets / count))
+                .mapToObj(index -> subsetTable(full, index * subsets / count, (index + 1) * subsets / count))
                 .toList();
         context.statistics().refresh();
         tables.stream().filter(EndpointTable::isEmpty).forEach(changes::write);
@@ -188,7 +198,7 @@
         return tables.stream()
                 .filter(table -> table.capacity().warmWeight() > 0)
                 .min(Comparator.comparingDouble(table ->
-                        (load(table.users()) + NO_LOAD) / table.capacity().ableWeight()))
+                        (load(table.users()) + IDLE_LOAD) / table.capacity().ableWeight()))
                 .orElse(full);
     }
 
--- a/src/main/java/linenring/planner/TableRegistry.java
+++ b/src/main/java/linenring/planner/TableRegistry.java
@@ -103,7 +103,14 @@
 
     private EndpointTable add(int number, int operations, int homeZone, int fullTable) {
         EndpointTable table = new EndpointTable(
-                number, operations, anyOf(operations), homeZone, fullTable, Host.NO_SUBSET, 0, fleet.sharedHosts());
+                number,
+                operations,
+                anyOf(operations),
+                homeZone,
+                fullTable,
+                Host.WITHOUT_SUBSET,
+                0,
+                fleet.sharedHosts());
         tables.add(table);
         return table;
     }
--- a/src/main/java/linenring/simulator/SimulatorAdapter.java
+++ b/src/main/java/linenring/simulator/SimulatorAdapter.java
@@ -138,7 +138,7 @@
             steward.commands.setLength(0);
         } else if (steward.planner != null) {
             SimulatedController one = steward;
-            decide(one, () -> one.planner.clock(now));
+            decide(one, () -> one.planner.advanceClock(now));
             decide(one, () -> call(one, one.planner));
         }
     }
@@ -150,10 +150,10 @@
         switch (line.name) {
             case "provision" -> {}
             case "registry" -> registry(steward, planner);
-            case "joined" -> planner.joined(line.index("Sidecar"), line.index("Dc", 0), line.number("Heft", 1));
-            case "lost_stream" -> planner.lost(line.index("Sidecar"));
+            case "joined" -> planner.proxyJoined(line.index("Sidecar"), line.index("Dc", 0), line.number("Heft", 1));
+            case "lost_stream" -> planner.proxyDisconnected(line.index("Sidecar"));
             case "in_force" ->
-                planner.barrierAcknowledged(line.index("Sidecar"), line.index("Rev"), line.millis("Rtt", 0));
+                planner.messageAcknowledged(line.index("Sidecar"), line.index("Rev"), line.millis("Rtt", 0));
             case "tally" ->
                 planner.hostStatistics(
                         steward.host(line.text("Host")),
@@ -165,8 +165,9 @@
             case "traffic" ->
                 planner.requestRate(
                         line.index("Sidecar"), line.index("Qos"), line.millis("Elapsed", 0), line.index("Total"));
-            case "mandate" -> planner.charge(line.index("Sheet"), line.flag("Flag"));
-            case "held" -> planner.held(line.index("Sheet"), steward.host(line.text("Host")), line.number("Heft", 1));
+            case "mandate" -> planner.setShardInCharge(line.index("Sheet"), line.flag("Flag"));
+            case "held" ->
+                planner.setShardOwner(line.index("Sheet"), steward.host(line.text("Host")), line.number("Heft", 1));
             case "elapsed" -> {} // settling is all it asks for
             case "key_load", "check_result", "heard" -> {} // no decision asks for these yet
             default -> throw line.bad("unknown message");
--- a/src/test/java/linenring/controller/ChannelAccountTest.java
+++ b/src/test/java/linenring/controller/ChannelAccountTest.java
@@ -148,7 +148,7 @@
             lines.add(null);
             written.add(new ArrayDeque<>());
         });
-        planner.clock(now);
+        planner.advanceClock(now);
         planner.beginHostList(true);
         IntStream.range(0, hosts)
                 .forEach(h ->
@@ -157,7 +157,7 @@
         int next = hosts;
         for (int round = 0; round < 900; round++) { // 45 s
             now += 50;
-            planner.clock(now);
+            planner.advanceClock(now);
             deliver(fleetState, planner);
             slower = round % 300 < 200 ? 1 : 3; // the channel is slowed at times, and nobody tells
             double joins = round < 10 || round % 250 < 10 ? 0.3 : 0.01, ends = round % 200 == 150 ? 0.7 : 0.003;
@@ -167,11 +167,11 @@
                 if (is && chance.nextDouble() < ends) {
                     ends(line);
                     fleetState.left(p);
-                    planner.lost(p);
+                    planner.proxyDisconnected(p);
                 } else if (chance.nextDouble() < (is ? 0.0005 : joins)) { // some before their old end is seen
                     lines.set(p, new Line(p));
                     fleetState.joined(p, lines.get(p), chance.nextInt(3) == 0);
-                    planner.joined(p, p % 3, 1 + p % 5);
+                    planner.proxyJoined(p, p % 3, 1 + p % 5);
                 } else if (is && chance.nextDouble() < 0.001) {
                     line.mute = !line.mute;
                 }
@@ -201,7 +201,7 @@
         Map<String, Double> told = new TreeMap<>();
         for (int round = 0; round < 700; round++) { // 35 s
             now += 50;
-            planner.clock(now);
+            planner.advanceClock(now);
             deliver(fleetState, planner);
             planner.beginHostList(false);
             if (round == 400) { // a release: half as many come, and their ramp fills what ordinary lines may
@@ -235,7 +235,7 @@
         Map<String, Double> told = new TreeMap<>();
         for (int round = 0; round < 700; round++) { // 35 s
             now += 50;
-            planner.clock(now);
+            planner.advanceClock(now);
             deliver(fleetState, planner);
             planner.beginHostList(false);
             if (round > 400 && round % 5 == 0 && told.size() < 50) { // each 250 ms, as the list's changes may come
@@ -269,7 +269,7 @@
         int next = hosts;
         for (int round = 0; round < 700; round++) { // 35 s
             now += 50;
-            planner.clock(now);
+            planner.advanceClock(now);
             deliver(fleetState, planner);
             if (round == 20) {
                 join(fleetState, planner, proxies, true);
@@ -315,7 +315,7 @@
         begin(fleetState, planner, hosts, now, count, false);
         for (int round = 0; round < 400; round++) { // 20 s
             now += 50;
-            planner.clock(now);
+            planner.advanceClock(now);
             deliver(fleetState, planner);
             if (round == 81) { // while the step of the ramp before it waits still
                 IntStream.range(0, hosts).forEach(h -> planner.hostStatistics(h, h % 3, 10, 8, 100, 1000));
@@ -340,17 +340,17 @@
         fleetState.send();
         int fits = channel.size();
         Sent first = channel.get(0);
-        planner.barrierAcknowledged(first.to().proxy, first.mark(), 1e12);
+        planner.messageAcknowledged(first.to().proxy, first.mark(), 1e12);
         for (int p = 0; p < proxies; p++) {
             ends(lines.get(p));
             fleetState.left(p);
-            planner.lost(p);
+            planner.proxyDisconnected(p);
         }
         now += 5 * limit / PACE + 3 * TRANSIT + 200;
-        planner.clock(now);
+        planner.advanceClock(now);
         for (int p = 0; p < proxies; p++) {
             fleetState.joined(p, new Line(p), false);
-            planner.joined(p, p % 3, 1);
+            planner.proxyJoined(p, p % 3, 1);
         }
         planner.reconcile();
         fleetState.send();
@@ -360,7 +360,7 @@
 
     /** So many hosts are listed, started then, and so many proxies join; not fresh: from another steward. */
     private void begin(FleetState fleetState, Planner planner, int hosts, double started, int proxies, boolean fresh) {
-        planner.clock(now);
+        planner.advanceClock(now);
         planner.beginHostList(true);
         IntStream.range(0, hosts)
                 .forEach(h -> planner.hostReady(fleetState.hostIds.assign("s-" + h), h % 3, 0, 1, started));
@@ -374,7 +374,7 @@
             lines.add(new Line(p));
             written.add(new ArrayDeque<>());
             fleetState.joined(p, lines.get(p), fresh);
-            planner.joined(p, p % 3, 1);
+            planner.proxyJoined(p, p % 3, 1);
         }
     }
 
@@ -385,7 +385,7 @@
         travelling.removeAll(there);
         for (Sent s : there) {
             if (s.to().open && !s.to().mute && fleetState.isCurrent(s.to().proxy, s.to())) {
-                planner.barrierAcknowledged(s.to().proxy, s.mark(), now - s.at());
+                planner.messageAcknowledged(s.to().proxy, s.mark(), now - s.at());
                 answered++;
             }
         }
--- /dev/null
+++ b/src/test/java/linenring/planner/FakeProxies.java
@@ -0,0 +1,265 @@
+package linenring.planner;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import linenring.planner.PlannerSettings.Operation;
+
+/** Proxies that carry out a planner's commands at once and remember them, and the hosts and the clock that it sees. */
+final class FakeProxies implements Commands {
+    static final long ALL = -1;
+    private static final double STEP_MS = 100;
+
+    private final Map<Integer, Map<Integer, Double>> tables = new TreeMap<>();
+    private final Map<Integer, Integer> latestTable = new TreeMap<>();
+    private final Map<Integer, Double> admissionByMask = new TreeMap<>();
+    private final Map<Integer, RetryPolicy> retryPolicyByMask = new TreeMap<>();
+    private final Set<Integer> ejected = new TreeSet<>();
+    private final Set<Integer> silent = new TreeSet<>();
+    private final Set<Integer> joined = new TreeSet<>();
+    private final List<Integer> unacknowledgedNonces = new ArrayList<>();
+    private final Planner planner;
+    private double nowMs = 100_000;
+    private double acknowledgementMs = 200;
+    private double usualRequestsPerSecond = 1;
+    private double reportSpanMs = 1000;
+    private int acknowledgementRequests;
+    private int extraEntriesOfBind;
+    private int extraEntriesOfMessage;
+
+    FakeProxies(PlannerSettings settings) {
+        planner = new Planner(settings, this);
+    }
+
+    static Operation operation(double value, long zones) {
+        return new Operation(1000, value, zones, ALL, false, 2);
+    }
+
+    static PlannerSettings settings(int maxMessages, Operation... operations) {
+        return settings(maxMessages, new PlannerSettings.Shards(0, false, 0, 0), operations);
+    }
+
+    static PlannerSettings settings(int maxMessages, PlannerSettings.Shards shards, Operation... operations) {
+        return new PlannerSettings(
+                operations.length > 0 ? List.of(operations) : List.of(operation(1, ALL)),
+                new PlannerSettings.ColdStart(0.2, 10_000),
+                new PlannerSettings.Channel(1000, 4, 1500, maxMessages, 10_000, 100, 250, 2000),
+                shards,
+                PlannerSettings.Measure.SHARE,
+                false,
+                0,
+                false,
+                6);
+    }
+
+    /** What each proxy that joins from now on is asked a second, about. */
+    FakeProxies withRequestsPerSecond(double requestsPerSecond) {
+        usualRequestsPerSecond = requestsPerSecond;
+        return this;
+    }
+
+    /** Starts warm hosts, the even ones in zone 0 and the odd ones in zone 1, and joins proxies; all is bound afterwards. */
+    FakeProxies start(int hosts, int proxies) {
+        planner.advanceClock(nowMs);
+        planner.beginHostList(true);
+        for (int host = 0; host < hosts; host++) {
+            planner.hostReady(host, host % 2, 0, 1, Double.NEGATIVE_INFINITY);
+        }
+        planner.endHostList();
+        for (int proxy = 0; proxy < proxies; proxy++) {
+            join(proxy);
+        }
+        return reconcile().pass(10_500); // by then the controller is no longer new
+    }
+
+    Planner planner() {
+        return planner;
+    }
+
+    double nowMs() {
+        return nowMs;
+    }
+
+    void join(int proxy) {
+        planner.proxyJoined(proxy, proxy % 2, usualRequestsPerSecond);
+        joined.add(proxy);
+    }
+
+    /** The proxy goes and does not come back. */
+    void leave(int proxy) {
+        planner.proxyDisconnected(proxy);
+        joined.remove(proxy);
+    }
+
+    void startHost(int host) {
+        planner.beginHostList(false);
+        planner.hostReady(host, host % 2, 0, 1, nowMs);
+        planner.endHostList();
+    }
+
+    void drainHost(int host) {
+        planner.beginHostList(false);
+        planner.hostDraining(host, host % 2, 0, 1);
+        planner.endHostList();
+    }
+
+    FakeProxies reconcile() {
+        planner.reconcile();
+        return this;
+    }
+
+    /** Lets time pass in steps; messages are acknowledged a step later, but not by silent proxies. */
+    FakeProxies pass(double durationMs) {
+        double endMs = nowMs + durationMs;
+        while (nowMs < endMs) {
+            nowMs += STEP_MS;
+            planner.advanceClock(nowMs);
+            for (int nonce : unacknowledgedNonces) {
+                joined.stream()
+                        .filter(proxy -> !silent.contains(proxy))
+                        .forEach(proxy -> planner.messageAcknowledged(proxy, nonce, acknowledgementMs));
+            }
+            unacknowledgedNonces.clear();
+            planner.reconcile();
+        }
+        return this;
+    }
+
+    /** Reports of one second in which the hosts met these attempts, with so many failed ones at some of them. */
+    FakeProxies passSecond(int hosts, int proxyZone, int total, double meanMs, int bad, Set<Integer> badHosts) {
+        for (int host = 0; host < hosts; host++) {
+            planner.hostStatistics(host, proxyZone, total, badHosts.contains(host) ? bad : 0, meanMs, reportSpanMs);
+        }
+        return pass(1000);
+    }
+
+    /** The weight by which the proxy chooses the host; 0 while the host is ejected. */
+    double weight(int proxy, int host) {
+        return ejected.contains(host) ? 0 : entries(proxy).getOrDefault(host, 0.0);
+    }
+
+    /** The weights in the proxy's latest table, by host. */
+    Map<Integer, Double> entries(int proxy) {
+        return tables.get(latestTable.get(proxy));
+    }
+
+    /** Weights by table and host. */
+    Map<Integer, Map<Integer, Double>> tables() {
+        return tables;
+    }
+
+    /** The latest table of each proxy that is bound. */
+    Map<Integer, Integer> bound() {
+        return latestTable;
+    }
+
+    Map<Integer, Double> admissionByMask() {
+        return admissionByMask;
+    }
+
+    Map<Integer, RetryPolicy> retryPolicyByMask() {
+        return retryPolicyByMask;
+    }
+
+    Set<Integer> ejected() {
+        return ejected;
+    }
+
+    Set<Integer> joined() {
+        return joined;
+    }
+
+    /** Proxies that acknowledge nothing. */
+    Set<Integer> silent() {
+        return silent;
+    }
+
+    int acknowledgementRequests() {
+        return acknowledgementRequests;
+    }
+
+    /** Acknowledgements state that they took so long. */
+    void setAcknowledgementMs(double tookMs) {
+        acknowledgementMs = tookMs;
+    }
+
+    void setReportSpanMs(double spanMs) {
+        reportSpanMs = spanMs;
+    }
+
+    void setExtraEntriesOfBind(int entries) {
+        extraEntriesOfBind = entries;
+    }
+
+    void setExtraEntriesOfMessage(int entries) {
+        extraEntriesOfMessage = entries;
+    }
+
+    @Override
+    public void setWeight(int table, int host, double weight) {
+        if (weight > 0) {
+            tables.computeIfAbsent(table, number -> new TreeMap<>()).put(host, weight);
+        } else {
+            tables.computeIfAbsent(table, number -> new TreeMap<>()).remove(host);
+        }
+    }
+
+    @Override
+    public void clearTable(int table) {
+        tables.remove(table);
+    }
+
+    @Override
+    public void setEjected(int host, boolean eject) {
+        if (eject) {
+            ejected.add(host);
+        } else {
+            ejected.remove(host);
+        }
+    }
+
+    @Override
+    public void bindProxy(int table, int operations, int proxy) {
+        latestTable.put(proxy, table);
+    }
+
+    @Override
+    public int extraEntriesOfBind(int table, int proxy) {
+        return extraEntriesOfBind;
+    }
+
+    @Override
+    public int extraEntriesOfWeight(int host, int proxy) {
+        return 0;
+    }
+
+    @Override
+    public void setAdmission(int table, int operations, double admissionRatio, RetryPolicy retryPolicy) {
+        admissionByMask.put(operations, admissionRatio);
+        retryPolicyByMask.put(operations, retryPolicy);
+    }
+
+    @Override
+    public void requestAcknowledgement(int nonce) {
+        acknowledgementRequests++;
+        unacknowledgedNonces.add(nonce);
+    }
+
+    @Override
+    public double entriesInMessage(int proxy, double expected) {
+        return expected + extraEntriesOfMessage;
+    }
+
+    @Override
+    public void requestCall(double atMs) {
+        // the tests let time pass in steps of their own
+    }
+
+    @Override
+    public void watchHostList() {
+        // these settings never ask for it
+    }
+}
--- a/src/test/java/linenring/planner/IdlePlannerTest.java
+++ b/src/test/java/linenring/planner/IdlePlannerTest.java
@@ -5,6 +5,7 @@
 
 import java.util.List;
 import java.util.Random;
+import java.util.function.Consumer;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
@@ -27,7 +28,7 @@
     void isNotCalledWhileNothingIsDue() {
         PlannerHistory history = new PlannerHistory(false, false);
         startFleet(history);
-        history.passTo(120_000); // joins are answered, the first levels are set
+        history.passTo(120_000); // joins are acknowledged, the first admission is written
         int before = history.calls();
         history.passTo(120_000 + HOUR_MS);
         assertEquals(before, history.calls());
@@ -44,8 +45,10 @@
             }
         });
         history.passTo(40_000);
-        assertTrue(history.decisions().stream().anyMatch(d -> d.endsWith("withdraw 3 true")), "it was ejected");
-        assertTrue(history.decisions().stream().anyMatch(d -> d.endsWith("withdraw 3 false")), "and is back");
+        assertTrue(
+                history.decisions().stream().anyMatch(decision -> decision.endsWith("eject 3 true")), "it was ejected");
+        assertTrue(
+                history.decisions().stream().anyMatch(decision -> decision.endsWith("eject 3 false")), "and is back");
     }
 
     private static void assertSame(List<String> expected, List<String> actual) {
@@ -66,7 +69,7 @@
             }
             planner.endHostList();
             for (int proxy = 0; proxy < PROXIES; proxy++) {
-                planner.joined(proxy, proxy % 2, 3);
+                planner.proxyJoined(proxy, proxy % 2, 3);
             }
         });
     }
@@ -76,60 +79,61 @@
         Random random = new Random(seed);
         PlannerHistory history = new PlannerHistory(everyTick, random.nextBoolean());
         startFleet(history);
-        int at = 0;
+        int elapsedMs = 0;
         for (int event = 0; event < 40; event++) {
-            at += random.nextInt(4) == 0 ? random.nextInt(120_000) : random.nextInt(400);
-            at += at % 100 == 99 ? 1 : 0; // in the millisecond before a tick an arrival counts as the tick
-            addEvent(history, at, random);
+            elapsedMs += random.nextInt(4) == 0 ? random.nextInt(120_000) : random.nextInt(400);
+            elapsedMs +=
+                    elapsedMs % 100 == 99 ? 1 : 0; // in the millisecond before a tick an arrival counts as the tick
+            addEvent(history, elapsedMs, random);
         }
-        history.passTo(at + 200_000);
+        history.passTo(elapsedMs + 200_000);
         return history;
     }
 
-    private static void addEvent(PlannerHistory history, int at, Random random) {
+    private static void addEvent(PlannerHistory history, int elapsedMs, Random random) {
         int host = random.nextInt(HOSTS + 4);
         int proxy = random.nextInt(PROXIES);
-        int unmet = HOSTS + 4 + random.nextInt(8);
+        int unmetHost = HOSTS + 4 + random.nextInt(8);
         int requests = random.nextInt(50);
         int failed = random.nextInt(3) == 0 ? random.nextInt(20) : 0;
         double meanMs = 50 + random.nextInt(1500);
-        switch (random.nextInt(9)) {
-            case 0 ->
-                history.at(at, planner -> {
-                    planner.beginHostList(false);
-                    planner.hostReady(host, host % 2, 0, 1, history.now());
-                    planner.endHostList();
-                });
-            case 1 ->
-                history.at(at, planner -> {
-                    planner.beginHostList(false);
-                    planner.hostDraining(host, host % 2, 0, 1);
-                    planner.endHostList();
-                });
-            case 2 ->
-                history.at(at, planner -> {
-                    planner.beginHostList(true);
-                    for (int listed : List.of(0, 1, 2, 3, 4, host)) {
-                        planner.hostReady(listed, listed % 2, 0, 1, Double.NEGATIVE_INFINITY);
-                    }
-                    planner.endHostList();
-                });
-            case 3 -> history.at(at, planner -> planner.joined(proxy, proxy % 2, 1 + proxy));
-            case 4 -> history.at(at, planner -> planner.lost(proxy));
-            case 5 -> history.at(at, planner -> planner.requestRate(proxy, 0, 1000, requests));
-            case 6 -> history.at(at, planner -> planner.hostStatistics(host, proxy % 2, 20, failed, meanMs, 1000));
-            case 7 ->
-                history.at(at, planner -> {
-                    planner.beginHostList(false);
-                    planner.hostReady(unmet, 0, 0, 1, Double.NEGATIVE_INFINITY); // on probation
-                    planner.endHostList();
-                });
-            default ->
-                history.at(at, planner -> {
-                    for (int each = 0; each < HOSTS; each++) {
-                        planner.hostStatistics(each, each % 2, 20, each == host ? failed : 0, meanMs, 1000);
-                    }
-                });
+        Consumer<Planner> event = switch (random.nextInt(9)) {
+            case 0 -> planner -> startHost(planner, host, history.now());
+            case 1 -> planner -> drainHost(planner, host);
+            case 2 -> planner -> readWholeList(planner, host);
+            case 3 -> planner -> planner.proxyJoined(proxy, proxy % 2, 1 + proxy);
+            case 4 -> planner -> planner.proxyDisconnected(proxy);
+            case 5 -> planner -> planner.requestRate(proxy, 0, 1000, requests);
+            case 6 -> planner -> planner.hostStatistics(host, proxy % 2, 20, failed, meanMs, 1000);
+            case 7 -> planner -> startHost(planner, unmetHost, Double.NEGATIVE_INFINITY); // on probation
+            default -> planner -> reportAll(planner, host, failed, meanMs);
+        };
+        history.at(elapsedMs, event);
+    }
+
+    private static void startHost(Planner planner, int host, double startedMs) {
+        planner.beginHostList(false);
+        planner.hostReady(host, host < HOSTS + 4 ? host % 2 : 0, 0, 1, startedMs);
+        planner.endHostList();
+    }
+
+    private static void drainHost(Planner planner, int host) {
+        planner.beginHostList(false);
+        planner.hostDraining(host, host % 2, 0, 1);
+        planner.endHostList();
+    }
+
+    private static void readWholeList(Planner planner, int host) {
+        planner.beginHostList(true);
+        for (int listed : List.of(0, 1, 2, 3, 4, host)) {
+            planner.hostReady(listed, listed % 2, 0, 1, Double.NEGATIVE_INFINITY);
+        }
+        planner.endHostList();
+    }
+
+    private static void reportAll(Planner planner, int failingHost, int failed, double meanMs) {
+        for (int host = 0; host < HOSTS; host++) {
+            planner.hostStatistics(host, host % 2, 20, host == failingHost ? failed : 0, meanMs, 1000);
         }
     }
 }
--- a/src/test/java/linenring/planner/PlannerHistory.java
+++ b/src/test/java/linenring/planner/PlannerHistory.java
@@ -7,31 +7,31 @@
 import java.util.function.Consumer;
 
 /**
- * Plays a planner on a clock of its own, with proxies that answer each barrier a fifth of a second later. It is called when
+ * Plays a planner on a clock of its own, with proxies that acknowledge each message a fifth of a second later. It is called when
  * something arrives, and either at every tick or only when it asked to be.
  */
 final class PlannerHistory implements Commands {
     private static final double START_MS = 1_000_000;
     private static final double TICK_MS = 100;
     private static final double ROUNDING_MS = 1;
-    private static final double ANSWER_MS = 200;
+    private static final double ACKNOWLEDGEMENT_MS = 200;
     private static final int PROXIES = 6;
-    /** The proxy that answers no barrier, where there is one. */
+    /** The proxy that acknowledges nothing, where there is one. */
     private static final int SILENT = 5;
 
-    private record Event(double at, long number, Consumer<Planner> what) {}
+    private record Event(double timeMs, long number, Consumer<Planner> input) {}
 
     private final boolean everyTick;
     private final boolean oneIsSilent;
-    private final Planner planner = new Planner(FakeHost.figures(0), this);
+    private final Planner planner = new Planner(FakeProxies.settings(0), this);
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::number));
-    private final PriorityQueue<Double> alarms = new PriorityQueue<>();
+            new PriorityQueue<>(Comparator.comparingDouble(Event::timeMs).thenComparingLong(Event::number));
+    private final PriorityQueue<Double> calls = new PriorityQueue<>();
     private final List<String> decisions = new ArrayList<>();
     private double now = START_MS;
     private double tickAt = START_MS;
     private long arrivals;
-    private int calls;
+    private int callCount;
 
     PlannerHistory(boolean everyTick, boolean oneIsSilent) {
         this.everyTick = everyTick;
@@ -43,7 +43,7 @@
     }
 
     int calls() {
-        return calls;
+        return callCount;
     }
 
     /** All commands in order, each with its time. */
@@ -52,16 +52,16 @@
     }
 
     /** Has something arrive so many milliseconds after the start. */
-    void at(double ms, Consumer<Planner> what) {
-        arrive(START_MS + ms, what);
+    void at(double elapsedMs, Consumer<Planner> input) {
+        arrive(START_MS + elapsedMs, input);
     }
 
-    private void arrive(double time, Consumer<Planner> what) {
-        events.add(new Event(time, arrivals++, what));
+    private void arrive(double timeMs, Consumer<Planner> input) {
+        events.add(new Event(timeMs, arrivals++, input));
     }
 
-    void passTo(double ms) {
-        double end = START_MS + ms;
+    void passTo(double elapsedMs) {
+        double end = START_MS + elapsedMs;
         while (nextCall() <= end) {
             call(nextCall());
         }
@@ -70,45 +70,45 @@
 
     private double nextCall() {
         double next =
-                events.isEmpty() ? Double.POSITIVE_INFINITY : events.peek().at();
-        double timer = alarms.isEmpty() ? Double.POSITIVE_INFINITY : alarms.peek();
+                events.isEmpty() ? Double.POSITIVE_INFINITY : events.peek().timeMs();
+        double timer = calls.isEmpty() ? Double.POSITIVE_INFINITY : calls.peek();
         return Math.min(next, timer);
     }
 
     private void call(double time) {
         now = time;
-        calls++;
-        while (!alarms.isEmpty() && alarms.peek() <= now) {
-            alarms.poll();
+        callCount++;
+        while (!calls.isEmpty() && calls.peek() <= now) {
+            calls.poll();
         }
         if (everyTick && tickAt <= now + ROUNDING_MS) {
             tickAt = now + TICK_MS;
-            alarms.add(tickAt);
+            calls.add(tickAt);
         }
-        planner.clock(now);
-        while (!events.isEmpty() && events.peek().at() <= now) {
-            events.poll().what().accept(planner);
+        planner.advanceClock(now);
+        while (!events.isEmpty() && events.peek().timeMs() <= now) {
+            events.poll().input().accept(planner);
         }
         planner.reconcile();
     }
 
-    private void decided(String what) {
-        decisions.add(now + " " + what);
+    private void decided(String command) {
+        decisions.add(now + " " + command);
     }
 
     @Override
     public void setWeight(int table, int host, double weight) {
-        decided("line " + table + " " + host + " " + weight);
+        decided("weight " + table + " " + host + " " + weight);
     }
 
     @Override
     public void clearTable(int table) {
-        decided("wipe " + table);
+        decided("clear " + table);
     }
 
     @Override
-    public void setEjected(int host, boolean out) {
-        decided("withdraw " + host + " " + out);
+    public void setEjected(int host, boolean eject) {
+        decided("eject " + host + " " + eject);
     }
 
     @Override
@@ -127,35 +127,37 @@
     }
 
     @Override
-    public void setAdmission(int table, int operations, double admissionRatio, RetryPolicy tries) {
-        decided("level " + table + " " + operations + " " + admissionRatio + " " + tries);
+    public void setAdmission(int table, int operations, double admissionRatio, RetryPolicy retryPolicy) {
+        decided("admission " + table + " " + operations + " " + admissionRatio + " " + retryPolicy);
     }
 
     @Override
-    public void requestAcknowledgement(int mark) {
-        decided("barrier " + mark);
+    public void requestAcknowledgement(int nonce) {
+        decided("acknowledge " + nonce);
         for (int proxy = 0; proxy < PROXIES; proxy++) {
-            int answering = proxy;
+            int acknowledging = proxy;
             if (!oneIsSilent || proxy != SILENT) {
-                arrive(now + ANSWER_MS, p -> p.barrierAcknowledged(answering, mark, ANSWER_MS));
+                arrive(
+                        now + ACKNOWLEDGEMENT_MS,
+                        target -> target.messageAcknowledged(acknowledging, nonce, ACKNOWLEDGEMENT_MS));
             }
         }
     }
 
     @Override
-    public double entriesInMessage(int proxy, double reckoned) {
-        return reckoned;
+    public double entriesInMessage(int proxy, double expected) {
+        return expected;
     }
 
     @Override
-    public void requestCall(double at) {
+    public void requestCall(double atMs) {
         if (!everyTick) {
-            alarms.add(at);
+            calls.add(atMs);
         }
     }
 
     @Override
     public void watchHostList() {
-        decided("followList");
+        decided("watch");
     }
 }
--- a/src/test/java/linenring/planner/RandomFleet.java
+++ b/src/test/java/linenring/planner/RandomFleet.java
@@ -88,9 +88,9 @@
             }
             planner.endHostList();
             for (int shard = 1; shard <= shape.settings().shards().count(); shard++) {
-                planner.charge(shard, shard % 3 != 0);
+                planner.setShardInCharge(shard, shard % 3 != 0);
                 if (shard % 5 == 0) {
-                    planner.held(shard, random.nextInt(shape.hosts()), 1 + random.nextInt(2));
+                    planner.setShardOwner(shard, random.nextInt(shape.hosts()), 1 + random.nextInt(2));
                 }
             }
         });
@@ -121,7 +121,7 @@
     private void join(Planner planner, int proxy) {
         isJoined[proxy] = true;
         double usual = shape.requestsPerSecond() * (0.5 + random.nextDouble());
-        planner.joined(proxy, proxy % shape.zones(), usual);
+        planner.proxyJoined(proxy, proxy % shape.zones(), usual);
     }
 
     private boolean happens(double chance) {
@@ -301,7 +301,7 @@
             int proxy = random.nextInt(shape.proxies());
             if (isJoined[proxy]) {
                 isJoined[proxy] = false;
-                planner.lost(proxy);
+                planner.proxyDisconnected(proxy);
             }
         }
     }
--- a/src/test/java/linenring/planner/ReconcileMeasurement.java
+++ b/src/test/java/linenring/planner/ReconcileMeasurement.java
@@ -1,91 +1,118 @@
 package linenring.planner;
 
+import java.util.List;
 import java.util.Locale;
+import java.util.stream.IntStream;
+import linenring.planner.PlannerSettings.Channel;
+import linenring.planner.PlannerSettings.ColdStart;
+import linenring.planner.PlannerSettings.Measure;
+import linenring.planner.PlannerSettings.Shards;
 
 /** How long one input takes at size, in milliseconds; run by hand. */
 final class ReconcileMeasurement {
-    private ReconcileMeasurement() {}
+    private static final int REPORTS = 10;
+
+    private final int hosts;
+    private final int proxies;
+    private final int zones;
+    private final FakeProxies fleet;
+    private final Planner planner;
+
+    private ReconcileMeasurement(int hosts, int proxies, int zones) {
+        this.hosts = hosts;
+        this.proxies = proxies;
+        this.zones = zones;
+        fleet = new FakeProxies(settings(proxies));
+        planner = fleet.planner();
+    }
 
     public static void main(String[] args) {
         System.out.println(
-                "| hosts x proxies | zones | all join | an answer | sums of all, and a settle | a tenth drains | all join again |");
-        for (int[] size : new int[][] {{64, 64}, {64, 64}, {128, 128}, {256, 256}, {512, 512}, {1024, 1024}}) {
+                "| hosts x proxies | zones | all join | an acknowledgement | reports of all, and a reconciliation"
+                        + " | a tenth drains | all join again |");
+        for (int size : new int[] {64, 64, 128, 256, 512, 1024}) {
             for (int zones : new int[] {3, 64}) {
-                System.out.println(row(size[0], size[1], zones));
+                System.out.println(new ReconcileMeasurement(size, size, zones).row());
             }
         }
     }
 
-    private static String row(int hosts, int proxies, int zones) {
-        PlannerSettings f = new PlannerSettings(
-                java.util.List.of(
-                        FakeHost.operation(2, FakeHost.ALL),
-                        FakeHost.operation(3, FakeHost.ALL),
-                        FakeHost.operation(3, FakeHost.ALL)),
-                new PlannerSettings.ColdStart(0.2, 18_000),
-                new PlannerSettings.Channel(1200, 4, 22.0 * proxies, 30, 10_000, 200, 500, 16_000),
-                new PlannerSettings.Shards(0, false, 0, 0),
-                PlannerSettings.Measure.SHARE,
+    private static PlannerSettings settings(int proxies) {
+        return new PlannerSettings(
+                List.of(
+                        FakeProxies.operation(2, FakeProxies.ALL),
+                        FakeProxies.operation(3, FakeProxies.ALL),
+                        FakeProxies.operation(3, FakeProxies.ALL)),
+                new ColdStart(0.2, 18_000),
+                new Channel(1200, 4, 22.0 * proxies, 30, 10_000, 200, 500, 16_000),
+                new Shards(0, false, 0, 0),
+                Measure.SHARE,
                 false,
                 0,
                 false,
                 6);
-        FakeHost host = new FakeHost(f);
-        Planner planner = host.planner;
-        planner.clock(host.now);
+    }
+
+    private String row() {
+        planner.advanceClock(fleet.nowMs());
         planner.beginHostList(true);
-        for (int h = 0; h < hosts; h++) {
-            planner.hostReady(h, h % zones, h / zones % 2, 1, Double.NEGATIVE_INFINITY);
+        for (int host = 0; host < hosts; host++) {
+            planner.hostReady(host, host % zones, host / zones % 2, 1, Double.NEGATIVE_INFINITY);
         }
         planner.endHostList();
-        host.settle();
-        Runnable all = () -> {
-            for (int p = 0; p < proxies; p++) {
-                planner.joined(p, p % zones, 1 + p % 7);
-            }
-            planner.reconcile();
-        };
-        double join = took(all);
-        host.joined.addAll(java.util.stream.IntStream.range(0, proxies).boxed().toList());
-        host.pass(20_000);
-        int mark = host.barriers;
-        double answer = took(() -> planner.barrierAcknowledged(0, mark, 100));
-        double sums = 0;
-        for (int i = 0; i < 10; i++) {
-            sums += took(() -> {
-                        planner.clock(host.now += 500);
-                        for (int h = 0; h < hosts; h++) {
-                            planner.hostStatistics(h, h % zones, 20, h % 50 == 0 ? 3 : 0, 200, 1000);
-                        }
-                        planner.reconcile();
-                    })
-                    / 10;
+        fleet.reconcile();
+        double joinMs = measure(this::joinAll);
+        fleet.joined().addAll(IntStream.range(0, proxies).boxed().toList());
+        fleet.pass(20_000);
+        int nonce = fleet.acknowledgementRequests();
+        double acknowledgementMs = measure(() -> planner.messageAcknowledged(0, nonce, 100));
+        double reportMs = 0;
+        for (int report = 1; report <= REPORTS; report++) {
+            double atMs = fleet.nowMs() + 500 * report;
+            reportMs += measure(() -> reportAll(atMs)) / REPORTS;
         }
-        double drain = took(() -> {
-            planner.beginHostList(false);
-            for (int h = 0; h < hosts / 10; h++) {
-                planner.hostDraining(h, h % zones, h / zones % 2, 1);
-            }
-            planner.endHostList();
-            planner.reconcile();
-        });
-        double again = took(all);
+        double drainMs = measure(this::drainTenth);
+        double joinAgainMs = measure(this::joinAll);
         return String.format(
                 Locale.ROOT,
                 "| %d x %d | %d | %.1f | %.2f | %.1f | %.1f | %.1f |",
                 hosts,
                 proxies,
                 zones,
-                join,
-                answer,
-                sums,
-                drain,
-                again);
+                joinMs,
+                acknowledgementMs,
+                reportMs,
+                drainMs,
+                joinAgainMs);
+    }
+
+    private void joinAll() {
+        for (int proxy = 0; proxy < proxies; proxy++) {
+            planner.proxyJoined(proxy, proxy % zones, 1 + proxy % 7);
+        }
+        planner.reconcile();
+    }
+
+    private void reportAll(double atMs) {
+        planner.advanceClock(atMs);
+        for (int host = 0; host < hosts; host++) {
+            planner.hostStatistics(host, host % zones, 20, host % 50 == 0 ? 3 : 0, 200, 1000);
+        }
+        planner.reconcile();
+    }
+
+    private void drainTenth() {
+        planner.beginHostList(false);
+        for (int host = 0; host < hosts / 10; host++) {
+            planner.hostDraining(host, host % zones, host / zones % 2, 1);
+        }
+        planner.endHostList();
+        planner.reconcile();
     }
 
-    private static double took(Runnable what) {
-        long at = System.nanoTime();
-        what.run();
-        return (System.nanoTime() - at) / 1e6;
+    private static double measure(Runnable input) {
+        long startNanos = System.nanoTime();
+        input.run();
+        return (System.nanoTime() - startNanos) / 1e6;
     }
 }
--- a/src/test/java/linenring/planner/RecordedHistories.java
+++ b/src/test/java/linenring/planner/RecordedHistories.java
@@ -14,7 +14,7 @@
 /** The histories whose commands are compared with a reference; each is known by its name and seed. */
 final class RecordedHistories {
     private static final int SEEDS = 3;
-    private static final Shards NO_SHARDS = new Shards(0, false, 0, 0);
+    private static final Shards WITHOUT_SHARDS = new Shards(0, false, 0, 0);
 
     /** One history. */
     record History(String name, long seed, Shape shape) {
@@ -27,6 +27,9 @@
         }
     }
 
+    /** Chances a second that a host fails, that one slows down, that hosts are replaced, and that proxies join or are lost. */
+    private record Chances(double fail, double slow, double replace, double join) {}
+
     private RecordedHistories() {}
 
     static List<History> all() {
@@ -43,51 +46,129 @@
         Map<String, Shape> shapes = new LinkedHashMap<>();
         Channel wide = channel(20_000, 40_000, 0);
         Channel narrow = channel(1200, 18_000, 60);
-        shapes.put("health", shape(settings(wide, NO_SHARDS), 18, 8, 40, 0.08, 0.5, 0.012, 0.004, 0.05, 0.02));
-        shapes.put("kinds", kinds(settings(wide, NO_SHARDS), 24, 6, 8));
-        shapes.put("overload", shape(overload(wide, Measure.SHARE), 12, 6, 30, 0.2, 1.3, 0.004, 0, 0.1, 0.02));
-        shapes.put("overload-rate", shape(overload(wide, Measure.PER_SECOND), 10, 5, 30, 0.1, 1.1, 0, 0, 0.02, 0));
-        shapes.put("subsets", shape(settings(narrow, NO_SHARDS), 48, 120, 3, 0.1, 0.5, 0.002, 0.001, 0.3, 0.3));
+        addHealthAndLoad(shapes, wide);
+        addSubsetsAndZones(shapes, wide, narrow);
+        addDrainsAndLists(shapes, wide);
+        addShards(shapes, wide);
+        addThinTraffic(shapes, wide);
+        addSlowChannels(shapes);
+        return shapes;
+    }
+
+    private static void addHealthAndLoad(Map<String, Shape> shapes, Channel wide) {
+        shapes.put(
+                "health",
+                shape(settings(wide, WITHOUT_SHARDS), 18, 8, 40, 0.08, 0.5, new Chances(0.012, 0.004, 0.05, 0.02)));
+        shapes.put("kinds", kinds(settings(wide, WITHOUT_SHARDS), 24, 6, 8));
+        shapes.put(
+                "overload",
+                shape(overload(wide, Measure.SHARE), 12, 6, 30, 0.2, 1.3, new Chances(0.004, 0, 0.1, 0.02)));
+        shapes.put(
+                "overload-rate",
+                shape(overload(wide, Measure.PER_SECOND), 10, 5, 30, 0.1, 1.1, new Chances(0, 0, 0.02, 0)));
+    }
+
+    private static void addSubsetsAndZones(Map<String, Shape> shapes, Channel wide, Channel narrow) {
+        shapes.put(
+                "subsets",
+                shape(settings(narrow, WITHOUT_SHARDS), 48, 120, 3, 0.1, 0.5, new Chances(0.002, 0.001, 0.3, 0.3)));
         shapes.put(
                 "subset-churn",
-                shape(settings(channel(700, 9000, 30), NO_SHARDS), 40, 90, 2, 0.1, 0.4, 0, 0, 0.5, 0.6));
-        shapes.put("surge", shape(settings(channel(400, 9000, 40), NO_SHARDS), 30, 60, 6, 0.1, 0.3, 0, 0, 0.3, 0.4));
-        shapes.put("zones", cut(settings(wide, NO_SHARDS), 60, 12, 2));
-        shapes.put("zone-subsets", cut(settings(narrow, NO_SHARDS), 60, 60, 1));
+                shape(
+                        settings(channel(700, 9000, 30), WITHOUT_SHARDS),
+                        40,
+                        90,
+                        2,
+                        0.1,
+                        0.4,
+                        new Chances(0, 0, 0.5, 0.6)));
         shapes.put(
-                "home-zone", shape(homeZone(channel(5000, 20_000, 30)), 18, 12, 20, 0.1, 0.6, 0.005, 0.002, 0.1, 0.1));
+                "surge",
+                shape(
+                        settings(channel(400, 9000, 40), WITHOUT_SHARDS),
+                        30,
+                        60,
+                        6,
+                        0.1,
+                        0.3,
+                        new Chances(0, 0, 0.3, 0.4)));
+        shapes.put("zones", cut(settings(wide, WITHOUT_SHARDS), 60, 12, 2));
+        shapes.put("zone-subsets", cut(settings(narrow, WITHOUT_SHARDS), 60, 60, 1));
         shapes.put(
-                "drains", shape(settings(channel(2500, 1500, 8), NO_SHARDS), 24, 20, 10, 0.1, 0.3, 0.002, 0, 0.9, 0.2));
-        shapes.put("short-grace", shape(settings(shortGrace(), NO_SHARDS), 30, 24, 8, 0.1, 0.3, 0, 0, 0.8, 0.2));
-        shapes.put("ids", shape(settings(wide, NO_SHARDS), 12, 8, 20, 0.1, 0.4, 0.003, 0, 0.8, 0.1));
-        shapes.put("asked-list", shape(askedList(wide), 8, 4, 20, 0.05, 0.3, 0.002, 0, 0.2, 0.05));
+                "home-zone",
+                shape(homeZone(channel(5000, 20_000, 30)), 18, 12, 20, 0.1, 0.6, new Chances(0.005, 0.002, 0.1, 0.1)));
+    }
+
+    private static void addDrainsAndLists(Map<String, Shape> shapes, Channel wide) {
+        shapes.put(
+                "drains",
+                shape(
+                        settings(channel(2500, 1500, 8), WITHOUT_SHARDS),
+                        24,
+                        20,
+                        10,
+                        0.1,
+                        0.3,
+                        new Chances(0.002, 0, 0.9, 0.2)));
+        shapes.put(
+                "short-grace",
+                shape(settings(shortGrace(), WITHOUT_SHARDS), 30, 24, 8, 0.1, 0.3, new Chances(0, 0, 0.8, 0.2)));
+        shapes.put("ids", shape(settings(wide, WITHOUT_SHARDS), 12, 8, 20, 0.1, 0.4, new Chances(0.003, 0, 0.8, 0.1)));
+        shapes.put("asked-list", shape(polledList(wide), 8, 4, 20, 0.05, 0.3, new Chances(0.002, 0, 0.2, 0.05)));
+    }
+
+    private static void addShards(Map<String, Shape> shapes, Channel wide) {
         shapes.put(
                 "shards",
-                shape(settings(wide, new Shards(24, false, 3000, 1000)), 9, 6, 20, 0.1, 0.3, 0, 0, 0.3, 0.05));
+                shape(
+                        settings(wide, new Shards(24, false, 3000, 1000)),
+                        9,
+                        6,
+                        20,
+                        0.1,
+                        0.3,
+                        new Chances(0, 0, 0.3, 0.05)));
         shapes.put(
                 "single-owner",
-                shape(settings(wide, new Shards(16, true, 2500, 700)), 7, 6, 20, 0.1, 0.3, 0.002, 0, 0.3, 0.05));
-        addThinTraffic(shapes, wide);
-        addSlowChannels(shapes);
-        return shapes;
+                shape(
+                        settings(wide, new Shards(16, true, 2500, 700)),
+                        7,
+                        6,
+                        20,
+                        0.1,
+                        0.3,
+                        new Chances(0.002, 0, 0.3, 0.05)));
     }
 
     /** Few requests for each host: the histories in which the least evidence for a verdict is decisive. */
     private static void addThinTraffic(Map<String, Shape> shapes, Channel wide) {
-        shapes.put("thin-zones", cut(settings(wide, NO_SHARDS), 40, 20, 0.6));
-        shapes.put("thin-cold", shape(settings(wide, NO_SHARDS), 20, 10, 4.6, 0.2, 0.7, 0.01, 0, 0.5, 0.2));
-        shapes.put("tiny", shape(overload(wide, Measure.SHARE), 5, 2, 3.5, 0.2, 0.9, 0.02, 0, 0.05, 0.05));
-        shapes.put("mass-failure", shape(settings(wide, NO_SHARDS), 20, 10, 30, 0.2, 1, 0.09, 0.03, 0.1, 0.05));
-        shapes.put("slow-hosts", shape(settings(wide, NO_SHARDS), 16, 8, 16, 0.15, 0.5, 0, 0.02, 0.02, 0.02));
+        shapes.put("thin-zones", cut(settings(wide, WITHOUT_SHARDS), 40, 20, 0.6));
+        shapes.put(
+                "thin-cold",
+                shape(settings(wide, WITHOUT_SHARDS), 20, 10, 4.6, 0.2, 0.7, new Chances(0.01, 0, 0.5, 0.2)));
+        shapes.put("tiny", shape(overload(wide, Measure.SHARE), 5, 2, 3.5, 0.2, 0.9, new Chances(0.02, 0, 0.05, 0.05)));
+        shapes.put(
+                "mass-failure",
+                shape(settings(wide, WITHOUT_SHARDS), 20, 10, 30, 0.2, 1, new Chances(0.09, 0.03, 0.1, 0.05)));
+        shapes.put(
+                "slow-hosts",
+                shape(settings(wide, WITHOUT_SHARDS), 16, 8, 16, 0.15, 0.5, new Chances(0, 0.02, 0.02, 0.02)));
     }
 
-    /** Little pace, silent proxies and uneven parts: the histories in which the account of the channel is decisive. */
+    /** A slow channel, silent proxies and uneven subsets: the histories in which the account of the channel is decisive. */
     private static void addSlowChannels(Map<String, Shape> shapes) {
-        shapes.put("silent", silent(settings(channel(150, 1200, 0), NO_SHARDS), 14, 9));
-        shapes.put("silent-capped", silent(settings(channel(900, 4000, 12), NO_SHARDS), 20, 16));
+        shapes.put("silent", silent(settings(channel(150, 1200, 0), WITHOUT_SHARDS), 14, 9));
+        shapes.put("silent-capped", silent(settings(channel(900, 4000, 12), WITHOUT_SHARDS), 20, 16));
         shapes.put(
                 "uneven-parts",
-                shape(settings(channel(900, 14_000, 0), NO_SHARDS), 36, 110, 2, 0.1, 0.4, 0, 0, 0.7, 0.9));
+                shape(
+                        settings(channel(900, 14_000, 0), WITHOUT_SHARDS),
+                        36,
+                        110,
+                        2,
+                        0.1,
+                        0.4,
+                        new Chances(0, 0, 0.7, 0.9)));
     }
 
     private static Shape silent(PlannerSettings settings, int hosts, int proxies) {
@@ -101,10 +182,7 @@
             double requestsPerSecond,
             double pressureLow,
             double pressureHigh,
-            double failChance,
-            double slowChance,
-            double replaceChance,
-            double joinChance) {
+            Chances chances) {
         return new Shape(
                 settings,
                 hosts,
@@ -114,10 +192,10 @@
                 requestsPerSecond,
                 pressureLow,
                 pressureHigh,
-                failChance,
-                slowChance,
-                replaceChance,
-                joinChance,
+                chances.fail(),
+                chances.slow(),
+                chances.replace(),
+                chances.join(),
                 0,
                 0,
                 120);
@@ -132,12 +210,12 @@
                 settings, hosts, proxies, 3, 1, requestsPerSecond, 0.1, 0.4, 0.001, 0, 0.05, 0.05, 0.15, 0, 160);
     }
 
-    private static Operation operation(double objective, double value, boolean homeZoneOnly) {
-        return new Operation(objective, value, -1, -1, homeZoneOnly, 2);
+    private static Operation operation(double objectiveMs, double value, boolean homeZoneOnly) {
+        return new Operation(objectiveMs, value, -1, -1, homeZoneOnly, 2);
     }
 
-    private static Channel channel(double pace, double mostWaiting, int messagesMost) {
-        return new Channel(pace, 4, mostWaiting, messagesMost, 10_000, 100, 250, 5000);
+    private static Channel channel(double entriesPerSecond, double maxQueuedEntries, int maxMessages) {
+        return new Channel(entriesPerSecond, 4, maxQueuedEntries, maxMessages, 10_000, 100, 250, 5000);
     }
 
     private static Channel shortGrace() {
@@ -156,21 +234,21 @@
     private static PlannerSettings overload(Channel channel, Measure measure) {
         List<Operation> operations =
                 List.of(operation(600, 1, false), operation(1000, 5, false), operation(2500, 3, false));
-        return settings(channel, NO_SHARDS, measure, operations);
+        return settings(channel, WITHOUT_SHARDS, measure, operations);
     }
 
     private static PlannerSettings homeZone(Channel channel) {
         List<Operation> operations =
                 List.of(operation(800, 1, true), operation(800, 2, true), new Operation(1500, 4, 1, -1, false, 2));
-        return settings(channel, NO_SHARDS, Measure.SHARE, operations);
+        return settings(channel, WITHOUT_SHARDS, Measure.SHARE, operations);
     }
 
-    private static PlannerSettings askedList(Channel channel) {
+    private static PlannerSettings polledList(Channel channel) {
         return new PlannerSettings(
                 List.of(operation(1000, 1, false)),
                 new ColdStart(0.3, 12_000),
                 channel,
-                NO_SHARDS,
+                WITHOUT_SHARDS,
                 Measure.NONE,
                 true,
                 6000,
--- a/src/test/java/linenring/planner/RecordedHistory.java
+++ b/src/test/java/linenring/planner/RecordedHistory.java
@@ -20,13 +20,13 @@
     private static final int MESSAGE_HEAD_ENTRIES = 5;
     private static final int MOST_HOSTS = 1024;
 
-    private record Event(double at, long number, Consumer<Planner> what) {}
+    private record Event(double timeMs, long number, Consumer<Planner> input) {}
 
     private final PlannerSettings settings;
     private final IntPredicate isSometimesSilent;
     private final Planner planner;
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::number));
+            new PriorityQueue<>(Comparator.comparingDouble(Event::timeMs).thenComparingLong(Event::number));
     private final PriorityQueue<Double> calls = new PriorityQueue<>();
     private final List<String> commands = new ArrayList<>();
     private final BitSet ejected = new BitSet();
@@ -87,7 +87,7 @@
 
     private double nextCall() {
         double arrival =
-                events.isEmpty() ? Double.POSITIVE_INFINITY : events.peek().at();
+                events.isEmpty() ? Double.POSITIVE_INFINITY : events.peek().timeMs();
         double call = calls.isEmpty() ? Double.POSITIVE_INFINITY : calls.peek();
         return Math.min(arrival, call);
     }
@@ -97,9 +97,9 @@
         while (!calls.isEmpty() && calls.peek() <= now) {
             calls.poll();
         }
-        planner.clock(now);
-        while (!events.isEmpty() && events.peek().at() <= now) {
-            events.poll().what().accept(planner);
+        planner.advanceClock(now);
+        while (!events.isEmpty() && events.peek().timeMs() <= now) {
+            events.poll().input().accept(planner);
         }
         planner.reconcile();
         afterReconcile.forEach(Runnable::run);
@@ -145,7 +145,7 @@
     @Override
     public void setAdmission(int table, int operations, double admissionRatio, RetryPolicy retryPolicy) {
         record("admission table=" + table + " operations=" + operations + " " + rounded(admissionRatio) + " retries="
-                + retryPolicy.ordinal());
+                + retriesText(retryPolicy));
     }
 
     @Override
@@ -155,22 +155,31 @@
     }
 
     @Override
-    public double entriesInMessage(int proxy, double reckoned) {
+    public double entriesInMessage(int proxy, double expected) {
         double sentAt = now;
         int requested = nonce;
-        double entries = reckoned + MESSAGE_HEAD_ENTRIES;
+        double entries = expected + MESSAGE_HEAD_ENTRIES;
         channelFreeAt = Math.max(now, channelFreeAt)
                 + entries * channelSlowdown / settings.channel().entriesPerMs();
         double answeredAt = channelFreeAt + 2 * settings.channel().transitMs();
-        afterReconcile.add(() ->
-                arrive(answeredAt, to -> to.barrierAcknowledged(proxy, requested, Math.round(answeredAt - sentAt))));
-        return reckoned;
+        double tookMs = Math.round(answeredAt - sentAt);
+        afterReconcile.add(() -> arrive(answeredAt, target -> target.messageAcknowledged(proxy, requested, tookMs)));
+        return expected;
+    }
+
+    private static String retriesText(RetryPolicy retryPolicy) {
+        return switch (retryPolicy) {
+            case NONE -> "0";
+            case ONE_IF_NOT_EXECUTED -> "1";
+            case ONE -> "2";
+            case TWO -> "3";
+        };
     }
 
     @Override
-    public void requestCall(double at) {
-        calls.add(at);
-        record(String.format(Locale.ROOT, "call at=%.3f", at - START_MS));
+    public void requestCall(double atMs) {
+        calls.add(atMs);
+        record(String.format(Locale.ROOT, "call at=%.3f", atMs - START_MS));
     }
 
     @Override
--- a/src/test/java/linenring/planner/TableRegistryTest.java
+++ b/src/test/java/linenring/planner/TableRegistryTest.java
@@ -12,8 +12,8 @@
     private final Fleet fleet = new Fleet();
     private final Host first = fleet.host(0);
     private final Host second = fleet.host(1);
-    private final TableRegistry registry =
-            new TableRegistry(fleet, List.of(FakeHost.operation(1, FakeHost.ALL), FakeHost.operation(2, 1)), false);
+    private final TableRegistry registry = new TableRegistry(
+            fleet, List.of(FakeProxies.operation(1, FakeProxies.ALL), FakeProxies.operation(2, 1)), false);
 
     @Test
     void forgetTakesHostOutOfSubsetTablesAndLeavesListOfAllHosts() {
