--- a/src/test/java/linenring/planner/RecordedHistory.java
+++ b/src/test/java/linenring/planner/RecordedHistory.java
@@ -17,6 +17,7 @@
 final class RecordedHistory implements Commands {
     static final double START_MS = 1_000_000;
     private static final double SILENCE_CYCLE_MS = 20_000;
+    private static final double SPEAKING_SHARE = 0.6;
     private static final int MESSAGE_HEAD_ENTRIES = 5;
     private static final int MOST_HOSTS = 1024;
 
@@ -162,8 +163,11 @@
         channelFreeAt = Math.max(now, channelFreeAt)
                 + entries * channelSlowdown / settings.channel().entriesPerMs();
         double answeredAt = channelFreeAt + 2 * settings.channel().transitMs();
-        double tookMs = Math.round(answeredAt - sentAt);
-        afterReconcile.add(() -> arrive(answeredAt, target -> target.messageAcknowledged(proxy, requested, tookMs)));
+        if (!isSilent(proxy, answeredAt)) {
+            double tookMs = Math.round(answeredAt - sentAt);
+            afterReconcile.add(
+                    () -> arrive(answeredAt, target -> target.messageAcknowledged(proxy, requested, tookMs)));
+        }
         return expected;
     }
 
@@ -176,6 +180,11 @@
         };
     }
 
+    private boolean isSilent(int proxy, double atMs) {
+        boolean isInLastFifths = (atMs - START_MS) % SILENCE_CYCLE_MS >= SPEAKING_SHARE * SILENCE_CYCLE_MS;
+        return isInLastFifths && isSometimesSilent.test(proxy);
+    }
+
     @Override
     public void requestCall(double atMs) {
         calls.add(atMs);
