--- a/src/main/java/linenring/scale/measurement/ScaleRun.java
+++ b/src/main/java/linenring/scale/measurement/ScaleRun.java
@@ -7,8 +7,11 @@
  *
  * @param build the commit or release that was measured
  * @param startedAt when it began, ISO 8601
+ * @param seed of all random numbers
  * @param cores cores of the machine
- * @param machine processor and memory in words
+ * @param machine processor and memory, as text
+ * @param warmUpSeconds how long each point ran before it was measured
+ * @param windowSeconds how long each point was measured
  */
 public record ScaleRun(
         String build,
@@ -20,6 +23,7 @@
         double windowSeconds,
         List<MeasuredSweep> sweeps,
         List<ScenarioOutcome> scenarios) {
+    /** Copies the lists, so that the value can't change. */
     public ScaleRun {
         sweeps = List.copyOf(sweeps);
         scenarios = List.copyOf(scenarios);
--- a/src/main/java/linenring/scale/measurement/Scenario.java
+++ b/src/main/java/linenring/scale/measurement/Scenario.java
@@ -1,6 +1,6 @@
 package linenring.scale.measurement;
 
-/** What happens to the catalogue's hosts in a part of a run, beside the sweeps. */
+/** A sequence of events that is played beside the sweeps. The names are those of settings and records and stay. */
 public enum Scenario {
     IDLE("nothing changes"),
     CHURN("hosts come and go at random"),
@@ -10,8 +10,8 @@
     SILENCE_CAUGHT_UP("the catalogue falls silent, and an hour of changes is caught up"),
     SPOILT_LIST("some entries of a list cannot be read"),
     PARTIAL_LIST("a list is cut off within an entry"),
-    PROXIES_RESTARTED("all proxies of a steward join anew"),
-    STEWARDS_RESTARTED("the steward is killed and starts anew");
+    PROXIES_RESTARTED("all proxies of a controller join anew"),
+    STEWARDS_RESTARTED("the controller is killed and starts anew");
 
     private final String description;
 
@@ -19,7 +19,7 @@
         this.description = description;
     }
 
-    /** The words for tables. */
+    /** The text for tables. */
     public String description() {
         return description;
     }
--- a/src/main/java/linenring/scale/measurement/Usage.java
+++ b/src/main/java/linenring/scale/measurement/Usage.java
@@ -3,8 +3,8 @@
 import java.util.Map;
 
 /**
- * What one steward used while a workload ran, read from outside its process; of a hollow one, its share of its process.
- * A figure that could not be read is NaN.
+ * What one controller used while a workload ran, read from outside its process; of a simulated one, its share of its process.
+ * A value that could not be read is NaN.
  *
  * @param processorShare processor time over elapsed time: 1 is one core
  * @param residentBytes resident memory of the process at the end
@@ -24,6 +24,7 @@
         double messagesInPerSecond,
         double messagesOutPerSecond,
         Map<String, Double> shareByThread) {
+    /** Copies the map, so that the value can't change. */
     public Usage {
         shareByThread = Map.copyOf(shareByThread);
     }
--- a/src/main/java/linenring/scale/measurement/Variable.java
+++ b/src/main/java/linenring/scale/measurement/Variable.java
@@ -1,15 +1,16 @@
 package linenring.scale.measurement;
 
-/** What a sweep varies while all else is held. */
+/** What a sweep varies while all else is constant. The names are those of settings and records and stay. */
 public enum Variable {
     CATALOGUE_HOSTS("hosts in the catalogue"),
     HOSTS_IN_SCOPE("hosts in tables"),
-    PROXIES("proxies of a steward"),
+    PROXIES("proxies of a controller"),
     SERVICES("services in the catalogue"),
     ZONES("zones"),
-    STEWARDS("stewards that watch the catalogue"),
+    /** Controllers, real and simulated together. */
+    STEWARDS("controllers that watch the catalogue"),
     CHANGES_PER_SECOND("changes of the catalogue a second"),
-    REPORTS_PER_SECOND("reports to a steward a second"),
+    REPORTS_PER_SECOND("reports to a controller a second"),
     RESTARTS_PER_SECOND("restarts of hosts a second");
 
     private final String description;
@@ -26,7 +27,7 @@
         };
     }
 
-    /** The words for tables and plots. */
+    /** The text for tables and plots. */
     public String description() {
         return description;
     }
--- a/src/main/java/linenring/scale/measurement/Workload.java
+++ b/src/main/java/linenring/scale/measurement/Workload.java
@@ -4,16 +4,16 @@
 import java.util.Map;
 
 /**
- * What one steward is given to bear while it is measured. Rates are per second.
+ * The load on one controller while it is measured. The names of the components are the keys of stored records and stay.
  *
  * @param catalogueHosts hosts that the catalogue lists
- * @param hostsInScope hosts that the steward's tables may hold; equal to {@code catalogueHosts} where there is no scope
- * @param proxies proxies on the steward
+ * @param hostsInScope hosts that the controller's tables may hold; equal to {@code catalogueHosts} where there is no scope
+ * @param proxies proxies of the controller
  * @param services services that the catalogue's hosts divide into
  * @param zones zones that hosts and proxies are spread over
- * @param stewards stewards, real and hollow together, that watch the same catalogue
+ * @param stewards controllers, real and simulated together, that watch the same catalogue
  * @param changesPerSecond entries of the catalogue that change
- * @param reportsPerSecond reports of collectors and proxies to one steward
+ * @param reportsPerSecond reports of collectors and proxies to one controller
  * @param restartsPerSecond hosts that are replaced by a new one
  */
 public record Workload(
@@ -69,7 +69,7 @@
         return sizes;
     }
 
-    /** Whether the steward's tables may hold every host of the catalogue. */
+    /** Whether the controller's tables may hold every host of the catalogue. */
     public boolean scopeIsWhole() {
         return hostsInScope == catalogueHosts;
     }
--- a/src/main/java/linenring/scale/report/MarkdownReport.java
+++ b/src/main/java/linenring/scale/report/MarkdownReport.java
@@ -1,6 +1,6 @@
 package linenring.scale.report;
 
-import static linenring.scale.report.MarkdownTable.figure;
+import static linenring.scale.report.MarkdownTable.number;
 import static linenring.scale.report.MarkdownTable.signedPercent;
 import static linenring.scale.report.MarkdownTable.text;
 
@@ -27,6 +27,7 @@
     private final ScaleRun run;
     private final List<SweepAnalysis> analyses;
 
+    /** A report of a run; {@code analyses} has one for each sweep, in their order. */
     public MarkdownReport(ScaleRun run, List<SweepAnalysis> analyses) {
         this.run = run;
         this.analyses = List.copyOf(analyses);
@@ -46,28 +47,28 @@
 
     private String head() {
         return "Build " + run.build() + ", begun " + run.startedAt() + ", seed " + run.seed() + ", " + run.cores()
-                + " cores, " + run.machine() + ". Each point: " + figure(run.warmUpSeconds()) + " s of warm-up, "
-                + figure(run.windowSeconds()) + " s measured. MB is 10^6 bytes, kB 10^3.\n";
+                + " cores, " + run.machine() + ". Each point: " + number(run.warmUpSeconds()) + " s of warm-up, "
+                + number(run.windowSeconds()) + " s measured. MB is 10^6 bytes, kB 10^3.\n";
     }
 
-    private static String section(int number, SweepAnalysis analysis) {
+    private static String section(int index, SweepAnalysis analysis) {
         MeasuredSweep sweep = analysis.sweep();
-        return "\n## " + number + ". By " + sweep.variable().description() + "\n\nHeld: " + held(sweep) + ".\n\n"
+        return "\n## " + index + ". By " + sweep.variable().description() + "\n\nHeld: " + constants(sweep) + ".\n\n"
                 + points(sweep) + "\n" + fits(analysis) + threads(sweep);
     }
 
     private static String threads(MeasuredSweep sweep) {
         ThreadTable table = new ThreadTable(sweep);
-        String told = "\nProcessor time by thread of the real steward, % of a core:\n\n";
-        return table.isEmpty() ? "" : told + table.markdown(sweep.variable().description());
+        String heading = "\nProcessor time by thread of the real controller, % of a core:\n\n";
+        return table.isEmpty() ? "" : heading + table.markdown(sweep.variable().description());
     }
 
-    private static String held(MeasuredSweep sweep) {
+    private static String constants(MeasuredSweep sweep) {
         Workload base = sweep.base();
         return Arrays.stream(Variable.values())
                 .filter(variable -> variable != sweep.variable())
                 .filter(variable -> !(variable == Variable.HOSTS_IN_SCOPE && base.scopeIsWhole()))
-                .map(variable -> variable.description() + " " + figure(base.size(variable)))
+                .map(variable -> variable.description() + " " + number(base.size(variable)))
                 .collect(Collectors.joining(", "));
     }
 
@@ -78,7 +79,7 @@
         for (Metric metric : Metric.values()) {
             headings.add(metric.description() + ", " + metric.unit());
         }
-        headings.add("hollow: processor, % of a core; heap, MB");
+        headings.add("simulated: processor, % of a core; heap, MB");
         headings.add("failure");
         MarkdownTable table = new MarkdownTable(headings);
         sweep.points().forEach(point -> table.row(cells(point)));
@@ -86,35 +87,35 @@
     }
 
     private static List<String> cells(Point point) {
-        List<String> cells = new ArrayList<>(List.of(figure(point.size())));
+        List<String> cells = new ArrayList<>(List.of(number(point.size())));
         for (Metric metric : Metric.values()) {
             cells.add(cell(metric, point.real()));
         }
-        cells.add(hollow(point.hollow()));
+        cells.add(simulated(point.hollow()));
         cells.add(text(point.failure()));
         return cells;
     }
 
     private static String cell(Metric metric, Usage usage) {
-        return usage == null ? "" : figure(metric.of(usage));
+        return usage == null ? "" : number(metric.of(usage));
     }
 
-    private static String hollow(Usage usage) {
+    private static String simulated(Usage usage) {
         return usage == null ? "" : cell(Metric.PROCESSOR, usage) + "; " + cell(Metric.HEAP, usage);
     }
 
     // ---- fits
 
-    /** The fits; of figures that have too few sizes the names alone. */
+    /** The fits; of metrics that have too few sizes the names alone. */
     private static String fits(SweepAnalysis analysis) {
         MarkdownTable table = new MarkdownTable(List.of(
-                "figure",
+                "metric",
                 "shape",
                 "formula",
                 "knee",
                 "residuals, +-",
                 "largest seen",
-                "kept out",
+                "held out",
                 "predicted",
                 "measured",
                 "error"));
@@ -126,8 +127,8 @@
                 unfitted.add(name(fitted) + ": " + few.measured() + " sizes, " + few.needed() + " are needed");
             }
         }
-        String told = unfitted.isEmpty() ? "" : "Not fitted: " + String.join("; ", unfitted) + ".\n";
-        return unfitted.size() == analysis.fits().size() ? told : table + (told.isEmpty() ? "" : "\n" + told);
+        String note = unfitted.isEmpty() ? "" : "Not fitted: " + String.join("; ", unfitted) + ".\n";
+        return unfitted.size() == analysis.fits().size() ? note : table + (note.isEmpty() ? "" : "\n" + note);
     }
 
     private static String name(SweepAnalysis.FittedMetric fitted) {
@@ -135,19 +136,19 @@
                 + fitted.metric().unit();
     }
 
-    private static List<String> cells(String figure, FitOutcome.Fitted found) {
+    private static List<String> cells(String metric, FitOutcome.Fitted found) {
         Fit fit = found.fit();
         HeldOut heldOut = found.heldOut();
         return List.of(
-                figure,
+                metric,
                 fit.shape().description(),
                 fit.formula(),
-                figure(fit.knee()),
-                figure(fit.residualError()),
-                figure(fit.largestSize()),
-                figure(heldOut.size()),
-                figure(heldOut.predicted()),
-                figure(heldOut.measured()),
+                number(fit.knee()),
+                number(fit.residualError()),
+                number(fit.largestSize()),
+                number(heldOut.size()),
+                number(heldOut.predicted()),
+                number(heldOut.measured()),
                 signedPercent(heldOut.error()));
     }
 
@@ -172,13 +173,13 @@
     private static List<String> cells(ScenarioOutcome outcome) {
         return List.of(
                 outcome.scenario().description(),
-                figure(outcome.workload().catalogueHosts()),
-                figure(outcome.hostsConcerned()),
-                figure(outcome.convergenceSeconds()),
-                figure(outcome.bytesIn() / KILO),
-                figure(outcome.bytesOut() / KILO),
+                number(outcome.workload().catalogueHosts()),
+                number(outcome.hostsConcerned()),
+                number(outcome.convergenceSeconds()),
+                number(outcome.bytesIn() / KILO),
+                number(outcome.bytesOut() / KILO),
                 cell(Metric.PROCESSOR, outcome.real()),
-                figure(PERCENT * outcome.peakProcessorShare()),
+                number(PERCENT * outcome.peakProcessorShare()),
                 cell(Metric.RESIDENT, outcome.real()),
                 text(outcome.failure()));
     }
--- a/src/main/java/linenring/scale/report/MarkdownTable.java
+++ b/src/main/java/linenring/scale/report/MarkdownTable.java
@@ -7,6 +7,7 @@
 /** Builds a Markdown table row by row. */
 final class MarkdownTable {
     private static final String ABSENT = "";
+    private static final double PERCENT = 100;
 
     private final StringBuilder text = new StringBuilder();
 
@@ -24,27 +25,31 @@
         return text.toString();
     }
 
-    /** A figure to three digits, a whole number as such; nothing for NaN. */
-    static String figure(double value) {
+    /** A number to three digits, a whole number as such; nothing for NaN. */
+    static String number(double value) {
         if (Double.isNaN(value)) {
             return ABSENT;
         }
-        if (value == Math.rint(value) || Math.abs(value) >= 100) {
+        double magnitude = Math.abs(value);
+        if (value == Math.rint(value) || magnitude >= 100) {
             return String.format(Locale.ROOT, "%,d", Math.round(value));
         }
-        int decimals = Math.abs(value) >= 10 ? 1 : Math.abs(value) >= 1 ? 2 : 3;
+        int decimals = magnitude >= 1 ? 2 : 3;
+        if (magnitude >= 10) {
+            decimals = 1;
+        }
         return String.format(Locale.ROOT, "%." + decimals + "f", value);
     }
 
-    /** A part of 1 in percent with its sign. */
-    static String signedPercent(double part) {
-        return Double.isNaN(part) || Double.isInfinite(part)
+    /** A fraction of 1 in percent with its sign; nothing if there is none. */
+    static String signedPercent(double fraction) {
+        return Double.isNaN(fraction) || Double.isInfinite(fraction)
                 ? ABSENT
-                : String.format(Locale.ROOT, "%+.1f%%", 100 * part);
+                : String.format(Locale.ROOT, "%+.1f%%", PERCENT * fraction);
     }
 
-    /** Text that cannot end a cell. */
-    static String text(String words) {
-        return words == null ? ABSENT : words.replace("|", "\\|").replace("\n", " ");
+    /** Text that cannot end a cell; nothing for null. */
+    static String text(String content) {
+        return content == null ? ABSENT : content.replace("|", "\\|").replace("\n", " ");
     }
 }
--- a/src/main/java/linenring/scale/report/Metric.java
+++ b/src/main/java/linenring/scale/report/Metric.java
@@ -1,45 +1,56 @@
 package linenring.scale.report;
 
 import java.util.Locale;
-import java.util.function.ToDoubleFunction;
 import linenring.scale.measurement.Usage;
 
-/** A figure of a usage, and the unit that tables and plots show it in. */
+/** A measured value of a usage, and the unit that tables and plots show it in. */
 public enum Metric {
-    PROCESSOR("processor", "% of a core", 0.01, Usage::processorShare),
-    RESIDENT("resident memory", "MB", 1e6, Usage::residentBytes),
-    HEAP("heap after collection", "MB", 1e6, Usage::heapBytes),
-    BYTES_IN("bytes in", "kB/s", 1e3, Usage::bytesInPerSecond),
-    BYTES_OUT("bytes out", "kB/s", 1e3, Usage::bytesOutPerSecond),
-    MESSAGES_IN("messages in", "a second", 1, Usage::messagesInPerSecond),
-    MESSAGES_OUT("messages out", "a second", 1, Usage::messagesOutPerSecond);
+    PROCESSOR("processor", "% of a core", 0.01),
+    RESIDENT("resident memory", "MB", 1e6),
+    HEAP("heap after collection", "MB", 1e6),
+    BYTES_IN("bytes in", "kB/s", 1e3),
+    BYTES_OUT("bytes out", "kB/s", 1e3),
+    MESSAGES_IN("messages in", "a second", 1),
+    MESSAGES_OUT("messages out", "a second", 1);
 
     private final String description;
     private final String unit;
     private final double unitSize;
-    private final ToDoubleFunction<Usage> figure;
 
-    Metric(String description, String unit, double unitSize, ToDoubleFunction<Usage> figure) {
+    Metric(String description, String unit, double unitSize) {
         this.description = description;
         this.unit = unit;
         this.unitSize = unitSize;
-        this.figure = figure;
     }
 
+    /** The text for tables and plots. */
     public String description() {
         return description;
     }
 
+    /** The unit for tables and plots. */
     public String unit() {
         return unit;
     }
 
-    /** The figure in its unit; NaN where it was not read. */
+    /** The value in its unit; NaN if it was not read. */
     public double of(Usage usage) {
-        return figure.applyAsDouble(usage) / unitSize;
+        return baseValue(usage) / unitSize;
     }
 
-    /** The word for file names. */
+    private double baseValue(Usage usage) {
+        return switch (this) {
+            case PROCESSOR -> usage.processorShare();
+            case RESIDENT -> usage.residentBytes();
+            case HEAP -> usage.heapBytes();
+            case BYTES_IN -> usage.bytesInPerSecond();
+            case BYTES_OUT -> usage.bytesOutPerSecond();
+            case MESSAGES_IN -> usage.messagesInPerSecond();
+            case MESSAGES_OUT -> usage.messagesOutPerSecond();
+        };
+    }
+
+    /** The name for file names. */
     String fileName() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
--- a/src/main/java/linenring/scale/report/RunReport.java
+++ b/src/main/java/linenring/scale/report/RunReport.java
@@ -8,23 +8,24 @@
 import java.util.List;
 import linenring.scale.measurement.ScaleRun;
 
-/** Writes a run's files into one directory: {@code NAME.json}, {@code NAME.md} and {@code NAME-SWEEP-FIGURE.png}. */
+/** Writes a run's files into one directory: {@code NAME.json}, {@code NAME.md} and {@code NAME-SWEEP-METRIC.png}. */
 public final class RunReport {
     private static final List<Metric> PLOTTED = List.of(Metric.PROCESSOR, Metric.RESIDENT, Metric.HEAP);
 
     private final Path directory;
 
+    /** A report in this directory, which is created when it is written. */
     public RunReport(Path directory) {
         this.directory = directory;
     }
 
-    /** The record, the tables and the plots. */
+    /** Writes the record, the tables and the plots. */
     public void write(ScaleRun run, String name) throws IOException {
         writeRecord(run, name);
         writeTables(run, name);
     }
 
-    /** The tables and the plots alone, of a run whose record is there. */
+    /** Writes the tables and the plots alone, of a run whose record exists. */
     public void writeTables(ScaleRun run, String name) throws IOException {
         Files.createDirectories(directory);
         List<SweepAnalysis> analyses =
@@ -35,7 +36,7 @@
         }
     }
 
-    /** The record alone, of a run that goes on too: the file is whole at any time. */
+    /** Writes the record alone, also during a run: a reader sees the old file or the new one, never a part. */
     public void writeRecord(ScaleRun run, String name) throws IOException {
         Files.createDirectories(directory);
         Path written = Files.writeString(directory.resolve(name + ".json.part"), RunRecords.write(run));
@@ -46,8 +47,8 @@
         for (SweepAnalysis.FittedMetric fitted : analysis.fits()) {
             if (fitted.side() == Side.REAL && PLOTTED.contains(fitted.metric())) {
                 Path file = directory.resolve(prefix + "-" + fitted.metric().fileName() + ".png");
-                try (OutputStream to = Files.newOutputStream(file)) {
-                    SweepPlot.write(analysis.sweep().variable(), fitted, to);
+                try (OutputStream plot = Files.newOutputStream(file)) {
+                    SweepPlot.write(analysis.sweep().variable(), fitted, plot);
                 }
             }
         }
--- a/src/main/java/linenring/scale/report/Side.java
+++ b/src/main/java/linenring/scale/report/Side.java
@@ -1,28 +1,30 @@
 package linenring.scale.report;
 
-import java.util.function.Function;
 import linenring.scale.measurement.Point;
 import linenring.scale.measurement.Usage;
 
-/** Whose usage is looked at. */
+/** Whose usage a fit describes. */
 public enum Side {
-    REAL("real", Point::real),
-    HOLLOW("hollow", Point::hollow);
+    REAL("real"),
+    /** Called hollow in stored records. */
+    SIMULATED("simulated");
 
     private final String description;
-    private final Function<Point, Usage> usage;
 
-    Side(String description, Function<Point, Usage> usage) {
+    Side(String description) {
         this.description = description;
-        this.usage = usage;
     }
 
+    /** The text for tables. */
     public String description() {
         return description;
     }
 
-    /** Its usage at a point, or null where there is none. */
+    /** Its usage at a point, or null if there is none. */
     public Usage of(Point point) {
-        return usage.apply(point);
+        return switch (this) {
+            case REAL -> point.real();
+            case SIMULATED -> point.hollow();
+        };
     }
 }
--- a/src/main/java/linenring/scale/report/SweepAnalysis.java
+++ b/src/main/java/linenring/scale/report/SweepAnalysis.java
@@ -7,20 +7,22 @@
 import linenring.scale.report.fit.FitOutcome;
 import linenring.scale.report.fit.Sample;
 
-/** The fits of a measured sweep. A point that failed, or whose figure was not read, is left out of them. */
+/** The fits of a measured sweep. A point that failed, or whose value was not read, is left out of them. */
 public record SweepAnalysis(MeasuredSweep sweep, List<FittedMetric> fits) {
+    /** Copies the list, so that the value can't change. */
     public SweepAnalysis {
         fits = List.copyOf(fits);
     }
 
-    /** One figure of one side against the sweep's variable. */
+    /** One metric of one side against the sweep's variable. */
     public record FittedMetric(Side side, Metric metric, List<Sample> samples, FitOutcome outcome) {
+        /** Copies the list, so that the value can't change. */
         public FittedMetric {
             samples = List.copyOf(samples);
         }
     }
 
-    /** Fits each figure that was read at any point. */
+    /** Fits each metric that was read at any point. */
     public static SweepAnalysis of(MeasuredSweep sweep) {
         List<FittedMetric> fits = new ArrayList<>();
         for (Side side : Side.values()) {
--- a/src/main/java/linenring/scale/report/SweepPlot.java
+++ b/src/main/java/linenring/scale/report/SweepPlot.java
@@ -14,18 +14,18 @@
 import org.knowm.xchart.style.lines.SeriesLines;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** One figure against its variable as a PNG: the points measured, and the fit beyond what it has seen. */
+/** One metric against its variable as a PNG: the measured points, and the fit up to the size that was held out. */
 final class SweepPlot {
-    private static final int WIDTH = 800;
-    private static final int HEIGHT = 500;
-    private static final int STEPS = 100; // of a fit's line
+    private static final int WIDTH_PIXELS = 800;
+    private static final int HEIGHT_PIXELS = 500;
+    private static final int LINE_SEGMENTS = 100;
 
     private SweepPlot() {}
 
-    static void write(Variable variable, SweepAnalysis.FittedMetric fitted, OutputStream to) throws IOException {
+    static void write(Variable variable, SweepAnalysis.FittedMetric fitted, OutputStream plot) throws IOException {
         XYChart chart = new XYChartBuilder()
-                .width(WIDTH)
-                .height(HEIGHT)
+                .width(WIDTH_PIXELS)
+                .height(HEIGHT_PIXELS)
                 .xAxisTitle(variable.description())
                 .yAxisTitle(
                         fitted.metric().description() + ", " + fitted.metric().unit())
@@ -39,16 +39,16 @@
         if (fitted.outcome() instanceof FitOutcome.Fitted found) {
             addFit(chart, found);
         }
-        BitmapEncoder.saveBitmap(chart, to, BitmapFormat.PNG);
+        BitmapEncoder.saveBitmap(chart, plot, BitmapFormat.PNG);
     }
 
     private static void addFit(XYChart chart, FitOutcome.Fitted found) {
-        double most = found.heldOut().size();
-        double[] sizes = IntStream.rangeClosed(0, STEPS)
-                .mapToDouble(i -> i * most / STEPS)
+        double largest = found.heldOut().size();
+        double[] sizes = IntStream.rangeClosed(0, LINE_SEGMENTS)
+                .mapToDouble(step -> step * largest / LINE_SEGMENTS)
                 .toArray();
-        double[] values = IntStream.rangeClosed(0, STEPS)
-                .mapToDouble(i -> found.fit().at(sizes[i]))
+        double[] values = IntStream.rangeClosed(0, LINE_SEGMENTS)
+                .mapToDouble(step -> found.fit().at(sizes[step]))
                 .toArray();
         String name = found.fit().shape().description() + " up to "
                 + Math.round(found.fit().largestSize());
--- a/src/main/java/linenring/scale/report/ThreadTable.java
+++ b/src/main/java/linenring/scale/report/ThreadTable.java
@@ -9,9 +9,11 @@
 import linenring.scale.measurement.Point;
 import linenring.scale.measurement.Usage;
 
-/** Which threads of a real steward a sweep's processor time went to; threads that hardly ran are shown as one. */
+/** The processor time of a sweep by the threads of a real controller; threads that hardly ran are added up. */
 final class ThreadTable {
-    private static final double LEAST_SHARE = 0.0005; // of a core, at any size: less is shown with the others
+    /** The share of a core, at any size, from which a thread is shown by itself. */
+    private static final double MIN_SHARE = 0.0005;
+
     private static final double PERCENT = 100;
 
     private final List<Point> measured;
@@ -30,18 +32,18 @@
     }
 
     private List<String> busiestFirst() {
-        Map<String, Double> most = measured.stream()
+        Map<String, Double> highestShares = measured.stream()
                 .flatMap(point -> point.real().shareByThread().entrySet().stream())
                 .collect(Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue, Math::max));
-        return most.entrySet().stream()
-                .filter(thread -> thread.getValue() >= LEAST_SHARE)
+        return highestShares.entrySet().stream()
+                .filter(thread -> thread.getValue() >= MIN_SHARE)
                 .sorted(Map.Entry.<String, Double>comparingByValue(Comparator.reverseOrder())
                         .thenComparing(Map.Entry.comparingByKey()))
                 .map(Map.Entry::getKey)
                 .toList();
     }
 
-    /** The table; {@code sizeHeading} stands over the sizes. */
+    /** The table; {@code sizeHeading} is the heading of the sizes. */
     String markdown(String sizeHeading) {
         List<String> headings = new ArrayList<>(List.of(sizeHeading));
         headings.addAll(threads);
@@ -52,12 +54,12 @@
     }
 
     private List<String> cells(Point point) {
-        List<String> cells = new ArrayList<>(List.of(MarkdownTable.figure(point.size())));
+        List<String> cells = new ArrayList<>(List.of(MarkdownTable.number(point.size())));
         for (String thread : threads) {
             cells.add(
-                    MarkdownTable.figure(PERCENT * point.real().shareByThread().getOrDefault(thread, 0.0)));
+                    MarkdownTable.number(PERCENT * point.real().shareByThread().getOrDefault(thread, 0.0)));
         }
-        cells.add(MarkdownTable.figure(PERCENT * others(point.real())));
+        cells.add(MarkdownTable.number(PERCENT * others(point.real())));
         return cells;
     }
 
--- a/src/main/java/linenring/scale/report/fit/FitChooser.java
+++ b/src/main/java/linenring/scale/report/fit/FitChooser.java
@@ -6,30 +6,31 @@
 import java.util.Optional;
 
 /**
- * Chooses the shape that a figure follows. The largest size measured is kept out and predicted. Among the shapes laid
- * through the rest, the simplest is taken whose criterion is within {@link #ALIKE} of the best.
+ * Chooses the shape that measured values follow. The largest size measured is held out and predicted. Among the shapes
+ * fitted to the rest, the simplest is taken whose criterion is within {@link #MAX_AICC_DIFFERENCE} of the best.
  */
 public final class FitChooser {
     /** Sizes that a claim needs: four to fit a line with residuals, and one to predict. */
-    public static final int SIZES_LEAST = 5;
+    public static final int MIN_SIZES = 5;
 
-    /** Models whose criteria differ by less are supported alike (Burnham and Anderson, 2002). */
-    static final double ALIKE = 2;
+    /** Models whose criteria differ by less have the same support (Burnham and Anderson, 2002). */
+    static final double MAX_AICC_DIFFERENCE = 2;
 
     private FitChooser() {}
 
+    /** Fits all shapes and chooses one; samples may come in any order and several for one size. */
     public static FitOutcome choose(List<Sample> samples) {
         int sizes = (int) samples.stream().mapToDouble(Sample::size).distinct().count();
-        if (sizes < SIZES_LEAST) {
-            return new FitOutcome.TooFewSizes(sizes, SIZES_LEAST);
+        if (sizes < MIN_SIZES) {
+            return new FitOutcome.TooFewSizes(sizes, MIN_SIZES);
         }
         double largest = samples.stream().mapToDouble(Sample::size).max().orElseThrow();
-        List<Sample> seen = samples.stream()
+        List<Sample> fitted = samples.stream()
                 .filter(sample -> sample.size() < largest)
                 .sorted(Comparator.comparingDouble(Sample::size))
                 .toList();
-        List<Fit> candidates = candidates(seen);
-        Fit fit = simplestOfTheBest(candidates);
+        List<Fit> candidates = candidates(fitted);
+        Fit fit = simplestOfBest(candidates);
         return new FitOutcome.Fitted(fit, candidates, new HeldOut(largest, fit.at(largest), meanAt(largest, samples)));
     }
 
@@ -41,11 +42,12 @@
                 .toList();
     }
 
-    private static Fit simplestOfTheBest(List<Fit> bestFirst) {
-        double bound = bestFirst.get(0).aicc() + ALIKE;
+    private static Fit simplestOfBest(List<Fit> bestFirst) {
+        double bound = bestFirst.get(0).aicc() + MAX_AICC_DIFFERENCE;
         return bestFirst.stream()
                 .filter(fit -> fit.aicc() <= bound)
-                .min(Comparator.comparingInt((Fit fit) -> fit.shape().freedom()).thenComparingDouble(Fit::aicc))
+                .min(Comparator.comparingInt((Fit fit) -> fit.shape().freeParameters())
+                        .thenComparingDouble(Fit::aicc))
                 .orElseThrow();
     }
 
--- a/src/main/java/linenring/scale/report/fit/LeastSquares.java
+++ b/src/main/java/linenring/scale/report/fit/LeastSquares.java
@@ -12,14 +12,17 @@
 import org.apache.commons.math3.stat.StatUtils;
 import org.apache.commons.math3.stat.regression.OLSMultipleLinearRegression;
 
-/** Lays one shape through samples so that the sum of squared residuals is least. */
+/** Fits one shape to samples so that the sum of squared residuals is least. */
 final class LeastSquares {
-    private static final int GRID =
-            64; // the sum need not have one valley only: first a grid, then Brent in the best cell
-    private static final double PRECISION = 1e-6;
-    private static final int EVALUATIONS_MOST = 200;
-    private static final double NO_FIT = Double.MAX_VALUE;
-    private static final double EXACT = 1e-12; // squared residuals, as a part of all squares, that count as rounding
+    /** Cells of the search for a parameter: the sum may have several minima, so a grid comes before Brent's method. */
+    private static final int GRID_CELLS = 64;
+
+    private static final double PARAMETER_PRECISION = 1e-6;
+    private static final int MAX_EVALUATIONS = 200;
+    /** The sum of squares where the samples don't determine the shape. */
+    private static final double UNDETERMINED = Double.MAX_VALUE;
+    /** Squared residuals, relative to all squares, under which they are rounding errors. */
+    private static final double ROUNDING = 1e-12;
 
     private final Shape shape;
     private final double[] sizes;
@@ -34,7 +37,7 @@
 
     /** Empty where there are too few samples, where they don't determine the shape, or where it would fall and rise. */
     Optional<Fit> fit() {
-        if (sizes.length < shape.leastSamples()) {
+        if (sizes.length < shape.minSamples()) {
             return Optional.empty();
         }
         double parameter = shape.hasParameter() ? bestParameter() : Double.NaN;
@@ -42,9 +45,9 @@
     }
 
     private Fit fit(double[] coefficients, double parameter) {
-        double squares = Math.max(squares(coefficients, parameter), EXACT * StatUtils.sumSq(values));
+        double squares = Math.max(squares(coefficients, parameter), ROUNDING * StatUtils.sumSq(values));
         int count = sizes.length;
-        double residualError = Math.sqrt(squares / (count - shape.freedom()));
+        double residualError = Math.sqrt(squares / (count - shape.freeParameters()));
         List<Double> found = new ArrayList<>();
         for (double coefficient : coefficients) {
             found.add(coefficient);
@@ -52,18 +55,18 @@
         return new Fit(shape, found, parameter, residualError, aicc(squares), count, sizes[count - 1]);
     }
 
-    /** The variance of the residuals is not counted among the figures chosen: it is the same for all shapes. */
+    /** The variance of the residuals is not counted among the free parameters: it is the same for all shapes. */
     private double aicc(double squares) {
         int count = sizes.length;
-        int chosen = shape.freedom();
+        int parameters = shape.freeParameters();
         double fitTerm = count * Math.log(Math.max(squares, Double.MIN_NORMAL) / count);
-        double correction = 2.0 * chosen * (chosen + 1) / (count - chosen - 1);
-        return fitTerm + 2 * chosen + correction;
+        double correction = 2.0 * parameters * (parameters + 1) / (count - parameters - 1);
+        return fitTerm + 2 * parameters + correction;
     }
 
     /** A quadratic with a weight under 0 turns back beyond what was measured. */
     private boolean isPlausible(double[] coefficients) {
-        return shape != Shape.QUADRATIC || coefficients[1] >= 0 && coefficients[2] >= 0;
+        return shape != Shape.QUADRATIC || (coefficients[1] >= 0 && coefficients[2] >= 0);
     }
 
     // ---- weights
@@ -80,7 +83,7 @@
             OLSMultipleLinearRegression regression = new OLSMultipleLinearRegression();
             regression.newSampleData(values, terms);
             return Optional.of(regression.estimateRegressionParameters());
-        } catch (SingularMatrixException e) {
+        } catch (SingularMatrixException undetermined) {
             return Optional.empty();
         }
     }
@@ -101,25 +104,25 @@
     // ---- exponent or knee
 
     private double squaresWith(double parameter) {
-        return coefficients(parameter).map(found -> squares(found, parameter)).orElse(NO_FIT);
+        return coefficients(parameter).map(found -> squares(found, parameter)).orElse(UNDETERMINED);
     }
 
     private double bestParameter() {
-        double least = shape == Shape.POWER ? Shape.LEAST_EXPONENT : sizes[1]; // two sizes on each side of a knee
-        double most = shape == Shape.POWER ? Shape.MOST_EXPONENT : sizes[sizes.length - 2];
-        double step = (most - least) / GRID;
+        double lowest = shape == Shape.POWER ? Shape.MIN_EXPONENT : sizes[1]; // two sizes on each side of a knee
+        double highest = shape == Shape.POWER ? Shape.MAX_EXPONENT : sizes[sizes.length - 2];
+        double step = (highest - lowest) / GRID_CELLS;
         int best = 0;
-        for (int i = 1; i <= GRID; i++) {
-            best = squaresWith(least + i * step) < squaresWith(least + best * step) ? i : best;
+        for (int i = 1; i <= GRID_CELLS; i++) {
+            best = squaresWith(lowest + i * step) < squaresWith(lowest + best * step) ? i : best;
         }
-        double from = least + Math.max(0, best - 1) * step;
-        double to = least + Math.min(GRID, best + 1) * step;
-        return new BrentOptimizer(PRECISION, PRECISION)
+        double start = lowest + Math.max(0, best - 1) * step;
+        double end = lowest + Math.min(GRID_CELLS, best + 1) * step;
+        return new BrentOptimizer(PARAMETER_PRECISION, PARAMETER_PRECISION)
                 .optimize(
                         new UnivariateObjectiveFunction(this::squaresWith),
                         GoalType.MINIMIZE,
-                        new SearchInterval(from, to),
-                        new MaxEval(EVALUATIONS_MOST))
+                        new SearchInterval(start, end),
+                        new MaxEval(MAX_EVALUATIONS))
                 .getPoint();
     }
 }
--- a/src/main/java/linenring/scale/report/fit/Shape.java
+++ b/src/main/java/linenring/scale/report/fit/Shape.java
@@ -1,7 +1,7 @@
 package linenring.scale.report.fit;
 
 /**
- * How a figure may follow a size: an intercept and a weighted sum of terms, some of them with a parameter of their own.
+ * How a value may follow a size: an intercept and a weighted sum of terms, some of them with a parameter of their own.
  * In the order of preference where two fit equally well.
  */
 public enum Shape {
@@ -15,9 +15,9 @@
     BROKEN_LINE("broken line", true);
 
     /** The range of exponents that {@link #POWER} is tried with. */
-    static final double LEAST_EXPONENT = 0.2;
+    static final double MIN_EXPONENT = 0.2;
 
-    static final double MOST_EXPONENT = 3;
+    static final double MAX_EXPONENT = 3;
 
     private final String description;
     private final boolean hasParameter;
@@ -27,7 +27,7 @@
         this.hasParameter = hasParameter;
     }
 
-    /** The words for tables. */
+    /** The text for tables. */
     public String description() {
         return description;
     }
@@ -54,13 +54,13 @@
         return size <= 1 ? 0 : size * Math.log(size) / Math.log(2);
     }
 
-    /** How many figures are chosen to fit: intercept, weights, and the parameter. */
-    int freedom() {
+    /** How many values are chosen to fit: intercept, weights, and the parameter. */
+    int freeParameters() {
         return 1 + terms(1, 1).length + (hasParameter ? 1 : 0);
     }
 
-    /** Samples that a fit needs: two more than it chooses figures, so that residuals tell something. */
-    int leastSamples() {
-        return freedom() + 2;
+    /** Samples that a fit needs: two more than free parameters, since without residuals every shape would fit. */
+    int minSamples() {
+        return freeParameters() + 2;
     }
 }
--- a/src/test/java/linenring/scale/report/RunReportTest.java
+++ b/src/test/java/linenring/scale/report/RunReportTest.java
@@ -31,32 +31,36 @@
 class RunReportTest {
     private static final Workload BASE = new Workload(64, 64, 8, 4, 3, 2, 0.5, 20, 0);
     private static final double[] SIZES = {64, 256, 1024, 4096, 16_384, 32_768};
-    private static final double DEAD = 73_000;
+    private static final double FATAL_SIZE = 73_000;
 
     @TempDir
-    Path directory;
+    private Path directory;
 
     @BeforeAll
     static void headless() {
         System.setProperty("java.awt.headless", "true");
     }
 
-    /** Resident memory is 50 MB and 600 bytes a host; the heap was not read; the largest size has killed the steward. */
+    /** Resident memory is 50 MB and 600 bytes a host; the heap was not read; the controller died at the largest size. */
     private static MeasuredSweep sweep() {
         List<Point> points = new ArrayList<>();
         for (double size : SIZES) {
             Map<String, Double> threads = Map.of("steward", 4e-6 * size, "compiler", 0.0001, "timer", 0.0002);
             Usage real = new Usage(0.01 + 4e-6 * size, 50e6 + 600 * size, Double.NaN, 1200, 300, 20, 2, threads);
-            Usage hollow = new Usage(0.005 + 4e-6 * size, Double.NaN, 1e6 + 550 * size, 1200, 300, 20, 2, Map.of());
-            points.add(new Point(size, BASE.with(Variable.CATALOGUE_HOSTS, size), real, hollow, null));
+            Usage simulated = new Usage(0.005 + 4e-6 * size, Double.NaN, 1e6 + 550 * size, 1200, 300, 20, 2, Map.of());
+            points.add(new Point(size, BASE.with(Variable.CATALOGUE_HOSTS, size), real, simulated, null));
         }
-        points.add(
-                new Point(DEAD, BASE.with(Variable.CATALOGUE_HOSTS, DEAD), null, null, "exit code 3 | out of memory"));
+        points.add(new Point(
+                FATAL_SIZE,
+                BASE.with(Variable.CATALOGUE_HOSTS, FATAL_SIZE),
+                null,
+                null,
+                "exit code 3 | out of memory"));
         return new MeasuredSweep(Variable.CATALOGUE_HOSTS, BASE, points);
     }
 
     private static ScaleRun run() {
-        ScenarioOutcome zone = new ScenarioOutcome(
+        ScenarioOutcome zoneLost = new ScenarioOutcome(
                 Scenario.ZONE_LOST_AND_BACK,
                 BASE,
                 new Usage(0.2, 52e6, Double.NaN, 0, 0, 0, 0, Map.of()),
@@ -68,11 +72,11 @@
                 0.9,
                 null);
         return new ScaleRun(
-                "abc1234", "2026-12-02T05:00:00Z", 7, 8, "test machine", 2, 1.5, List.of(sweep()), List.of(zone));
+                "abc1234", "2026-12-02T05:00:00Z", 7, 8, "test machine", 2, 1.5, List.of(sweep()), List.of(zoneLost));
     }
 
     @Test
-    void aRecordIsReadAgainAsItWasWritten() throws IOException {
+    void readsARecordAsItWasWritten() throws IOException {
         new RunReport(directory).writeRecord(run(), "r");
         RunRecords.Outcome read = RunRecords.read(directory.resolve("r.json"));
         assertNull(read.fault());
@@ -81,7 +85,7 @@
     }
 
     @Test
-    void aRecordWithoutAFigureIsRefused() {
+    void rejectsARecordWithAMissingKey() {
         String spoilt = RunRecords.write(run()).replaceFirst("\"residentBytes\" : [0-9.E]+,", "");
         RunRecords.Outcome read = RunRecords.read("r.json", spoilt);
         assertNull(read.run());
@@ -90,43 +94,44 @@
     }
 
     @Test
-    void aMissingRecordIsOneLine() {
+    void reportsAMissingRecordInOneLine() {
         assertEquals(
                 "/no/such.json: cannot be read",
                 RunRecords.read(Path.of("/no/such.json")).fault());
     }
 
     @Test
-    void aFailedPointIsLeftOutOfTheFitAndShownInTheTable() {
+    void leavesAFailedPointOutOfTheFitAndShowsItInTheTable() {
         SweepAnalysis analysis = SweepAnalysis.of(sweep());
         SweepAnalysis.FittedMetric resident = fitted(analysis, Side.REAL, Metric.RESIDENT);
         FitOutcome.Fitted found = assertInstanceOf(FitOutcome.Fitted.class, resident.outcome());
         assertEquals(Shape.LINEAR, found.fit().shape());
         assertEquals(32_768, found.heldOut().size());
         assertEquals(0, found.heldOut().error(), 1e-6);
-        assertEquals(50 + 600 * DEAD / 1e6, found.fit().at(DEAD), 1e-6);
+        assertEquals(50 + 600 * FATAL_SIZE / 1e6, found.fit().at(FATAL_SIZE), 1e-6);
         String page = new MarkdownReport(run(), List.of(analysis)).page("r");
         assertTrue(page.contains("| 73,000 |  |  |  |  |  |  |  |  | exit code 3 \\| out of memory |\n"), page);
     }
 
     @Test
-    void aFigureThatWasNeverReadHasNoFit() {
+    void fitsNoMetricThatWasNeverRead() {
         SweepAnalysis analysis = SweepAnalysis.of(sweep());
-        assertTrue(analysis.fits().stream().noneMatch(f -> f.side() == Side.REAL && f.metric() == Metric.HEAP));
-        assertNotNull(fitted(analysis, Side.HOLLOW, Metric.HEAP));
+        assertTrue(analysis.fits().stream()
+                .noneMatch(fitted -> fitted.side() == Side.REAL && fitted.metric() == Metric.HEAP));
+        assertNotNull(fitted(analysis, Side.SIMULATED, Metric.HEAP));
     }
 
     @Test
-    void aSweepOfTooFewSizesIsToldSo() {
+    void saysThatASweepHasTooFewSizes() {
         MeasuredSweep few =
                 new MeasuredSweep(Variable.PROXIES, BASE, sweep().points().subList(0, 3));
         String page = new MarkdownReport(run(), List.of(SweepAnalysis.of(few))).page("r");
         assertTrue(page.contains("\nNot fitted: real processor, % of a core: 3 sizes, 5 are needed; "), page);
-        assertTrue(!page.contains("| figure | shape |"), page);
+        assertTrue(!page.contains("| metric | shape |"), page);
     }
 
     @Test
-    void thePageTellsPointsFitsAndScenarios() {
+    void showsPointsFitsAndScenarios() {
         String page = new MarkdownReport(run(), List.of(SweepAnalysis.of(sweep()))).page("r");
         assertTrue(page.contains("Build abc1234, begun 2026-12-02T05:00:00Z, seed 7, 8 cores, test machine."), page);
         assertTrue(page.contains("| 1,024 | 1.41 | 50.6 |  | 1.20 | 0.300 | 20 | 2 | 0.910; 1.56 |  |\n"), page);
@@ -138,16 +143,17 @@
     }
 
     @Test
-    void thePageTellsTheBusyThreadsAndTheRestAsOne() {
+    void showsBusyThreadsAndTheSumOfOthers() {
         String page = new MarkdownReport(run(), List.of(SweepAnalysis.of(sweep()))).page("r");
-        assertTrue(
-                page.contains("| hosts in the catalogue | steward | other threads |\n| --- | --- | --- |\n"
-                        + "| 64 | 0.026 | 0.030 |\n"),
-                page);
+        assertTrue(page.contains("""
+                        | hosts in the catalogue | steward | other threads |
+                        | --- | --- | --- |
+                        | 64 | 0.026 | 0.030 |
+                        """), page);
     }
 
     @Test
-    void theSameRunIsTheSameTextWhereverItsMapsComeFrom() throws IOException {
+    void writesTheSameTextForEqualRuns() throws IOException {
         new RunReport(directory).writeRecord(run(), "r");
         ScaleRun again = RunRecords.read(directory.resolve("r.json")).run();
         assertEquals(RunRecords.write(run()), RunRecords.write(again));
@@ -159,13 +165,13 @@
     }
 
     @Test
-    void tablesAreMadeWithoutTouchingTheRecord() throws IOException {
+    void writesTablesWithoutTheRecord() throws IOException {
         new RunReport(directory).writeTables(run(), "r");
         assertEquals(List.of("r-1-processor.png", "r-1-resident.png", "r.md"), names());
     }
 
     @Test
-    void plotsAreImagesThatCanBeRead() throws IOException {
+    void writesPlotsThatCanBeRead() throws IOException {
         new RunReport(directory).write(run(), "r");
         assertEquals(List.of("r-1-processor.png", "r-1-resident.png", "r.json", "r.md"), names());
         BufferedImage plot = ImageIO.read(directory.resolve("r-1-resident.png").toFile());
--- a/src/test/java/linenring/scale/report/fit/FitChooserTest.java
+++ b/src/test/java/linenring/scale/report/fit/FitChooserTest.java
@@ -9,6 +9,7 @@
 import java.util.Random;
 import java.util.function.DoubleUnaryOperator;
 import java.util.stream.Collectors;
+import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -16,7 +17,7 @@
 
 class FitChooserTest {
     private static final double[] SIZES = {256, 512, 1024, 2048, 4096, 9000, 16384, 24000, 32768, 49152, 73000};
-    private static final double NOISE = 0.01; // of the largest figure
+    private static final double NOISE = 0.01; // relative to the largest value
     private static final int SEEDS = 20;
 
     private static List<Sample> samples(DoubleUnaryOperator law, double noise, long seed) {
@@ -33,38 +34,38 @@
 
     private static DoubleUnaryOperator law(Shape shape) {
         return switch (shape) {
-            case CONSTANT -> n -> 50;
-            case LINEAR -> n -> 2 + 0.003 * n;
-            case N_LOG_N -> n -> 2 + 0.0002 * n * Math.log(n) / Math.log(2);
-            case QUADRATIC -> n -> 2 + 0.001 * n + 4e-8 * n * n;
-            case SQUARE_ROOT -> n -> 2 + 0.5 * Math.sqrt(n);
-            case POWER -> n -> 2 + 0.05 * Math.pow(n, 0.75);
-            case BROKEN_LINE -> n -> 2 + 0.0005 * n + 0.01 * Math.max(0, n - 20_000);
+            case CONSTANT -> size -> 50;
+            case LINEAR -> size -> 2 + 0.003 * size;
+            case N_LOG_N -> size -> 2 + 0.0002 * size * Math.log(size) / Math.log(2);
+            case QUADRATIC -> size -> 2 + 0.001 * size + 4e-8 * size * size;
+            case SQUARE_ROOT -> size -> 2 + 0.5 * Math.sqrt(size);
+            case POWER -> size -> 2 + 0.05 * Math.pow(size, 0.75);
+            case BROKEN_LINE -> size -> 2 + 0.0005 * size + 0.01 * Math.max(0, size - 20_000);
         };
     }
 
     @ParameterizedTest
     @EnumSource(Shape.class)
-    void findsTheShapeThatHasNoNoise(Shape shape) {
+    void findsTheShapeOfSamplesWithoutNoise(Shape shape) {
         FitOutcome.Fitted found = fitted(samples(law(shape), 0, 1));
         assertEquals(shape, found.fit().shape());
         assertEquals(0, found.heldOut().error(), 1e-3);
     }
 
-    /** Noise makes neighbours alike at some seeds; the true shape is found at most of them. */
+    /** At some seeds the noise makes a neighbouring shape fit as well; at most seeds the true one is found. */
     @ParameterizedTest
     @EnumSource(
             value = Shape.class,
             names = {"CONSTANT", "LINEAR", "SQUARE_ROOT", "POWER", "BROKEN_LINE"})
-    void tellsShapesApartUnderNoise(Shape shape) {
-        long found = java.util.stream.LongStream.range(0, SEEDS)
+    void findsTheShapeUnderNoiseAtMostSeeds(Shape shape) {
+        int found = (int) LongStream.range(0, SEEDS)
                 .filter(seed -> fitted(samples(law(shape), NOISE, seed)).fit().shape() == shape)
                 .count();
-        assertEquals(SEEDS, found, SEEDS * 0.2);
+        assertEquals(SEEDS, (double) found, SEEDS * 0.2);
     }
 
     @Test
-    void namesTheKnee() {
+    void findsTheKneeOfABrokenLine() {
         Fit fit = fitted(samples(law(Shape.BROKEN_LINE), NOISE, 3)).fit();
         assertEquals(20_000, fit.knee(), 2000);
     }
@@ -94,13 +95,13 @@
     @ValueSource(ints = {0, 1, 4})
     void refusesTooFewSizes(int count) {
         List<Sample> few = samples(law(Shape.LINEAR), 0, 1).subList(0, count);
-        assertEquals(new FitOutcome.TooFewSizes(count, FitChooser.SIZES_LEAST), FitChooser.choose(few));
+        assertEquals(new FitOutcome.TooFewSizes(count, FitChooser.MIN_SIZES), FitChooser.choose(few));
     }
 
     @Test
     void countsSizesAndNotRepeats() {
         List<Sample> samples = samples(law(Shape.LINEAR), 0, 1).subList(0, 4);
         samples.addAll(List.copyOf(samples));
-        assertEquals(new FitOutcome.TooFewSizes(4, FitChooser.SIZES_LEAST), FitChooser.choose(samples));
+        assertEquals(new FitOutcome.TooFewSizes(4, FitChooser.MIN_SIZES), FitChooser.choose(samples));
     }
 }
