--- a/src/main/java/linenring/scale/catalogue/CatalogueServer.java
+++ b/src/main/java/linenring/scale/catalogue/CatalogueServer.java
@@ -211,11 +211,11 @@
     // ---- counts
 
     public long bytesIn() {
-        return loop.bytesIn.sum();
+        return loop.bytesIn();
     }
 
     public long bytesOut() {
-        return loop.bytesOut.sum();
+        return loop.bytesOut();
     }
 
     /** Watches that were begun; those of who dialled again count anew. */
--- a/src/main/java/linenring/scale/process/RunLine.java
+++ b/src/main/java/linenring/scale/process/LaunchCommand.java
@@ -11,16 +11,16 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The command that starts a steward: the flags of the line {@code run} of deploy/balancer.toml, and the program that runs now. */
-final class RunLine {
+/** The command that starts a controller: the flags of the line {@code run} of deploy/balancer.toml, and the program that runs now. */
+final class LaunchCommand {
     private static final String DEPLOYMENT = "balancer.toml";
-    private static final Pattern RUN = Pattern.compile("(?m)^run = \"exec java (.*?) -jar [^ \"]+ serve\"");
-    /** A steward's machine has one core, and the JVM sizes its threads by that. */
+    private static final Pattern RUN_LINE = Pattern.compile("(?m)^run = \"exec java (.*?) -jar [^ \"]+ serve\"");
+    /** A controller's machine has one core, and the JVM sizes its thread pools by that. */
     private static final String ONE_CORE = "-XX:ActiveProcessorCount=1";
 
-    private RunLine() {}
+    private LaunchCommand() {}
 
-    /** Program and arguments. */
+    /** The program and its arguments. */
     static List<String> command() {
         List<String> command = new ArrayList<>();
         command.add(System.getProperty("java.home") + File.separator + "bin" + File.separator + "java");
@@ -33,9 +33,9 @@
         return command;
     }
 
-    /** The JVM's flags in the deployment's text. */
+    /** The JVM's flags in the text of the deployment. */
     static List<String> flags(String deployment) {
-        Matcher run = RUN.matcher(deployment);
+        Matcher run = RUN_LINE.matcher(deployment);
         if (!run.find()) {
             throw new IllegalStateException(DEPLOYMENT + " has no line 'run' that starts java with a jar");
         }
@@ -43,14 +43,14 @@
     }
 
     private static String deployment() {
-        try (InputStream in = RunLine.class.getResourceAsStream(DEPLOYMENT)) {
-            return new String(in.readAllBytes(), StandardCharsets.UTF_8);
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
+        try (InputStream resourceStream = LaunchCommand.class.getResourceAsStream(DEPLOYMENT)) {
+            return new String(resourceStream.readAllBytes(), StandardCharsets.UTF_8);
+        } catch (IOException unreadable) {
+            throw new UncheckedIOException(unreadable);
         }
     }
 
-    /** The child runs in a folder of its own. */
+    /** Absolute, since the child runs in a directory of its own. */
     private static String absoluteClassPath() {
         return String.join(
                 File.pathSeparator,
--- a/src/main/java/linenring/scale/process/StewardSettings.java
+++ b/src/main/java/linenring/scale/process/MeasuredConfiguration.java
@@ -10,29 +10,33 @@
 import linenring.scale.fleet.ChannelLimits;
 
 /**
- * The configuration that a measured steward is given, with the figures of a large fleet (docs/results.md).
+ * The configuration of a measured controller, with the settings of a large fleet (docs/results.md). Its JSON has the keys of
+ * the configuration file.
  *
- * @param scope the services that its tables may hold; empty for all
+ * @param scope the services whose hosts its tables may hold; empty for all
  */
-public record StewardSettings(
+public record MeasuredConfiguration(
         List<String> zones,
         List<String> kinds,
         List<String> operations,
         int proxies,
         ChannelLimits channel,
         List<String> scope) {
-    private static final int OTHER_SOCKETS = 64; // beside proxies and collectors: the watch, files, strangers
-    private static final int SOCKETS_LEAST = 1024;
-    private static final long OBJECTIVE_US = 500_000, DEADLINE_US = 2_000_000;
-    private static final long WARM_AFTER_US = 18_000_000;
-    private static final double COLD_SHARE = 0.2;
-    private static final long DRAIN_GRACE_US = 16_000_000;
-    private static final int MESSAGES_MOST = 30;
-    private static final long MESSAGES_OVER_US = 10_000_000;
-    private static final int STANDING_TABLE = 6;
-    private static final long QUANTUM_US = 4000;
+    /** Beside those of proxies and collectors: the watch, files, peers that have not subscribed. */
+    private static final int OTHER_SOCKETS = 64;
 
-    /** As JSON. */
+    private static final int MIN_SOCKETS = 1024;
+    private static final long OBJECTIVE_MICROS = 500_000;
+    private static final long TIMEOUT_MICROS = 2_000_000;
+    private static final long WARM_UP_MICROS = 18_000_000;
+    private static final double COLD_CAPACITY_SHARE = 0.2;
+    private static final long DRAIN_GRACE_MICROS = 16_000_000;
+    private static final int MAX_MESSAGES = 30;
+    private static final long MESSAGE_LIMIT_INTERVAL_MICROS = 10_000_000;
+    private static final int DEFAULT_TABLE_ENTRIES = 6;
+    private static final long QUANTUM_MICROS = 4000;
+
+    /** The configuration file's content. */
     public byte[] json(String name, InetSocketAddress listen, InetSocketAddress catalogue) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = new JsonFactory().createGenerator(bytes)) {
@@ -44,14 +48,14 @@
                 texts(out, "scope", scope);
             }
             out.writeObjectFieldStart("limits");
-            out.writeNumberField("sockets", Math.max(SOCKETS_LEAST, proxies + zones.size() + OTHER_SOCKETS));
+            out.writeNumberField("sockets", Math.max(MIN_SOCKETS, proxies + zones.size() + OTHER_SOCKETS));
             out.writeEndObject();
             out.writeObjectFieldStart("settings");
             settings(out);
             out.writeEndObject();
             out.writeEndObject();
-        } catch (IOException e) {
-            throw new UncheckedIOException(e); // memory takes what is written
+        } catch (IOException impossible) {
+            throw new UncheckedIOException(impossible); // a byte array accepts every write
         }
         return bytes.toByteArray();
     }
@@ -61,33 +65,33 @@
         texts(out, "Kinds", kinds);
         out.writeStringField("Discovery", "pushed");
         out.writeNumberField("FleetSize", 1);
-        out.writeNumberField("Quantum", QUANTUM_US);
+        out.writeNumberField("Quantum", QUANTUM_MICROS);
         out.writeArrayFieldStart("Classes");
         for (String operation : operations) {
             out.writeStartObject();
             out.writeStringField("Name", operation);
-            out.writeNumberField("Aim", OBJECTIVE_US);
-            out.writeNumberField("Deadline", DEADLINE_US);
+            out.writeNumberField("Aim", OBJECTIVE_MICROS);
+            out.writeNumberField("Deadline", TIMEOUT_MICROS);
             out.writeNumberField("Points", 1.0);
             out.writeEndObject();
         }
         out.writeEndArray();
         out.writeObjectFieldStart("Contract");
-        out.writeNumberField("Cold", WARM_AFTER_US);
-        out.writeNumberField("ColdFrom", COLD_SHARE);
-        out.writeNumberField("StopSendingWithin", DRAIN_GRACE_US);
+        out.writeNumberField("Cold", WARM_UP_MICROS);
+        out.writeNumberField("ColdFrom", COLD_CAPACITY_SHARE);
+        out.writeNumberField("StopSendingWithin", DRAIN_GRACE_MICROS);
         out.writeEndObject();
         out.writeObjectFieldStart("Specifics");
         out.writeNumberField("ProxyCount", Math.max(1, proxies));
         out.writeNumberField("PushRate", channel.linesPerSecond());
         out.writeNumberField("PerMessage", channel.linesPerMessage());
         out.writeNumberField("MostWaiting", channel.linesWaitingMost());
-        out.writeNumberField("UpdateCap", MESSAGES_MOST);
-        out.writeNumberField("CountedOver", MESSAGES_OVER_US);
+        out.writeNumberField("UpdateCap", MAX_MESSAGES);
+        out.writeNumberField("CountedOver", MESSAGE_LIMIT_INTERVAL_MICROS);
         out.writeNumberField("Propagation", Math.round(channel.propagationMs() * 1000));
         out.writeNumberField("TransitMax", Math.round(channel.transitMostMs() * 1000));
         out.writeStringField("ThrottleBy", "fraction");
-        out.writeNumberField("DefaultSize", STANDING_TABLE);
+        out.writeNumberField("DefaultSize", DEFAULT_TABLE_ENTRIES);
         out.writeEndObject();
     }
 
@@ -99,7 +103,7 @@
         out.writeEndArray();
     }
 
-    private static String text(InetSocketAddress at) {
-        return at.getAddress().getHostAddress() + ":" + at.getPort();
+    private static String text(InetSocketAddress address) {
+        return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 }
--- a/src/main/java/linenring/scale/process/package-info.java
+++ b/src/main/java/linenring/scale/process/package-info.java
@@ -1,2 +1,2 @@
-/** Real stewards as child processes, started as operators start them, and measured from outside. */
+/** Real controllers as child processes, started as operators start them, and measured from outside. */
 package linenring.scale.process;
--- a/src/main/java/linenring/scale/run/RealMember.java
+++ b/src/main/java/linenring/scale/run/RealMember.java
@@ -8,21 +8,21 @@
 import linenring.scale.fleet.HollowFleet;
 import linenring.scale.fleet.SocketFleet;
 import linenring.scale.fleet.Traffic;
-import linenring.scale.process.StewardProcess;
-import linenring.scale.process.StewardSettings;
+import linenring.scale.process.ControllerProcess;
+import linenring.scale.process.MeasuredConfiguration;
 
 /** A real steward with the agent and the fleet that only it has, so that all its bytes are counted. */
 final class RealMember implements AutoCloseable {
-    private final StewardProcess process;
-    private final StewardSettings settings;
+    private final ControllerProcess process;
+    private final MeasuredConfiguration settings;
     private final CatalogueServer server;
     private final SocketFleet fleet;
 
-    RealMember(String name, Path folder, StewardSettings settings, CatalogueServer server, HollowFleet fleet)
+    RealMember(String name, Path folder, MeasuredConfiguration settings, CatalogueServer server, HollowFleet fleet)
             throws IOException {
         this.settings = settings;
         this.server = server;
-        process = new StewardProcess(name, folder);
+        process = new ControllerProcess(name, folder);
         this.fleet = new SocketFleet(fleet, process.listen(), "fleet-" + name);
     }
 
@@ -45,7 +45,7 @@
         process.start(settings, server.address());
     }
 
-    StewardProcess process() {
+    ControllerProcess process() {
         return process;
     }
 
--- a/src/main/java/linenring/scale/run/Testbed.java
+++ b/src/main/java/linenring/scale/run/Testbed.java
@@ -27,7 +27,7 @@
 import linenring.scale.fleet.HollowProxy;
 import linenring.scale.fleet.MemoryFleets;
 import linenring.scale.measurement.Workload;
-import linenring.scale.process.StewardSettings;
+import linenring.scale.process.MeasuredConfiguration;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 
 /** A catalogue with its real and hollow stewards and their fleets, on loopback, for one workload. */
@@ -107,9 +107,9 @@
         }
     }
 
-    private StewardSettings settings() {
+    private MeasuredConfiguration settings() {
         CatalogueLayout layout = catalogue.layout();
-        return new StewardSettings(
+        return new MeasuredConfiguration(
                 layout.zoneNames(),
                 layout.kindNames(),
                 OPERATIONS,
--- a/src/main/java/linenring/scale/settings/ScalePlan.java
+++ b/src/main/java/linenring/scale/settings/ScalePlan.java
@@ -6,12 +6,12 @@
 import linenring.scale.measurement.Workload;
 
 /**
- * What a scale run is to measure.
+ * What a scale run measures.
  *
- * @param seed for all that is drawn by chance
+ * @param seed of all random numbers
  * @param warmUpSeconds how long each point runs before it is measured
  * @param windowSeconds how long each point is measured
- * @param scenarioWorkload what the steward bears while scenarios are played
+ * @param scenarioWorkload the load on the controller while scenarios are played
  */
 public record ScalePlan(
         long seed,
@@ -21,26 +21,27 @@
         List<Sweep> sweeps,
         List<Scenario> scenarios,
         Workload scenarioWorkload) {
+    /** Copies the lists, so that the value can't change. */
     public ScalePlan {
         sweeps = List.copyOf(sweeps);
         scenarios = List.copyOf(scenarios);
     }
 
     /** The same run with another seed. */
-    public ScalePlan withSeed(long other) {
-        return new ScalePlan(other, warmUpSeconds, windowSeconds, bounds, sweeps, scenarios, scenarioWorkload);
+    public ScalePlan withSeed(long otherSeed) {
+        return new ScalePlan(otherSeed, warmUpSeconds, windowSeconds, bounds, sweeps, scenarios, scenarioWorkload);
     }
 
     /**
-     * What a run may use at most.
+     * The limits of a run.
      *
-     * @param memoryBytes no point begins where this process uses so much already, with a real steward's share beside it
-     * @param processes this one included
+     * @param memoryBytes no point begins if this process and one real controller beside it would use more
+     * @param processes limit of processes, this one included
      * @param seconds no point and no scenario begins that could end later
      */
     public record Bounds(long memoryBytes, int processes, double seconds) {}
 
-    /** The least time that the sweeps take: warm-up and window of each point. */
+    /** The minimum time that the sweeps take: warm-up and window of each point. */
     public double sweepSeconds() {
         int points = sweeps.stream().mapToInt(sweep -> sweep.sizes().size()).sum();
         return points * (warmUpSeconds + windowSeconds);
--- a/src/main/java/linenring/scale/settings/ScalePlanReader.java
+++ b/src/main/java/linenring/scale/settings/ScalePlanReader.java
@@ -19,15 +19,15 @@
 import linenring.scale.measurement.Workload;
 
 /**
- * Reads the settings of a scale run: KDL, then the schema, then what a schema can't say. Each fault is one line that
+ * Reads the settings of a scale run: KDL, then the schema, then what a schema can't express. Each error is one line that
  * names the file, the line, the key and what was expected.
  */
 public final class ScalePlanReader {
-    /** A plan, or the faults; one of the two is null or empty. */
+    /** A plan, or null and the errors. */
     public record Outcome(ScalePlan plan, List<String> faults) {}
 
-    private static final Set<String> LISTS = Set.of("sweep", "scenario");
-    private static final double MILLIS_PER_SECOND = 1000;
+    private static final Set<String> LIST_NAMES = Set.of("sweep", "scenario");
+    private static final double SECOND_MS = 1000;
 
     private final SettingsDocument document;
 
@@ -35,17 +35,18 @@
         this.document = document;
     }
 
+    /** Reads a file; an unreadable file is an error in the outcome. */
     public static Outcome read(Path file) {
         try {
             return read(file.toString(), Files.readString(file));
-        } catch (IOException e) {
+        } catch (IOException unreadable) {
             return new Outcome(null, List.of(file + ": cannot be read"));
         }
     }
 
     static Outcome read(String file, String text) {
         SettingsDocument document =
-                new SettingsSchema(ScalePlanReader.class, "scale.schema.json", LISTS).read(file, text);
+                new SettingsSchema(ScalePlanReader.class, "scale.schema.json", LIST_NAMES).read(file, text);
         if (!document.isSound()) {
             return new Outcome(null, document.faults());
         }
@@ -53,26 +54,28 @@
         return new Outcome(document.isSound() ? plan : null, document.faults());
     }
 
-    private ScalePlan plan(JsonNode in) {
+    private ScalePlan plan(JsonNode scale) {
         ScalePlan plan = new ScalePlan(
-                in.get("seed").asLong(),
-                seconds(in.get("warm-up")),
-                seconds(in.get("window")),
-                bounds(in.get("bounds")),
-                sweeps(in),
-                scenarios(in),
-                scenarioWorkload(in));
-        checkTime(plan, in.get("bounds"));
+                scale.get("seed").asLong(),
+                seconds(scale.get("warm-up")),
+                seconds(scale.get("window")),
+                bounds(scale.get("bounds")),
+                sweeps(scale),
+                scenarios(scale),
+                scenarioWorkload(scale));
+        checkTime(plan, scale.get("bounds"));
         return plan;
     }
 
     private static double seconds(JsonNode duration) {
-        return Units.millis(duration.asText()) / MILLIS_PER_SECOND;
+        return Units.millis(duration.asText()) / SECOND_MS;
     }
 
-    private static ScalePlan.Bounds bounds(JsonNode in) {
+    private static ScalePlan.Bounds bounds(JsonNode bounds) {
         return new ScalePlan.Bounds(
-                Units.bytes(in.get("memory").asText()), in.get("processes").asInt(), seconds(in.get("time")));
+                Units.bytes(bounds.get("memory").asText()),
+                bounds.get("processes").asInt(),
+                seconds(bounds.get("time")));
     }
 
     private void checkTime(ScalePlan plan, JsonNode bounds) {
@@ -86,45 +89,45 @@
 
     // ---- sweeps
 
-    private List<Sweep> sweeps(JsonNode in) {
+    private List<Sweep> sweeps(JsonNode scale) {
         List<Sweep> sweeps = new ArrayList<>();
-        for (JsonNode sweep : in.path("sweep")) {
-            sweeps.add(sweep(sweep, in.get("workload"), "/scale/sweep/" + sweeps.size()));
+        for (JsonNode sweep : scale.path("sweep")) {
+            sweeps.add(sweep(sweep, scale.get("workload"), "/scale/sweep/" + sweeps.size()));
         }
         return sweeps;
     }
 
-    private Sweep sweep(JsonNode in, JsonNode common, String at) {
-        Variable variable = variable(in.get("arguments").get(0).asText());
+    private Sweep sweep(JsonNode sweep, JsonNode common, String pointer) {
+        Variable variable = variable(sweep.get("arguments").get(0).asText());
         List<Double> sizes = new ArrayList<>();
-        in.get("sizes").get("arguments").forEach(size -> sizes.add(size.asDouble()));
-        checkSizes(variable, sizes, at + "/sizes");
+        sweep.get("sizes").get("arguments").forEach(size -> sizes.add(size.asDouble()));
+        checkSizes(variable, sizes, pointer + "/sizes");
         String key = "scale.sweep \"" + name(variable) + "\".workload";
-        return new Sweep(variable, sizes, workload(common, in.path("workload"), key, at + "/workload"));
+        return new Sweep(variable, sizes, workload(common, sweep.path("workload"), key, pointer + "/workload"));
     }
 
-    private void checkSizes(Variable variable, List<Double> sizes, String at) {
+    private void checkSizes(Variable variable, List<Double> sizes, String pointer) {
         String key = "scale.sweep \"" + name(variable) + "\".sizes: ";
         for (int i = 0; i < sizes.size(); i++) {
             double size = sizes.get(i);
             if (!variable.isRate() && size != Math.rint(size)) {
-                document.fault(at, key + size + " is not a whole number");
+                document.fault(pointer, key + size + " is not a whole number");
             }
             if (i > 0 && size <= sizes.get(i - 1)) {
-                document.fault(at, key + shown(size) + " is not over " + shown(sizes.get(i - 1)) + " before it");
+                document.fault(pointer, key + shown(size) + " is not over " + shown(sizes.get(i - 1)) + " before it");
             }
         }
     }
 
     // ---- workloads
 
-    private Workload scenarioWorkload(JsonNode in) {
-        JsonNode own = in.path("scenario-workload");
-        return workload(in.get("workload"), own, "scale.scenario-workload", "/scale/scenario-workload");
+    private Workload scenarioWorkload(JsonNode scale) {
+        JsonNode own = scale.path("scenario-workload");
+        return workload(scale.get("workload"), own, "scale.scenario-workload", "/scale/scenario-workload");
     }
 
-    /** The common workload but for what {@code own} says otherwise; a scope that neither names is the whole catalogue. */
-    private Workload workload(JsonNode common, JsonNode own, String key, String at) {
+    /** The common workload with the values of {@code own} in place of its own; a scope that neither names is the whole catalogue. */
+    private Workload workload(JsonNode common, JsonNode own, String key, String pointer) {
         Map<Variable, Double> sizes = new EnumMap<>(Variable.class);
         for (Variable variable : Variable.values()) {
             JsonNode size = own.has(name(variable)) ? own.get(name(variable)) : common.get(name(variable));
@@ -134,16 +137,17 @@
         double scope = sizes.get(Variable.HOSTS_IN_SCOPE);
         if (scope > hosts) {
             document.fault(
-                    at, key + ": hosts-in-scope of " + shown(scope) + " is over catalogue-hosts of " + shown(hosts));
+                    pointer,
+                    key + ": hosts-in-scope of " + shown(scope) + " is over catalogue-hosts of " + shown(hosts));
         }
         return Workload.of(sizes);
     }
 
     // ---- names
 
-    private List<Scenario> scenarios(JsonNode in) {
+    private List<Scenario> scenarios(JsonNode scale) {
         List<Scenario> scenarios = new ArrayList<>();
-        for (JsonNode scenario : in.path("scenario")) {
+        for (JsonNode scenario : scale.path("scenario")) {
             String name = scenario.get("arguments").get(0).asText();
             scenarios.add(Scenario.valueOf(constant(name)));
         }
--- a/src/main/java/linenring/scale/sockets/SocketLink.java
+++ b/src/main/java/linenring/scale/sockets/SocketLink.java
@@ -6,25 +6,27 @@
 import java.nio.channels.SocketChannel;
 import java.util.ArrayDeque;
 
-/** One connection of a {@link SocketLoop}; all its methods are called on the loop's thread. */
+/** One connection of a {@link SocketLoop}. All its methods are called on the loop's thread, which owns its state. */
 public final class SocketLink {
-    /** What becomes of a connection's events. */
+    /** Handles the events of a connection, on the loop's thread. */
     public interface Handler {
+        /** The connection is open. */
         void connected(SocketLink link);
 
-        /** Bytes have come; they must be consumed before it returns. */
+        /** Bytes have arrived; the buffer is used again once the method returns. */
         void received(SocketLink link, ByteBuffer bytes);
 
-        /** It has ended, whoever ended it; called once. */
+        /** The connection has ended, whoever ended it; called once. */
         void closed(SocketLink link);
     }
 
-    final SocketChannel channel;
-    final Handler handler;
+    private final SocketChannel channel;
+    private final Handler handler;
     private final SocketLoop loop;
     private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>();
     private SelectionKey key;
-    private boolean closed, closesWhenSent;
+    private boolean closed;
+    private boolean closesWhenSent;
 
     SocketLink(SocketLoop loop, SocketChannel channel, Handler handler) {
         this.loop = loop;
@@ -32,11 +34,19 @@
         this.handler = handler;
     }
 
-    void registered(SelectionKey with) {
-        key = with;
+    SocketChannel channel() {
+        return channel;
     }
 
-    /** Sends these bytes; an array that is shared is not copied. */
+    Handler handler() {
+        return handler;
+    }
+
+    void registered(SelectionKey registration) {
+        key = registration;
+    }
+
+    /** Sends these bytes without a copy: the caller must not change them any more. */
     public void send(byte[] bytes, int length) {
         if (closed || closesWhenSent) {
             return;
@@ -45,11 +55,12 @@
         flush();
     }
 
+    /** Sends all of these bytes. */
     public void send(byte[] bytes) {
         send(bytes, bytes.length);
     }
 
-    /** Ends it once all is sent. */
+    /** Closes it once all is sent. */
     public void closeWhenSent() {
         closesWhenSent = true;
         flush();
@@ -58,7 +69,7 @@
     void flush() {
         try {
             while (!unsent.isEmpty()) {
-                loop.bytesOut.add(channel.write(unsent.peek()));
+                loop.countBytesOut(channel.write(unsent.peek()));
                 if (unsent.peek().hasRemaining()) {
                     key.interestOpsOr(SelectionKey.OP_WRITE);
                     return;
@@ -71,12 +82,12 @@
             if (closesWhenSent) {
                 close();
             }
-        } catch (IOException e) {
+        } catch (IOException lost) {
             close();
         }
     }
 
-    /** Ends it now. */
+    /** Closes it now; what is not sent yet is dropped. */
     public void close() {
         if (closed) {
             return;
@@ -86,6 +97,7 @@
         handler.closed(this);
     }
 
+    /** Whether it has ended. */
     public boolean isClosed() {
         return closed;
     }
--- a/src/main/java/linenring/scale/sockets/SocketLoop.java
+++ b/src/main/java/linenring/scale/sockets/SocketLoop.java
@@ -2,6 +2,7 @@
 
 import java.io.Closeable;
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.StandardSocketOptions;
@@ -15,23 +16,24 @@
 import java.util.concurrent.atomic.LongAdder;
 import java.util.function.Supplier;
 
-/** A thread that serves connections on loopback, runs tasks and ticks. */
+/** A thread that serves connections on loopback, runs tasks and calls a periodic action. */
 public final class SocketLoop implements AutoCloseable {
     private static final int READ_BYTES = 256 * 1024;
     private static final int BACKLOG = 1024;
+    private static final long NANOS_PER_MS = 1_000_000;
+    private static final long STOP_TIMEOUT_MS = 2000;
 
-    /** Bytes that were received and sent over all connections. */
-    public final LongAdder bytesIn = new LongAdder(), bytesOut = new LongAdder();
-
+    private final LongAdder bytesIn = new LongAdder();
+    private final LongAdder bytesOut = new LongAdder();
     private final Selector selector;
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
-    private final ByteBuffer read = ByteBuffer.allocateDirect(READ_BYTES);
+    private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BYTES);
     private final long tickMs;
     private final Runnable tick;
     private final Thread thread;
     private volatile boolean closed;
 
-    /** Ticks every {@code tickMs}. */
+    /** Calls {@code tick} every {@code tickMs}, once it is started. */
     public SocketLoop(String name, long tickMs, Runnable tick) throws IOException {
         this.tickMs = tickMs;
         this.tick = tick;
@@ -40,17 +42,18 @@
         thread.setDaemon(true);
     }
 
+    /** Starts the thread. */
     public void start() {
         thread.start();
     }
 
-    /** Runs it on the loop's thread; the only way in from other threads. */
+    /** Runs a task on the loop's thread; the only method for other threads. */
     public void execute(Runnable task) {
         tasks.add(task);
         selector.wakeup();
     }
 
-    /** Listens on loopback at a free port; each connection gets a handler of its own. */
+    /** Listens on loopback at a free port; each connection gets a handler of its own. Called before the start. */
     public InetSocketAddress listen(Supplier<SocketLink.Handler> handlers) throws IOException {
         ServerSocketChannel server = ServerSocketChannel.open();
         server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), BACKLOG);
@@ -59,8 +62,8 @@
         return (InetSocketAddress) server.getLocalAddress();
     }
 
-    /** Dials; on the loop's thread. A dial that fails is told as the end of the connection. */
-    public SocketLink connect(InetSocketAddress to, SocketLink.Handler handler) {
+    /** Connects; on the loop's thread. A connect that fails is reported as the end of the connection. */
+    public SocketLink connect(InetSocketAddress address, SocketLink.Handler handler) {
         SocketChannel channel = null;
         SocketLink link;
         try {
@@ -68,13 +71,13 @@
             link = new SocketLink(this, channel, handler);
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            boolean connected = channel.connect(to);
+            boolean connected = channel.connect(address);
             link.registered(
                     channel.register(selector, connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, link));
             if (connected) {
                 handler.connected(link);
             }
-        } catch (IOException e) {
+        } catch (IOException lost) {
             link = new SocketLink(this, channel, handler);
             link.close();
         }
@@ -82,21 +85,21 @@
     }
 
     private void run() {
-        long ticksAt = System.nanoTime();
+        long nextTickNanos = System.nanoTime();
         while (!closed) {
             try {
-                selector.select(Math.max(1, (ticksAt - System.nanoTime()) / 1_000_000));
+                selector.select(Math.max(1, (nextTickNanos - System.nanoTime()) / NANOS_PER_MS));
                 selector.selectedKeys().forEach(this::serve);
                 selector.selectedKeys().clear();
                 for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
                     task.run();
                 }
-                if (System.nanoTime() - ticksAt >= 0) {
-                    ticksAt = System.nanoTime() + tickMs * 1_000_000;
+                if (System.nanoTime() - nextTickNanos >= 0) {
+                    nextTickNanos = System.nanoTime() + tickMs * NANOS_PER_MS;
                     tick.run();
                 }
-            } catch (IOException e) {
-                throw new java.io.UncheckedIOException(e); // the selector itself is broken
+            } catch (IOException broken) {
+                throw new UncheckedIOException(broken); // the selector itself, not a connection
             }
         }
         selector.keys().forEach(key -> closeQuietly(key.channel()));
@@ -114,9 +117,9 @@
         SocketLink link = (SocketLink) key.attachment();
         try {
             if (key.isConnectable()) {
-                link.channel.finishConnect();
+                link.channel().finishConnect();
                 key.interestOps(SelectionKey.OP_READ);
-                link.handler.connected(link);
+                link.handler().connected(link);
             }
             if (key.isValid() && key.isReadable()) {
                 receive(link);
@@ -124,20 +127,20 @@
             if (key.isValid() && key.isWritable()) {
                 link.flush();
             }
-        } catch (IOException e) {
+        } catch (IOException lost) {
             link.close();
         }
     }
 
     private void receive(SocketLink link) throws IOException {
-        read.clear();
-        int got = link.channel.read(read);
-        if (got < 0) {
+        readBuffer.clear();
+        int count = link.channel().read(readBuffer);
+        if (count < 0) {
             link.close();
             return;
         }
-        bytesIn.add(got);
-        link.handler.received(link, read.flip());
+        bytesIn.add(count);
+        link.handler().received(link, readBuffer.flip());
     }
 
     @SuppressWarnings("unchecked") // what listen() attached
@@ -153,29 +156,43 @@
             SocketLink link = new SocketLink(this, channel, handler);
             link.registered(channel.register(selector, SelectionKey.OP_READ, link));
             handler.connected(link);
-        } catch (IOException e) {
-            // it ended before it was served
+        } catch (IOException lost) {
+            // the peer closed before it was served, which it knows
         }
     }
 
-    static void closeQuietly(Closeable what) {
+    static void closeQuietly(Closeable resource) {
         try {
-            if (what != null) {
-                what.close();
+            if (resource != null) {
+                resource.close();
             }
-        } catch (IOException e) {
-            // nothing is lost with it
+        } catch (IOException ignored) {
+            // nothing is written to it any more
         }
     }
 
+    /** Bytes received over all connections. */
+    public long bytesIn() {
+        return bytesIn.sum();
+    }
+
+    /** Bytes sent over all connections. */
+    public long bytesOut() {
+        return bytesOut.sum();
+    }
+
+    void countBytesOut(int bytes) {
+        bytesOut.add(bytes);
+    }
+
     /** Ends the thread and all connections. */
     @Override
     public void close() {
         closed = true;
         selector.wakeup();
         try {
-            thread.join(2000);
-        } catch (InterruptedException e) {
+            thread.join(STOP_TIMEOUT_MS);
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
--- a/src/main/java/linenring/scale/sockets/package-info.java
+++ b/src/main/java/linenring/scale/sockets/package-info.java
@@ -1,2 +1,2 @@
-/** One thread with one selector that serves the many small connections of stand-ins. */
+/** One thread with one selector that serves the many small connections of simulated peers. */
 package linenring.scale.sockets;
--- a/src/test/java/linenring/scale/process/RunLineTest.java
+++ b/src/test/java/linenring/scale/process/LaunchCommandTest.java
@@ -10,15 +10,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class RunLineTest {
+class LaunchCommandTest {
     @Test
     void takesTheFlagsOfTheDeployment() throws IOException {
         String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("run = "))
                 .findFirst()
                 .orElseThrow();
-        List<String> command = RunLine.command();
-        for (String word : run.split("[ \"]+")) {
+        List<String> command = LaunchCommand.command();
+        for (String word : run.split("[ \"]+", -1)) {
             if (word.startsWith("-X") || word.startsWith("-D")) {
                 assertTrue(command.contains(word), word);
             }
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void saysSoWhereTheDeploymentStartsNoJar() {
-        assertThrows(IllegalStateException.class, () -> RunLine.flags("run = \"exec ./steward\"\n"));
+    void rejectsADeploymentThatStartsNoJar() {
+        assertThrows(IllegalStateException.class, () -> LaunchCommand.flags("run = \"exec ./controller\"\n"));
     }
 }
--- a/src/test/java/linenring/scale/process/ProcessorTimesTest.java
+++ b/src/test/java/linenring/scale/process/ProcessorTimesTest.java
@@ -13,7 +13,7 @@
 
 class ProcessorTimesTest {
     @TempDir
-    Path process;
+    private Path process;
 
     private void thread(String id, String name, String schedstat) throws IOException {
         Path task = Files.createDirectories(process.resolve("task").resolve(id));
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void readsUserAndSystemTimeWhateverTheNameHolds() throws IOException {
+    void readsUserAndSystemTimeWhateverTheProcessNameContains() throws IOException {
         Files.writeString(process.resolve("stat"), "7 (a ) b) S 1 7 7 0 -1 4194560 100 0 0 0 250 50 0 0 20 0\n");
         thread("8", "qtp99-12", "1500000 10 3\n");
         ProcessorTimes times = ProcessorTimes.read(process, true);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void threadsOfAPoolStandTogetherAndANewOneCountsFromItsStart() {
+    void addsUpThreadsOfAPoolAndCountsNewOnesFromTheirStart() {
         ProcessorTimes before = new ProcessorTimes(0, 0, Map.of(new ThreadKey(1, "qtp5-1"), 100L));
         ProcessorTimes after = new ProcessorTimes(
                 1024,
--- a/src/test/java/linenring/scale/settings/ScalePlanReaderTest.java
+++ b/src/test/java/linenring/scale/settings/ScalePlanReaderTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 class ScalePlanReaderTest {
-    private static final String GOOD = """
+    private static final String VALID = """
             // line 1
             scale {
                 seed 7
@@ -45,7 +45,7 @@
 
     @Test
     void readsSweepsOverTheCommonWorkload() {
-        ScalePlan plan = ScalePlanReader.read("s.kdl", GOOD).plan();
+        ScalePlan plan = ScalePlanReader.read("s.kdl", VALID).plan();
         assertEquals(
                 new ScalePlan(
                         7,
@@ -66,7 +66,7 @@
                 plan);
     }
 
-    /** A line of the good file replaced; the only thing that is said of it. */
+    /** One line of the valid file is replaced; the message is the only one. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -89,26 +89,26 @@
                 "17 | scenario-workload hosts-in-scope=257 | 17: scale.scenario-workload: hosts-in-scope of 257 is over catalogue-hosts of 256",
                 "18 | | 19: the file ends before a '}' that is open",
             })
-    void tellsAFaultByFileLineKeyAndWhatWasExpected(int line, String instead, String said) {
-        List<String> lines = new ArrayList<>(GOOD.lines().toList());
-        lines.set(line - 1, instead == null ? "" : instead);
+    void reportsAnErrorByFileLineKeyAndWhatWasExpected(int line, String replacement, String message) {
+        List<String> lines = new ArrayList<>(VALID.lines().toList());
+        lines.set(line - 1, replacement == null ? "" : replacement);
         ScalePlanReader.Outcome read = ScalePlanReader.read("s.kdl", String.join("\n", lines) + "\n");
         assertNull(read.plan());
-        assertEquals("s.kdl:" + said, read.faults().stream().collect(Collectors.joining("; ")));
+        assertEquals("s.kdl:" + message, read.faults().stream().collect(Collectors.joining("; ")));
     }
 
     @ParameterizedTest
     @EnumSource(Scenario.class)
-    void knowsEachScenarioByItsName(Scenario scenario) {
+    void readsEachScenarioByItsName(Scenario scenario) {
         String name = scenario.name().toLowerCase(Locale.ROOT).replace('_', '-');
         ScalePlanReader.Outcome read =
-                ScalePlanReader.read("s.kdl", GOOD.replace("\"zone-lost-and-back\"", "\"" + name + "\""));
+                ScalePlanReader.read("s.kdl", VALID.replace("\"zone-lost-and-back\"", "\"" + name + "\""));
         assertEquals(List.of(), read.faults());
         assertEquals(List.of(scenario), read.plan().scenarios());
     }
 
     @Test
-    void rejectsAMissingFileInOneLine() {
+    void reportsAMissingFileInOneLine() {
         assertEquals(
                 List.of("/no/such.kdl: cannot be read"),
                 ScalePlanReader.read(Path.of("/no/such.kdl")).faults());
@@ -116,7 +116,7 @@
 
     @ParameterizedTest
     @MethodSource("plansThatComeWithTheProgram")
-    void findsNoFaultInThePlansThatComeWithTheProgram(Path file) {
+    void acceptsThePlansThatComeWithTheProgram(Path file) {
         assertEquals(List.of(), ScalePlanReader.read(file).faults());
     }
 
