--- a/src/main/java/linenring/scale/fleet/OrderReader.java
+++ b/src/main/java/linenring/scale/fleet/ConfigurationUpdateDecoder.java
@@ -9,7 +9,7 @@
 import linenring.protocol.ConfigurationUpdate;
 
 /** Reads the lines of orders as a proxy does, and puts continued ones together. One for each stream. */
-final class OrderReader {
+final class ConfigurationUpdateDecoder {
     private static final JsonFactory JSON = new JsonFactory();
 
     private final List<ConfigurationUpdate.Part> parts = new ArrayList<>();
--- a/src/main/java/linenring/scale/fleet/HollowSteward.java
+++ b/src/main/java/linenring/scale/fleet/InProcessController.java
@@ -24,7 +24,7 @@
  * A steward without sockets for proxies and without a data plane: the real planner and fleet state, and the real host watch
  * over loopback. Its processor time is that of its own threads.
  */
-public final class HollowSteward implements AutoCloseable {
+public final class InProcessController implements AutoCloseable {
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
     private final String name;
@@ -40,7 +40,8 @@
     private Thread thread;
 
     /** With a ledger of what it is told where {@code keepsLedger}, which costs time and memory. */
-    public HollowSteward(String name, ControllerConfiguration assignment, Scheduler scheduler, boolean keepsLedger) {
+    public InProcessController(
+            String name, ControllerConfiguration assignment, Scheduler scheduler, boolean keepsLedger) {
         this.name = name;
         this.assignment = assignment;
         this.scheduler = scheduler;
@@ -113,7 +114,7 @@
 
     /** Processor time of its threads so far, in ns. */
     public long processorNanos() {
-        return threads.stream().mapToLong(HollowSteward::processorNanos).sum();
+        return threads.stream().mapToLong(InProcessController::processorNanos).sum();
     }
 
     /** Processor time of the thread that decides alone, in ns. */
--- a/src/main/java/linenring/scale/fleet/MemoryFleets.java
+++ b/src/main/java/linenring/scale/fleet/InProcessFleets.java
@@ -12,33 +12,33 @@
 import linenring.protocol.InboundMessage;
 
 /** Hollow fleets that speak with hollow stewards in this process, through their exchanges; one thread for all of them. */
-public final class MemoryFleets implements AutoCloseable {
+public final class InProcessFleets implements AutoCloseable {
     private static final long TICK_NS = 5_000_000;
 
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
-    private final List<HollowFleet> fleets = new ArrayList<>(); // on the thread
+    private final List<SimulatedFleet> fleets = new ArrayList<>(); // on the thread
     private final Thread thread = new Thread(this::run, "hollow-fleets");
     private volatile boolean closed;
 
     /** A fleet's way to its steward. */
     public final class Connection implements Uplink {
-        private final HollowFleet fleet;
+        private final SimulatedFleet fleet;
         private final Codec codec;
         private final Traffic traffic = new Traffic();
-        private final MemoryStream[] streams;
+        private final InProcessStream[] streams;
         private EventQueue exchange; // null once it has ended
 
-        private Connection(HollowFleet fleet, Codec codec, EventQueue exchange) {
+        private Connection(SimulatedFleet fleet, Codec codec, EventQueue exchange) {
             this.fleet = fleet;
             this.codec = codec;
             this.exchange = exchange;
-            streams = new MemoryStream[fleet.layout().proxies()];
+            streams = new InProcessStream[fleet.layout().proxies()];
         }
 
         @Override
         public void join(int stream, InboundMessage.Subscribe joining) {
             if (exchange != null) {
-                streams[joining.proxy()] = new MemoryStream(this, joining.proxy(), stream, exchange.nextStreamNumber());
+                streams[joining.proxy()] = new InProcessStream(this, joining.proxy(), stream, exchange.nextStreamNumber());
                 say(joining.proxy(), joining);
             }
         }
@@ -72,7 +72,7 @@
             return traffic;
         }
 
-        public HollowFleet fleet() {
+        public SimulatedFleet fleet() {
             return fleet;
         }
 
@@ -91,13 +91,13 @@
     }
 
     /** Where a hollow steward writes its orders. They are encoded as by a real one, and then handed over. */
-    private final class MemoryStream implements ProxyStream {
+    private final class InProcessStream implements ProxyStream {
         private final Connection of;
         private final int proxy;
         private final int fleetsNumber;
         private final long number;
 
-        MemoryStream(Connection of, int proxy, int fleetsNumber, long number) {
+        InProcessStream(Connection of, int proxy, int fleetsNumber, long number) {
             this.of = of;
             this.proxy = proxy;
             this.fleetsNumber = fleetsNumber;
@@ -128,7 +128,7 @@
     }
 
     /** Has a fleet join through that exchange. */
-    public Connection join(HollowFleet fleet, Codec codec, EventQueue exchange) {
+    public Connection join(SimulatedFleet fleet, Codec codec, EventQueue exchange) {
         Connection connection = new Connection(fleet, codec, exchange);
         tasks.add(() -> {
             fleets.add(fleet);
--- a/src/main/java/linenring/scale/fleet/ArrivalJson.java
+++ b/src/main/java/linenring/scale/fleet/InboundMessageEncoder.java
@@ -8,12 +8,12 @@
 import linenring.protocol.InboundMessage;
 
 /** Encodes what proxies and collectors say, one line each. */
-final class ArrivalJson {
+final class InboundMessageEncoder {
     private static final JsonFactory JSON = new JsonFactory();
 
     private final FleetLayout layout;
 
-    ArrivalJson(FleetLayout layout) {
+    InboundMessageEncoder(FleetLayout layout) {
         this.layout = layout;
     }
 
--- a/src/main/java/linenring/scale/fleet/HollowFleet.java
+++ b/src/main/java/linenring/scale/fleet/SimulatedFleet.java
@@ -15,7 +15,7 @@
  * The proxies and collectors of one steward, without I/O: they join, apply orders as the channel delivers them, acknowledge
  * marks and report. Time (ms, of no fixed start) is handed in. All but the reading methods are called on one thread.
  */
-public final class HollowFleet {
+public final class SimulatedFleet {
     private static final double REDIAL_LEAST_MS = 200, REDIAL_MOST_MS = 500;
     private static final double MEAN_MS = 80; // of a try: within the objective of each operation
     private static final double SPAN_MS = 1000; // that a report covers
@@ -29,7 +29,7 @@
     private final HostRegistry hosts;
     private final RandomGenerator chance;
     private final SimulatedChannel channel;
-    private final List<HollowProxy> proxies;
+    private final List<SimulatedProxy> proxies;
     private final PriorityQueue<Due> due =
             new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
     private final List<String> faults = new ArrayList<>();
@@ -42,13 +42,13 @@
     private volatile long timesWithoutHost;
     private volatile boolean stopped;
 
-    public HollowFleet(FleetLayout layout, HostRegistry hosts, RandomGenerator chance) {
+    public SimulatedFleet(FleetLayout layout, HostRegistry hosts, RandomGenerator chance) {
         this.layout = layout;
         this.hosts = hosts;
         this.chance = chance;
         channel = new SimulatedChannel(layout.channel());
         proxies = IntStream.range(0, layout.proxies())
-                .mapToObj(id -> new HollowProxy(id, layout.zoneOf(id), layout.operations(), hosts))
+                .mapToObj(id -> new SimulatedProxy(id, layout.zoneOf(id), layout.operations(), hosts))
                 .toList();
     }
 
@@ -62,7 +62,7 @@
         proxies.forEach(p -> join(p, now));
     }
 
-    private void join(HollowProxy proxy, double now) {
+    private void join(SimulatedProxy proxy, double now) {
         if (stopped || proxy.isJoined()) {
             return;
         }
@@ -78,7 +78,7 @@
 
     /** All proxies leave, and join again at once with the tables they have. */
     void rejoinAll(double now) {
-        for (HollowProxy proxy : proxies) {
+        for (SimulatedProxy proxy : proxies) {
             if (proxy.isJoined()) {
                 uplink.leave(proxy.id());
                 proxy.leaves();
@@ -89,7 +89,7 @@
 
     /** The stream of a proxy has ended; it dials again after a while. */
     void lost(int id, int stream, double now) {
-        HollowProxy proxy = proxies.get(id);
+        SimulatedProxy proxy = proxies.get(id);
         if (proxy.stream() != stream) {
             return; // it has a newer one
         }
@@ -104,7 +104,7 @@
         at(at, () -> apply(proxies.get(id), stream, order, now, at));
     }
 
-    private void apply(HollowProxy proxy, int stream, ConfigurationUpdate order, double sentAt, double now) {
+    private void apply(SimulatedProxy proxy, int stream, ConfigurationUpdate order, double sentAt, double now) {
         if (proxy.stream() != stream) {
             return; // lost with its stream
         }
@@ -150,7 +150,7 @@
     /** The next report: proxies' and collectors' in turn, each as large as its share of all requests. */
     private void report() {
         long number = reports++;
-        HollowProxy proxy = proxies.get((int) (number / 2 % proxies.size()));
+        SimulatedProxy proxy = proxies.get((int) (number / 2 % proxies.size()));
         if (!proxy.isJoined()) {
             return;
         }
@@ -171,7 +171,7 @@
 
     // ---- what is read from other threads
 
-    public List<HollowProxy> proxies() {
+    public List<SimulatedProxy> proxies() {
         return proxies;
     }
 
--- a/src/main/java/linenring/scale/fleet/HollowProxy.java
+++ b/src/main/java/linenring/scale/fleet/SimulatedProxy.java
@@ -11,7 +11,7 @@
 import linenring.routing.UnusableUpdateException;
 
 /** A proxy that keeps its tables as ordered and carries no request. Changed on the fleet's thread, read on any. */
-public final class HollowProxy {
+public final class SimulatedProxy {
     private static final int NEVER_AVOID = Integer.MAX_VALUE;
 
     private final int id;
@@ -23,7 +23,7 @@
     private volatile boolean served; // it has had a host for each operation
     private int stream; // counts its streams
 
-    HollowProxy(int id, int zone, List<String> operations, HostRegistry hosts) {
+    SimulatedProxy(int id, int zone, List<String> operations, HostRegistry hosts) {
         this.id = id;
         this.zone = zone;
         this.hosts = hosts;
--- a/src/main/java/linenring/scale/fleet/SocketFleet.java
+++ b/src/main/java/linenring/scale/fleet/SocketFleet.java
@@ -16,9 +16,9 @@
     private static final long TICK_MS = 5;
     private static final double COLLECTOR_REDIAL_MS = 300;
 
-    private final HollowFleet fleet;
+    private final SimulatedFleet fleet;
     private final InetSocketAddress steward;
-    private final ArrivalJson json;
+    private final InboundMessageEncoder json;
     private final SocketLoop loop;
     private final Traffic traffic = new Traffic();
     private final Peer[] streams;
@@ -62,7 +62,7 @@
     private final class ProxyStream extends Peer {
         private final int proxy;
         private final int number;
-        private final OrderReader reader = new OrderReader();
+        private final ConfigurationUpdateDecoder reader = new ConfigurationUpdateDecoder();
         private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
         ProxyStream(int number, InboundMessage.Subscribe joining) {
@@ -125,10 +125,10 @@
     }
 
     /** Joins at that address once it is started. */
-    public SocketFleet(HollowFleet fleet, InetSocketAddress steward, String name) throws IOException {
+    public SocketFleet(SimulatedFleet fleet, InetSocketAddress steward, String name) throws IOException {
         this.fleet = fleet;
         this.steward = steward;
-        json = new ArrivalJson(fleet.layout());
+        json = new InboundMessageEncoder(fleet.layout());
         loop = new SocketLoop(name, TICK_MS, this::tick);
         streams = new Peer[fleet.layout().proxies()];
         collectors = new Collector
@@ -194,7 +194,7 @@
         collectors[sums.zone()].say(sums);
     }
 
-    public HollowFleet fleet() {
+    public SimulatedFleet fleet() {
         return fleet;
     }
 
--- a/src/main/java/linenring/scale/run/Agreement.java
+++ b/src/main/java/linenring/scale/run/Agreement.java
@@ -2,7 +2,7 @@
 
 import java.util.Collection;
 import java.util.Set;
-import linenring.scale.fleet.HollowProxy;
+import linenring.scale.fleet.SimulatedProxy;
 
 /**
  * How far the tables of a fleet's proxies agree with the catalogue.
@@ -14,12 +14,12 @@
  */
 record Agreement(int notOrdered, int withoutHost, int staleLines, int missingLines) {
     /** Compares; {@code whole}: each table is to have all hosts that are ready. */
-    static Agreement of(Collection<HollowProxy> proxies, int operations, Set<String> ready, boolean whole) {
+    static Agreement of(Collection<SimulatedProxy> proxies, int operations, Set<String> ready, boolean whole) {
         int notOrdered = 0;
         int withoutHost = 0;
         int stale = 0;
         int missing = 0;
-        for (HollowProxy proxy : proxies) {
+        for (SimulatedProxy proxy : proxies) {
             notOrdered += proxy.isOrdered() ? 0 : 1;
             withoutHost += !proxy.hasHosts() ? 1 : 0;
             for (int operation = 0; operation < operations; operation++) {
--- a/src/main/java/linenring/scale/run/HollowMember.java
+++ b/src/main/java/linenring/scale/run/InProcessMember.java
@@ -1,29 +1,29 @@
 package linenring.scale.run;
 
 import linenring.configuration.ControllerConfiguration;
-import linenring.scale.fleet.HollowFleet;
-import linenring.scale.fleet.HollowSteward;
-import linenring.scale.fleet.MemoryFleets;
+import linenring.scale.fleet.InProcessController;
+import linenring.scale.fleet.InProcessFleets;
+import linenring.scale.fleet.SimulatedFleet;
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /** A hollow steward and its fleet. */
-final class HollowMember implements AutoCloseable {
-    private final HollowFleet fleet;
-    private final MemoryFleets fleets;
-    private HollowSteward steward;
-    private MemoryFleets.Connection connection;
+final class InProcessMember implements AutoCloseable {
+    private final SimulatedFleet fleet;
+    private final InProcessFleets fleets;
+    private InProcessController steward;
+    private InProcessFleets.Connection connection;
 
     /** {@code keepsLedger}: of what the catalogue tells it, which takes time and memory. */
-    HollowMember(
+    InProcessMember(
             String name,
             ControllerConfiguration assignment,
             Scheduler scheduler,
-            HollowFleet fleet,
-            MemoryFleets fleets,
+            SimulatedFleet fleet,
+            InProcessFleets fleets,
             boolean keepsLedger) {
         this.fleet = fleet;
         this.fleets = fleets;
-        steward = new HollowSteward(name, assignment, scheduler, keepsLedger);
+        steward = new InProcessController(name, assignment, scheduler, keepsLedger);
     }
 
     void open() throws Exception { // Jetty's start() may throw any
@@ -31,15 +31,15 @@
         connection = fleets.join(fleet, steward.codec(), steward.exchange());
     }
 
-    HollowFleet fleet() {
+    SimulatedFleet fleet() {
         return fleet;
     }
 
-    HollowSteward steward() {
+    InProcessController steward() {
         return steward;
     }
 
-    MemoryFleets.Connection connection() {
+    InProcessFleets.Connection connection() {
         return connection;
     }
 
--- a/src/main/java/linenring/scale/run/PointRunner.java
+++ b/src/main/java/linenring/scale/run/PointRunner.java
@@ -74,7 +74,7 @@
         testbed.beginSteadyRates();
         sleep(warmUpSeconds);
         RealWindow real = failure == null ? new RealWindow(testbed.real()) : null;
-        HollowWindow hollow = hollowFailure == null ? new HollowWindow(testbed.hollow()) : null;
+        InProcessWindow hollow = hollowFailure == null ? new InProcessWindow(testbed.hollow()) : null;
         sleep(windowSeconds);
         Usage realUsage = null;
         if (real != null) {
@@ -176,13 +176,13 @@
     }
 
     /** What the hollow stewards use from its making on; its mean over them. */
-    private static final class HollowWindow {
-        private final List<HollowMember> members;
+    private static final class InProcessWindow {
+        private final List<InProcessMember> members;
         private final long begunAt = System.nanoTime();
         private final long processorNanos;
         private final Traffic.Counts traffic;
 
-        HollowWindow(List<HollowMember> members) {
+        InProcessWindow(List<InProcessMember> members) {
             this.members = members;
             processorNanos = processorNanos();
             traffic = traffic();
@@ -204,7 +204,7 @@
             double processorSeconds = (processorNanos() - processorNanos) / 1e9;
             Traffic.Counts used = traffic().since(traffic);
             long with = heapAfterCollection();
-            members.forEach(HollowMember::letGo);
+            members.forEach(InProcessMember::letGo);
             sleep(LET_GO_S);
             double heap = (double) (with - heapAfterCollection()) / members.size();
             return new Usage(
--- a/src/main/java/linenring/scale/run/RealMember.java
+++ b/src/main/java/linenring/scale/run/RealMember.java
@@ -5,7 +5,7 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import linenring.scale.catalogue.CatalogueServer;
-import linenring.scale.fleet.HollowFleet;
+import linenring.scale.fleet.SimulatedFleet;
 import linenring.scale.fleet.SocketFleet;
 import linenring.scale.fleet.Traffic;
 import linenring.scale.process.ControllerProcess;
@@ -18,7 +18,7 @@
     private final CatalogueServer server;
     private final SocketFleet fleet;
 
-    RealMember(String name, Path folder, MeasuredConfiguration settings, CatalogueServer server, HollowFleet fleet)
+    RealMember(String name, Path folder, MeasuredConfiguration settings, CatalogueServer server, SimulatedFleet fleet)
             throws IOException {
         this.settings = settings;
         this.server = server;
--- a/src/main/java/linenring/scale/run/ScenarioPlayer.java
+++ b/src/main/java/linenring/scale/run/ScenarioPlayer.java
@@ -94,7 +94,7 @@
             this.real = real;
             whole = testbed.agreement(real.fleet().fleet(), true).isComplete();
             trafficBefore = real.traffic();
-            HollowMember hollow = testbed.hollow().get(0);
+            InProcessMember hollow = testbed.hollow().get(0);
             hollowNanosBefore = hollow.steward().processorNanos();
             hollowTrafficBefore = hollow.connection().traffic().counts();
             hostsBefore = testbed.driver().hostsChanged();
@@ -166,7 +166,7 @@
             Traffic.Counts traffic = real.traffic().since(trafficBefore);
             double processorSeconds = processorSecondsBeforeRestart + (last.nanos() - first.nanos()) / 1e9;
             Usage realUsage = usage(processorSeconds, real.process().residentBytes(), traffic, seconds);
-            HollowMember hollow = testbed.hollow().get(0);
+            InProcessMember hollow = testbed.hollow().get(0);
             Traffic.Counts hollowTraffic =
                     hollow.connection().traffic().counts().since(hollowTrafficBefore);
             double hollowSeconds = (hollow.steward().processorNanos() - hollowNanosBefore) / 1e9;
--- a/src/main/java/linenring/scale/run/Testbed.java
+++ b/src/main/java/linenring/scale/run/Testbed.java
@@ -23,9 +23,9 @@
 import linenring.scale.catalogue.CatalogueServer;
 import linenring.scale.fleet.ChannelLimits;
 import linenring.scale.fleet.FleetLayout;
-import linenring.scale.fleet.HollowFleet;
-import linenring.scale.fleet.HollowProxy;
-import linenring.scale.fleet.MemoryFleets;
+import linenring.scale.fleet.InProcessFleets;
+import linenring.scale.fleet.SimulatedFleet;
+import linenring.scale.fleet.SimulatedProxy;
 import linenring.scale.measurement.Workload;
 import linenring.scale.process.MeasuredConfiguration;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
@@ -49,10 +49,10 @@
     private final HostRegistry hosts = new HostRegistry();
     private final CatalogueDriver driver;
     private final CatalogueServer hollowCatalogue;
-    private final MemoryFleets memoryFleets = new MemoryFleets();
+    private final InProcessFleets memoryFleets = new InProcessFleets();
     private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler("hollow-timer", true);
     private final List<RealMember> real = new ArrayList<>();
-    private final List<HollowMember> hollow = new ArrayList<>();
+    private final List<InProcessMember> hollow = new ArrayList<>();
 
     /** Builds the catalogue; nothing runs yet. */
     Testbed(Workload workload, long seed) throws IOException {
@@ -99,10 +99,10 @@
             member.open();
         }
         for (int i = 0; i < hollowStewards; i++) {
-            hollow.add(new HollowMember(
+            hollow.add(new InProcessMember(
                     "hollow-" + i, assignment(i), scheduler, fleet(realStewards + i), memoryFleets, keepsLedgers));
         }
-        for (HollowMember member : hollow) {
+        for (InProcessMember member : hollow) {
             member.open();
         }
     }
@@ -118,7 +118,7 @@
                 scope);
     }
 
-    private HollowFleet fleet(int number) {
+    private SimulatedFleet fleet(int number) {
         FleetLayout layout = new FleetLayout(
                 workload.proxies(),
                 catalogue.layout().zoneNames(),
@@ -126,7 +126,7 @@
                 ChannelLimits.ofFleet(workload.proxies()),
                 workload.reportsPerSecond(),
                 REQUESTS_PER_PROXY);
-        return new HollowFleet(layout, hosts, new Random(seed + 1 + number));
+        return new SimulatedFleet(layout, hosts, new Random(seed + 1 + number));
     }
 
     private ControllerConfiguration assignment(int number) throws IOException {
@@ -166,7 +166,7 @@
         return real;
     }
 
-    List<HollowMember> hollow() {
+    List<InProcessMember> hollow() {
         return hollow;
     }
 
@@ -221,7 +221,7 @@
     String awaitHollowSettled(long deadlineNanos) throws InterruptedException {
         while (true) {
             String missing = null;
-            for (HollowMember member : hollow) {
+            for (InProcessMember member : hollow) {
                 String own = missing(member.fleet(), hollowCatalogue.watchersAt(catalogue.version()), hollow.size());
                 missing = missing == null ? own : missing;
                 if (member.steward().failure() != null) {
@@ -238,7 +238,7 @@
         }
     }
 
-    private static String missing(HollowFleet fleet, int watchers, int due) {
+    private static String missing(SimulatedFleet fleet, int watchers, int due) {
         if (watchers < due) {
             return watchers + " of " + due + " hold the present list";
         }
@@ -249,9 +249,9 @@
     }
 
     /** The ids of hosts that are not ready and that a proxy may still send to. */
-    Set<String> staleHosts(HollowFleet fleet) {
+    Set<String> staleHosts(SimulatedFleet fleet) {
         Set<String> open = new HashSet<>();
-        for (HollowProxy proxy : fleet.proxies()) {
+        for (SimulatedProxy proxy : fleet.proxies()) {
             for (int operation = 0; operation < OPERATIONS.size(); operation++) {
                 open.addAll(proxy.openHosts(operation));
             }
@@ -261,7 +261,7 @@
     }
 
     /** How far a fleet agrees with the catalogue. */
-    Agreement agreement(HollowFleet fleet, boolean whole) {
+    Agreement agreement(SimulatedFleet fleet, boolean whole) {
         return Agreement.of(fleet.proxies(), OPERATIONS.size(), readyInScope(), whole);
     }
 
@@ -270,7 +270,7 @@
     public void close() {
         driver.close();
         real.forEach(RealMember::close);
-        hollow.forEach(HollowMember::close);
+        hollow.forEach(InProcessMember::close);
         memoryFleets.close();
         hollowCatalogue.close();
         try {
--- a/src/test/java/linenring/scale/fleet/LinesTest.java
+++ b/src/test/java/linenring/scale/fleet/FleetCodecTest.java
@@ -14,11 +14,11 @@
 import org.junit.jupiter.api.Test;
 
 /** What hollow processes write is what a steward reads, and the other way round. */
-class LinesTest {
+class FleetCodecTest {
     private static final List<String> ZONES = List.of("a", "b"), OPERATIONS = List.of("lookup", "order");
 
     private final Codec codec = new Codec(new Names(ZONES, List.of("m1"), OPERATIONS, 9, 4));
-    private final OrderReader reader = new OrderReader();
+    private final ConfigurationUpdateDecoder reader = new ConfigurationUpdateDecoder();
 
     private ConfigurationUpdate read(ConfigurationUpdate order) throws IOException {
         ConfigurationUpdate read = null;
@@ -64,7 +64,7 @@
                 new InboundMessage.RequestRateReport(3, 1, 7, 1000),
                 new InboundMessage.LoadReport("s-1", 1, 12, 3, 80, 1000)));
         for (InboundMessage what : all) {
-            byte[] line = new ArrivalJson(layout).line(what);
+            byte[] line = new InboundMessageEncoder(layout).line(what);
             assertEquals('\n', line[line.length - 1]);
             assertEquals(what, codec.decodeInbound(line, line.length).orElseThrow());
         }
--- a/src/test/java/linenring/scale/fleet/HollowFleetTest.java
+++ b/src/test/java/linenring/scale/fleet/SimulatedFleetTest.java
@@ -14,7 +14,7 @@
 import linenring.routing.HostRegistry;
 import org.junit.jupiter.api.Test;
 
-class HollowFleetTest {
+class SimulatedFleetTest {
     private static final ChannelLimits CHANNEL = new ChannelLimits(1000, 4, 2000, 200, 500);
     private static final int MARK = 9;
 
@@ -52,7 +52,7 @@
     private final Noted noted = new Noted();
     private final HostRegistry hosts = new HostRegistry();
 
-    private HollowFleet fleet(int proxies, double reportsPerSecond) {
+    private SimulatedFleet fleet(int proxies, double reportsPerSecond) {
         hosts.apply(new HostList(
                 1,
                 true,
@@ -61,7 +61,7 @@
                         .toList()));
         FleetLayout layout =
                 new FleetLayout(proxies, List.of("a", "b"), List.of("lookup", "order"), CHANNEL, reportsPerSecond, 20);
-        HollowFleet fleet = new HollowFleet(layout, hosts, new Random(3));
+        SimulatedFleet fleet = new SimulatedFleet(layout, hosts, new Random(3));
         fleet.start(noted, 0);
         return fleet;
     }
@@ -92,7 +92,7 @@
 
     @Test
     void anOrderTakesEffectAndIsAcknowledgedOnceTheChannelHasDeliveredIt() {
-        HollowFleet fleet = fleet(1, 0);
+        SimulatedFleet fleet = fleet(1, 0);
         fleet.ordered(0, 1, table(MARK, "s-1"), 1000); // 2 lines and 4 for the message, 1 ms each, and 200 ms
         fleet.advance(1205.9);
         assertFalse(fleet.proxies().get(0).hasHosts());
@@ -105,7 +105,7 @@
 
     @Test
     void messagesWaitForThoseBeforeThemInTheChannel() {
-        HollowFleet fleet = fleet(2, 0);
+        SimulatedFleet fleet = fleet(2, 0);
         fleet.ordered(0, 1, table(1, "s-1"), 0);
         fleet.ordered(1, 1, table(2, "s-1"), 0);
         fleet.advance(206);
@@ -116,7 +116,7 @@
 
     @Test
     void anOrderThatCannotBeUsedIsTold() {
-        HollowFleet fleet = fleet(1, 0);
+        SimulatedFleet fleet = fleet(1, 0);
         fleet.ordered(0, 1, table(MARK, "s-unheard-of"), 0);
         fleet.advance(300);
         assertEquals(List.of("proxy 0 can't use an order: host 's-unheard-of' was never listed"), fleet.faults());
@@ -127,7 +127,7 @@
 
     @Test
     void aLostStreamIsDialledAgainAndItsLateOrdersAreLost() {
-        HollowFleet fleet = fleet(1, 0);
+        SimulatedFleet fleet = fleet(1, 0);
         fleet.ordered(0, 1, table(1, "s-1"), 0);
         fleet.lost(0, 1, 100);
         fleet.advance(300);
@@ -140,7 +140,7 @@
 
     @Test
     void theLateEndOfAnEarlierStreamChangesNothing() {
-        HollowFleet fleet = fleet(1, 0);
+        SimulatedFleet fleet = fleet(1, 0);
         fleet.lost(0, 1, 0);
         fleet.advance(600);
         fleet.lost(0, 1, 700);
@@ -149,7 +149,7 @@
 
     @Test
     void aProxyThatIsLeftWithoutAHostIsCounted() {
-        HollowFleet fleet = fleet(1, 0);
+        SimulatedFleet fleet = fleet(1, 0);
         fleet.ordered(0, 1, eject("s-1"), 0);
         fleet.advance(500);
         assertEquals(0, fleet.timesWithoutHost()); // it had none before
@@ -164,7 +164,7 @@
 
     @Test
     void reportsAreMadeAtTheirRateOfHostsThatTablesHold() {
-        HollowFleet fleet = fleet(4, 100);
+        SimulatedFleet fleet = fleet(4, 100);
         for (int proxy = 0; proxy < 4; proxy++) {
             fleet.ordered(proxy, 1, table(1, "s-1", "s-2"), 0);
         }
@@ -179,7 +179,7 @@
 
     @Test
     void aWholeFleetJoinsAnewWithTheTablesItHas() {
-        HollowFleet fleet = fleet(3, 0);
+        SimulatedFleet fleet = fleet(3, 0);
         for (int proxy = 0; proxy < 3; proxy++) {
             fleet.ordered(proxy, 1, table(1, "s-1"), 0);
         }
--- a/src/test/java/linenring/scale/run/ScaleTest.java
+++ b/src/test/java/linenring/scale/run/ScaleTest.java
@@ -10,8 +10,8 @@
 import java.util.function.BooleanSupplier;
 import linenring.scale.catalogue.CatalogueEvents;
 import linenring.scale.catalogue.CatalogueHost;
-import linenring.scale.fleet.HollowFleet;
 import linenring.scale.fleet.ListLedger;
+import linenring.scale.fleet.SimulatedFleet;
 import linenring.scale.measurement.Workload;
 import org.junit.jupiter.api.Test;
 
@@ -68,7 +68,7 @@
 
             assertConverges(testbed, real.fleet().fleet());
             assertTrue(real.process().isAlive(), real.process().ending());
-            for (HollowMember member : testbed.hollow()) {
+            for (InProcessMember member : testbed.hollow()) {
                 assertConverges(testbed, member.fleet());
                 assertNull(member.steward().failure());
                 assertEachChangeOnceAndInOrder(testbed, member.steward().ledger());
@@ -83,7 +83,7 @@
     }
 
     /** The tables of all proxies hold the hosts that are ready, all of them and no other, and no proxy was ever without one. */
-    private static void assertConverges(Testbed testbed, HollowFleet fleet) throws InterruptedException {
+    private static void assertConverges(Testbed testbed, SimulatedFleet fleet) throws InterruptedException {
         await(() -> testbed.agreement(fleet, true).isComplete());
         assertEquals(new Agreement(0, 0, 0, 0), testbed.agreement(fleet, true));
         assertEquals(List.of(), fleet.faults());
