--- a/src/main/java/linenring/scale/catalogue/Catalogue.java
+++ b/src/main/java/linenring/scale/catalogue/Catalogue.java
@@ -6,25 +6,31 @@
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
 import linenring.protocol.HostList;
 
 /**
- * The state of the catalogue without I/O: hosts, versions, and the changes that are kept for watchers that come late. All
+ * The state of the catalogue without I/O: hosts, versions, and the changes that are kept for watchers that are behind. All
  * methods may be called on any thread; each change gets the next version. Times are Unix ms.
  */
 public final class Catalogue {
-    private static final int CHANGES_KEPT = 20_000; // who asks for older ones gets the whole list
+    /** A watcher that is further behind gets the complete list. */
+    private static final int MAX_KEPT_CHANGES = 20_000;
+
+    private static final int BITS_PER_OCTET = 8;
+    private static final int OCTET = 255;
 
     private final CatalogueLayout layout;
     private final Map<String, CatalogueHost> hosts = new LinkedHashMap<>();
     private final ArrayDeque<CatalogueChange> changes = new ArrayDeque<>(); // oldest first
     private long version = 1;
     private int lastNumber;
-    private CatalogueChange snapshot; // the whole list of the present version, where it was asked for
+    private CatalogueChange snapshot; // the complete list of the current version, or null until it is asked for
 
+    /** A catalogue with the hosts of this layout, all ready. */
     public Catalogue(CatalogueLayout layout) {
         this.layout = layout;
         for (int i = 0; i < layout.hosts(); i++) {
@@ -38,7 +44,7 @@
         int withinZone = index / layout.zones();
         return new CatalogueHost(
                 nextId(),
-                "10." + (index >> 16 & 255) + "." + (index >> 8 & 255) + "." + (index & 255) + ":3000",
+                address(index),
                 zone,
                 withinZone % layout.kinds(),
                 withinZone / layout.hostsPerRack(),
@@ -47,21 +53,29 @@
                 0);
     }
 
+    private static String address(int index) {
+        int second = (index >> (2 * BITS_PER_OCTET)) & OCTET;
+        int third = (index >> BITS_PER_OCTET) & OCTET;
+        return "10." + second + "." + third + "." + (index & OCTET) + ":3000";
+    }
+
     private String nextId() {
-        return String.format("s-%08x", lastNumber++);
+        return String.format(Locale.ROOT, "s-%08x", lastNumber++);
     }
 
+    /** How its hosts are spread. */
     public CatalogueLayout layout() {
         return layout;
     }
 
+    /** The version of the last change. */
     public synchronized long version() {
         return version;
     }
 
-    /** The present hosts that fit, in the order in which they were first listed. */
-    public synchronized List<CatalogueHost> hosts(Predicate<CatalogueHost> which) {
-        return hosts.values().stream().filter(which).toList();
+    /** The current hosts that match, in the order in which they were first listed. */
+    public synchronized List<CatalogueHost> hosts(Predicate<CatalogueHost> filter) {
+        return hosts.values().stream().filter(filter).toList();
     }
 
     /** The ids of the hosts that are ready. */
@@ -93,7 +107,7 @@
         }
         CatalogueChange change = new CatalogueChange(++version, false, List.copyOf(changed));
         changes.add(change);
-        if (changes.size() > CHANGES_KEPT) {
+        if (changes.size() > MAX_KEPT_CHANGES) {
             changes.poll();
         }
         snapshot = null;
@@ -102,39 +116,42 @@
 
     /** These hosts drain. */
     public CatalogueChange terminate(Collection<CatalogueHost> which) {
-        return put(which.stream().map(h -> h.as(HostList.State.TERMINATING)).toList());
+        return put(which.stream()
+                .map(host -> host.withState(HostList.State.TERMINATING))
+                .toList());
     }
 
-    /** These hosts are gone without a word before. */
+    /** These hosts are gone without having drained. */
     public CatalogueChange remove(Collection<CatalogueHost> which) {
-        return put(which.stream().map(h -> h.as(HostList.State.GONE)).toList());
+        return put(
+                which.stream().map(host -> host.withState(HostList.State.GONE)).toList());
     }
 
     /** These hosts have started (again) under their own ids. */
     public CatalogueChange start(Collection<CatalogueHost> which, long now) {
-        return put(which.stream().map(h -> h.startedAt(now)).toList());
+        return put(which.stream().map(host -> host.startedAt(now)).toList());
     }
 
-    /** These hosts are gone, and as many with new ids stand in their places. */
+    /** These hosts are gone, and as many with new ids take their places. */
     public synchronized CatalogueChange replace(Collection<CatalogueHost> which, long now) {
         List<CatalogueHost> both = new ArrayList<>();
         for (CatalogueHost host : which) {
-            both.add(host.as(HostList.State.GONE));
+            both.add(host.withState(HostList.State.GONE));
             both.add(host.replacedBy(nextId(), now));
         }
         return put(both);
     }
 
-    /** Begins to count its versions anew, as a catalogue that has lost its state does. */
+    /** Resets its versions, as a catalogue that has lost its state does. */
     public synchronized void restartVersions() {
         version = 0;
         changes.clear();
         snapshot = null;
     }
 
-    // ---- what is told
+    // ---- for watchers
 
-    /** The whole list as of now. */
+    /** The complete list as of now. */
     public synchronized CatalogueChange snapshot() {
         if (snapshot == null) {
             snapshot = new CatalogueChange(version, true, List.copyOf(hosts.values()));
@@ -142,21 +159,22 @@
         return snapshot;
     }
 
-    /** What one who holds that version must be told to hold the present one, as one line; null where it holds it. */
-    public synchronized CatalogueChange catchUp(long held) {
-        if (held == version) {
+    /** What a watcher that holds a version needs for the current one, as one line; null if it holds that. */
+    public synchronized CatalogueChange catchUp(long heldVersion) {
+        if (heldVersion == version) {
             return null;
         }
-        boolean kept = held < version && !changes.isEmpty() && changes.peek().version() <= held + 1;
-        return kept ? merged(held) : snapshot();
+        boolean isKept =
+                heldVersion < version && !changes.isEmpty() && changes.peek().version() <= heldVersion + 1;
+        return isKept ? merged(heldVersion) : snapshot();
     }
 
     /** All changes after that version as one: of each host what it is now, or that it is gone. */
-    private CatalogueChange merged(long held) {
+    private CatalogueChange merged(long heldVersion) {
         Map<String, CatalogueHost> last = new LinkedHashMap<>();
         for (CatalogueChange change : changes) {
-            if (change.version() > held) {
-                change.hosts().forEach(h -> last.put(h.id(), h));
+            if (change.version() > heldVersion) {
+                change.hosts().forEach(host -> last.put(host.id(), host));
             }
         }
         return new CatalogueChange(version, false, List.copyOf(last.values()));
--- a/src/main/java/linenring/scale/catalogue/CatalogueAnswers.java
+++ b/src/main/java/linenring/scale/catalogue/CatalogueAnswers.java
@@ -1,58 +1,74 @@
 package linenring.scale.catalogue;
 
-/** What the catalogue's agent answers, faults on command included, without I/O. */
+/** The answers of the discovery agent, with faults on command, without I/O. */
 final class CatalogueAnswers {
-    /**
-     * A body.
-     *
-     * @param length how many of its bytes are sent before the connection ends; all of them where it is not cut
-     */
-    record Body(byte[] bytes, int length) {
+    /** The body of an answer; of one that is cut, the connection ends within an entry. */
+    static final class Body {
+        private final byte[] bytes;
+        private final int sentBytes;
+
+        private Body(byte[] bytes, int sentBytes) {
+            this.bytes = bytes;
+            this.sentBytes = sentBytes;
+        }
+
+        /** All of it; not to be changed by the caller. */
+        byte[] bytes() {
+            return bytes;
+        }
+
+        /** How many of its bytes are sent before the connection ends; all of them if it is not cut. */
+        int sentBytes() {
+            return sentBytes;
+        }
+
         boolean isCut() {
-            return length < bytes.length;
+            return sentBytes < bytes.length;
         }
     }
 
     private final Catalogue catalogue;
     private boolean silent;
-    private int cutLists, spoiltLists, spoiltEntries;
+    private int listsToCut;
+    private int listsToCorrupt;
+    private int entriesToCorrupt;
 
     CatalogueAnswers(Catalogue catalogue) {
         this.catalogue = catalogue;
     }
 
-    /** While it is silent nothing is answered and nothing is told. */
-    synchronized void silent(boolean is) {
-        silent = is;
+    /** While it is silent nothing is answered and no change is sent. */
+    synchronized void setSilent(boolean newSilent) {
+        silent = newSilent;
     }
 
     synchronized boolean isSilent() {
         return silent;
     }
 
-    /** So many of the next whole lists are cut off within an entry. */
+    /** That many of the next complete lists are cut off within an entry. */
     synchronized void cutNextLists(int lists) {
-        cutLists = lists;
+        listsToCut = lists;
     }
 
-    /** In so many of the next whole lists so many entries can't be read. */
-    synchronized void spoilNextLists(int lists, int entries) {
-        spoiltLists = lists;
-        spoiltEntries = entries;
+    /** In that many of the next complete lists that many entries can't be read. */
+    synchronized void corruptNextLists(int lists, int entries) {
+        listsToCorrupt = lists;
+        entriesToCorrupt = entries;
     }
 
-    /** The whole list, as it is asked for once. */
+    /** The complete list, for one request. */
     synchronized Body list() {
-        CatalogueChange whole = catalogue.snapshot();
-        if (spoiltLists > 0) {
-            spoiltLists--;
-            byte[] spoilt = CatalogueJson.line(whole, spoiltEntries);
-            return new Body(spoilt, spoilt.length);
+        CatalogueChange complete = catalogue.snapshot();
+        if (listsToCorrupt > 0) {
+            listsToCorrupt--;
+            byte[] corrupted = CatalogueJson.line(complete, entriesToCorrupt);
+            return new Body(corrupted, corrupted.length);
         }
-        byte[] bytes = whole.encoded();
-        if (cutLists > 0) {
-            cutLists--;
-            return new Body(bytes, bytes.length / 2 + bytes.length / 4);
+        byte[] bytes = complete.encoded();
+        if (listsToCut > 0) {
+            listsToCut--;
+            return new Body(bytes, bytes.length / 2 + bytes.length / 4); // three quarters
         }
         return new Body(bytes, bytes.length);
     }
--- a/src/main/java/linenring/scale/catalogue/CatalogueChange.java
+++ b/src/main/java/linenring/scale/catalogue/CatalogueChange.java
@@ -3,27 +3,31 @@
 import java.util.List;
 import linenring.protocol.HostList;
 
-/** What one version of the catalogue changed, or the whole of it at that version; encoded once for all watchers. */
+/** The changes of one version of the catalogue, or the complete list at that version; encoded once for all watchers. */
 public final class CatalogueChange {
     private final long version;
-    private final boolean whole;
+    private final boolean complete;
     private final List<CatalogueHost> hosts;
-    private byte[] encoded, chunk;
+    private byte[] encoded; // null until it is asked for
+    private byte[] chunk; // the same
 
-    CatalogueChange(long version, boolean whole, List<CatalogueHost> hosts) {
+    CatalogueChange(long version, boolean complete, List<CatalogueHost> hosts) {
         this.version = version;
-        this.whole = whole;
+        this.complete = complete;
         this.hosts = List.copyOf(hosts);
     }
 
+    /** The version that it leads to. */
     public long version() {
         return version;
     }
 
-    public boolean whole() {
-        return whole;
+    /** Whether it is the complete list. */
+    public boolean isComplete() {
+        return complete;
     }
 
+    /** The hosts that changed, or all of them; those that are gone have that state. */
     public List<CatalogueHost> hosts() {
         return hosts;
     }
@@ -44,21 +48,21 @@
         return chunk;
     }
 
-    /** As a process that keeps the catalogue's hosts takes it in. */
+    /** The same as the value that the codec makes of it. */
     public HostList asHostList() {
         return new HostList(
                 version,
-                whole,
+                complete,
                 hosts.stream()
-                        .map(h -> new HostList.Entry(
-                                h.id(),
-                                h.zone(),
-                                h.kind(),
-                                h.state(),
+                        .map(host -> new HostList.Entry(
+                                host.id(),
+                                host.zone(),
+                                host.kind(),
+                                host.state(),
                                 1,
-                                h.startedMs() == 0 ? Double.NEGATIVE_INFINITY : h.startedMs(),
-                                h.address(),
-                                h.rack()))
+                                host.startedMs() == 0 ? Double.NEGATIVE_INFINITY : host.startedMs(),
+                                host.address(),
+                                host.rack()))
                         .toList());
     }
 }
--- a/src/main/java/linenring/scale/catalogue/CatalogueEvents.java
+++ b/src/main/java/linenring/scale/catalogue/CatalogueEvents.java
@@ -7,67 +7,71 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What happens to the catalogue as time passes, without I/O: steady churn and replacements, and events at set times. The
- * clock (Unix ms) is handed in with each call, chance at the start. Not safe for several threads.
+ * Changes the catalogue as time passes, without I/O: steady churn and replacements, and events at set times. The time (Unix
+ * ms) is handed in with each call, the random numbers at the start. Not thread-safe.
  */
 public final class CatalogueEvents {
-    /** A host that restarts is listed as terminating for so long; one that is replaced as well. */
+    /** How long a host that restarts or is replaced is listed as terminating. */
     private static final long DRAIN_MS = 1000;
 
-    /** Something due at a time. */
-    private record Due(long at, long order, Event event) {}
+    private static final int MAX_PICKS = 16;
+    private static final double SECOND_MS = 1000;
 
-    /** Changes the catalogue at its time; null where nothing is left to change. */
+    /** An event and its time; {@code sequence} orders events of one time. */
+    private record Due(long timeMs, long sequence, Event event) {}
+
+    /** Changes the catalogue at its time; null if there is nothing left to change. */
     private interface Event {
-        CatalogueChange happen(long now);
+        CatalogueChange apply(long nowMs);
     }
 
     private final Catalogue catalogue;
-    private final RandomGenerator chance;
+    private final RandomGenerator random;
     private final PriorityQueue<Due> due =
-            new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+            new PriorityQueue<>(Comparator.comparingLong(Due::timeMs).thenComparingLong(Due::sequence));
     private final List<String> ids = new ArrayList<>(); // those that churn may take
-    private long orders;
+    private long nextSequence;
     private boolean steady = true;
 
-    public CatalogueEvents(Catalogue catalogue, RandomGenerator chance) {
+    /** Events of this catalogue; nothing happens until some are ordered. */
+    public CatalogueEvents(Catalogue catalogue, RandomGenerator random) {
         this.catalogue = catalogue;
-        this.chance = chance;
-        catalogue.hosts(CatalogueHost::isReady).forEach(h -> ids.add(h.id()));
+        this.random = random;
+        catalogue.hosts(CatalogueHost::isReady).forEach(host -> ids.add(host.id()));
     }
 
-    /** When the next event is due; {@link Long#MAX_VALUE} where none is. */
-    public long nextAt() {
-        return due.isEmpty() ? Long.MAX_VALUE : due.peek().at();
+    /** When the next event is due, Unix ms; {@link Long#MAX_VALUE} if none is. */
+    public long nextTimeMs() {
+        return due.isEmpty() ? Long.MAX_VALUE : due.peek().timeMs();
     }
 
-    /** Lets all happen that is due; the changes in their order. */
-    public List<CatalogueChange> advance(long now) {
-        List<CatalogueChange> happened = new ArrayList<>();
-        while (nextAt() <= now) {
+    /** Applies all events that are due; returns the changes in their order. */
+    public List<CatalogueChange> advance(long nowMs) {
+        List<CatalogueChange> changes = new ArrayList<>();
+        while (nextTimeMs() <= nowMs) {
             Due next = due.poll();
-            CatalogueChange change = next.event().happen(next.at());
+            CatalogueChange change = next.event().apply(next.timeMs());
             if (change != null) {
-                happened.add(change);
+                changes.add(change);
             }
         }
-        return happened;
+        return changes;
     }
 
-    private void at(long when, Event event) {
-        due.add(new Due(when, orders++, event));
+    private void schedule(long timeMs, Event event) {
+        due.add(new Due(timeMs, nextSequence++, event));
     }
 
     // ---- steady rates
 
-    /** From then on so many entries change a second: single hosts drain and start again, which is two changes. */
-    public void churn(long from, double changesPerSecond) {
-        repeat(from, changesPerSecond / 2, this::restartOne);
+    /** From then on that many entries change a second: single hosts drain and start again, which is two changes. */
+    public void churn(long fromMs, double changesPerSecond) {
+        repeat(fromMs, changesPerSecond / 2, this::restartOne);
     }
 
-    /** From then on so many hosts a second are replaced: the old one drains and is gone, a new one starts in its place. */
-    public void replaceSteadily(long from, double hostsPerSecond) {
-        repeat(from, hostsPerSecond, this::replaceOne);
+    /** From then on that many hosts a second are replaced: the old one drains and is gone, a new one starts in its place. */
+    public void replaceSteadily(long fromMs, double hostsPerSecond) {
+        repeat(fromMs, hostsPerSecond, this::replaceOne);
     }
 
     /** No host begins to restart or to be replaced any more; those that have begun end. */
@@ -75,14 +79,14 @@
         steady = false;
     }
 
-    private void repeat(long from, double perSecond, Event event) {
+    private void repeat(long fromMs, double perSecond, Event event) {
         if (perSecond > 0) {
-            at(from, now -> {
+            schedule(fromMs, now -> {
                 if (!steady) {
                     return null;
                 }
-                repeat(now + Math.max(1, Math.round(1000 / perSecond)), perSecond, event);
-                return event.happen(now);
+                repeat(now + Math.max(1, Math.round(SECOND_MS / perSecond)), perSecond, event);
+                return event.apply(now);
             });
         }
     }
@@ -92,7 +96,7 @@
         if (host == null) {
             return null;
         }
-        at(now + DRAIN_MS, later -> catalogue.start(List.of(host), later));
+        schedule(now + DRAIN_MS, later -> catalogue.start(List.of(host), later));
         return catalogue.terminate(List.of(host));
     }
 
@@ -101,7 +105,7 @@
         if (host == null) {
             return null;
         }
-        at(now + DRAIN_MS, later -> {
+        schedule(now + DRAIN_MS, later -> {
             CatalogueChange change = catalogue.replace(List.of(host), later);
             ids.set(ids.indexOf(host.id()), change.hosts().get(1).id());
             return change;
@@ -109,10 +113,10 @@
         return catalogue.terminate(List.of(host));
     }
 
-    /** A host that is ready; null where none was found in some tries. */
+    /** A random host that is ready; null if none was found in {@link #MAX_PICKS} attempts. */
     private CatalogueHost pick() {
-        for (int tries = 0; tries < 16 && !ids.isEmpty(); tries++) {
-            CatalogueHost host = catalogue.find(ids.get(chance.nextInt(ids.size())));
+        for (int i = 0; i < MAX_PICKS && !ids.isEmpty(); i++) {
+            CatalogueHost host = catalogue.find(ids.get(random.nextInt(ids.size())));
             if (host != null && host.isReady()) {
                 return host;
             }
@@ -123,31 +127,31 @@
     // ---- single events
 
     /** These hosts are replaced by others at once. */
-    public void replaceAll(long when, List<CatalogueHost> which) {
-        at(when, now -> which.isEmpty() ? null : catalogue.replace(which, now));
+    public void replaceAll(long timeMs, List<CatalogueHost> replaced) {
+        schedule(timeMs, now -> replaced.isEmpty() ? null : catalogue.replace(replaced, now));
     }
 
     /** All hosts of one zone's rack are gone. */
-    public void loseRack(long when, int zone, int rack) {
-        at(when, now -> removeAll(catalogue.hosts(h -> h.zone() == zone && h.rack() == rack)));
+    public void loseRack(long timeMs, int zone, int rack) {
+        schedule(timeMs, now -> removeAll(catalogue.hosts(host -> host.zone() == zone && host.rack() == rack)));
     }
 
-    /** All hosts of a zone are gone, and start again together so long after. */
-    public void loseZone(long when, int zone, long forMs) {
-        at(when, now -> {
-            List<CatalogueHost> lost = catalogue.hosts(h -> h.zone() == zone);
-            at(now + forMs, later -> lost.isEmpty() ? null : catalogue.start(lost, later));
+    /** All hosts of a zone are gone, and start again together {@code durationMs} later. */
+    public void loseZone(long timeMs, int zone, long durationMs) {
+        schedule(timeMs, now -> {
+            List<CatalogueHost> lost = catalogue.hosts(host -> host.zone() == zone);
+            schedule(now + durationMs, later -> lost.isEmpty() ? null : catalogue.start(lost, later));
             return removeAll(lost);
         });
     }
 
-    /** Hosts restart one after the other, so many at a time, as a release does. */
-    public void rollingRestart(long when, List<CatalogueHost> which, int atATime, long everyMs) {
-        for (int from = 0; from < which.size(); from += atATime) {
-            List<CatalogueHost> some = which.subList(from, Math.min(which.size(), from + atATime));
-            long begins = when + from / atATime * everyMs;
-            at(begins, now -> catalogue.terminate(some));
-            at(begins + DRAIN_MS, now -> catalogue.start(some, now));
+    /** Hosts restart in steps of {@code stepHosts}, one step each {@code intervalMs}, as a release does. */
+    public void rollingRestart(long timeMs, List<CatalogueHost> restarted, int stepHosts, long intervalMs) {
+        for (int first = 0; first < restarted.size(); first += stepHosts) {
+            List<CatalogueHost> step = restarted.subList(first, Math.min(restarted.size(), first + stepHosts));
+            long stepMs = timeMs + first / stepHosts * intervalMs;
+            schedule(stepMs, now -> catalogue.terminate(step));
+            schedule(stepMs + DRAIN_MS, now -> catalogue.start(step, now));
         }
     }
 
--- a/src/main/java/linenring/scale/catalogue/CatalogueHost.java
+++ b/src/main/java/linenring/scale/catalogue/CatalogueHost.java
@@ -14,19 +14,20 @@
 public record CatalogueHost(
         String id, String address, int zone, int kind, int rack, int service, HostList.State state, long startedMs) {
 
-    CatalogueHost as(HostList.State next) {
-        return new CatalogueHost(id, address, zone, kind, rack, service, next, startedMs);
+    CatalogueHost withState(HostList.State newState) {
+        return new CatalogueHost(id, address, zone, kind, rack, service, newState, startedMs);
     }
 
-    CatalogueHost startedAt(long now) {
-        return new CatalogueHost(id, address, zone, kind, rack, service, HostList.State.READY, now);
+    CatalogueHost startedAt(long nowMs) {
+        return new CatalogueHost(id, address, zone, kind, rack, service, HostList.State.READY, nowMs);
     }
 
-    /** Another host in the same place, started now. */
-    CatalogueHost replacedBy(String newId, long now) {
-        return new CatalogueHost(newId, address, zone, kind, rack, service, HostList.State.READY, now);
+    /** Another host in its place, started now. */
+    CatalogueHost replacedBy(String newId, long nowMs) {
+        return new CatalogueHost(newId, address, zone, kind, rack, service, HostList.State.READY, nowMs);
     }
 
+    /** Whether it is listed as ready. */
     public boolean isReady() {
         return state == HostList.State.READY;
     }
--- a/src/main/java/linenring/scale/catalogue/CatalogueJson.java
+++ b/src/main/java/linenring/scale/catalogue/CatalogueJson.java
@@ -7,30 +7,30 @@
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 
-/** Encodes changes and whole lists as the catalogue's agent does. */
+/** Encodes changes and complete lists as the discovery agent does. */
 final class CatalogueJson {
     private static final JsonFactory JSON = new JsonFactory();
     private static final int BYTES_PER_HOST = 160;
 
     private CatalogueJson() {}
 
-    /** One JSON object and its LF; its first {@code spoilt} entries can't be read. */
-    static byte[] line(CatalogueChange change, int spoilt) {
+    /** One JSON object and its line feed; its first {@code invalidEntries} entries have an unknown state. */
+    static byte[] line(CatalogueChange change, int invalidEntries) {
         ByteArrayOutputStream bytes =
                 new ByteArrayOutputStream(64 + BYTES_PER_HOST * change.hosts().size());
         try (JsonGenerator out = JSON.createGenerator(bytes)) {
             out.writeStartObject();
             out.writeNumberField("version", change.version());
-            out.writeBooleanField("full", change.whole());
+            out.writeBooleanField("full", change.isComplete());
             out.writeArrayFieldStart("servers");
             for (int i = 0; i < change.hosts().size(); i++) {
-                entry(out, change.hosts().get(i), i < spoilt);
+                entry(out, change.hosts().get(i), i < invalidEntries);
             }
             out.writeEndArray();
             out.writeEndObject();
             out.writeRaw('\n');
-        } catch (IOException e) {
-            throw new UncheckedIOException(e); // memory takes what is written
+        } catch (IOException impossible) {
+            throw new UncheckedIOException(impossible); // a byte array accepts every write
         }
         return bytes.toByteArray();
     }
@@ -44,7 +44,7 @@
         return bytes.toByteArray();
     }
 
-    private static void entry(JsonGenerator out, CatalogueHost host, boolean spoilt) throws IOException {
+    private static void entry(JsonGenerator out, CatalogueHost host, boolean isInvalid) throws IOException {
         out.writeStartObject();
         out.writeStringField("id", host.id());
         out.writeStringField("addr", host.address());
@@ -52,7 +52,7 @@
         out.writeStringField("kind", CatalogueLayout.kindName(host.kind()));
         out.writeNumberField("cell", host.rack());
         out.writeStringField("service", CatalogueLayout.serviceName(host.service()));
-        out.writeStringField("state", spoilt ? "?" : state(host));
+        out.writeStringField("state", isInvalid ? "?" : state(host));
         out.writeNumberField("weight", 1.0);
         out.writeNumberField("started_ms", host.startedMs());
         out.writeEndObject();
--- a/src/main/java/linenring/scale/catalogue/CatalogueServer.java
+++ b/src/main/java/linenring/scale/catalogue/CatalogueServer.java
@@ -13,15 +13,17 @@
 import linenring.scale.sockets.SocketLink;
 import linenring.scale.sockets.SocketLoop;
 
-/** The catalogue's agent on loopback: HTTP/1.1, whole lists and watches, each change encoded once for all watchers. */
+/** A discovery agent on loopback: HTTP/1.1, complete lists and watches, each change encoded once for all watchers. */
 public final class CatalogueServer implements AutoCloseable {
     private static final Pattern WATCH = Pattern.compile("GET /catalog/members\\?watch=1&from=(\\d+) HTTP/1\\.1");
     private static final Pattern LIST = Pattern.compile("GET /catalog/members HTTP/1\\.1");
     private static final byte[] WATCH_HEAD = head("Transfer-Encoding: chunked");
-    private static final byte[] BLANK = CatalogueJson.chunk(new byte[] {'\n'});
-    private static final long BLANK_EVERY_NS = 2_000_000_000L; // the protocol's
+    private static final byte[] BLANK_LINE = CatalogueJson.chunk(new byte[] {'\n'});
+    private static final long KEEP_ALIVE_NANOS = 2_000_000_000L; // the protocol's
     private static final long TICK_MS = 100;
-    private static final int REQUEST_BYTES_MOST = 16 * 1024;
+    private static final int MAX_REQUEST_BYTES = 16 * 1024;
+
+    private static final long NOT_WATCHING = -1;
 
     private final Catalogue catalogue;
     private final CatalogueAnswers answers;
@@ -29,53 +31,53 @@
     private final Set<Watcher> watchers = new LinkedHashSet<>(); // on the loop's thread
     private final LongAdder linesOut = new LongAdder();
     private final LongAdder watchesOpened = new LongAdder();
-    private volatile long[] held = {};
+    private volatile long[] heldVersions = {};
     private InetSocketAddress address;
 
     /** One connection: a request, and the watch that may come of it. */
     private final class Watcher implements SocketLink.Handler {
         private final ByteArrayOutputStream request = new ByteArrayOutputStream();
         private SocketLink link;
-        private String asked; // its first line, while it is not answered
-        private long version = -1; // that it holds; -1 where it does not watch
-        private long toldAt;
+        private String requestLine; // null once it is answered
+        private long version = NOT_WATCHING; // the version that it holds
+        private long sentAtNanos;
 
         @Override
-        public void connected(SocketLink with) {
-            link = with;
+        public void connected(SocketLink opened) {
+            link = opened;
             watchers.add(this);
         }
 
         @Override
-        public void received(SocketLink with, ByteBuffer bytes) {
-            byte[] got = new byte[bytes.remaining()];
-            bytes.get(got);
-            request.writeBytes(got);
+        public void received(SocketLink from, ByteBuffer bytes) {
+            byte[] received = new byte[bytes.remaining()];
+            bytes.get(received);
+            request.writeBytes(received);
             String text = request.toString(StandardCharsets.US_ASCII);
             if (text.contains("\r\n\r\n")) {
-                asked = text.substring(0, text.indexOf("\r\n"));
+                requestLine = text.substring(0, text.indexOf("\r\n"));
                 request.reset();
                 answer();
-            } else if (text.length() > REQUEST_BYTES_MOST) {
+            } else if (text.length() > MAX_REQUEST_BYTES) {
                 link.close();
             }
         }
 
         void answer() {
-            if (asked == null || answers.isSilent()) {
+            if (requestLine == null || answers.isSilent()) {
                 return;
             }
-            Matcher watch = WATCH.matcher(asked);
+            Matcher watch = WATCH.matcher(requestLine);
             if (watch.matches()) {
                 version = Long.parseLong(watch.group(1));
                 watchesOpened.increment();
                 link.send(WATCH_HEAD);
-                toldAt = System.nanoTime();
+                sentAtNanos = System.nanoTime();
                 catchUp();
-            } else if (LIST.matcher(asked).matches()) {
+            } else if (LIST.matcher(requestLine).matches()) {
                 CatalogueAnswers.Body body = answers.list();
                 link.send(head("Content-Length: " + body.bytes().length));
-                link.send(body.bytes(), body.length());
+                link.send(body.bytes(), body.sentBytes());
                 linesOut.increment();
                 if (body.isCut()) {
                     link.closeWhenSent();
@@ -83,68 +85,70 @@
             } else {
                 link.send("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             }
-            asked = null;
+            requestLine = null;
         }
 
-        /** Tells the next change by itself; where some were missed, all of them as one line. */
+        /** Sends the next change by itself; if some were missed, all of them as one line. */
         void follow(CatalogueChange change) {
             if (version >= 0 && change.version() == version + 1) {
-                tell(change);
+                send(change);
             } else if (version >= 0 && change.version() > version) {
                 catchUp();
             }
         }
 
-        /** Tells all that it does not hold. */
+        /** Sends all that it does not hold. */
         void catchUp() {
             CatalogueChange next = version < 0 ? null : catalogue.catchUp(version);
             if (next != null) {
-                tell(next);
+                send(next);
             }
         }
 
-        /** Tells that nothing has changed, once that is due. */
-        void tellOfNothing() {
-            if (version >= 0 && !answers.isSilent() && System.nanoTime() - toldAt > BLANK_EVERY_NS) {
-                send(BLANK);
+        /** Sends a blank line if no change was sent for a while. */
+        void keepAlive() {
+            if (version >= 0 && !answers.isSilent() && System.nanoTime() - sentAtNanos > KEEP_ALIVE_NANOS) {
+                send(BLANK_LINE);
             }
         }
 
-        private void tell(CatalogueChange change) {
+        private void send(CatalogueChange change) {
             version = change.version();
             send(change.chunk());
         }
 
         private void send(byte[] chunk) {
-            toldAt = System.nanoTime();
+            sentAtNanos = System.nanoTime();
             linesOut.increment();
             link.send(chunk);
         }
 
         @Override
-        public void closed(SocketLink with) {
+        public void closed(SocketLink ended) {
             watchers.remove(this);
         }
     }
 
+    /** An agent of this catalogue; it listens once it is opened. */
     public CatalogueServer(Catalogue catalogue, String name) throws IOException {
         this.catalogue = catalogue;
         this.answers = new CatalogueAnswers(catalogue);
         this.loop = new SocketLoop(name, TICK_MS, this::tick);
     }
 
-    /** Begins to listen. */
+    /** Starts to listen; returns the address. */
     public InetSocketAddress open() throws IOException {
         address = loop.listen(Watcher::new);
         loop.start();
         return address;
     }
 
+    /** Where it listens. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Tells this change to all watchers; it has been put into the catalogue before. */
+    /** Sends a change to all watchers; the catalogue must have it already. */
     public void publish(CatalogueChange change) {
         loop.execute(() -> {
             if (answers.isSilent()) {
@@ -153,77 +157,79 @@
             for (Watcher watcher : Set.copyOf(watchers)) {
                 watcher.follow(change);
             }
-            noteHeld();
+            publishHeldVersions();
         });
     }
 
     private void tick() {
         for (Watcher watcher : Set.copyOf(watchers)) {
             watcher.answer();
-            watcher.tellOfNothing();
+            watcher.keepAlive();
         }
-        noteHeld();
+        publishHeldVersions();
     }
 
-    private void noteHeld() {
-        held = watchers.stream()
-                .filter(w -> w.version >= 0)
-                .mapToLong(w -> w.version)
+    private void publishHeldVersions() {
+        heldVersions = watchers.stream()
+                .filter(watcher -> watcher.version >= 0)
+                .mapToLong(watcher -> watcher.version)
                 .toArray();
     }
 
-    /** How many watchers there are that have been told that version, as of at most a tick ago. */
+    /** How many watchers were sent that version, as of at most a tick ago. */
     public int watchersAt(long version) {
         int count = 0;
-        for (long is : held) {
-            count += is >= version ? 1 : 0;
+        for (long heldVersion : heldVersions) {
+            count += heldVersion >= version ? 1 : 0;
         }
         return count;
     }
 
     // ---- faults on command
 
-    /** While it is silent nothing is answered and nothing is told. */
-    public void silent(boolean is) {
+    /** While it is silent nothing is answered and no change is sent. */
+    public void setSilent(boolean silent) {
         loop.execute(() -> {
-            answers.silent(is);
-            if (!is) {
+            answers.setSilent(silent);
+            if (!silent) {
                 Set.copyOf(watchers).forEach(Watcher::catchUp);
             }
         });
     }
 
-    /** So many of the next whole lists are cut off within an entry. */
+    /** That many of the next complete lists are cut off within an entry. */
     public void cutNextLists(int lists) {
         answers.cutNextLists(lists);
     }
 
-    /** In so many of the next whole lists so many entries can't be read. */
-    public void spoilNextLists(int lists, int entries) {
-        answers.spoilNextLists(lists, entries);
+    /** In that many of the next complete lists that many entries can't be read. */
+    public void corruptNextLists(int lists, int entries) {
+        answers.corruptNextLists(lists, entries);
     }
 
-    /** Ends all connections, as an agent that restarts does. */
+    /** Closes all connections, as an agent that restarts does. */
     public void disconnectAll() {
-        loop.execute(() -> Set.copyOf(watchers).forEach(w -> w.link.close()));
+        loop.execute(() -> Set.copyOf(watchers).forEach(watcher -> watcher.link.close()));
     }
 
     // ---- counts
 
+    /** Bytes received. */
     public long bytesIn() {
         return loop.bytesIn();
     }
 
+    /** Bytes sent. */
     public long bytesOut() {
         return loop.bytesOut();
     }
 
-    /** Watches that were begun; those of who dialled again count anew. */
+    /** Watches opened; one that is opened again counts again. */
     public long watchesOpened() {
         return watchesOpened.sum();
     }
 
-    /** Lines told, blank ones included. */
+    /** Lines sent, blank ones included. */
     public long linesOut() {
         return linesOut.sum();
     }
--- a/src/main/java/linenring/scale/catalogue/package-info.java
+++ b/src/main/java/linenring/scale/catalogue/package-info.java
@@ -1,2 +1,2 @@
-/** A stand-in for the catalogue's agent: its state and its scripted events without I/O, and a server on loopback. */
+/** A discovery agent for measurements: its state and its scripted events without I/O, and a server on loopback. */
 package linenring.scale.catalogue;
--- a/src/main/java/linenring/scale/fleet/InProcessFleets.java
+++ b/src/main/java/linenring/scale/fleet/InProcessFleets.java
@@ -38,7 +38,8 @@
         @Override
         public void join(int stream, InboundMessage.Subscribe joining) {
             if (exchange != null) {
-                streams[joining.proxy()] = new InProcessStream(this, joining.proxy(), stream, exchange.nextStreamNumber());
+                streams[joining.proxy()] =
+                        new InProcessStream(this, joining.proxy(), stream, exchange.nextStreamNumber());
                 say(joining.proxy(), joining);
             }
         }
--- a/src/main/java/linenring/scale/run/CatalogueDriver.java
+++ b/src/main/java/linenring/scale/run/CatalogueDriver.java
@@ -64,7 +64,7 @@
     /** Whether something is due still. */
     boolean isBusy() {
         synchronized (events) {
-            return events.nextAt() != Long.MAX_VALUE;
+            return events.nextTimeMs() != Long.MAX_VALUE;
         }
     }
 
--- a/src/main/java/linenring/scale/run/ScenarioPlayer.java
+++ b/src/main/java/linenring/scale/run/ScenarioPlayer.java
@@ -236,7 +236,7 @@
         }
 
         private void silence(long now) throws InterruptedException {
-            testbed.servers().forEach(s -> s.silent(true));
+            testbed.servers().forEach(s -> s.setSilent(true));
             List<CatalogueHost> all = testbed.catalogue().hosts(CatalogueHost::isReady);
             int changed = (int) Math.ceil(all.size() * HOUR_SHARE);
             int every = Math.max(1, all.size() / changed);
@@ -245,12 +245,12 @@
                     .toList();
             testbed.script(events -> events.replaceAll(now, some));
             watchFor(SILENT_MS);
-            testbed.servers().forEach(s -> s.silent(false));
+            testbed.servers().forEach(s -> s.setSilent(false));
         }
 
         /** The steward begins anew with a list of which some entries can't be read; later these hosts change, and are read. */
         private void spoiltList(long now) throws IOException, InterruptedException {
-            real.server().spoilNextLists(1, SPOILT_ENTRIES);
+            real.server().corruptNextLists(1, SPOILT_ENTRIES);
             List<CatalogueHost> spoilt = testbed.catalogue()
                     .hosts(h -> true)
                     .subList(0, Math.min(SPOILT_ENTRIES, testbed.workload().catalogueHosts()));
--- a/src/test/java/linenring/scale/catalogue/CatalogueAnswersTest.java
+++ b/src/test/java/linenring/scale/catalogue/CatalogueAnswersTest.java
@@ -25,49 +25,48 @@
     }
 
     @Test
-    void aListIsReadAsTheStewardReadsIt() {
+    void sendsAListThatTheCodecReads() {
         CatalogueAnswers.Body body = answers.list();
         assertFalse(body.isCut());
-        HostList list = read(body.bytes(), body.length()).orElseThrow();
+        HostList list = read(body.bytes(), body.sentBytes()).orElseThrow();
         assertEquals(catalogue.snapshot().asHostList(), list);
     }
 
     @Test
-    void aCutListEndsWithinAnEntryAndTheNextIsWhole() {
+    void cutsOneListWithinAnEntryAndSendsTheNextComplete() {
         answers.cutNextLists(1);
         CatalogueAnswers.Body cut = answers.list();
         assertTrue(cut.isCut());
-        assertInstanceOf(DecodeResult.Failed.class, read(cut.bytes(), cut.length()));
-        String sent = new String(cut.bytes(), 0, cut.length(), StandardCharsets.UTF_8);
+        assertInstanceOf(DecodeResult.Failed.class, read(cut.bytes(), cut.sentBytes()));
+        String sent = new String(cut.bytes(), 0, cut.sentBytes(), StandardCharsets.UTF_8);
         assertTrue(sent.contains("\"id\"") && !sent.endsWith("},"), sent);
         assertFalse(answers.list().isCut());
     }
 
     @Test
-    void spoiltEntriesAreLeftOutAloneAndTheNextListIsSound() {
-        answers.spoilNextLists(1, 4);
+    void corruptsEntriesOfOneListOnly() {
+        answers.corruptNextLists(1, 4);
         CatalogueAnswers.Body body = answers.list();
-        HostList spoilt = read(body.bytes(), body.length()).orElseThrow();
-        assertNotNull(spoilt);
-        assertEquals(26, spoilt.entries().size());
-        assertEquals(4, spoilt.invalidEntries().count());
+        HostList list = read(body.bytes(), body.sentBytes()).orElseThrow();
+        assertNotNull(list);
+        assertEquals(26, list.entries().size());
+        assertEquals(4, list.invalidEntries().count());
         CatalogueAnswers.Body next = answers.list();
-        assertEquals(
-                30, read(next.bytes(), next.length()).orElseThrow().entries().size());
+        assertEquals(30, read(next.bytes(), next.sentBytes()).orElseThrow().entries().size());
     }
 
     @Test
-    void anEntryThatIsGoneIsReadAsGone() {
-        CatalogueChange gone = catalogue.remove(catalogue.hosts(h -> h.zone() == 1));
+    void sendsARemovedHostAsGone() {
+        CatalogueChange gone = catalogue.remove(catalogue.hosts(host -> host.zone() == 1));
         HostList list = read(gone.encoded(), gone.encoded().length).orElseThrow();
         assertFalse(list.isComplete());
         assertEquals(15, list.entries().size());
-        assertTrue(list.entries().stream().allMatch(e -> e.state() == HostList.State.GONE));
+        assertTrue(list.entries().stream().allMatch(entry -> entry.state() == HostList.State.GONE));
     }
 
     @Test
-    void aChangeIsEncodedOnce() {
-        CatalogueChange change = catalogue.terminate(catalogue.hosts(h -> h.rack() == 0));
+    void encodesAChangeOnce() {
+        CatalogueChange change = catalogue.terminate(catalogue.hosts(host -> host.rack() == 0));
         assertTrue(change.chunk() == change.chunk());
         assertTrue(catalogue.snapshot() == catalogue.snapshot());
     }
--- a/src/test/java/linenring/scale/catalogue/CatalogueEventsTest.java
+++ b/src/test/java/linenring/scale/catalogue/CatalogueEventsTest.java
@@ -18,25 +18,25 @@
 
     private static List<CatalogueChange> play(CatalogueEvents events, long fromMs, long toMs) {
         List<CatalogueChange> all = new ArrayList<>();
-        for (long at = fromMs; at <= toMs; at += 10) {
-            all.addAll(events.advance(START + at));
+        for (long timeMs = fromMs; timeMs <= toMs; timeMs += 10) {
+            all.addAll(events.advance(START + timeMs));
         }
         return all;
     }
 
     @Test
-    void churnChangesSoManyEntriesASecondAndLeavesAllReadyAtItsEnd() {
+    void churnsAtItsRateAndLeavesAllHostsReadyAtItsEnd() {
         Set<String> before = catalogue.readyIds();
         events.churn(START, 10);
         assertEquals(10 * 30, play(events, 0, 30_000).size(), 15);
         events.endSteadyRates();
         play(events, 30_010, 40_000);
-        assertEquals(Long.MAX_VALUE, events.nextAt());
+        assertEquals(Long.MAX_VALUE, events.nextTimeMs());
         assertEquals(before, catalogue.readyIds());
     }
 
     @Test
-    void theSameSeedTellsTheSame() {
+    void repeatsTheSameEventsForTheSameSeed() {
         Catalogue other = new Catalogue(catalogue.layout());
         CatalogueEvents again = new CatalogueEvents(other, new Random(7));
         events.churn(START, 20);
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void versionsAreToldInOrder() {
+    void numbersChangesInOrder() {
         events.churn(START, 50);
         events.replaceSteadily(START, 10);
         long version = catalogue.version();
@@ -59,14 +59,15 @@
     }
 
     @Test
-    void replacedHostsDrainAndOthersStandInTheirPlaces() {
+    void drainsReplacedHostsAndPutsOthersInTheirPlaces() {
         Set<String> before = catalogue.readyIds();
         events.replaceSteadily(START, 5);
         List<CatalogueChange> changes = play(events, 0, 4_000);
         events.endSteadyRates();
         changes.addAll(play(events, 4_010, 10_000));
-        long replaced = changes.stream().filter(c -> c.hosts().size() == 2).count();
-        assertEquals(20, replaced, 1);
+        int replaced = (int)
+                changes.stream().filter(change -> change.hosts().size() == 2).count();
+        assertEquals(20, (double) replaced, 1);
         assertEquals(120, catalogue.readyIds().size());
         Set<String> kept = catalogue.readyIds();
         kept.retainAll(before);
@@ -74,18 +75,18 @@
     }
 
     @Test
-    void aLostRackTakesItsHostsAndNoOthers() {
+    void removesTheHostsOfALostRackOnly() {
         events.loseRack(START + 100, 1, 2);
         List<CatalogueChange> changes = play(events, 0, 1000);
         assertEquals(1, changes.size());
         assertEquals(10, changes.get(0).hosts().size());
         assertTrue(changes.get(0).hosts().stream()
-                .allMatch(h -> h.zone() == 1 && h.rack() == 2 && h.state() == HostList.State.GONE));
+                .allMatch(host -> host.zone() == 1 && host.rack() == 2 && host.state() == HostList.State.GONE));
         assertEquals(110, catalogue.readyIds().size());
     }
 
     @Test
-    void aLostZoneComesBackWholeInOneList() {
+    void returnsALostZoneInOneList() {
         Set<String> before = catalogue.readyIds();
         events.loseZone(START, 2, 5000);
         assertEquals(1, play(events, 0, 4990).size());
@@ -93,26 +94,26 @@
         List<CatalogueChange> back = play(events, 5000, 6000);
         assertEquals(1, back.size());
         assertEquals(40, back.get(0).hosts().size());
-        assertTrue(back.get(0).hosts().stream().allMatch(h -> h.isReady() && h.startedMs() == START + 5000));
+        assertTrue(back.get(0).hosts().stream().allMatch(host -> host.isReady() && host.startedMs() == START + 5000));
         assertEquals(before, catalogue.readyIds());
     }
 
     @Test
-    void aRollingRestartHasNoMoreThanAStepDownAtATime() {
-        List<CatalogueHost> service = catalogue.hosts(h -> h.service() == 1);
+    void restartsNoMoreThanOneStepAtATime() {
+        List<CatalogueHost> service = catalogue.hosts(host -> host.service() == 1);
         events.rollingRestart(START, service, 3, 2000);
-        int least = 120;
-        for (long at = 0; at <= 30_000; at += 10) {
-            events.advance(START + at);
-            least = Math.min(least, catalogue.readyIds().size());
+        int fewestReady = 120;
+        for (long timeMs = 0; timeMs <= 30_000; timeMs += 10) {
+            events.advance(START + timeMs);
+            fewestReady = Math.min(fewestReady, catalogue.readyIds().size());
         }
-        assertEquals(117, least);
+        assertEquals(117, fewestReady);
         assertEquals(120, catalogue.readyIds().size());
-        assertTrue(catalogue.hosts(h -> h.service() == 1).stream().allMatch(h -> h.startedMs() > 0));
+        assertTrue(catalogue.hosts(host -> host.service() == 1).stream().allMatch(host -> host.startedMs() > 0));
     }
 
     @Test
-    void aZoneThatIsLostTwiceIsBackOnce() {
+    void returnsAZoneThatIsLostTwice() {
         events.loseZone(START, 0, 1000);
         events.loseZone(START + 500, 0, 1000);
         play(events, 0, 5000);
--- a/src/test/java/linenring/scale/catalogue/CatalogueTest.java
+++ b/src/test/java/linenring/scale/catalogue/CatalogueTest.java
@@ -22,7 +22,7 @@
 
     @Test
     void spreadsHostsEvenlyOverZonesServicesAndRacks() {
-        List<CatalogueHost> hosts = catalogue.hosts(h -> true);
+        List<CatalogueHost> hosts = catalogue.hosts(host -> true);
         assertEquals(
                 Map.of(0, 20L, 1, 20L, 2, 20L),
                 hosts.stream().collect(Collectors.groupingBy(CatalogueHost::zone, Collectors.counting())));
@@ -31,11 +31,12 @@
                 Set.copyOf(hosts.stream()
                         .collect(Collectors.groupingBy(CatalogueHost::service, Collectors.counting()))
                         .values()));
-        assertEquals(4, catalogue.hosts(h -> h.zone() == 1 && h.rack() == 2).size());
+        assertEquals(
+                4, catalogue.hosts(host -> host.zone() == 1 && host.rack() == 2).size());
     }
 
     @Test
-    void eachChangeGetsTheNextVersion() {
+    void numbersEachChange() {
         long before = catalogue.version();
         assertEquals(before + 1, catalogue.terminate(List.of(ready(0))).version());
         assertEquals(before + 2, catalogue.remove(List.of(ready(0))).version());
@@ -44,47 +45,49 @@
 
     @Test
     void catchesUpWithTheLastStateOfEachHostThatChanged() {
-        CatalogueHost twice = ready(0), once = ready(1), early = ready(2);
+        CatalogueHost twice = ready(0);
+        CatalogueHost once = ready(1);
+        CatalogueHost early = ready(2);
         catalogue.terminate(List.of(early));
         long held = catalogue.version();
         catalogue.terminate(List.of(twice));
         catalogue.remove(List.of(once));
         catalogue.start(List.of(twice), 77);
         CatalogueChange change = catalogue.catchUp(held);
-        assertFalse(change.whole());
+        assertFalse(change.isComplete());
         assertEquals(catalogue.version(), change.version());
-        assertEquals(List.of(twice.startedAt(77), once.as(HostList.State.GONE)), change.hosts());
+        assertEquals(List.of(twice.startedAt(77), once.withState(HostList.State.GONE)), change.hosts());
     }
 
     @Test
-    void tellsNothingToWhoHoldsThePresentVersion() {
+    void sendsNothingToAHolderOfTheCurrentVersion() {
         assertNull(catalogue.catchUp(catalogue.version()));
     }
 
     @Test
-    void tellsTheWholeListToWhoHoldsWhatIsNotKept() {
-        assertTrue(catalogue.catchUp(0).whole());
+    void sendsTheCompleteListToAHolderOfAVersionThatIsNotKept() {
+        assertTrue(catalogue.catchUp(0).isComplete());
         catalogue.terminate(List.of(ready(0)));
-        CatalogueChange whole = catalogue.catchUp(0);
-        assertTrue(whole.whole());
-        assertEquals(60, whole.hosts().size());
+        CatalogueChange complete = catalogue.catchUp(0);
+        assertTrue(complete.isComplete());
+        assertEquals(60, complete.hosts().size());
     }
 
     @Test
-    void tellsTheWholeListToWhoHoldsAVersionOfAnEarlierCount() {
+    void sendsTheCompleteListToAHolderOfAVersionBeforeAReset() {
         catalogue.terminate(List.of(ready(0)));
         long held = catalogue.version();
         catalogue.restartVersions();
         catalogue.terminate(List.of(ready(1)));
         CatalogueChange change = catalogue.catchUp(held);
-        assertTrue(change.whole());
+        assertTrue(change.isComplete());
         assertTrue(change.version() < held);
     }
 
     @Test
-    void aReplacedHostGetsAnIdThatWasNeverUsed() {
+    void givesAReplacementAnIdThatWasNeverUsed() {
         Set<String> ids = new HashSet<>();
-        catalogue.hosts(h -> true).forEach(h -> ids.add(h.id()));
+        catalogue.hosts(host -> true).forEach(host -> ids.add(host.id()));
         for (int i = 0; i < 1000; i++) {
             CatalogueChange change = catalogue.replace(List.of(ready(i % 60)), i);
             assertEquals(HostList.State.GONE, change.hosts().get(0).state());
@@ -94,13 +97,14 @@
     }
 
     @Test
-    void aHostThatIsGoneIsInNoListAndOneThatDrainsIsNotReady() {
-        CatalogueHost gone = ready(0), drains = ready(1);
+    void listsNoRemovedHostAndADrainingOneAsNotReady() {
+        CatalogueHost gone = ready(0);
+        CatalogueHost draining = ready(1);
         catalogue.remove(List.of(gone));
-        catalogue.terminate(List.of(drains));
+        catalogue.terminate(List.of(draining));
         assertNull(catalogue.find(gone.id()));
         assertEquals(59, catalogue.snapshot().hosts().size());
         assertEquals(58, catalogue.readyIds().size());
-        assertFalse(catalogue.readyIds().contains(drains.id()));
+        assertFalse(catalogue.readyIds().contains(draining.id()));
     }
 }
--- a/src/test/java/linenring/scale/run/CatalogueFaultsTest.java
+++ b/src/test/java/linenring/scale/run/CatalogueFaultsTest.java
@@ -101,7 +101,7 @@
 
     @Test
     void spoiltEntriesAreLeftOutAloneUntilTheyChange() throws Exception {
-        server.spoilNextLists(1, 3);
+        server.corruptNextLists(1, 3);
         watch();
         assertTrue(await(() -> ledger.version() == catalogue.version()));
         Set<String> spoilt = catalogue.hosts(h -> true).subList(0, 3).stream()
@@ -119,13 +119,13 @@
         watch();
         assertHoldsTheCatalogue();
         assertTrue(await(() -> server.watchersAt(catalogue.version()) == 1));
-        server.silent(true);
+        server.setSilent(true);
         for (CatalogueHost host : zone(0)) {
             publish(catalogue.replace(List.of(host), 7));
         }
         publish(catalogue.terminate(zone(1)));
         assertTrue(await(() -> logged.toString().contains("nothing came for"))); // it dials again, and hears nothing
-        server.silent(false);
+        server.setSilent(false);
         assertHoldsTheCatalogue();
         assertEquals(1, ledger.changes());
         assertEquals(1, ledger.jumps());
