--- a/src/test/java/linenring/scale/catalogue/CatalogueAnswersTest.java
+++ b/src/test/java/linenring/scale/catalogue/CatalogueAnswersTest.java
@@ -52,7 +52,8 @@
         assertEquals(26, list.entries().size());
         assertEquals(4, list.invalidEntries().count());
         CatalogueAnswers.Body next = answers.list();
-        assertEquals(30, read(next.bytes(), next.sentBytes()).orElseThrow().entries().size());
+        assertEquals(
+                30, read(next.bytes(), next.sentBytes()).orElseThrow().entries().size());
     }
 
     @Test
