--- a/src/main/java/linenring/scale/fleet/ConfigurationUpdateDecoder.java
+++ b/src/main/java/linenring/scale/fleet/ConfigurationUpdateDecoder.java
@@ -8,86 +8,98 @@
 import java.util.List;
 import linenring.protocol.ConfigurationUpdate;
 
-/** Reads the lines of orders as a proxy does, and puts continued ones together. One for each stream. */
+/** Decodes configuration updates as a proxy does: the mirror of the codec's encoder. One for each stream. */
 final class ConfigurationUpdateDecoder {
     private static final JsonFactory JSON = new JsonFactory();
 
+    /** The parts of an update whose last line has not come. */
     private final List<ConfigurationUpdate.Part> parts = new ArrayList<>();
 
-    /** The fields of one line. */
+    /** The fields of one line, as they are read. */
     private static final class Fields {
-        String type;
-        List<String> operations = List.of();
-        List<ConfigurationUpdate.TableEntry> lines = new ArrayList<>();
-        List<String> ejected = List.of(), restored = List.of();
-        boolean whole, continued;
-        double admissionRatio = Double.NaN;
-        int tries;
-        int mark = ConfigurationUpdate.NO_NONCE;
-    }
+        private String type;
+        private List<String> operations = List.of();
+        private List<ConfigurationUpdate.TableEntry> entries = new ArrayList<>();
+        private List<String> ejected = List.of();
+        private List<String> restored = List.of();
+        private boolean replacesTable;
+        private boolean isContinued;
+        private double admissionRatio = Double.NaN;
+        private int retryPolicyCode;
+        private int nonce = ConfigurationUpdate.NO_NONCE;
 
-    /** The order that this line completes, or null where more of it comes. */
-    ConfigurationUpdate line(byte[] bytes, int from, int length) throws IOException {
-        Fields fields = new Fields();
-        try (JsonParser in = JSON.createParser(bytes, from, length)) {
-            if (in.nextToken() != JsonToken.START_OBJECT) {
-                throw new IOException("not a JSON object");
-            }
-            while (in.nextToken() != JsonToken.END_OBJECT) {
-                String name = in.currentName();
-                in.nextToken();
-                field(fields, name, in);
-            }
+        ConfigurationUpdate.Part part() {
+            ConfigurationUpdate.AdmissionPolicy admission = Double.isNaN(admissionRatio)
+                    ? null
+                    : new ConfigurationUpdate.AdmissionPolicy(admissionRatio, retryPolicyCode);
+            return new ConfigurationUpdate.Part(
+                    operations, replacesTable, entries, admission, ejected, restored, nonce);
         }
+    }
+
+    /** The update that this line completes; null if more lines belong to it, or if the line is no update. */
+    ConfigurationUpdate line(byte[] bytes, int start, int length) throws IOException {
+        Fields fields = fields(bytes, start, length);
         if (!"CONFIG".equals(fields.type)) {
             return null; // a PONG
         }
-        ConfigurationUpdate.AdmissionPolicy level = Double.isNaN(fields.admissionRatio)
-                ? null
-                : new ConfigurationUpdate.AdmissionPolicy(fields.admissionRatio, fields.tries);
-        parts.add(new ConfigurationUpdate.Part(
-                fields.operations, fields.whole, fields.lines, level, fields.ejected, fields.restored, fields.mark));
-        if (fields.continued) {
+        parts.add(fields.part());
+        if (fields.isContinued) {
             return null;
         }
-        ConfigurationUpdate order = new ConfigurationUpdate(List.copyOf(parts));
+        ConfigurationUpdate update = new ConfigurationUpdate(List.copyOf(parts));
         parts.clear();
-        return order;
+        return update;
+    }
+
+    private static Fields fields(byte[] bytes, int start, int length) throws IOException {
+        Fields fields = new Fields();
+        try (JsonParser parser = JSON.createParser(bytes, start, length)) {
+            if (parser.nextToken() != JsonToken.START_OBJECT) {
+                throw new IOException("not a JSON object");
+            }
+            while (parser.nextToken() != JsonToken.END_OBJECT) {
+                String name = parser.currentName();
+                parser.nextToken();
+                readField(fields, name, parser);
+            }
+        }
+        return fields;
     }
 
-    private static void field(Fields fields, String name, JsonParser in) throws IOException {
+    private static void readField(Fields fields, String name, JsonParser parser) throws IOException {
         switch (name) {
-            case "@type" -> fields.type = in.getText();
-            case "routes" -> fields.operations = words(in);
-            case "full" -> fields.whole = in.getBooleanValue();
-            case "endpoints" -> fields.lines = lines(in);
-            case "admit" -> fields.admissionRatio = in.getDoubleValue();
-            case "policy" -> fields.tries = in.getIntValue();
-            case "eject" -> fields.ejected = words(in);
-            case "restore" -> fields.restored = words(in);
-            case "nonce_out" -> fields.mark = in.getIntValue();
-            case "continued" -> fields.continued = in.getBooleanValue();
-            default -> in.skipChildren();
+            case "@type" -> fields.type = parser.getText();
+            case "routes" -> fields.operations = texts(parser);
+            case "full" -> fields.replacesTable = parser.getBooleanValue();
+            case "endpoints" -> fields.entries = entries(parser);
+            case "admit" -> fields.admissionRatio = parser.getDoubleValue();
+            case "policy" -> fields.retryPolicyCode = parser.getIntValue();
+            case "eject" -> fields.ejected = texts(parser);
+            case "restore" -> fields.restored = texts(parser);
+            case "nonce_out" -> fields.nonce = parser.getIntValue();
+            case "continued" -> fields.isContinued = parser.getBooleanValue();
+            default -> parser.skipChildren();
         }
     }
 
-    private static List<String> words(JsonParser in) throws IOException {
-        List<String> words = new ArrayList<>();
-        while (in.nextToken() != JsonToken.END_ARRAY) {
-            words.add(in.getText());
+    private static List<String> texts(JsonParser parser) throws IOException {
+        List<String> texts = new ArrayList<>();
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
+            texts.add(parser.getText());
         }
-        return words;
+        return texts;
     }
 
-    private static List<ConfigurationUpdate.TableEntry> lines(JsonParser in) throws IOException {
-        List<ConfigurationUpdate.TableEntry> lines = new ArrayList<>();
-        while (in.nextToken() != JsonToken.END_ARRAY) {
-            in.nextToken();
-            String host = in.getText();
-            in.nextToken();
-            lines.add(new ConfigurationUpdate.TableEntry(host, in.getDoubleValue()));
-            in.nextToken(); // its end
+    private static List<ConfigurationUpdate.TableEntry> entries(JsonParser parser) throws IOException {
+        List<ConfigurationUpdate.TableEntry> entries = new ArrayList<>();
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
+            parser.nextToken();
+            String host = parser.getText();
+            parser.nextToken();
+            entries.add(new ConfigurationUpdate.TableEntry(host, parser.getDoubleValue()));
+            parser.nextToken(); // the end of the entry
         }
-        return lines;
+        return entries;
     }
 }
--- a/src/main/java/linenring/scale/fleet/FleetLayout.java
+++ b/src/main/java/linenring/scale/fleet/FleetLayout.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * The proxies of one steward and what they report.
+ * The proxies of one controller and what they report.
  *
- * @param reportsPerSecond lines of collectors and proxies together
- * @param requestsPerSecond what each proxy is asked
+ * @param reportsPerSecond reports of collectors and proxies together
+ * @param requestsPerSecond requests to each proxy
  */
 public record FleetLayout(
         int proxies,
@@ -15,6 +15,7 @@
         ChannelLimits channel,
         double reportsPerSecond,
         double requestsPerSecond) {
+    /** Copies the lists, so that the value can't change. */
     public FleetLayout {
         zones = List.copyOf(zones);
         operations = List.copyOf(operations);
--- a/src/main/java/linenring/scale/fleet/InProcessController.java
+++ b/src/main/java/linenring/scale/fleet/InProcessController.java
@@ -21,16 +21,16 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * A steward without sockets for proxies and without a data plane: the real planner and fleet state, and the real host watch
+ * A controller without sockets for proxies and without a data plane: the real planner and fleet state, and the real host watch
  * over loopback. Its processor time is that of its own threads.
  */
 public final class InProcessController implements AutoCloseable {
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
     private final String name;
-    private final ControllerConfiguration assignment;
+    private final ControllerConfiguration configuration;
     private final Scheduler scheduler;
-    private final EventQueue exchange = new EventQueue();
+    private final EventQueue events = new EventQueue();
     private final ListLedger ledger;
     private final Queue<Thread> threads = new ConcurrentLinkedQueue<>();
     private final ExecutorService executor;
@@ -39,58 +39,58 @@
     private HostWatch watch;
     private Thread thread;
 
-    /** With a ledger of what it is told where {@code keepsLedger}, which costs time and memory. */
+    /** With a record of the lists it receives if {@code keepsLedger}, which costs time and memory. */
     public InProcessController(
-            String name, ControllerConfiguration assignment, Scheduler scheduler, boolean keepsLedger) {
+            String name, ControllerConfiguration configuration, Scheduler scheduler, boolean keepsLedger) {
         this.name = name;
-        this.assignment = assignment;
+        this.configuration = configuration;
         this.scheduler = scheduler;
         ledger = keepsLedger ? new ListLedger() : null;
-        codec = new Codec(assignment.names());
+        codec = new Codec(configuration.names());
         ThreadFactory factory = task -> named(task, name + "-watch");
-        executor = new ThreadPoolExecutor( // threads stay, as the time of those that end is not known any more
+        executor = new ThreadPoolExecutor( // threads are kept, since the processor time of an ended one is lost
                 0, Integer.MAX_VALUE, 1, TimeUnit.HOURS, new SynchronousQueue<>(), factory);
         if (ledger != null) {
-            exchange.addHostListListener(ledger::listed);
+            events.addHostListListener(ledger::listed);
         }
     }
 
-    private Thread named(Runnable task, String as) {
-        Thread made = new Thread(task, as);
-        made.setDaemon(true);
-        threads.add(made);
-        return made;
+    private Thread named(Runnable task, String threadName) {
+        Thread created = new Thread(task, threadName);
+        created.setDaemon(true);
+        threads.add(created);
+        return created;
     }
 
-    /** Starts to decide and to watch the catalogue. */
+    /** Starts the control loop and the host watch. */
     public void open() throws Exception { // Jetty's start() may throw any
         Log log = new Log(this::logged);
         thread = named(() -> decide(log), name);
         thread.start();
         watch = new HostWatch(
-                assignment.discovery(),
-                assignment.scope(),
-                assignment.known(),
+                configuration.discovery(),
+                configuration.scope(),
+                configuration.known(),
                 codec,
-                exchange,
+                events,
                 log,
                 executor,
                 scheduler,
-                why -> log.error("steward", "would end: " + why)); // one of many in its process
+                reason -> log.error("steward", "would end: " + reason)); // it shares its process with others
         watch.open();
     }
 
     private void decide(Log log) {
         try {
-            new ControlLoop(assignment.figures(), assignment.names(), assignment.known(), exchange, log).run();
-        } catch (Throwable e) { // memory above all: it ends this steward and is told
-            failure.compareAndSet(null, e.toString());
+            new ControlLoop(configuration.figures(), configuration.names(), configuration.known(), events, log).run();
+        } catch (Throwable fatal) { // above all OutOfMemoryError, which must fail this point of the run and not hang it
+            failure.compareAndSet(null, fatal.toString());
         }
     }
 
-    private void logged(Instant at, Level level, String subject, String words, int held) {
+    private void logged(Instant time, Level level, String subject, String message, int suppressedLines) {
         if (subject.equals("fault")) {
-            failure.compareAndSet(null, words);
+            failure.compareAndSet(null, message);
         }
     }
 
@@ -99,29 +99,26 @@
         return failure.get();
     }
 
-    public EventQueue exchange() {
-        return exchange;
+    /** The queue into its control loop. */
+    public EventQueue events() {
+        return events;
     }
 
+    /** The codec for its names. */
     public Codec codec() {
         return codec;
     }
 
-    /** What it was told, or null where no ledger is kept. */
+    /** The lists that it received, or null if they are not recorded. */
     public ListLedger ledger() {
         return ledger;
     }
 
-    /** Processor time of its threads so far, in ns. */
+    /** Processor time of its threads so far. */
     public long processorNanos() {
         return threads.stream().mapToLong(InProcessController::processorNanos).sum();
     }
 
-    /** Processor time of the thread that decides alone, in ns. */
-    public long decidingNanos() {
-        return processorNanos(thread);
-    }
-
     private static long processorNanos(Thread thread) {
         return Math.max(0, THREADS.getThreadCpuTime(thread.getId())); // -1 once it has ended
     }
@@ -131,8 +128,8 @@
         thread.interrupt();
         try {
             watch.stop();
-        } catch (Exception e) { // stop() may throw any; the steward is done with all the same
-            failure.compareAndSet(null, e.toString());
+        } catch (Exception failed) { // stop() may throw any; its threads are ended below all the same
+            failure.compareAndSet(null, failed.toString());
         }
         executor.shutdownNow();
     }
--- a/src/main/java/linenring/scale/fleet/InProcessFleets.java
+++ b/src/main/java/linenring/scale/fleet/InProcessFleets.java
@@ -11,110 +11,113 @@
 import linenring.protocol.ConfigurationUpdate;
 import linenring.protocol.InboundMessage;
 
-/** Hollow fleets that speak with hollow stewards in this process, through their exchanges; one thread for all of them. */
+/** Simulated fleets of controllers in this process, through their event queues; one thread for all of them. */
 public final class InProcessFleets implements AutoCloseable {
-    private static final long TICK_NS = 5_000_000;
+    private static final long TICK_NANOS = 5_000_000;
+    private static final double NANOS_PER_MS = 1e6;
+    private static final long STOP_TIMEOUT_MS = 2000;
 
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     private final List<SimulatedFleet> fleets = new ArrayList<>(); // on the thread
-    private final Thread thread = new Thread(this::run, "hollow-fleets");
+    private final Thread thread = new Thread(this::run, "simulated-fleets");
     private volatile boolean closed;
 
-    /** A fleet's way to its steward. */
+    /** Connects a fleet to its controller. */
     public final class Connection implements Uplink {
         private final SimulatedFleet fleet;
         private final Codec codec;
         private final Traffic traffic = new Traffic();
         private final InProcessStream[] streams;
-        private EventQueue exchange; // null once it has ended
+        private EventQueue events; // null once it has ended
 
-        private Connection(SimulatedFleet fleet, Codec codec, EventQueue exchange) {
+        private Connection(SimulatedFleet fleet, Codec codec, EventQueue events) {
             this.fleet = fleet;
             this.codec = codec;
-            this.exchange = exchange;
+            this.events = events;
             streams = new InProcessStream[fleet.layout().proxies()];
         }
 
         @Override
-        public void join(int stream, InboundMessage.Subscribe joining) {
-            if (exchange != null) {
-                streams[joining.proxy()] =
-                        new InProcessStream(this, joining.proxy(), stream, exchange.nextStreamNumber());
-                say(joining.proxy(), joining);
+        public void join(int stream, InboundMessage.Subscribe subscribe) {
+            if (events != null) {
+                streams[subscribe.proxy()] =
+                        new InProcessStream(this, subscribe.proxy(), stream, events.nextStreamNumber());
+                send(subscribe.proxy(), subscribe);
             }
         }
 
         @Override
         public void leave(int proxy) {
-            if (exchange != null && streams[proxy] != null) {
-                exchange.enqueueStreamClosed(streams[proxy]);
+            if (events != null && streams[proxy] != null) {
+                events.enqueueStreamClosed(streams[proxy]);
             }
             streams[proxy] = null;
         }
 
         @Override
-        public void say(int proxy, InboundMessage what) {
-            if (exchange != null && streams[proxy] != null) {
-                traffic.messagesIn.increment();
-                exchange.enqueueMessage(streams[proxy], what);
+        public void send(int proxy, InboundMessage message) {
+            if (events != null && streams[proxy] != null) {
+                traffic.messageIn();
+                events.enqueueMessage(streams[proxy], message);
             }
         }
 
         @Override
-        public void report(InboundMessage.LoadReport sums) {
-            if (exchange != null) {
-                traffic.messagesIn.increment();
-                exchange.enqueueMessage(null, sums);
+        public void report(InboundMessage.LoadReport report) {
+            if (events != null) {
+                traffic.messageIn();
+                events.enqueueMessage(null, report);
             }
         }
 
-        /** Messages, and bytes from the steward; what is said to it is not encoded and has no bytes. */
+        /** Messages, and bytes from the controller; messages to it are not encoded and have no bytes. */
         public Traffic traffic() {
             return traffic;
         }
 
+        /** The proxies and collectors. */
         public SimulatedFleet fleet() {
             return fleet;
         }
 
         /** All proxies leave and join again. */
         public void rejoinAll() {
-            tasks.add(() -> fleet.rejoinAll(now()));
+            tasks.add(() -> fleet.rejoinAll(nowMs()));
         }
 
-        /** Nothing is said any more, and the steward is let go. */
+        /** Nothing is sent any more, and the controller's memory is released. */
         public void end() {
             tasks.add(() -> {
                 fleet.stop();
-                exchange = null;
+                events = null;
             });
         }
     }
 
-    /** Where a hollow steward writes its orders. They are encoded as by a real one, and then handed over. */
+    /** Takes the updates of a controller: encodes them, as a real one does, and hands them to the fleet. */
     private final class InProcessStream implements ProxyStream {
-        private final Connection of;
+        private final Connection connection;
         private final int proxy;
-        private final int fleetsNumber;
+        private final int fleetStream;
         private final long number;
 
-        InProcessStream(Connection of, int proxy, int fleetsNumber, long number) {
-            this.of = of;
+        InProcessStream(Connection connection, int proxy, int fleetStream, long number) {
+            this.connection = connection;
             this.proxy = proxy;
-            this.fleetsNumber = fleetsNumber;
+            this.fleetStream = fleetStream;
             this.number = number;
         }
 
         @Override
-        public void write(ConfigurationUpdate order) {
-            of.traffic.bytesOut.add(of.codec.encode(order).length);
-            of.traffic.messagesOut.increment();
-            tasks.add(() -> of.fleet.ordered(proxy, fleetsNumber, order, now()));
+        public void write(ConfigurationUpdate update) {
+            connection.traffic.bytesOut(connection.codec.encode(update).length);
+            connection.traffic.messageOut();
+            tasks.add(() -> connection.fleet.receive(proxy, fleetStream, update, nowMs()));
         }
 
         @Override
-        public void close(String why) {
-            tasks.add(() -> of.fleet.lost(proxy, fleetsNumber, now()));
+        public void close(String reason) {
+            tasks.add(() -> connection.fleet.streamLost(proxy, fleetStream, nowMs()));
         }
 
         @Override
@@ -123,17 +126,18 @@
         }
     }
 
+    /** Starts the thread. */
     public void start() {
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Has a fleet join through that exchange. */
-    public Connection join(SimulatedFleet fleet, Codec codec, EventQueue exchange) {
-        Connection connection = new Connection(fleet, codec, exchange);
+    /** Lets a fleet join through this event queue. */
+    public Connection join(SimulatedFleet fleet, Codec codec, EventQueue events) {
+        Connection connection = new Connection(fleet, codec, events);
         tasks.add(() -> {
             fleets.add(fleet);
-            fleet.start(connection, now());
+            fleet.start(connection);
         });
         return connection;
     }
@@ -143,14 +147,14 @@
             for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
                 task.run();
             }
-            double now = now();
-            fleets.forEach(f -> f.advance(now));
-            LockSupport.parkNanos(TICK_NS);
+            double nowMs = nowMs();
+            fleets.forEach(fleet -> fleet.advance(nowMs));
+            LockSupport.parkNanos(TICK_NANOS);
         }
     }
 
-    private static double now() {
-        return System.nanoTime() / 1e6;
+    private static double nowMs() {
+        return System.nanoTime() / NANOS_PER_MS;
     }
 
     @Override
@@ -158,8 +162,8 @@
         closed = true;
         LockSupport.unpark(thread);
         try {
-            thread.join(2000);
-        } catch (InterruptedException e) {
+            thread.join(STOP_TIMEOUT_MS);
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
--- a/src/main/java/linenring/scale/fleet/InboundMessageEncoder.java
+++ b/src/main/java/linenring/scale/fleet/InboundMessageEncoder.java
@@ -7,8 +7,10 @@
 import java.io.UncheckedIOException;
 import linenring.protocol.InboundMessage;
 
-/** Encodes what proxies and collectors say, one line each. */
+/** Encodes the messages of proxies and collectors, one line each: the mirror of the codec's decoder. */
 final class InboundMessageEncoder {
+    private static final int LINE_BYTES = 160;
+    private static final double TENTHS_PER_MS = 10;
     private static final JsonFactory JSON = new JsonFactory();
 
     private final FleetLayout layout;
@@ -17,49 +19,49 @@
         this.layout = layout;
     }
 
-    byte[] line(InboundMessage what) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(160);
+    byte[] line(InboundMessage message) {
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(LINE_BYTES);
         try (JsonGenerator out = JSON.createGenerator(bytes)) {
             out.writeStartObject();
-            fields(out, what);
+            writeFields(out, message);
             out.writeEndObject();
             out.writeRaw('\n');
-        } catch (IOException e) {
-            throw new UncheckedIOException(e); // memory takes what is written
+        } catch (IOException impossible) {
+            throw new UncheckedIOException(impossible); // a byte array accepts every write
         }
         return bytes.toByteArray();
     }
 
-    private void fields(JsonGenerator out, InboundMessage what) throws IOException {
-        if (what instanceof InboundMessage.Subscribe joining) {
+    private void writeFields(JsonGenerator out, InboundMessage message) throws IOException {
+        if (message instanceof InboundMessage.Subscribe subscribe) {
             out.writeStringField("@type", "SUBSCRIBE");
-            out.writeNumberField("id", joining.proxy());
-            out.writeStringField("site", layout.zones().get(joining.zone()));
-            out.writeNumberField("rps", joining.usualRequestsPerSecond());
-            out.writeBooleanField("new", joining.isNew());
-        } else if (what instanceof InboundMessage.Collector collector) {
+            out.writeNumberField("id", subscribe.proxy());
+            out.writeStringField("site", layout.zones().get(subscribe.zone()));
+            out.writeNumberField("rps", subscribe.usualRequestsPerSecond());
+            out.writeBooleanField("new", subscribe.isNew());
+        } else if (message instanceof InboundMessage.Collector collector) {
             out.writeStringField("@type", "SOURCE");
             out.writeStringField("site", layout.zones().get(collector.zone()));
-        } else if (what instanceof InboundMessage.Acknowledgement applied) {
+        } else if (message instanceof InboundMessage.Acknowledgement acknowledgement) {
             out.writeStringField("@type", "ACK");
-            out.writeNumberField("id", applied.proxy());
-            out.writeNumberField("seq", applied.nonce());
-            out.writeNumberField("ms", Math.round(applied.elapsedMs() * 10) / 10.0);
-        } else if (what instanceof InboundMessage.RequestRateReport usage) {
+            out.writeNumberField("id", acknowledgement.proxy());
+            out.writeNumberField("seq", acknowledgement.nonce());
+            out.writeNumberField("ms", Math.round(acknowledgement.elapsedMs() * TENTHS_PER_MS) / TENTHS_PER_MS);
+        } else if (message instanceof InboundMessage.RequestRateReport rate) {
             out.writeStringField("@type", "RATE");
-            out.writeNumberField("id", usage.proxy());
-            out.writeStringField("lane", layout.operations().get(usage.operation()));
-            out.writeNumberField("count", usage.requests());
+            out.writeNumberField("id", rate.proxy());
+            out.writeStringField("lane", layout.operations().get(rate.operation()));
+            out.writeNumberField("count", rate.requests());
             out.writeNumberField("fail", 0);
-            out.writeNumberField("over", usage.periodMs());
-        } else if (what instanceof InboundMessage.LoadReport sums) {
+            out.writeNumberField("over", rate.periodMs());
+        } else if (message instanceof InboundMessage.LoadReport load) {
             out.writeStringField("@type", "LOAD");
-            out.writeStringField("site", layout.zones().get(sums.zone()));
-            out.writeStringField("target", sums.host());
-            out.writeNumberField("count", sums.requests());
-            out.writeNumberField("fail", sums.failed());
-            out.writeNumberField("mean", sums.meanLatencyMs());
-            out.writeNumberField("over", sums.periodMs());
+            out.writeStringField("site", layout.zones().get(load.zone()));
+            out.writeStringField("target", load.host());
+            out.writeNumberField("count", load.requests());
+            out.writeNumberField("fail", load.failed());
+            out.writeNumberField("mean", load.meanLatencyMs());
+            out.writeNumberField("over", load.periodMs());
         } else {
             out.writeStringField("@type", "PING");
         }
--- a/src/main/java/linenring/scale/fleet/ListLedger.java
+++ b/src/main/java/linenring/scale/fleet/ListLedger.java
@@ -8,28 +8,31 @@
 import java.util.Set;
 import linenring.protocol.HostList;
 
-/** What a steward was told of the catalogue, line by line: whether versions came once and in order, and whom they leave ready. */
+/** Records the host lists that a controller received: whether versions came once and in order, and which hosts are ready. */
 public final class ListLedger {
-    private static final int FAULTS_KEPT = 20;
+    private static final int MAX_KEPT_FAULTS = 20;
 
     private final Map<String, HostList.State> hosts = new HashMap<>();
     private final List<String> faults = new ArrayList<>();
     private long version = -1;
-    private long changes, wholeLists, jumps, merged;
+    private long deltas;
+    private long completeLists;
+    private long catchUps;
+    private long mergedVersions;
 
-    /** Takes one line in. */
+    /** Records one list. */
     public synchronized void listed(HostList list) {
-        boolean again = list.isComplete() && list.version() == version; // a whole list may repeat the version held
+        boolean again = list.isComplete() && list.version() == version; // a complete list may repeat the version held
         if (version >= 0 && list.version() <= version && !again) {
             fault("version " + list.version() + " after " + version);
         }
         if (list.isComplete()) {
-            wholeLists++;
+            completeLists++;
             hosts.clear();
         } else {
-            changes++;
-            jumps += list.version() == version + 1 ? 0 : 1;
-            merged += Math.max(0, list.version() - version - 1);
+            deltas++;
+            catchUps += list.version() == version + 1 ? 0 : 1;
+            mergedVersions += Math.max(0, list.version() - version - 1);
         }
         version = list.version();
         for (HostList.Entry entry : list.entries()) {
@@ -41,40 +44,43 @@
         }
     }
 
-    private void fault(String words) {
-        if (faults.size() < FAULTS_KEPT) {
-            faults.add(words);
+    private void fault(String message) {
+        if (faults.size() < MAX_KEPT_FAULTS) {
+            faults.add(message);
         }
     }
 
+    /** The last version; -1 before the first list. */
     public synchronized long version() {
         return version;
     }
 
-    /** Lines of changes. */
-    public synchronized long changes() {
-        return changes;
+    /** How many deltas came. */
+    public synchronized long deltas() {
+        return deltas;
     }
 
-    public synchronized long wholeLists() {
-        return wholeLists;
+    /** How many complete lists came. */
+    public synchronized long completeLists() {
+        return completeLists;
     }
 
-    /** Lines of changes that held more than one version: catch-ups. */
-    public synchronized long jumps() {
-        return jumps;
+    /** How many deltas held more than one version. */
+    public synchronized long catchUps() {
+        return catchUps;
     }
 
-    /** Versions that came in the line of a later one: with {@link #changes} all that there were since the whole list. */
-    public synchronized long merged() {
-        return merged;
+    /** Versions that came in the delta of a later one; with {@link #deltas} all since the complete list. */
+    public synchronized long mergedVersions() {
+        return mergedVersions;
     }
 
+    /** Versions that came twice or out of order, the first few. */
     public synchronized List<String> faults() {
         return List.copyOf(faults);
     }
 
-    /** The ids of the hosts that are ready by what was told. */
+    /** The ids of the hosts that are ready by the lists received. */
     public synchronized Set<String> readyIds() {
         Set<String> ready = new HashSet<>();
         hosts.forEach((id, state) -> {
--- a/src/main/java/linenring/scale/fleet/SimulatedChannel.java
+++ b/src/main/java/linenring/scale/fleet/SimulatedChannel.java
@@ -1,21 +1,23 @@
 package linenring.scale.fleet;
 
-/** The channel of one steward's orders, without I/O: lines leave it at a pace, one message after the other. Times are ms. */
+/** The channel of one controller's updates, without I/O: entries leave it at a fixed rate, one message after the other. */
 final class SimulatedChannel {
-    private final double linesPerMs;
-    private final double perMessage;
+    private static final double SECOND_MS = 1000;
+
+    private final double entriesPerMs;
+    private final double entriesPerMessage;
     private final double propagationMs;
-    private double freeAt;
+    private double freeAtMs;
 
     SimulatedChannel(ChannelLimits limits) {
-        linesPerMs = limits.linesPerSecond() / 1000;
-        perMessage = limits.linesPerMessage();
+        entriesPerMs = limits.entriesPerSecond() / SECOND_MS;
+        entriesPerMessage = limits.entriesPerMessage();
         propagationMs = limits.propagationMs();
     }
 
-    /** When a message of so many lines that enters now takes effect at its proxy. */
-    double deliveredAt(double now, int lines) {
-        freeAt = Math.max(now, freeAt) + (lines + perMessage) / linesPerMs;
-        return freeAt + propagationMs;
+    /** When a message of that many entries that is sent now takes effect at its proxy. */
+    double deliveryTimeMs(double nowMs, int entries) {
+        freeAtMs = Math.max(nowMs, freeAtMs) + (entries + entriesPerMessage) / entriesPerMs;
+        return freeAtMs + propagationMs;
     }
 }
--- a/src/main/java/linenring/scale/fleet/SimulatedProxy.java
+++ b/src/main/java/linenring/scale/fleet/SimulatedProxy.java
@@ -10,26 +10,27 @@
 import linenring.routing.Tables;
 import linenring.routing.UnusableUpdateException;
 
-/** A proxy that keeps its tables as ordered and carries no request. Changed on the fleet's thread, read on any. */
+/** A proxy that applies updates to its tables and carries no request. Changed on the fleet's thread, read on any. */
 public final class SimulatedProxy {
-    private static final int NEVER_AVOID = Integer.MAX_VALUE;
+    private static final int NEVER_EJECT = Integer.MAX_VALUE;
 
     private final int id;
     private final int zone;
     private final HostRegistry hosts;
     private final Tables tables;
     private volatile boolean joined;
-    private volatile boolean ordered; // on its present stream
-    private volatile boolean served; // it has had a host for each operation
-    private int stream; // counts its streams
+    private volatile boolean updated; // on its current stream
+    private volatile boolean hadHosts; // it has had a host for each operation
+    private int stream; // the number of its current stream
 
     SimulatedProxy(int id, int zone, List<String> operations, HostRegistry hosts) {
         this.id = id;
         this.zone = zone;
         this.hosts = hosts;
-        tables = new Tables(operations, hosts, Measure.SHARE, NEVER_AVOID, 0);
+        tables = new Tables(operations, hosts, Measure.SHARE, NEVER_EJECT, 0);
     }
 
+    /** Its id. */
     public int id() {
         return id;
     }
@@ -38,39 +39,42 @@
         return zone;
     }
 
-    boolean isFresh() {
+    /** Whether it has no table of a controller. */
+    boolean isNew() {
         return tables.isEmpty();
     }
 
+    /** Whether it has a stream. */
     public boolean isJoined() {
         return joined;
     }
 
-    /** The number of its stream; what comes of an earlier one is late. */
+    /** The number of its current stream; events of an earlier one are late. */
     int stream() {
         return stream;
     }
 
-    int joins() {
-        ordered = false;
+    /** Begins a stream; returns its number. */
+    int openStream() {
+        updated = false;
         joined = true;
         return ++stream;
     }
 
-    void leaves() {
+    void closeStream() {
         joined = false;
         stream++;
     }
 
-    List<Integer> apply(ConfigurationUpdate order) throws UnusableUpdateException {
-        List<Integer> nonces = tables.apply(order);
-        ordered = true;
+    List<Integer> apply(ConfigurationUpdate update) throws UnusableUpdateException {
+        List<Integer> nonces = tables.apply(update);
+        updated = true;
         return nonces;
     }
 
-    /** Whether its steward has written to it on its present stream. */
-    public boolean isOrdered() {
-        return joined && ordered;
+    /** Whether its controller has updated it on its current stream. */
+    public boolean isUpdated() {
+        return joined && updated;
     }
 
     /** Whether it has a host for each operation. */
@@ -80,29 +84,29 @@
                 return false;
             }
         }
-        served = true;
+        hadHosts = true;
         return true;
     }
 
     /** Whether it once had a host for each operation. */
-    boolean wasServed() {
-        return served;
+    boolean hadHosts() {
+        return hadHosts;
     }
 
-    /** The id of a host by weight, or null where there is none. */
+    /** The id of a host by weight, or null if there is none. */
     String pick(int operation, double draw) {
         int host = tables.pick(operation, 0, draw);
         return host == Tables.NONE ? null : hosts.host(host).id();
     }
 
-    /** The ids of the hosts that its table of an operation has and that are not shut out. */
-    public Set<String> openHosts(int operation) {
-        Set<String> open = new HashSet<>();
+    /** The ids of the hosts that its table of an operation has and that are not ejected. */
+    public Set<String> eligibleHosts(int operation) {
+        Set<String> eligible = new HashSet<>();
         for (int host : new ArrayList<>(tables.weights(operation).keySet())) {
             if (tables.isEligible(operation, host)) {
-                open.add(hosts.host(host).id());
+                eligible.add(hosts.host(host).id());
             }
         }
-        return open;
+        return eligible;
     }
 }
--- a/src/main/java/linenring/scale/fleet/Uplink.java
+++ b/src/main/java/linenring/scale/fleet/Uplink.java
@@ -2,17 +2,17 @@
 
 import linenring.protocol.InboundMessage;
 
-/** How a fleet's proxies and collectors speak to their steward. Called on the fleet's thread. */
+/** How a fleet's proxies and collectors reach their controller. Called on the fleet's thread. */
 interface Uplink {
-    /** Opens a new stream of a proxy, whose number the fleet gives, and says that it joins. */
-    void join(int stream, InboundMessage.Subscribe joining);
+    /** Opens a new stream of a proxy, whose number the fleet gives, and subscribes on it. */
+    void join(int stream, InboundMessage.Subscribe subscribe);
 
-    /** Ends the present stream of a proxy. */
+    /** Closes the current stream of a proxy. */
     void leave(int proxy);
 
-    /** Says something on the present stream of a proxy. */
-    void say(int proxy, InboundMessage what);
+    /** Sends a message on the current stream of a proxy. */
+    void send(int proxy, InboundMessage message);
 
-    /** Reports through the collector of its zone. */
-    void report(InboundMessage.LoadReport sums);
+    /** Sends a report through the collector of its zone. */
+    void report(InboundMessage.LoadReport report);
 }
--- a/src/main/java/linenring/scale/fleet/package-info.java
+++ b/src/main/java/linenring/scale/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** Hollow proxies, collectors and stewards: they speak as real ones do and carry no request. */
+/** Simulated proxies, collectors and controllers: they exchange messages as real ones do and carry no request. */
 package linenring.scale.fleet;
--- a/src/main/java/linenring/scale/process/MeasuredConfiguration.java
+++ b/src/main/java/linenring/scale/process/MeasuredConfiguration.java
@@ -83,13 +83,13 @@
         out.writeEndObject();
         out.writeObjectFieldStart("Specifics");
         out.writeNumberField("ProxyCount", Math.max(1, proxies));
-        out.writeNumberField("PushRate", channel.linesPerSecond());
-        out.writeNumberField("PerMessage", channel.linesPerMessage());
-        out.writeNumberField("MostWaiting", channel.linesWaitingMost());
+        out.writeNumberField("PushRate", channel.entriesPerSecond());
+        out.writeNumberField("PerMessage", channel.entriesPerMessage());
+        out.writeNumberField("MostWaiting", channel.maxQueuedEntries());
         out.writeNumberField("UpdateCap", MAX_MESSAGES);
         out.writeNumberField("CountedOver", MESSAGE_LIMIT_INTERVAL_MICROS);
         out.writeNumberField("Propagation", Math.round(channel.propagationMs() * 1000));
-        out.writeNumberField("TransitMax", Math.round(channel.transitMostMs() * 1000));
+        out.writeNumberField("TransitMax", Math.round(channel.maxTransitMs() * 1000));
         out.writeStringField("ThrottleBy", "fraction");
         out.writeNumberField("DefaultSize", DEFAULT_TABLE_ENTRIES);
         out.writeEndObject();
--- a/src/main/java/linenring/scale/run/Agreement.java
+++ b/src/main/java/linenring/scale/run/Agreement.java
@@ -20,10 +20,10 @@
         int stale = 0;
         int missing = 0;
         for (SimulatedProxy proxy : proxies) {
-            notOrdered += proxy.isOrdered() ? 0 : 1;
+            notOrdered += proxy.isUpdated() ? 0 : 1;
             withoutHost += !proxy.hasHosts() ? 1 : 0;
             for (int operation = 0; operation < operations; operation++) {
-                Set<String> open = proxy.openHosts(operation);
+                Set<String> open = proxy.eligibleHosts(operation);
                 int fresh = (int) open.stream().filter(ready::contains).count();
                 stale += open.size() - fresh;
                 missing += whole ? ready.size() - fresh : 0;
--- a/src/main/java/linenring/scale/run/InProcessMember.java
+++ b/src/main/java/linenring/scale/run/InProcessMember.java
@@ -28,7 +28,7 @@
 
     void open() throws Exception { // Jetty's start() may throw any
         steward.open();
-        connection = fleets.join(fleet, steward.codec(), steward.exchange());
+        connection = fleets.join(fleet, steward.codec(), steward.events());
     }
 
     SimulatedFleet fleet() {
--- a/src/main/java/linenring/scale/run/Testbed.java
+++ b/src/main/java/linenring/scale/run/Testbed.java
@@ -243,7 +243,7 @@
             return watchers + " of " + due + " hold the present list";
         }
         long without = fleet.proxies().stream()
-                .filter(p -> !p.isOrdered() || !p.hasHosts())
+                .filter(p -> !p.isUpdated() || !p.hasHosts())
                 .count();
         return without == 0 ? null : without + " of " + fleet.proxies().size() + " proxies have no table";
     }
@@ -253,7 +253,7 @@
         Set<String> open = new HashSet<>();
         for (SimulatedProxy proxy : fleet.proxies()) {
             for (int operation = 0; operation < OPERATIONS.size(); operation++) {
-                open.addAll(proxy.openHosts(operation));
+                open.addAll(proxy.eligibleHosts(operation));
             }
         }
         open.removeAll(readyInScope());
--- a/src/test/java/linenring/scale/fleet/FleetCodecTest.java
+++ b/src/test/java/linenring/scale/fleet/FleetCodecTest.java
@@ -13,30 +13,31 @@
 import linenring.settings.Names;
 import org.junit.jupiter.api.Test;
 
-/** What hollow processes write is what a steward reads, and the other way round. */
+/** The codecs of simulated fleets and of the controller mirror each other. */
 class FleetCodecTest {
-    private static final List<String> ZONES = List.of("a", "b"), OPERATIONS = List.of("lookup", "order");
+    private static final List<String> ZONES = List.of("a", "b");
+    private static final List<String> OPERATIONS = List.of("lookup", "order");
 
     private final Codec codec = new Codec(new Names(ZONES, List.of("m1"), OPERATIONS, 9, 4));
-    private final ConfigurationUpdateDecoder reader = new ConfigurationUpdateDecoder();
+    private final ConfigurationUpdateDecoder decoder = new ConfigurationUpdateDecoder();
 
-    private ConfigurationUpdate read(ConfigurationUpdate order) throws IOException {
-        ConfigurationUpdate read = null;
+    private ConfigurationUpdate encodeAndDecode(ConfigurationUpdate update) throws IOException {
+        ConfigurationUpdate decoded = null;
         List<String> lines =
-                new String(codec.encode(order), StandardCharsets.UTF_8).lines().toList();
+                new String(codec.encode(update), StandardCharsets.UTF_8).lines().toList();
         for (int i = 0; i < lines.size(); i++) {
             byte[] line = lines.get(i).getBytes(StandardCharsets.UTF_8);
-            read = reader.line(line, 0, line.length);
+            decoded = decoder.line(line, 0, line.length);
             if (i + 1 < lines.size()) {
-                assertNull(read);
+                assertNull(decoded);
             }
         }
-        return read;
+        return decoded;
     }
 
     @Test
-    void readsAnOrderOfSeveralPartsAsItWasMade() throws IOException {
-        ConfigurationUpdate order = new ConfigurationUpdate(List.of(
+    void decodesAnUpdateOfSeveralParts() throws IOException {
+        ConfigurationUpdate update = new ConfigurationUpdate(List.of(
                 new ConfigurationUpdate.Part(
                         List.of("lookup"),
                         true,
@@ -49,12 +50,12 @@
                         ConfigurationUpdate.NO_NONCE),
                 new ConfigurationUpdate.Part(
                         List.of(), false, List.of(), null, List.of("s-3"), List.of("s-4", "s-5"), 77)));
-        assertEquals(order, read(order));
-        assertEquals(order, read(order));
+        assertEquals(update, encodeAndDecode(update));
+        assertEquals(update, encodeAndDecode(update));
     }
 
     @Test
-    void writesAllThatAStewardIsTold() {
+    void encodesEachMessageToAController() {
         FleetLayout layout = new FleetLayout(9, ZONES, OPERATIONS, ChannelLimits.ofFleet(9), 10, 20);
         List<InboundMessage> all = new ArrayList<>(List.of(
                 new InboundMessage.Ping(),
@@ -63,10 +64,10 @@
                 new InboundMessage.Acknowledgement(3, 77, 310.5),
                 new InboundMessage.RequestRateReport(3, 1, 7, 1000),
                 new InboundMessage.LoadReport("s-1", 1, 12, 3, 80, 1000)));
-        for (InboundMessage what : all) {
-            byte[] line = new InboundMessageEncoder(layout).line(what);
+        for (InboundMessage message : all) {
+            byte[] line = new InboundMessageEncoder(layout).line(message);
             assertEquals('\n', line[line.length - 1]);
-            assertEquals(what, codec.decodeInbound(line, line.length).orElseThrow());
+            assertEquals(message, codec.decodeInbound(line, line.length).orElseThrow());
         }
     }
 }
--- a/src/test/java/linenring/scale/fleet/ListLedgerTest.java
+++ b/src/test/java/linenring/scale/fleet/ListLedgerTest.java
@@ -11,38 +11,38 @@
 class ListLedgerTest {
     private final ListLedger ledger = new ListLedger();
 
-    private void told(long version, boolean whole, String host, HostList.State state) {
-        ledger.listed(new HostList(version, whole, List.of(new HostList.Entry(host, 0, 0, state, 1, 0))));
+    private void receive(long version, boolean complete, String host, HostList.State state) {
+        ledger.listed(new HostList(version, complete, List.of(new HostList.Entry(host, 0, 0, state, 1, 0))));
     }
 
     @Test
-    void keepsWhoIsReady() {
-        told(1, true, "s-1", HostList.State.READY);
-        told(2, false, "s-2", HostList.State.READY);
-        told(3, false, "s-1", HostList.State.TERMINATING);
+    void keepsReadyHosts() {
+        receive(1, true, "s-1", HostList.State.READY);
+        receive(2, false, "s-2", HostList.State.READY);
+        receive(3, false, "s-1", HostList.State.TERMINATING);
         assertEquals(Set.of("s-2"), ledger.readyIds());
-        told(4, false, "s-2", HostList.State.GONE);
+        receive(4, false, "s-2", HostList.State.GONE);
         assertEquals(Set.of(), ledger.readyIds());
-        assertEquals(3, ledger.changes());
-        assertEquals(0, ledger.jumps());
+        assertEquals(3, ledger.deltas());
+        assertEquals(0, ledger.catchUps());
         assertTrue(ledger.faults().isEmpty());
     }
 
     @Test
-    void tellsAChangeThatComesTwiceOrLate() {
-        told(5, true, "s-1", HostList.State.READY);
-        told(6, false, "s-2", HostList.State.READY);
-        told(6, false, "s-2", HostList.State.READY);
-        told(4, false, "s-3", HostList.State.READY);
+    void reportsAVersionThatComesTwiceOrLate() {
+        receive(5, true, "s-1", HostList.State.READY);
+        receive(6, false, "s-2", HostList.State.READY);
+        receive(6, false, "s-2", HostList.State.READY);
+        receive(4, false, "s-3", HostList.State.READY);
         assertEquals(List.of("version 6 after 6", "version 4 after 6"), ledger.faults());
     }
 
     @Test
-    void countsWhatWasCaughtUpInOneLine() {
-        told(1, true, "s-1", HostList.State.READY);
-        told(9, false, "s-2", HostList.State.READY);
-        assertEquals(1, ledger.jumps());
-        assertEquals(7, ledger.merged());
+    void countsVersionsThatCameInOneDelta() {
+        receive(1, true, "s-1", HostList.State.READY);
+        receive(9, false, "s-2", HostList.State.READY);
+        assertEquals(1, ledger.catchUps());
+        assertEquals(7, ledger.mergedVersions());
         assertTrue(ledger.faults().isEmpty());
     }
 }
--- a/src/test/java/linenring/scale/fleet/SimulatedFleetTest.java
+++ b/src/test/java/linenring/scale/fleet/SimulatedFleetTest.java
@@ -16,17 +16,17 @@
 
 class SimulatedFleetTest {
     private static final ChannelLimits CHANNEL = new ChannelLimits(1000, 4, 2000, 200, 500);
-    private static final int MARK = 9;
+    private static final int NONCE = 9;
 
-    /** Notes what is said. */
-    private static final class Noted implements Uplink {
-        final List<InboundMessage.Subscribe> joined = new ArrayList<>();
-        final List<Integer> left = new ArrayList<>();
-        final List<InboundMessage> said = new ArrayList<>();
+    /** Records what is sent. */
+    private static final class RecordingUplink implements Uplink {
+        private final List<InboundMessage.Subscribe> joined = new ArrayList<>();
+        private final List<Integer> left = new ArrayList<>();
+        private final List<InboundMessage> sent = new ArrayList<>();
 
         @Override
-        public void join(int stream, InboundMessage.Subscribe joining) {
-            joined.add(joining);
+        public void join(int stream, InboundMessage.Subscribe subscribe) {
+            joined.add(subscribe);
         }
 
         @Override
@@ -35,21 +35,21 @@
         }
 
         @Override
-        public void say(int proxy, InboundMessage what) {
-            said.add(what);
+        public void send(int proxy, InboundMessage message) {
+            sent.add(message);
         }
 
         @Override
-        public void report(InboundMessage.LoadReport sums) {
-            said.add(sums);
+        public void report(InboundMessage.LoadReport report) {
+            sent.add(report);
         }
 
-        <T extends InboundMessage> List<T> said(Class<T> kind) {
-            return said.stream().filter(kind::isInstance).map(kind::cast).toList();
+        <T extends InboundMessage> List<T> sent(Class<T> kind) {
+            return sent.stream().filter(kind::isInstance).map(kind::cast).toList();
         }
     }
 
-    private final Noted noted = new Noted();
+    private final RecordingUplink uplink = new RecordingUplink();
     private final HostRegistry hosts = new HostRegistry();
 
     private SimulatedFleet fleet(int proxies, double reportsPerSecond) {
@@ -62,16 +62,16 @@
         FleetLayout layout =
                 new FleetLayout(proxies, List.of("a", "b"), List.of("lookup", "order"), CHANNEL, reportsPerSecond, 20);
         SimulatedFleet fleet = new SimulatedFleet(layout, hosts, new Random(3));
-        fleet.start(noted, 0);
+        fleet.start(uplink);
         return fleet;
     }
 
-    private static ConfigurationUpdate table(int mark, String... hosts) {
+    private static ConfigurationUpdate table(int nonce, String... hosts) {
         List<ConfigurationUpdate.TableEntry> lines = Stream.of(hosts)
-                .map(h -> new ConfigurationUpdate.TableEntry(h, 1))
+                .map(host -> new ConfigurationUpdate.TableEntry(host, 1))
                 .toList();
         return new ConfigurationUpdate(
-                List.of(new ConfigurationUpdate.Part(List.of(), true, lines, null, List.of(), List.of(), mark)));
+                List.of(new ConfigurationUpdate.Part(List.of(), true, lines, null, List.of(), List.of(), nonce)));
     }
 
     private static ConfigurationUpdate eject(String host) {
@@ -80,114 +80,114 @@
     }
 
     @Test
-    void allProxiesJoinInTheirZones() {
+    void joinsAllProxiesInTheirZones() {
         fleet(3, 0);
         assertEquals(
                 List.of(
                         new InboundMessage.Subscribe(0, 0, 20, true),
                         new InboundMessage.Subscribe(1, 1, 20, true),
                         new InboundMessage.Subscribe(2, 0, 20, true)),
-                noted.joined);
+                uplink.joined);
     }
 
     @Test
-    void anOrderTakesEffectAndIsAcknowledgedOnceTheChannelHasDeliveredIt() {
+    void appliesAndAcknowledgesAnUpdateOnceTheChannelHasDeliveredIt() {
         SimulatedFleet fleet = fleet(1, 0);
-        fleet.ordered(0, 1, table(MARK, "s-1"), 1000); // 2 lines and 4 for the message, 1 ms each, and 200 ms
+        fleet.receive(0, 1, table(NONCE, "s-1"), 1000); // 2 entries and 4 for the message, 1 ms each, and 200 ms
         fleet.advance(1205.9);
         assertFalse(fleet.proxies().get(0).hasHosts());
         fleet.advance(1206);
         assertTrue(fleet.proxies().get(0).hasHosts());
         assertEquals(
-                List.of(new InboundMessage.Acknowledgement(0, MARK, 206)),
-                noted.said(InboundMessage.Acknowledgement.class));
+                List.of(new InboundMessage.Acknowledgement(0, NONCE, 206)),
+                uplink.sent(InboundMessage.Acknowledgement.class));
     }
 
     @Test
-    void messagesWaitForThoseBeforeThemInTheChannel() {
+    void delaysMessagesBehindEarlierOnesInTheChannel() {
         SimulatedFleet fleet = fleet(2, 0);
-        fleet.ordered(0, 1, table(1, "s-1"), 0);
-        fleet.ordered(1, 1, table(2, "s-1"), 0);
+        fleet.receive(0, 1, table(1, "s-1"), 0);
+        fleet.receive(1, 1, table(2, "s-1"), 0);
         fleet.advance(206);
-        assertEquals(1, noted.said(InboundMessage.Acknowledgement.class).size());
+        assertEquals(1, uplink.sent(InboundMessage.Acknowledgement.class).size());
         fleet.advance(212);
-        assertEquals(2, noted.said(InboundMessage.Acknowledgement.class).size());
+        assertEquals(2, uplink.sent(InboundMessage.Acknowledgement.class).size());
     }
 
     @Test
-    void anOrderThatCannotBeUsedIsTold() {
+    void reportsAnUnusableUpdateAndJoinsAgain() {
         SimulatedFleet fleet = fleet(1, 0);
-        fleet.ordered(0, 1, table(MARK, "s-unheard-of"), 0);
+        fleet.receive(0, 1, table(NONCE, "s-unheard-of"), 0);
         fleet.advance(300);
-        assertEquals(List.of("proxy 0 can't use an order: host 's-unheard-of' was never listed"), fleet.faults());
-        assertEquals(List.of(0), noted.left);
+        assertEquals(List.of("proxy 0 can't use an update: host 's-unheard-of' was never listed"), fleet.faults());
+        assertEquals(List.of(0), uplink.left);
         fleet.advance(1000);
-        assertEquals(2, noted.joined.size());
+        assertEquals(2, uplink.joined.size());
     }
 
     @Test
-    void aLostStreamIsDialledAgainAndItsLateOrdersAreLost() {
+    void reconnectsALostStreamAndDropsItsLateUpdates() {
         SimulatedFleet fleet = fleet(1, 0);
-        fleet.ordered(0, 1, table(1, "s-1"), 0);
-        fleet.lost(0, 1, 100);
+        fleet.receive(0, 1, table(1, "s-1"), 0);
+        fleet.streamLost(0, 1, 100);
         fleet.advance(300);
         assertFalse(fleet.proxies().get(0).hasHosts());
         fleet.advance(700);
-        assertEquals(2, noted.joined.size());
+        assertEquals(2, uplink.joined.size());
         assertTrue(fleet.proxies().get(0).isJoined());
-        assertFalse(fleet.proxies().get(0).isOrdered());
+        assertFalse(fleet.proxies().get(0).isUpdated());
     }
 
     @Test
-    void theLateEndOfAnEarlierStreamChangesNothing() {
+    void ignoresTheLateEndOfAnEarlierStream() {
         SimulatedFleet fleet = fleet(1, 0);
-        fleet.lost(0, 1, 0);
+        fleet.streamLost(0, 1, 0);
         fleet.advance(600);
-        fleet.lost(0, 1, 700);
+        fleet.streamLost(0, 1, 700);
         assertTrue(fleet.proxies().get(0).isJoined());
     }
 
     @Test
-    void aProxyThatIsLeftWithoutAHostIsCounted() {
+    void countsAProxyThatLosesItsLastHost() {
         SimulatedFleet fleet = fleet(1, 0);
-        fleet.ordered(0, 1, eject("s-1"), 0);
+        fleet.receive(0, 1, eject("s-1"), 0);
         fleet.advance(500);
         assertEquals(0, fleet.timesWithoutHost()); // it had none before
-        fleet.ordered(0, 1, table(1, "s-2"), 500);
+        fleet.receive(0, 1, table(1, "s-2"), 500);
         fleet.advance(1000);
         assertEquals(0, fleet.timesWithoutHost());
-        fleet.ordered(0, 1, eject("s-2"), 1000);
+        fleet.receive(0, 1, eject("s-2"), 1000);
         fleet.advance(1500);
         assertEquals(1, fleet.timesWithoutHost());
         assertEquals(List.of("proxy 0 has no host"), fleet.faults());
     }
 
     @Test
-    void reportsAreMadeAtTheirRateOfHostsThatTablesHold() {
+    void reportsAtItsRateOnHostsThatTablesHold() {
         SimulatedFleet fleet = fleet(4, 100);
         for (int proxy = 0; proxy < 4; proxy++) {
-            fleet.ordered(proxy, 1, table(1, "s-1", "s-2"), 0);
+            fleet.receive(proxy, 1, table(1, "s-1", "s-2"), 0);
         }
-        for (int ms = 0; ms <= 10_000; ms += 5) {
-            fleet.advance(ms);
+        for (int nowMs = 0; nowMs <= 10_000; nowMs += 5) {
+            fleet.advance(nowMs);
         }
-        List<InboundMessage.LoadReport> sums = noted.said(InboundMessage.LoadReport.class);
-        assertEquals(500, noted.said(InboundMessage.RequestRateReport.class).size(), 5);
-        assertEquals(500, sums.size(), 20); // none before the tables are there
-        assertTrue(sums.stream().anyMatch(s -> s.host().equals("s-2") && s.zone() == 1));
+        List<InboundMessage.LoadReport> reports = uplink.sent(InboundMessage.LoadReport.class);
+        assertEquals(500, uplink.sent(InboundMessage.RequestRateReport.class).size(), 5);
+        assertEquals(500, reports.size(), 20); // none before the tables are there
+        assertTrue(reports.stream().anyMatch(report -> report.host().equals("s-2") && report.zone() == 1));
     }
 
     @Test
-    void aWholeFleetJoinsAnewWithTheTablesItHas() {
+    void rejoinsAllProxiesWithTheirTables() {
         SimulatedFleet fleet = fleet(3, 0);
         for (int proxy = 0; proxy < 3; proxy++) {
-            fleet.ordered(proxy, 1, table(1, "s-1"), 0);
+            fleet.receive(proxy, 1, table(1, "s-1"), 0);
         }
         fleet.advance(500);
         fleet.rejoinAll(500);
-        assertEquals(List.of(0, 1, 2), noted.left);
+        assertEquals(List.of(0, 1, 2), uplink.left);
         fleet.advance(1000);
-        assertEquals(6, noted.joined.size());
-        assertTrue(noted.joined.subList(3, 6).stream().noneMatch(InboundMessage.Subscribe::isNew));
+        assertEquals(6, uplink.joined.size());
+        assertTrue(uplink.joined.subList(3, 6).stream().noneMatch(InboundMessage.Subscribe::isNew));
     }
 }
--- a/src/test/java/linenring/scale/run/CatalogueFaultsTest.java
+++ b/src/test/java/linenring/scale/run/CatalogueFaultsTest.java
@@ -96,7 +96,7 @@
         server.cutNextLists(2);
         watch();
         assertHoldsTheCatalogue();
-        assertEquals(1, ledger.wholeLists()); // of the cut ones nothing was taken
+        assertEquals(1, ledger.completeLists()); // of the cut ones nothing was taken
     }
 
     @Test
@@ -127,8 +127,8 @@
         assertTrue(await(() -> logged.toString().contains("nothing came for"))); // it dials again, and hears nothing
         server.setSilent(false);
         assertHoldsTheCatalogue();
-        assertEquals(1, ledger.changes());
-        assertEquals(1, ledger.jumps());
+        assertEquals(1, ledger.deltas());
+        assertEquals(1, ledger.catchUps());
     }
 
     @Test
@@ -140,7 +140,7 @@
         assertHoldsTheCatalogue();
         publish(catalogue.start(lost, 9));
         assertHoldsTheCatalogue();
-        assertEquals(0, ledger.jumps());
+        assertEquals(0, ledger.catchUps());
     }
 
     @Test
--- a/src/test/java/linenring/scale/run/ScaleTest.java
+++ b/src/test/java/linenring/scale/run/ScaleTest.java
@@ -76,7 +76,7 @@
             long dialledAgain =
                     testbed.hollowCatalogue().watchesOpened() - testbed.hollow().size();
             long jumps = testbed.hollow().stream()
-                    .mapToLong(m -> m.steward().ledger().jumps())
+                    .mapToLong(m -> m.steward().ledger().catchUps())
                     .sum();
             assertTrue(jumps <= dialledAgain, jumps + " lines of several changes on " + dialledAgain + " new watches");
         }
@@ -88,7 +88,7 @@
         assertEquals(new Agreement(0, 0, 0, 0), testbed.agreement(fleet, true));
         assertEquals(List.of(), fleet.faults());
         assertEquals(0, fleet.timesWithoutHost());
-        assertTrue(fleet.ordersApplied() > 0);
+        assertTrue(fleet.updatesApplied() > 0);
     }
 
     private static void assertEachChangeOnceAndInOrder(Testbed testbed, ListLedger ledger) throws InterruptedException {
@@ -96,8 +96,8 @@
         await(() -> ledger.version() == version);
         assertEquals(version, ledger.version());
         assertEquals(List.of(), ledger.faults());
-        assertEquals(1, ledger.wholeLists());
-        assertEquals(version - 1, ledger.changes() + ledger.merged()); // all began with the list of version 1
+        assertEquals(1, ledger.completeLists());
+        assertEquals(version - 1, ledger.deltas() + ledger.mergedVersions()); // all began with the list of version 1
         assertTrue(version > 40, "the catalogue has changed, not stood still");
         assertEquals(testbed.readyInScope(), ledger.readyIds());
     }
