--- /dev/null
+++ b/src/main/java/linenring/scale/fleet/ConfigurationUpdateDecoder.java
@@ -0,0 +1,105 @@
+package linenring.scale.fleet;
+
+import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonToken;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import linenring.protocol.ConfigurationUpdate;
+
+/** Decodes configuration updates as a proxy does: the mirror of the codec's encoder. One for each stream. */
+final class ConfigurationUpdateDecoder {
+    private static final JsonFactory JSON = new JsonFactory();
+
+    /** The parts of an update whose last line has not come. */
+    private final List<ConfigurationUpdate.Part> parts = new ArrayList<>();
+
+    /** The fields of one line, as they are read. */
+    private static final class Fields {
+        private String type;
+        private List<String> operations = List.of();
+        private List<ConfigurationUpdate.TableEntry> entries = new ArrayList<>();
+        private List<String> ejected = List.of();
+        private List<String> restored = List.of();
+        private boolean replacesTable;
+        private boolean isContinued;
+        private double admissionRatio = Double.NaN;
+        private int retryPolicyCode;
+        private int nonce = ConfigurationUpdate.NO_NONCE;
+
+        ConfigurationUpdate.Part part() {
+            ConfigurationUpdate.AdmissionPolicy admission = Double.isNaN(admissionRatio)
+                    ? null
+                    : new ConfigurationUpdate.AdmissionPolicy(admissionRatio, retryPolicyCode);
+            return new ConfigurationUpdate.Part(
+                    operations, replacesTable, entries, admission, ejected, restored, nonce);
+        }
+    }
+
+    /** The update that this line completes; null if more lines belong to it, or if the line is no update. */
+    ConfigurationUpdate line(byte[] bytes, int start, int length) throws IOException {
+        Fields fields = fields(bytes, start, length);
+        if (!"CONFIG".equals(fields.type)) {
+            return null; // a PONG
+        }
+        parts.add(fields.part());
+        if (fields.isContinued) {
+            return null;
+        }
+        ConfigurationUpdate update = new ConfigurationUpdate(List.copyOf(parts));
+        parts.clear();
+        return update;
+    }
+
+    private static Fields fields(byte[] bytes, int start, int length) throws IOException {
+        Fields fields = new Fields();
+        try (JsonParser parser = JSON.createParser(bytes, start, length)) {
+            if (parser.nextToken() != JsonToken.START_OBJECT) {
+                throw new IOException("not a JSON object");
+            }
+            while (parser.nextToken() != JsonToken.END_OBJECT) {
+                String name = parser.currentName();
+                parser.nextToken();
+                readField(fields, name, parser);
+            }
+        }
+        return fields;
+    }
+
+    private static void readField(Fields fields, String name, JsonParser parser) throws IOException {
+        switch (name) {
+            case "@type" -> fields.type = parser.getText();
+            case "routes" -> fields.operations = texts(parser);
+            case "full" -> fields.replacesTable = parser.getBooleanValue();
+            case "endpoints" -> fields.entries = entries(parser);
+            case "admit" -> fields.admissionRatio = parser.getDoubleValue();
+            case "policy" -> fields.retryPolicyCode = parser.getIntValue();
+            case "eject" -> fields.ejected = texts(parser);
+            case "restore" -> fields.restored = texts(parser);
+            case "nonce_out" -> fields.nonce = parser.getIntValue();
+            case "continued" -> fields.isContinued = parser.getBooleanValue();
+            default -> parser.skipChildren();
+        }
+    }
+
+    private static List<String> texts(JsonParser parser) throws IOException {
+        List<String> texts = new ArrayList<>();
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
+            texts.add(parser.getText());
+        }
+        return texts;
+    }
+
+    private static List<ConfigurationUpdate.TableEntry> entries(JsonParser parser) throws IOException {
+        List<ConfigurationUpdate.TableEntry> entries = new ArrayList<>();
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
+            parser.nextToken();
+            String host = parser.getText();
+            parser.nextToken();
+            entries.add(new ConfigurationUpdate.TableEntry(host, parser.getDoubleValue()));
+            parser.nextToken(); // the end of the entry
+        }
+        return entries;
+    }
+}
--- a/src/test/java/linenring/scale/run/ScaleTest.java
+++ b/src/test/java/linenring/scale/run/ScaleTest.java
@@ -10,8 +10,8 @@
 import java.util.function.BooleanSupplier;
 import linenring.scale.catalogue.CatalogueEvents;
 import linenring.scale.catalogue.CatalogueHost;
-import linenring.scale.fleet.HollowFleet;
 import linenring.scale.fleet.ListLedger;
+import linenring.scale.fleet.SimulatedFleet;
 import linenring.scale.measurement.Workload;
 import org.junit.jupiter.api.Test;
 
@@ -68,7 +68,7 @@
 
             assertConverges(testbed, real.fleet().fleet());
             assertTrue(real.process().isAlive(), real.process().ending());
-            for (HollowMember member : testbed.hollow()) {
+            for (InProcessMember member : testbed.hollow()) {
                 assertConverges(testbed, member.fleet());
                 assertNull(member.steward().failure());
                 assertEachChangeOnceAndInOrder(testbed, member.steward().ledger());
@@ -76,19 +76,19 @@
             long dialledAgain =
                     testbed.hollowCatalogue().watchesOpened() - testbed.hollow().size();
             long jumps = testbed.hollow().stream()
-                    .mapToLong(m -> m.steward().ledger().jumps())
+                    .mapToLong(m -> m.steward().ledger().catchUps())
                     .sum();
             assertTrue(jumps <= dialledAgain, jumps + " lines of several changes on " + dialledAgain + " new watches");
         }
     }
 
     /** The tables of all proxies hold the hosts that are ready, all of them and no other, and no proxy was ever without one. */
-    private static void assertConverges(Testbed testbed, HollowFleet fleet) throws InterruptedException {
+    private static void assertConverges(Testbed testbed, SimulatedFleet fleet) throws InterruptedException {
         await(() -> testbed.agreement(fleet, true).isComplete());
         assertEquals(new Agreement(0, 0, 0, 0), testbed.agreement(fleet, true));
         assertEquals(List.of(), fleet.faults());
         assertEquals(0, fleet.timesWithoutHost());
-        assertTrue(fleet.ordersApplied() > 0);
+        assertTrue(fleet.updatesApplied() > 0);
     }
 
     private static void assertEachChangeOnceAndInOrder(Testbed testbed, ListLedger ledger) throws InterruptedException {
@@ -96,8 +96,8 @@
         await(() -> ledger.version() == version);
         assertEquals(version, ledger.version());
         assertEquals(List.of(), ledger.faults());
-        assertEquals(1, ledger.wholeLists());
-        assertEquals(version - 1, ledger.changes() + ledger.merged()); // all began with the list of version 1
+        assertEquals(1, ledger.completeLists());
+        assertEquals(version - 1, ledger.deltas() + ledger.mergedVersions()); // all began with the list of version 1
         assertTrue(version > 40, "the catalogue has changed, not stood still");
         assertEquals(testbed.readyInScope(), ledger.readyIds());
     }
