--- a/src/main/java/linenring/simulator/SimulatedController.java
+++ b/src/main/java/linenring/simulator/SimulatedController.java
@@ -1,149 +1,67 @@
 package linenring.simulator;
 
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-import linenring.planner.Commands;
 import linenring.planner.Planner;
+import linenring.settings.SettingsReader;
 
-/** One instance: its decisions, its own numbering of the hosts, and the orders it has given in this reply. */
-final class SimulatedController implements Commands {
-    private static final int ALARM_HANDLE = 1;
-
-    final int id;
-    Planner planner;
-    /** It has had an event in this batch, and may act. */
-    boolean told;
-
-    final StringBuilder commands = new StringBuilder();
-    private final Map<String, Integer> hosts = new HashMap<>();
-    private final List<String> words = new ArrayList<>();
+/** One simulated controller: its planner while it runs, its own numbering of the hosts, and its commands in this reply. */
+final class SimulatedController {
+    private final HostNumbers hosts = new HostNumbers();
+    private final CommandWriter commands;
+    private Planner planner;
 
     SimulatedController(int id) {
-        this.id = id;
+        commands = new CommandWriter(id, hosts);
     }
 
-    /** The index of a host's word; a new word gets the next, by this instance's events alone. */
-    int host(String word) {
-        Integer known = hosts.get(word);
-        if (known == null) {
-            known = words.size();
-            hosts.put(word, known);
-            words.add(word);
-        }
-        return known;
+    HostNumbers hosts() {
+        return hosts;
     }
 
-    void forgetHosts() {
+    /** Starts it anew by the settings in the message; nothing that it knew or commanded stays. */
+    void start(SimulatorMessage settings) {
         hosts.clear();
-        words.clear();
-    }
-
-    private StringBuilder order(String name) {
-        return commands.append(name).append(" StewardId=").append(id);
-    }
-
-    private static String figure(double value) {
-        return value == Math.rint(value) && value < 1e9
-                ? Long.toString((long) value)
-                : Double.toString(Math.round(value * 1e4) / 1e4);
-    }
-
-    @Override
-    public void setWeight(int table, int host, double weight) {
-        order("set_line")
-                .append(" Sheet=")
-                .append(table)
-                .append(" Host=")
-                .append(words.get(host))
-                .append(" Heft=")
-                .append(figure(weight))
-                .append('\n');
-    }
-
-    @Override
-    public void clearTable(int table) {
-        order("wipe").append(" Sheet=").append(table).append('\n');
-    }
-
-    @Override
-    public void setEjected(int host, boolean out) {
-        order("cordon")
-                .append(" Host=")
-                .append(words.get(host))
-                .append(" Flag=")
-                .append(out ? 1 : 0)
-                .append('\n');
+        commands.clear();
+        planner = new Planner(SettingsReader.read(settings), commands);
     }
 
-    @Override
-    public void bindProxy(int table, int operations, int proxy) {
-        order("subscribe_to")
-                .append(" Sheet=")
-                .append(table)
-                .append(" Mask=")
-                .append(operations)
-                .append(" Sidecar=")
-                .append(proxy)
-                .append('\n');
+    /** It ends without a word; what it has commanded in this batch is lost. */
+    void crash() {
+        planner = null;
+        commands.clear();
     }
 
-    @Override
-    public int extraEntriesOfBind(int table, int proxy) {
-        return 0; // there a bind ends the withdrawals of others by itself
+    /** Has its planner take what the message says, as of now. */
+    void receive(SimulatorMessage message, HostLists lists, double nowMs) {
+        decide(running -> running.advanceClock(nowMs));
+        decide(running -> PlannerInputs.deliver(message, lists, hosts, running));
     }
 
-    @Override
-    public int extraEntriesOfWeight(int host, int proxy) {
-        return 0; // nor does a line say more than its weight
+    /** Decides on what has come in this batch; the commands. */
+    String reconcile() {
+        decide(Planner::reconcile);
+        String lines = commands.lines();
+        commands.clear();
+        return lines;
     }
 
-    @Override
-    public void setAdmission(int table, int operations, double admissionRatio, RetryPolicy tries) {
-        order("level")
-                .append(" Sheet=")
-                .append(table)
-                .append(" Mask=")
-                .append(operations)
-                .append(" Level=")
-                .append(figure(admissionRatio))
-                .append(" OnFailure=")
-                .append(tries.ordinal())
-                .append('\n');
+    /** A step of the planner; it is passed over while the controller does not run. */
+    private interface Step {
+        void apply(Planner planner);
     }
 
-    @Override
-    public void requestAcknowledgement(int mark) {
-        order("stamp").append(" Rev=").append(mark).append(" Flag=").append(0).append('\n');
-    }
-
-    @Override
-    public double entriesInMessage(int proxy, double reckoned) {
-        return reckoned; // the wire adds none
-    }
-
-    @Override
-    public void requestCall(double at) {
-        order("set_alarm")
-                .append(" Time=")
-                .append(Math.round(at * 1000))
-                .append(" Handle=")
-                .append(ALARM_HANDLE)
-                .append('\n');
-    }
-
-    @Override
-    public void watchHostList() {
-        order("keep_informed").append(" Flag=1\n");
-    }
-
-    void broken(String cause) {
-        commands.setLength(0);
-        order("broken").append(" Words=").append(plain(cause)).append('\n');
-    }
-
-    private static String plain(String text) {
-        return text.replace('\n', ' ').replace('\r', ' ');
+    /** Calls the decisions; a fault there is reported on the wire with its cause, and ends the controller. */
+    private void decide(Step step) {
+        if (planner == null) {
+            return;
+        }
+        try {
+            step.apply(planner);
+        } catch (SimulatorInputException invalid) {
+            throw invalid;
+        } catch (RuntimeException fault) {
+            StackTraceElement[] trace = fault.getStackTrace();
+            commands.reportFault(fault + (trace.length > 0 ? " at " + trace[0] : ""));
+            planner = null;
+        }
     }
 }
