--- a/src/main/java/linenring/planner/AdmissionController.java
+++ b/src/main/java/linenring/planner/AdmissionController.java
@@ -28,17 +28,17 @@
     private static final double OVERLOAD_LATENESS = 0.5;
     /** ... and the best third more than this: below it they are unhurried. */
     private static final double UNHURRIED_LATENESS = 0.35;
-    /** A cut aims at this lateness. No reason is recorded for the figure. */
+    /** A cut aims at this lateness. No reason is recorded for the value. */
     private static final double CUT_TARGET_LATENESS = 0.55;
-    /** A cut aims a little under what ends well. No reason is recorded for the figure. */
+    /** A cut aims a little under what ends well. No reason is recorded for the value. */
     private static final double CUT_TARGET_SUCCESS = 0.95;
-    /** One cut takes two fifths at most. No reason is recorded for the figure. */
+    /** One cut takes two fifths at most. No reason is recorded for the value. */
     private static final double LARGEST_CUT = 0.6;
-    /** So much is always admitted. No reason is recorded for the figure. */
+    /** So much is always admitted. No reason is recorded for the value. */
     private static final double MIN_ADMISSION_RATIO = 0.1;
     /** Admission rises while the host at 62 in 100 takes less than this part of the objective... */
     private static final double RECOVERY_LATENESS = 0.4;
-    /** ... by this less that lateness: the faster, the quicker answers are. No reason is recorded for the figure. */
+    /** ... by this less that lateness: the faster, the quicker answers are. No reason is recorded for the value. */
     private static final double RECOVERY_GAIN_AT_ZERO_LATENESS = 0.45;
     /** After a cut queues empty for so long; then reports of what was admitted before it are dropped. */
     private static final double QUEUES_EMPTY_MS = 2000;
@@ -50,7 +50,7 @@
     private static final double[] SHEDDING_FLOORS = {0.4, 0.05};
     /** A smaller change of admission is not worth a message. */
     private static final double MIN_CHANGE = 0.02;
-    /** No retries in a storm under this admission. No reason is recorded for the figure. */
+    /** No retries in a storm under this admission. No reason is recorded for the value. */
     private static final double MIN_RATIO_FOR_RETRIES = 0.9;
     /** In requests a second: more than any proxy is asked. */
     private static final double UNLIMITED_PER_SECOND = 1e6;
@@ -78,9 +78,7 @@
         storm.observe();
         if (context.nowMs() >= forgetAtMs) {
             forgetAtMs = Double.POSITIVE_INFINITY;
-            context.fleet()
-                    .hosts()
-                    .forEach(statistics::forgetOutcomes); // they tell of what was admitted before the cut
+            context.fleet().hosts().forEach(statistics::forgetOutcomes); // they show what was admitted before the cut
             return true;
         }
         boolean isKnown =
--- a/src/main/java/linenring/planner/FleetStatistics.java
+++ b/src/main/java/linenring/planner/FleetStatistics.java
@@ -19,7 +19,7 @@
  * ejected; beside broken or unreachable hosts the best third stays good.
  */
 final class FleetStatistics {
-    /** Fewer attempts than this in the whole fleet say nothing about it. No reason is recorded for the figure. */
+    /** Fewer attempts than this in the whole fleet say nothing about it. No reason is recorded for the value. */
     static final double MIN_FLEET_ATTEMPTS = 20;
 
     /** Attempts decay by half in so long, or in the time that a report covers, if that is longer. */
@@ -32,7 +32,7 @@
     private static final double REQUEST_RATE_SMOOTHING = 0.3;
     /** A failed attempt counts as an answer that is late by half an objective. */
     private static final double LATENESS_OF_FAILURE = 1.5;
-    /** Hosts with fewer attempts are left out of the quantiles. No reason is recorded for the figure. */
+    /** Hosts with fewer attempts are left out of the quantiles. No reason is recorded for the value. */
     private static final double MIN_HOST_ATTEMPTS = 3;
     /** The best third of the hosts: good even where others are broken or cut off. */
     private static final double USUAL_QUANTILE = 0.33;
@@ -165,11 +165,11 @@
         table.setCapacity(new TableCapacity(demand, listed, admitted, warm, able));
     }
 
-    private double[] sorted(ToDoubleFunction<Host> figure) {
+    private double[] sorted(ToDoubleFunction<Host> metric) {
         Stream<Host> judged = fleet.hosts().stream()
                 .filter(host ->
                         host.isRunning() && !host.isEjected() && host.outcomes().ended() >= MIN_HOST_ATTEMPTS);
-        return judged.mapToDouble(figure).sorted().toArray();
+        return judged.mapToDouble(metric).sorted().toArray();
     }
 
     private static double quantile(double part, double[] sorted) {
--- a/src/main/java/linenring/planner/FlowControl.java
+++ b/src/main/java/linenring/planner/FlowControl.java
@@ -32,11 +32,11 @@
     private static final double MIN_MESSAGES_PER_USER = 2;
     /** Round trips over this share of the drain grace mean that a drain comes too late behind other entries. */
     private static final double SLOW_ROUND_TRIP_SHARE_OF_GRACE = 0.5;
-    /** The channel counts as slow only where more than this share of the queue waits. No reason is recorded for the figure. */
+    /** The channel counts as slow only where more than this share of the queue waits. No reason is recorded for the value. */
     private static final double SLOW_QUEUE_SHARE = 0.25;
     /** Messages to all of a table may take a quarter of the channel for their heads. */
     private static final double INVERSE_SHARE_FOR_HEADS = 4;
-    /** Spaced messages use this share of the message limit; the rest is for what is urgent. No reason is recorded for the figure. */
+    /** Spaced messages use this share of the message limit; the rest is for what is urgent. No reason is recorded for the value. */
     private static final double SPACED_MESSAGE_SHARE = 0.6;
     /** A sub-update that no queue holds goes in pieces of half of what ordinary entries may fill. */
     private static final double PIECE_SHARE = 0.5;
--- a/src/main/java/linenring/planner/HostHealth.java
+++ b/src/main/java/linenring/planner/HostHealth.java
@@ -5,9 +5,9 @@
  * of its weight. Times are milliseconds on the planner's clock.
  */
 final class HostHealth {
-    /** The first retry comes after so long. No reason is recorded for the figure. */
+    /** The first retry comes after so long. No reason is recorded for the value. */
     private static final double FIRST_RETRY_MS = 3000;
-    /** Each failed probation in a row lengthens the next wait by this factor. No reason is recorded for the figure. */
+    /** Each failed probation in a row lengthens the next wait by this factor. No reason is recorded for the value. */
     private static final double RETRY_BACKOFF = 1.5;
     /** Waits grow no further after so many failed probations: up to 15 s for what stays bad. */
     private static final int MAX_BACKOFF_STEPS = 4;
--- a/src/main/java/linenring/planner/OutlierDetector.java
+++ b/src/main/java/linenring/planner/OutlierDetector.java
@@ -16,17 +16,17 @@
  * <p>A halved weight is a verdict on health: no weight follows a load or a speed.
  */
 final class OutlierDetector {
-    /** Failed attempts that prove enough. No reason is recorded for the figure. */
+    /** Failed attempts that prove enough. No reason is recorded for the value. */
     private static final double MIN_FAILURES = 4;
     /** Failed attempts that prove enough on probation, where few attempts come. */
     private static final double MIN_FAILURES_ON_PROBATION = 2;
-    /** A host fails where this part of its attempts does; no reason is recorded for the figure. */
+    /** A host fails where this part of its attempts does; no reason is recorded for the value. */
     private static final double FAILING_RATIO = 0.3;
-    /** A host that is slow besides fails only where nearly all its attempts do; no reason is recorded for the figure. */
+    /** A host that is slow besides fails only where nearly all its attempts do; no reason is recorded for the value. */
     private static final double FAILING_RATIO_OF_SLOW_HOST = 0.97;
-    /** Slow besides: its answers take so many times the usual lateness. No reason is recorded for the figure. */
+    /** Slow besides: its answers take so many times the usual lateness. No reason is recorded for the value. */
     private static final double SLOW_BESIDES_FAILING = 1.3;
-    /** A failing host's ratio is over this and some times the usual failure ratio; no reason is recorded for the figures. */
+    /** A failing host's ratio is over this and some times the usual failure ratio; no reason is recorded for the values. */
     private static final double FAILING_RATIO_MARGIN = 0.15;
 
     /** See {@link #FAILING_RATIO_MARGIN}. */
@@ -46,7 +46,7 @@
     private static final double WEIGHT_REDUCTION = 0.5;
     /** A share is halved twice at most: one under this is not halved again. */
     private static final double MIN_REDUCIBLE_SHARE = 0.3;
-    /** A slow host takes more than this part of the objective (no reason is recorded for the figure)... */
+    /** A slow host takes more than this part of the objective (no reason is recorded for the value)... */
     private static final double SLOW_LATENESS = 0.55;
     /** ... and than so many times the best third (likewise)... */
     private static final double SLOW_TIMES_USUAL = 1.6;
@@ -54,7 +54,7 @@
     private static final double MAX_USUAL_LATENESS = 0.5;
     /** Lateness over so many attempts says all; fewer say as much as they are of these. */
     private static final double FULL_EVIDENCE_ATTEMPTS = 8;
-    /** Fewer attempts say nothing of a host's lateness. No reason is recorded for the figure. */
+    /** Fewer attempts say nothing of a host's lateness. No reason is recorded for the value. */
     private static final double MIN_ATTEMPTS = 4;
     /** A reduced weight is kept at least so long after its rest, 48 s in all, and until the host is quicker than usual. */
     private static final double REDUCTION_LASTS_MS = 40_000;
@@ -209,7 +209,7 @@
                         < Math.min(MAX_OTHER_KIND_LATENESS, latenessOfOther / SLOW_KIND_TIMES_OTHER);
     }
 
-    /** Gives a host of a slow kind half; what was seen of it stays, as it tells of the kind. */
+    /** Gives a host of a slow kind half; what was seen of it stays, as it speaks for the kind. */
     void halveForKind(Host host) {
         host.health().limitShare(WEIGHT_REDUCTION);
     }
--- a/src/main/java/linenring/planner/PartitionDetector.java
+++ b/src/main/java/linenring/planner/PartitionDetector.java
@@ -10,9 +10,9 @@
  * where only hosts elsewhere are lost: then the hosts of the zone carry more than they need to for 10 s.
  */
 final class PartitionDetector {
-    /** Fewer attempts at hosts of the own zone prove nothing. No reason is recorded for the figure. */
+    /** Fewer attempts at hosts of the own zone prove nothing. No reason is recorded for the value. */
     private static final double MIN_NEAR_ATTEMPTS = 5;
-    /** Fewer attempts at hosts of other zones prove nothing. No reason is recorded for the figure. */
+    /** Fewer attempts at hosts of other zones prove nothing. No reason is recorded for the value. */
     private static final double MIN_FAR_ATTEMPTS = 10;
     /** Far attempts are later than near ones by half an objective... */
     private static final double MIN_LATENESS_DIFFERENCE = 0.5;
@@ -31,7 +31,7 @@
     void detect() {
         for (Zone zone : context.fleet().zones()) {
             if (isCutOff(zone)) {
-                if (!zone.isPartitioned(context.nowMs())) { // outcomes so far tell of the way and not of the hosts
+                if (!zone.isPartitioned(context.nowMs())) { // outcomes so far are those of the way and not of the hosts
                     context.fleet().hosts().forEach(context.statistics()::forgetOutcomes);
                 }
                 zone.partitionUntil(context.nowMs() + PARTITION_LASTS_MS);
--- a/src/main/java/linenring/planner/SlowStart.java
+++ b/src/main/java/linenring/planner/SlowStart.java
@@ -15,7 +15,7 @@
     private static final double INITIAL_RAMP_WEIGHT = 0.5;
     /** ... and gains the other half in 10 s. */
     private static final double RAMP_MS_PER_WEIGHT = 20_000;
-    /** A host that has just started gets three quarters of what it can surely do. No reason is recorded for the figure. */
+    /** A host that has just started gets three quarters of what it can surely do. No reason is recorded for the value. */
     private static final double INITIAL_SHARE_OF_ABILITY = 0.75;
     /** A cold host keeps this much of its weight though every attempt fails: weight 0 would take the entry out. */
     private static final double MIN_SUCCESS_FACTOR = 0.01;
--- a/src/main/java/linenring/planner/SubsetAssigner.java
+++ b/src/main/java/linenring/planner/SubsetAssigner.java
@@ -23,7 +23,7 @@
     private static final double MARGIN_BEFORE_SUBSETS = 1.25;
     /** Newcomers that would wait longer for their tables get one subset first. */
     private static final double JOIN_SURGE_MS = 1000;
-    /** A subset has at least so many hosts. No reason is recorded for the figure. */
+    /** A subset has at least so many hosts. No reason is recorded for the value. */
     private static final int MIN_STANDING_ENTRIES = 2;
     /** Proxies are shared out among two tables at least, as it may be that one has to be left. */
     private static final int MIN_TABLES = 2;
--- a/src/test/java/linenring/planner/AdmissionControllerTest.java
+++ b/src/test/java/linenring/planner/AdmissionControllerTest.java
@@ -48,7 +48,7 @@
     @Test
     void doesNotCutAgainForReportsFromBeforeTheCut() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 2);
-        fleet.setReportSpanMs(5000); // the intake is narrow: each sum has waited while it grew
+        fleet.setReportSpanMs(5000); // the intake is narrow: each report has waited while it grew
         for (int second = 0; second < 20; second++) {
             fleet.planner().requestRate(0, 0, 1000, 100);
             fleet.passSecond(6, 0, 20, 200, 0, NONE);
@@ -60,7 +60,7 @@
         }
         assertTrue(once < 1);
         for (int second = 0; second < 6; second++) {
-            fleet.passSecond(6, 0, 20, 900, 0, NONE); // they still tell of what was let in before
+            fleet.passSecond(6, 0, 20, 900, 0, NONE); // they still show what was admitted before
             assertEquals(once, fleet.admissionByMask().get(1));
         }
     }
--- a/src/test/java/linenring/planner/ChannelAccountingTest.java
+++ b/src/test/java/linenring/planner/ChannelAccountingTest.java
@@ -15,7 +15,7 @@
         fleet.drainHost(0);
         fleet.reconcile();
         fleet.drainHost(1);
-        fleet.reconcile(); // 960 of 1500 entries wait: a second one has no room before answers come
+        fleet.reconcile(); // 960 of 1500 entries wait: a second one has no room before acknowledgements come
         assertEquals(Set.of(0), fleet.ejected());
         fleet.pass(200);
         assertEquals(Set.of(0, 1), fleet.ejected());
@@ -44,7 +44,7 @@
                         200); // its message may have gone first of all: the others may be there yet
         fleet.reconcile();
         assertEquals(Set.of(0), fleet.ejected());
-        fleet.pass(10_000); // at a fifth of the pace it is through by now
+        fleet.pass(10_000); // at a fifth of the rate it is through by now
         assertEquals(Set.of(0, 1), fleet.ejected());
     }
 
@@ -53,10 +53,10 @@
     void writesOffEarlierMessagesOnceLaterOneIsAcknowledged() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 120);
         for (int proxy = 1; proxy < 120; proxy++) {
-            fleet.silent().add(proxy); // their answers are lost
+            fleet.silent().add(proxy); // their acknowledgements are lost
         }
         fleet.drainHost(0);
-        fleet.reconcile().pass(200); // proxy 0 alone has answered: 714 entries may be in the channel still
+        fleet.reconcile().pass(200); // proxy 0 alone has acknowledged: 714 entries may be in the channel still
         fleet.join(120); // bound by a message of its own, which follows them
         fleet.pass(400);
         for (int host : new int[] {1, 2}) { // 726 entries each, and 1500 may wait
@@ -85,7 +85,7 @@
             fleet.joined().remove(proxy);
         }
         fleet.join(100);
-        fleet.pass(300); // the newcomer is bound, and its answer is there before the others'
+        fleet.pass(300); // the newcomer is bound, and its acknowledgement is there before the others'
         assertTrue(fleet.bound().containsKey(100));
         for (int host : new int[] {1, 2}) { // 486 entries each
             fleet.drainHost(host);
--- a/src/test/java/linenring/planner/RecordedHistory.java
+++ b/src/test/java/linenring/planner/RecordedHistory.java
@@ -11,7 +11,7 @@
 import java.util.function.IntPredicate;
 
 /**
- * Plays a planner on a clock of its own behind one channel of limited pace, and records every command with its time. The planner
+ * Plays a planner on a clock of its own behind one channel of limited rate, and records every command with its time. The planner
  * is called when something arrives and when it asked to be; a proxy acknowledges once its message has left the channel.
  */
 final class RecordedHistory implements Commands {
--- a/src/test/java/linenring/planner/SubsetAssignerTest.java
+++ b/src/test/java/linenring/planner/SubsetAssignerTest.java
@@ -54,7 +54,7 @@
         }
         fleet.pass(8000);
         assertEquals(Set.of(full), Set.copyOf(fleet.bound().values()));
-        assertEquals(Set.of(full), fleet.tables().keySet()); // the parts are cleared
+        assertEquals(Set.of(full), fleet.tables().keySet()); // the tables of subsets are cleared
     }
 
     /** All hosts of one subset drain. Its proxies would be left without any. */
@@ -99,7 +99,7 @@
                 .toList();
         gone.stream()
                 .filter(host -> host % 20 >= 6)
-                .forEach(fleet::drainHost); // of each part some stay: they are dealt in turn
+                .forEach(fleet::drainHost); // of each subset some stay: they are dealt in turn
         fleet.reconcile().pass(3000);
         for (int host = 40; host < 46; host++) {
             fleet.startHost(host);
@@ -118,7 +118,7 @@
             fleet.join(proxy);
         }
         fleet.reconcile();
-        assertEquals(60, fleet.bound().size()); // the latest bind of each is to a part of the second table
+        assertEquals(60, fleet.bound().size()); // the latest bind of each is to a subset of the second table
         assertTrue(fleet.bound().values().stream()
                 .allMatch(table -> fleet.tables().get(table).keySet().stream().allMatch(host -> host % 2 == 0)));
     }
