--- a/src/main/java/linenring/event/EventQueue.java
+++ b/src/main/java/linenring/event/EventQueue.java
@@ -12,85 +12,145 @@
 import linenring.protocol.InboundMessage;
 
 /**
- * Where streams and discovery meet the steward: they leave what has come, in order, and never wait; the
- * steward's one thread takes all that is there.
+ * The queue of events into the control loop. Streams and discovery enqueue on their own threads and never wait; the control
+ * loop's thread takes all events that are queued, in their order. Thread-safe.
  */
 public class EventQueue {
-    /** What the steward does with each thing that was left. */
+    /** What the control loop does with each event. Called on the thread that drains the queue. */
     public interface EventHandler {
+        /** A message arrived on this stream. */
         void onMessage(ProxyStream stream, InboundMessage message);
 
+        /** This stream has ended; nothing arrives on it any more. */
         void onStreamClosed(ProxyStream stream);
 
+        /** Discovery has a new list of hosts, or changes to the one before. */
         void onHostList(HostList list);
     }
 
-    private interface Left {
-        void to(EventHandler taker);
+    private sealed interface Event {
+        void deliverTo(EventHandler handler);
     }
 
-    /** What was left, and as the how manieth. */
-    private record Numbered(long number, Left left) {}
+    private record MessageReceived(ProxyStream stream, InboundMessage message) implements Event {
+        @Override
+        public void deliverTo(EventHandler handler) {
+            handler.onMessage(stream, message);
+        }
 
-    /** Of more waiting sums the oldest are dropped: half a minute of a large site's, a few MB. */
-    private static final int SUMS_MOST = 20_000;
+        /** Reports add up over time, so that one may be dropped; anything else that is lost never comes again. */
+        boolean isReport() {
+            return message instanceof InboundMessage.LoadReport || message instanceof InboundMessage.RequestRateReport;
+        }
+    }
 
-    private final ReentrantLock lock = new ReentrantLock();
-    private final Condition something = lock.newCondition();
-    private final ArrayDeque<Numbered> sums = new ArrayDeque<>(), others = new ArrayDeque<>(); // each in order
-    private long number, dropped;
-    private final AtomicLong streams = new AtomicLong();
-    private final List<Consumer<HostList>> followers = new CopyOnWriteArrayList<>();
+    private record StreamClosed(ProxyStream stream) implements Event {
+        @Override
+        public void deliverTo(EventHandler handler) {
+            handler.onStreamClosed(stream);
+        }
+    }
 
-    /** Tells of each list and each change too, on the thread that brings it; for who must know addresses. */
-    public void addHostListListener(Consumer<HostList> follower) {
-        followers.add(follower);
+    private record HostListChanged(HostList list) implements Event {
+        @Override
+        public void deliverTo(EventHandler handler) {
+            handler.onHostList(list);
+        }
     }
 
-    /** The number of the next stream: of two of one proxy the one that was opened later counts, whichever is read first. */
+    private record QueuedEvent(long sequenceNumber, Event event) {}
+
+    /**
+     * Where more reports are queued the oldest are dropped. A loop that is held up would otherwise fill the heap: these are half
+     * a minute of a large site's reports, a few MB.
+     */
+    private static final int MAX_QUEUED_REPORTS = 20_000;
+
+    private final ReentrantLock lock = new ReentrantLock();
+    private final Condition notEmpty = lock.newCondition();
+    /** Reports are queued apart from the rest, so that the oldest of them can be dropped. @GuardedBy("lock") */
+    private final ArrayDeque<QueuedEvent> reports = new ArrayDeque<>();
+    /** All other events. @GuardedBy("lock") */
+    private final ArrayDeque<QueuedEvent> others = new ArrayDeque<>();
+
+    private long nextSequenceNumber; // @GuardedBy("lock")
+    private long droppedReports; // @GuardedBy("lock")
+    private final AtomicLong streamNumbers = new AtomicLong();
+    private final List<Consumer<HostList>> hostListListeners = new CopyOnWriteArrayList<>();
+
+    /** Calls the listener with each list of hosts too, on the thread that enqueues it and before the control loop has it. */
+    public void addHostListListener(Consumer<HostList> listener) {
+        hostListListeners.add(listener);
+    }
+
+    /** A number for a new stream: of two streams of one proxy the one with the higher number counts, whichever is read first. */
     public long nextStreamNumber() {
-        return streams.incrementAndGet();
+        return streamNumbers.incrementAndGet();
     }
 
-    public void enqueueMessage(ProxyStream from, InboundMessage what) {
-        boolean isSum = what instanceof InboundMessage.LoadReport || what instanceof InboundMessage.RequestRateReport;
-        leave(taker -> taker.onMessage(from, what), isSum ? sums : others);
+    /** Queues a message that arrived on a stream. */
+    public void enqueueMessage(ProxyStream stream, InboundMessage message) {
+        MessageReceived event = new MessageReceived(stream, message);
+        if (event.isReport()) {
+            enqueueReport(event);
+        } else {
+            enqueue(event);
+        }
     }
 
-    public void enqueueStreamClosed(ProxyStream which) {
-        leave(taker -> taker.onStreamClosed(which), others);
+    /** Queues the end of a stream. */
+    public void enqueueStreamClosed(ProxyStream stream) {
+        enqueue(new StreamClosed(stream));
     }
 
-    /** A follower's fault is thrown on, and the steward is told all the same: nobody tells this list again. */
+    /**
+     * Queues a list of hosts. A listener's exception is thrown on, with the list queued all the same: discovery goes on from this
+     * list's version, so that what it says is never said again.
+     */
     public void enqueueHostList(HostList list) {
         try {
-            followers.forEach(f -> f.accept(list));
+            hostListListeners.forEach(listener -> listener.accept(list));
         } finally {
-            leave(taker -> taker.onHostList(list), others);
+            enqueue(new HostListChanged(list));
         }
     }
 
-    private void leave(Left what, ArrayDeque<Numbered> to) {
+    private void enqueueReport(Event report) {
         lock.lock();
         try {
-            if (sums.size() == SUMS_MOST && to == sums) { // the newest tell most
-                sums.poll();
-                dropped++;
+            if (reports.size() == MAX_QUEUED_REPORTS) { // the newest say most about the present
+                reports.poll();
+                droppedReports++;
             }
-            to.add(new Numbered(number++, what));
-            something.signal();
+            append(report, reports);
         } finally {
             lock.unlock();
         }
     }
 
-    /** Waits until something is there, or for so long at most; false if nothing came. */
-    public boolean await(long nanos) throws InterruptedException {
+    private void enqueue(Event event) {
         lock.lock();
         try {
-            long left = nanos;
-            while (isEmpty() && left > 0) {
-                left = something.awaitNanos(left);
+            append(event, others);
+        } finally {
+            lock.unlock();
+        }
+    }
+
+    /** Called with the lock held. */
+    private void append(Event event, ArrayDeque<QueuedEvent> queue) {
+        queue.add(new QueuedEvent(nextSequenceNumber, event));
+        nextSequenceNumber++;
+        notEmpty.signal();
+    }
+
+    /** Waits until an event is queued, or for so long at most; false if none is. */
+    public boolean await(long timeoutNanos) throws InterruptedException {
+        lock.lock();
+        try {
+            long remainingNanos = timeoutNanos;
+            while (isEmpty() && remainingNanos > 0) {
+                remainingNanos = notEmpty.awaitNanos(remainingNanos);
             }
             return !isEmpty();
         } finally {
@@ -98,28 +158,38 @@
         }
     }
 
+    /** Called with the lock held. */
     private boolean isEmpty() {
-        return sums.isEmpty() && others.isEmpty();
+        return reports.isEmpty() && others.isEmpty();
     }
 
-    /** Hands over all that is there, in order; tells how many sums were dropped since the last time. */
-    public long drainTo(EventHandler taker) {
-        List<Left> all = new ArrayList<>();
-        long lost;
+    /** Hands all queued events to the handler, in order; returns how many reports were dropped since the last time. */
+    public long drainTo(EventHandler handler) {
+        List<Event> events = new ArrayList<>();
+        long dropped;
         lock.lock();
         try {
             while (!isEmpty()) {
-                boolean sum = others.isEmpty()
-                        || !sums.isEmpty()
-                                && sums.peek().number() < others.peek().number();
-                all.add((sum ? sums : others).poll().left());
+                events.add(queueOfFirst().poll().event());
             }
-            lost = dropped;
-            dropped = 0;
+            dropped = droppedReports;
+            droppedReports = 0;
         } finally {
             lock.unlock();
         }
-        all.forEach(left -> left.to(taker));
-        return lost;
+        events.forEach(
+                event -> event.deliverTo(handler)); // without the lock, or a slow handler would hold up the streams
+        return dropped;
+    }
+
+    /** The queue whose first event came first. Called with the lock held, and only while one is queued. */
+    private ArrayDeque<QueuedEvent> queueOfFirst() {
+        if (others.isEmpty()) {
+            return reports;
+        }
+        if (reports.isEmpty()) {
+            return others;
+        }
+        return reports.peek().sequenceNumber() < others.peek().sequenceNumber() ? reports : others;
     }
 }
--- a/src/main/java/linenring/event/ProxyStream.java
+++ b/src/main/java/linenring/event/ProxyStream.java
@@ -2,13 +2,15 @@
 
 import linenring.protocol.ConfigurationUpdate;
 
-/** The way back to one proxy. No call waits. */
+/** The way back to one proxy. No call blocks. */
 public interface ProxyStream {
-    void write(ConfigurationUpdate order);
+    /** Sends an update, or queues it to be sent. */
+    void write(ConfigurationUpdate update);
 
-    void close(String why);
+    /** Closes the stream; its end is enqueued as an event. The reason goes into the log. */
+    void close(String reason);
 
-    /** As the how manieth it was opened, by {@link EventQueue#nextStreamNumber}; 0 where that is not known. */
+    /** Its place in the order in which streams were opened, by {@link EventQueue#nextStreamNumber}; 0 where that is not known. */
     default long number() {
         return 0;
     }
