--- a/src/main/java/linenring/controller/Clock.java
+++ b/src/main/java/linenring/controller/Clock.java
@@ -2,8 +2,11 @@
 
 import java.time.Instant;
 
-/** One monotonic clock, fixed to Unix time at its start; in milliseconds. */
+/** A monotonic clock that is set to Unix time once, at its start: no later step of the system's clock moves it. */
 final class Clock {
+    private static final double MS_PER_SECOND = 1e3;
+    private static final double NANOS_PER_MS = 1e6;
+
     private final long startNanos = System.nanoTime();
     private final double startMs;
 
@@ -12,10 +15,11 @@
     }
 
     Clock(Instant start) {
-        startMs = start.getEpochSecond() * 1e3 + start.getNano() / 1e6;
+        startMs = start.getEpochSecond() * MS_PER_SECOND + start.getNano() / NANOS_PER_MS;
     }
 
-    double now() {
-        return startMs + (System.nanoTime() - startNanos) / 1e6;
+    /** Milliseconds since the Unix epoch. */
+    double nowMs() {
+        return startMs + (System.nanoTime() - startNanos) / NANOS_PER_MS;
     }
 }
--- a/src/main/java/linenring/controller/ControlLoop.java
+++ b/src/main/java/linenring/controller/ControlLoop.java
@@ -1,6 +1,8 @@
 package linenring.controller;
 
-import java.util.List;
+import java.util.Iterator;
+import java.util.OptionalInt;
+import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import linenring.event.EventQueue;
 import linenring.event.ProxyStream;
@@ -11,182 +13,236 @@
 import linenring.protocol.InboundMessage;
 import linenring.settings.Names;
 
-/** The one thread that owns the decisions: takes all that has come, calls them, settles once, sends. */
+/**
+ * The one thread that owns all state of the controller. Each round takes all events from the queue, hands them to the planner,
+ * lets it decide once, and sends what it has commanded. The thread that calls {@link #run} is the owner; nothing here is
+ * thread-safe.
+ */
 public final class ControlLoop implements EventQueue.EventHandler {
-    /** After a fault it decides again so late at most, though nothing arrives. */
-    private static final double LONGEST_WAIT_MS = 1000;
+    /**
+     * The longest wait for an event. After a fault the planner may not have asked for its next call, and without this limit
+     * would wait until something arrives.
+     */
+    private static final double MAX_WAIT_MS = 1000;
 
-    private final EventQueue exchange;
+    private static final double NANOS_PER_MS = TimeUnit.MILLISECONDS.toNanos(1);
+
+    private final EventQueue eventQueue;
     private final Log log;
-    private final double quantum;
+    /** Rounds are no closer together than this. */
+    private final double quantumMs;
+
     private final Clock clock;
     private final FleetState fleetState;
     private final Planner planner;
-    private boolean settled; // the last round had no fault; after one the planner may have asked for no call
-
-    public ControlLoop(PlannerSettings figures, Names names, HostList known, EventQueue exchange, Log log) {
-        this(figures, names, known, exchange, log, new Clock());
+    /** Whether the last round had no fault; after one the planner may have asked for no call. */
+    private boolean lastRoundSucceeded;
+
+    /**
+     * Decides for the first time, on the hosts that are known already.
+     *
+     * @param knownHosts the list of hosts from before the start, or null where there is none
+     */
+    public ControlLoop(PlannerSettings settings, Names names, HostList knownHosts, EventQueue eventQueue, Log log) {
+        this(settings, names, knownHosts, eventQueue, log, new Clock());
     }
 
-    ControlLoop(PlannerSettings figures, Names names, HostList known, EventQueue exchange, Log log, Clock clock) {
-        this.exchange = exchange;
+    ControlLoop(
+            PlannerSettings settings, Names names, HostList knownHosts, EventQueue eventQueue, Log log, Clock clock) {
+        this.eventQueue = eventQueue;
         this.log = log;
         this.clock = clock;
-        quantum = names.quantum();
+        quantumMs = names.quantum();
         fleetState = new FleetState(names.operations(), names.proxies(), log);
-        planner = new Planner(figures, fleetState);
-        planner.advanceClock(clock.now());
-        if (known != null) {
-            onHostList(known);
+        planner = new Planner(settings, fleetState);
+        planner.advanceClock(clock.nowMs());
+        if (knownHosts != null) {
+            onHostList(knownHosts);
         }
-        settle();
+        reconcileAndSend();
     }
 
-    /** Decides for good; ends only if it is interrupted. */
+    /** Runs rounds until the thread is interrupted. */
     public void run() {
         try {
             while (true) {
-                double last = clock.now();
-                boolean arrived =
-                        exchange.await((long) (Math.min(LONGEST_WAIT_MS, fleetState.nextAlarm() - last) * 1e6));
-                if (!arrived && settled && fleetState.nextAlarm() > clock.now()) {
-                    continue; // nothing is due
-                }
-                long early = (long) ((last + quantum - clock.now()) * 1e6); // no closer than the settings say
-                if (early > 0) {
-                    LockSupport.parkNanos(early);
-                }
-                round(clock.now());
+                awaitAndRunRound();
             }
-        } catch (InterruptedException e) {
-            log.info("steward", "stops");
+        } catch (InterruptedException interrupt) {
+            log.info("controller", "stops");
+        }
+    }
+
+    private void awaitAndRunRound() throws InterruptedException {
+        double lastMs = clock.nowMs();
+        double waitMs = Math.min(MAX_WAIT_MS, fleetState.nextCallMs() - lastMs);
+        boolean hasEvents = eventQueue.await((long) (waitMs * NANOS_PER_MS));
+        boolean isCallDue = fleetState.nextCallMs() <= clock.nowMs();
+        if (!hasEvents && lastRoundSucceeded && !isCallDue) {
+            return;
+        }
+        long earlyNanos = (long) ((lastMs + quantumMs - clock.nowMs()) * NANOS_PER_MS);
+        if (earlyNanos > 0) {
+            LockSupport.parkNanos(earlyNanos);
         }
+        runRound(clock.nowMs());
     }
 
-    /** Takes in all that has come and acts on it, as of now; a fault at one thing that came leaves out that thing alone. */
-    void round(double now) {
-        fleetState.alarmsUpTo(now);
-        decide(() -> planner.advanceClock(now));
-        long dropped = exchange.drainTo(this);
+    /** Handles all events that are queued, and acts on them; a fault at one event drops that event alone. */
+    void runRound(double nowMs) {
+        fleetState.removeCallsUpTo(nowMs);
+        guard(() -> planner.advanceClock(nowMs));
+        long dropped = eventQueue.drainTo(this);
         if (dropped > 0) {
-            log.warn("steward", dropped + " sums were dropped, as they came faster than they could be taken");
+            log.warn("controller", dropped + " reports were dropped, as they came faster than they could be taken");
         }
-        settle();
-        decide(this::releaseRemovedHosts);
+        reconcileAndSend();
+        guard(this::releaseRemovedHosts);
     }
 
     /** How many host ids there are, those that are free included. */
-    int hostIds() {
-        return fleetState.hostIds.limit();
+    int hostIdCount() {
+        return fleetState.hostIds().limit();
     }
 
-    /** Forgets removed hosts beyond those that are kept, the longest removed first, unless the planner has a use for them. */
+    /** Forgets removed hosts beyond the limit, the longest removed first, unless the planner still has a use for them. */
     private void releaseRemovedHosts() {
-        int surplus = fleetState.hostIds.surplus();
-        for (int host : surplus > 0 ? fleetState.hostIds.removed() : List.<Integer>of()) {
-            if (surplus > 0 && planner.releaseHost(host)) {
+        int surplus = fleetState.hostIds().surplus();
+        if (surplus == 0) {
+            return;
+        }
+        Iterator<Integer> removed = fleetState.hostIds().removed().iterator();
+        while (surplus > 0 && removed.hasNext()) {
+            int host = removed.next();
+            if (planner.releaseHost(host)) {
                 fleetState.release(host);
                 surplus--;
             }
         }
     }
 
-    private void settle() {
-        boolean decided = decide(planner::reconcile);
-        settled = decide(fleetState::send) && decided;
+    private void reconcileAndSend() {
+        boolean decided = guard(planner::reconcile);
+        boolean sent = guard(fleetState::send);
+        lastRoundSucceeded = decided && sent;
     }
 
-    /** A fault in one decision is told and must not end the others; false where there was one. */
-    private boolean decide(Runnable call) {
+    /**
+     * Runs one step so that a fault in it is logged and ends neither the loop nor the steps after it: proxies would go on with
+     * tables that nobody updates, and withdraw no host that leaves. False where there was a fault.
+     */
+    private boolean guard(Runnable step) {
         try {
-            call.run();
+            step.run();
             return true;
-        } catch (RuntimeException e) {
-            StackTraceElement[] trace = e.getStackTrace();
-            log.error("fault", e + (trace.length > 0 ? " at " + trace[0] : ""));
+        } catch (RuntimeException fault) {
+            StackTraceElement[] trace = fault.getStackTrace();
+            log.error("fault", fault + (trace.length > 0 ? " at " + trace[0] : ""));
             return false;
         }
     }
 
+    // ---- messages
+
     @Override
-    public void onMessage(ProxyStream from, InboundMessage what) {
-        boolean taken = decide(() -> {
-            if (what instanceof InboundMessage.Subscribe j) {
-                joined(from, j);
-            } else if (what instanceof InboundMessage.Acknowledgement a) {
-                if (fleetState.isCurrent(a.proxy(), from)) { // an old stream's answer tells nothing of the new one
-                    planner.messageAcknowledged(a.proxy(), a.nonce(), a.elapsedMs());
-                }
-            } else if (what instanceof InboundMessage.LoadReport s) {
-                int host = fleetState.hostIds.find(s.host());
-                if (host >= 0) {
-                    planner.hostStatistics(host, s.zone(), s.requests(), s.failed(), s.meanLatencyMs(), s.periodMs());
-                }
-            } else if (what instanceof InboundMessage.RequestRateReport u) {
-                planner.requestRate(u.proxy(), u.operation(), u.periodMs(), u.requests());
-            }
-        });
-        if (!taken && what instanceof InboundMessage.Subscribe) {
-            decide(() -> from.close("can't be taken in")); // it dials again, here or elsewhere, and is not kept waiting
+    public void onMessage(ProxyStream stream, InboundMessage message) {
+        boolean isHandled = guard(() -> handle(stream, message));
+        if (!isHandled && message instanceof InboundMessage.Subscribe) {
+            // The proxy would wait for a configuration in vain; closed, it dials again, here or elsewhere.
+            guard(() -> stream.close("can't be taken in"));
         }
     }
 
-    private void joined(ProxyStream from, InboundMessage.Subscribe j) {
-        if (fleetState.hasNewer(j.proxy(), from)) { // both were read in one turn, in either order
-            log.info("proxy", j.proxy() + " joins on an older stream than it has");
-            from.close("has been replaced before it was read");
+    private void handle(ProxyStream stream, InboundMessage message) {
+        if (message instanceof InboundMessage.Subscribe subscribe) {
+            subscribe(stream, subscribe);
+        } else if (message instanceof InboundMessage.Acknowledgement acknowledgement) {
+            acknowledge(stream, acknowledgement);
+        } else if (message instanceof InboundMessage.LoadReport report) {
+            reportLoad(report);
+        } else if (message instanceof InboundMessage.RequestRateReport report) {
+            planner.requestRate(report.proxy(), report.operation(), report.periodMs(), report.requests());
+        }
+    }
+
+    private void subscribe(ProxyStream stream, InboundMessage.Subscribe subscribe) {
+        int proxy = subscribe.proxy();
+        if (fleetState.hasNewer(proxy, stream)) { // both were read in one round, in either order
+            log.info("proxy", proxy + " joins on an older stream than it has");
+            stream.close("has been replaced before it was read");
             return;
         }
-        log.info("proxy", j.proxy() + " joins" + (j.isNew() ? "" : " with a table"));
-        fleetState.joined(j.proxy(), from, j.isNew());
-        planner.proxyJoined(j.proxy(), j.zone(), j.usualRequestsPerSecond());
+        log.info("proxy", proxy + " joins" + (subscribe.isNew() ? "" : " with a table"));
+        fleetState.connect(proxy, stream, subscribe.isNew());
+        planner.proxyJoined(proxy, subscribe.zone(), subscribe.usualRequestsPerSecond());
+    }
+
+    /** An acknowledgement on an old stream says nothing of what was sent on the new one. */
+    private void acknowledge(ProxyStream stream, InboundMessage.Acknowledgement acknowledgement) {
+        int proxy = acknowledgement.proxy();
+        if (fleetState.isCurrent(proxy, stream)) {
+            planner.messageAcknowledged(proxy, acknowledgement.nonce(), acknowledgement.elapsedMs());
+        }
+    }
+
+    private void reportLoad(InboundMessage.LoadReport report) {
+        OptionalInt host = fleetState.hostIds().find(report.host());
+        if (host.isPresent()) {
+            planner.hostStatistics(
+                    host.getAsInt(),
+                    report.zone(),
+                    report.requests(),
+                    report.failed(),
+                    report.meanLatencyMs(),
+                    report.periodMs());
+        }
     }
 
     @Override
-    public void onStreamClosed(ProxyStream which) {
-        decide(() -> {
-            int proxy = fleetState.proxyOf(which);
-            if (proxy >= 0) { // else it has a newer stream, and this end is late
-                log.info("proxy", proxy + " leaves");
-                fleetState.left(proxy);
-                planner.proxyDisconnected(proxy);
-            }
-        });
+    public void onStreamClosed(ProxyStream stream) {
+        guard(() -> fleetState.proxyOf(stream).ifPresent(proxy -> {
+            log.info("proxy", proxy + " leaves");
+            fleetState.disconnect(proxy);
+            planner.proxyDisconnected(proxy);
+        }));
     }
 
-    /** A fault at one entry leaves out that entry, and nobody goes for not being named, as in a list with a spoilt one. */
+    // ---- the host list
+
+    /** After a fault at one entry no host is removed for not being named: the list may have named it in that entry. */
     @Override
     public void onHostList(HostList list) {
-        boolean opened = decide(() -> beginList(list.removesUnnamedHosts()));
-        long faults =
-                list.entries().stream().filter(e -> !decide(() -> listed(e))).count();
-        if (opened && faults == 0) {
-            decide(() -> endList(list.removesUnnamedHosts()));
+        boolean hasBegun = guard(() -> beginList(list.removesUnnamedHosts()));
+        long faults = list.entries().stream()
+                .filter(entry -> !guard(() -> applyEntry(entry)))
+                .count();
+        if (hasBegun && faults == 0) {
+            guard(() -> endList(list.removesUnnamedHosts()));
         }
     }
 
-    private void beginList(boolean whole) {
-        fleetState.hostIds.beginList();
-        planner.beginHostList(whole);
+    private void beginList(boolean removesUnnamedHosts) {
+        fleetState.hostIds().beginList();
+        planner.beginHostList(removesUnnamedHosts);
     }
 
-    private void endList(boolean whole) {
-        if (whole) {
-            fleetState.hostIds.endWholeList();
+    private void endList(boolean removesUnnamedHosts) {
+        if (removesUnnamedHosts) {
+            fleetState.hostIds().endCompleteList();
         }
         planner.endHostList();
     }
 
-    private void listed(HostList.Entry e) {
-        int host = fleetState.hostIds.assign(e.host());
-        if (e.state() == HostList.State.GONE) {
-            fleetState.hostIds.removed(host);
+    private void applyEntry(HostList.Entry entry) {
+        int host = fleetState.hostIds().assign(entry.host());
+        if (entry.state() == HostList.State.GONE) {
+            fleetState.hostIds().markRemoved(host);
         } else {
-            fleetState.hostIds.listed(host);
+            fleetState.hostIds().markListed(host);
         }
-        switch (e.state()) {
-            case READY -> planner.hostReady(host, e.zone(), e.kind(), e.weight(), e.startedMs());
-            case TERMINATING -> planner.hostDraining(host, e.zone(), e.kind(), e.weight());
+        switch (entry.state()) {
+            case READY -> planner.hostReady(host, entry.zone(), entry.kind(), entry.weight(), entry.startedMs());
+            case TERMINATING -> planner.hostDraining(host, entry.zone(), entry.kind(), entry.weight());
             case GONE -> planner.hostRemoved(host);
         }
     }
--- a/src/main/java/linenring/controller/FleetState.java
+++ b/src/main/java/linenring/controller/FleetState.java
@@ -1,242 +1,217 @@
 package linenring.controller;
 
-import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.BitSet;
-import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.OptionalInt;
 import java.util.PriorityQueue;
-import java.util.Set;
-import java.util.TreeMap;
+import java.util.function.IntConsumer;
 import linenring.event.ProxyStream;
 import linenring.log.Log;
 import linenring.planner.Commands;
 import linenring.protocol.ConfigurationUpdate;
+import linenring.protocol.ConfigurationUpdate.AdmissionPolicy;
+import linenring.protocol.RetryPolicyCode;
 
 /**
- * Remembers what is laid, bound, withdrawn and levelled, and whom it concerns; sends one message to each proxy
- * concerned of all that was ordered since the last {@link #send}.
+ * What the planner has commanded: tables, bindings, ejections, admission. Gathers the commands of one round of the control loop
+ * and sends each proxy that they concern one update, at {@link #send}. Owned by the control loop's thread.
  */
 final class FleetState implements Commands {
-    final List<String> operations;
-    final HostIds hostIds = new HostIds();
-    final TreeMap<Integer, Table> tables = new TreeMap<>();
-    final BitSet out = new BitSet(), outChanged = new BitSet(); // withdrawn hosts; those that changed
+    private final int operationCount;
+    private final HostIdAllocator hostIds = new HostIdAllocator();
+    private final EjectedHosts ejectedHosts = new EjectedHosts();
+    private final PublishedTables tables;
+    private final ProxySessions sessions;
+    private final UpdateBuilder updateBuilder;
     private final Log log;
-    private final List<Proxy> proxies = new ArrayList<>();
-    private final Messages messages = new Messages(this);
-    private final PriorityQueue<Double> alarms = new PriorityQueue<>();
-    private final Set<Proxy> concerned = new LinkedHashSet<>(); // in the order in which they came to be
-    private int mark = ConfigurationUpdate.NO_NONCE;
+    private final PriorityQueue<Double> callTimesMs = new PriorityQueue<>();
+    private int nonce = ConfigurationUpdate.NO_NONCE;
 
     FleetState(List<String> operations, int proxies, Log log) {
-        this.operations = operations;
         this.log = log;
-        for (int id = 0; id < proxies; id++) {
-            this.proxies.add(new Proxy(id, operations.size()));
-        }
+        operationCount = operations.size();
+        tables = new PublishedTables(operationCount);
+        sessions = new ProxySessions(proxies, operationCount, log);
+        updateBuilder = new UpdateBuilder(operations, hostIds, tables, ejectedHosts);
     }
 
-    // ---- hosts and proxies
+    // ---- hosts
+
+    HostIdAllocator hostIds() {
+        return hostIds;
+    }
 
-    /** Forgets a removed host that no table has a line for: its id is free for another, of whom nothing is known. */
+    /** Forgets a removed host that no table has an entry for: its id is free for another, of which nothing is known. */
     void release(int host) {
-        out.clear(host);
-        proxies.forEach(p -> p.forget(host, hostIds.limit()));
+        ejectedHosts.forget(host);
+        sessions.forgetHost(host, hostIds.limit());
         hostIds.release(host);
     }
 
+    // ---- proxies
+
+    /** Whether this is the stream that the proxy has now. */
     boolean isCurrent(int proxy, ProxyStream stream) {
-        return proxies.get(proxy).stream == stream;
+        return sessions.get(proxy).isOn(stream);
     }
 
     /** Whether the proxy has a stream that was opened after this one. */
     boolean hasNewer(int proxy, ProxyStream stream) {
-        ProxyStream has = proxies.get(proxy).stream;
-        return has != null && has.number() > stream.number();
-    }
-
-    /** The proxy that speaks on this stream, or -1: it is none's, or that of a proxy that has a newer one. */
-    int proxyOf(ProxyStream stream) {
-        return proxies.stream()
-                .filter(p -> stream != null && p.stream == stream)
-                .mapToInt(p -> p.id)
-                .findFirst()
-                .orElse(-1);
+        return sessions.hasNewer(proxy, stream);
     }
 
-    void joined(int proxy, ProxyStream stream, boolean fresh) {
-        ProxyStream old = proxies.get(proxy).stream;
-        left(proxy);
-        proxies.get(proxy).joins(stream, fresh, old == stream);
-        if (old != null && old != stream) {
-            close(old, "has a newer stream");
-        }
-    }
-
-    private void close(ProxyStream stream, String why) {
-        try {
-            stream.close(why);
-        } catch (RuntimeException e) {
-            log.error("fault", "a stream can't be closed: " + e);
-        }
+    /** The proxy whose current stream this is; empty for that of a collector and for one that has been replaced. */
+    OptionalInt proxyOf(ProxyStream stream) {
+        return sessions.find(stream);
     }
 
-    void left(int proxy) {
-        proxies.get(proxy).leaves();
-        concerned.remove(proxies.get(proxy));
+    /** The proxy has subscribed on this stream; another that it had is closed. */
+    void connect(int proxy, ProxyStream stream, boolean isNew) {
+        sessions.connect(proxy, stream, isNew);
     }
 
-    /** When the next alarm is due; infinity where none is. */
-    double nextAlarm() {
-        return alarms.isEmpty() ? Double.POSITIVE_INFINITY : alarms.peek();
+    /** The proxy's stream has ended. */
+    void disconnect(int proxy) {
+        sessions.disconnect(proxy);
     }
 
-    void alarmsUpTo(double now) {
-        while (nextAlarm() <= now) {
-            alarms.poll();
+    @Override
+    public void bindProxy(int table, int mask, int proxy) {
+        ProxySession session = sessions.get(proxy);
+        if (!session.isConnected()) {
+            return; // it left in this round, after the planner had decided
         }
+        forEachOperation(mask, operation -> session.bind(operation, table));
+        sessions.markUpdateDue(session);
     }
 
-    // ---- orders
-
-    Table table(int number) {
-        return tables.computeIfAbsent(number, n -> new Table(operations.size()));
-    }
-
-    private void concernUsers(int table) {
-        proxies.stream().filter(p -> p.uses(table)).forEach(concerned::add);
+    /** Calls for each operation in the mask; 0 stands for all of them. */
+    private void forEachOperation(int mask, IntConsumer action) {
+        for (int operation = 0; operation < operationCount; operation++) {
+            if (mask == 0 || (mask >> operation & 1) != 0) {
+                action.accept(operation);
+            }
+        }
     }
 
-    private boolean meant(int mask, int operation) {
-        return mask == 0 || (mask >> operation & 1) != 0;
-    }
+    // ---- tables
 
     @Override
     public void setWeight(int table, int host, double weight) {
-        Table t = table(table);
-        if (weight > 0) {
-            t.lines.put(host, weight);
-        } else {
-            t.lines.remove(host);
-        }
-        t.changed.add(host);
-        concernUsers(table);
+        tables.get(table).setWeight(host, weight);
+        markUsersDue(table);
     }
 
     @Override
     public void clearTable(int table) {
-        Table t = table(table);
-        t.lines.clear();
-        Arrays.fill(t.levels, null);
-        t.wiped = true;
-        concernUsers(table);
+        tables.get(table).clear();
+        markUsersDue(table);
     }
 
     @Override
-    public void setEjected(int host, boolean shut) {
-        out.set(host, shut);
-        outChanged.set(host);
-        for (Proxy p : proxies) { // a standing table may hold any host
-            if (p.stream != null
-                    && Arrays.stream(p.bound)
-                            .anyMatch(b -> b == -1 || table(b).lines.containsKey(host))) {
-                concerned.add(p);
-            }
-        }
+    public void setAdmission(int table, int mask, double admissionRatio, RetryPolicy retryPolicy) {
+        AdmissionPolicy policy = new AdmissionPolicy(admissionRatio, wireCode(retryPolicy));
+        forEachOperation(mask, operation -> tables.get(table).setPolicy(operation, policy));
+        markUsersDue(table);
+    }
+
+    private static int wireCode(RetryPolicy policy) {
+        return switch (policy) {
+            case NONE -> RetryPolicyCode.NONE;
+            case ONE_IF_NOT_EXECUTED -> RetryPolicyCode.ONE_IF_NOT_EXECUTED;
+            case ONE -> RetryPolicyCode.ONE;
+            case TWO -> RetryPolicyCode.TWO;
+        };
+    }
+
+    private void markUsersDue(int table) {
+        sessions.markUpdateDue(session -> session.uses(table));
     }
 
+    // ---- ejections
+
     @Override
-    public void bindProxy(int table, int mask, int proxy) {
-        Proxy p = proxies.get(proxy);
-        if (p.stream == null) {
-            return; // it has left
-        }
-        for (int k = 0; k < p.bound.length; k++) {
-            if (meant(mask, k)) {
-                p.bound[k] = table;
-                p.rebound.set(k);
-            }
-        }
-        concerned.add(p);
+    public void setEjected(int host, boolean isEjected) {
+        ejectedHosts.set(host, isEjected);
+        sessions.markUpdateDue(session -> session.isConnected()
+                && session.mayHoldTable(table -> tables.get(table).contains(host)));
     }
 
+    // ---- what an update would cost
+
     @Override
     public int extraEntriesOfBind(int table, int proxy) {
-        Proxy p = proxies.get(proxy);
-        return (int) table(table).lines.keySet().stream()
-                .filter(h -> !out.get(h) && p.mustBeLetBack(h))
+        EjectionRecord ejections = sessions.get(proxy).ejections();
+        return (int) tables.get(table).hosts().stream()
+                .filter(host -> !ejectedHosts.contains(host) && ejections.needsRestoration(host))
                 .count();
     }
 
     @Override
     public int extraEntriesOfWeight(int host, int proxy) {
-        return proxies.get(proxy).holds(host) == (out.get(host) ? Proxy.SHUT : Proxy.OPEN) ? 0 : 1;
+        EjectionStatus wanted = ejectedHosts.contains(host) ? EjectionStatus.EJECTED : EjectionStatus.NOT_EJECTED;
+        return sessions.get(proxy).ejections().status(host) == wanted ? 0 : 1;
     }
 
     @Override
-    public void setAdmission(int table, int mask, double admissionRatio, RetryPolicy tries) {
-        ConfigurationUpdate.AdmissionPolicy level =
-                new ConfigurationUpdate.AdmissionPolicy(admissionRatio, tries.ordinal());
-        for (int k = 0; k < operations.size(); k++) {
-            if (!meant(mask, k)) {
-                continue;
-            }
-            table(table).levels[k] = level;
-            table(table).levelled.set(k);
+    public double entriesInMessage(int proxy, double estimatedEntries) {
+        ProxySession session = sessions.get(proxy);
+        if (!sessions.isUpdateDue(session)) {
+            return estimatedEntries;
         }
-        concernUsers(table);
+        ConfigurationUpdate update = updateBuilder.build(session, nonce);
+        session.prepare(update);
+        return update.entryCount();
     }
 
+    // ---- acknowledgements, calls, discovery
+
     @Override
     public void requestAcknowledgement(int number) {
-        mark = number;
+        nonce = number;
     }
 
     @Override
-    public double entriesInMessage(int proxy, double reckoned) {
-        Proxy p = proxies.get(proxy);
-        if (!concerned.contains(p)) {
-            return reckoned;
-        }
-        p.next = messages.to(p, mark);
-        return p.next.entryCount();
+    public void requestCall(double atMs) {
+        callTimesMs.add(atMs);
     }
 
-    @Override
-    public void requestCall(double at) {
-        alarms.add(at);
+    /** When the planner is to be called next; infinity where it has asked for no call. */
+    double nextCallMs() {
+        return callTimesMs.isEmpty() ? Double.POSITIVE_INFINITY : callTimesMs.peek();
+    }
+
+    void removeCallsUpTo(double nowMs) {
+        while (nextCallMs() <= nowMs) {
+            callTimesMs.poll();
+        }
     }
 
     @Override
     public void watchHostList() {
-        // discovery is watched all the time
+        // discovery is watched from the start
     }
 
-    // ---- messages
+    // ---- updates
 
-    /** Sends what was ordered since the last time: one message for each proxy concerned. */
+    /** Sends what was commanded since the last time: one update for each proxy concerned. */
     void send() {
-        List.copyOf(concerned).forEach(this::send);
-        proxies.forEach(p -> p.rebound.clear());
-        tables.values().forEach(Table::sent);
-        tables.entrySet()
-                .removeIf(e -> e.getValue().lines.isEmpty()
-                        && Arrays.stream(e.getValue().levels).allMatch(l -> l == null)
-                        && proxies.stream().noneMatch(p -> p.uses(e.getKey())));
-        outChanged.clear();
-        concerned.clear();
-        mark = ConfigurationUpdate.NO_NONCE;
-    }
-
-    /** What a fault keeps from one proxy keeps nothing from the others; it is let go, joins anew and gets its table whole. */
-    private void send(Proxy p) {
+        sessions.updateDue().forEach(this::send);
+        sessions.markUpdated();
+        tables.markPublished(table -> sessions.stream().anyMatch(session -> session.uses(table)));
+        ejectedHosts.markPublished();
+        nonce = ConfigurationUpdate.NO_NONCE;
+    }
+
+    /**
+     * A fault that keeps an update from one proxy must not keep it from the others. Its stream is closed: the proxy subscribes
+     * again and gets its table in full, so that what it missed does no harm.
+     */
+    private void send(ProxySession session) {
         try {
-            p.stream.write(p.next != null ? p.next : messages.to(p, mark));
-            p.next = null;
-        } catch (RuntimeException e) {
-            log.error("fault", "proxy " + p.id + " can't be written to and is let go: " + e);
-            close(p.stream, "can't be written to");
+            session.send(session.preparedUpdate().orElseGet(() -> updateBuilder.build(session, nonce)));
+        } catch (RuntimeException failure) {
+            log.error("fault", "proxy " + session.id() + " can't be written to and is let go: " + failure);
+            sessions.close(session.stream(), "can't be written to");
         }
     }
 }
--- a/src/main/java/linenring/controller/ProxySession.java
+++ b/src/main/java/linenring/controller/ProxySession.java
@@ -2,84 +2,108 @@
 
 import java.util.Arrays;
 import java.util.BitSet;
+import java.util.Optional;
+import java.util.function.IntPredicate;
 import linenring.event.ProxyStream;
 import linenring.protocol.ConfigurationUpdate;
 
-/** One proxy: its stream, its tables, and what it was told to shut out. */
-final class Proxy {
-    /** What it does with a host, as far as is known. */
-    static final byte OPEN = 0, SHUT = 1;
-    /** An order may be lost with a stream; another steward, or an earlier life of this one, may have given it. */
-    static final byte UNSURE = 2, FOREIGN = 3;
-
-    private static final int SPARE_HOSTS = 16;
-
-    final int id;
-    final int[] bound; // table by operation, or -1 for its standing table
-    final BitSet rebound = new BitSet(); // operations that were bound since the last send
-    ProxyStream stream; // null while it has none
-    ConfigurationUpdate next; // its message, once that is made
-    private final BitSet everShut = new BitSet(); // hosts that it was ever told to shut out from here
-    private boolean foreign; // others may have shut hosts out there
-    private boolean forgot; // hosts were forgotten that it may shut out still
-    private byte[] holds = {}; // by host
-
-    Proxy(int id, int operations) {
+/** One proxy: its stream, the tables that it is bound to, and its ejections. Owned by the control loop's thread. */
+final class ProxySession {
+    /** Stands for the table that the proxy holds from before it subscribed; any host may be in it. */
+    static final int INHERITED_TABLE = -1;
+
+    private final int id;
+    private final int[] tableByOperation;
+    private final BitSet newlyBoundOperations = new BitSet();
+    private final EjectionRecord ejections = new EjectionRecord();
+    private ProxyStream stream; // null while it is disconnected
+    private ConfigurationUpdate preparedUpdate; // null until it is built
+
+    ProxySession(int id, int operations) {
         this.id = id;
-        bound = new int[operations];
-        Arrays.fill(bound, -1);
+        tableByOperation = new int[operations];
+        Arrays.fill(tableByOperation, INHERITED_TABLE);
+    }
+
+    int id() {
+        return id;
+    }
+
+    EjectionRecord ejections() {
+        return ejections;
+    }
+
+    // ---- the stream
+
+    boolean isConnected() {
+        return stream != null;
+    }
+
+    boolean isOn(ProxyStream other) {
+        return stream == other;
     }
 
-    void joins(ProxyStream on, boolean fresh, boolean sameStream) {
-        stream = on;
-        foreign = forgot || !fresh && (foreign || !sameStream); // it may have been elsewhere meanwhile
-        holds = new byte[0];
-        everShut.stream().forEach(h -> setHolds(h, UNSURE)); // what was on its way may be lost
+    /** Its stream, or null while it is disconnected. */
+    ProxyStream stream() {
+        return stream;
     }
 
-    void leaves() {
+    /** The proxy has subscribed on this stream, which may be the one that it had. */
+    void connect(ProxyStream newStream, boolean isNew, ProxyStream previous) {
+        stream = newStream;
+        ejections.restart(isNew, previous == newStream);
+    }
+
+    /** Its stream has ended: it is bound to no table of ours, and what was prepared for it is dropped. */
+    void disconnect() {
         stream = null;
-        next = null;
-        Arrays.fill(bound, -1);
-        rebound.clear();
+        preparedUpdate = null;
+        Arrays.fill(tableByOperation, INHERITED_TABLE);
+        newlyBoundOperations.clear();
+    }
+
+    // ---- its tables
+
+    void bind(int operation, int table) {
+        tableByOperation[operation] = table;
+        newlyBoundOperations.set(operation);
+    }
+
+    /** The table of an operation, or {@link #INHERITED_TABLE}. */
+    int table(int operation) {
+        return tableByOperation[operation];
+    }
+
+    /** Whether the operation was bound since the last update, so that its table must be sent in full. */
+    boolean isNewlyBound(int operation) {
+        return newlyBoundOperations.get(operation);
     }
 
     boolean uses(int table) {
-        return stream != null && Arrays.stream(bound).anyMatch(b -> b == table);
+        return isConnected() && Arrays.stream(tableByOperation).anyMatch(bound -> bound == table);
     }
 
-    byte holds(int host) {
-        return host < holds.length ? holds[host] : foreign ? FOREIGN : OPEN;
+    /** Whether a table that it holds passes the test, or one does that this controller does not know. */
+    boolean mayHoldTable(IntPredicate test) {
+        return Arrays.stream(tableByOperation).anyMatch(table -> table == INHERITED_TABLE || test.test(table));
     }
 
-    void setHolds(int host, byte what) {
-        growTo(host + 1);
-        holds[host] = what;
-        if (what == SHUT) {
-            everShut.set(host);
-        }
+    void clearNewlyBound() {
+        newlyBoundOperations.clear();
     }
 
-    private void growTo(int hosts) {
-        if (hosts > holds.length) {
-            int known = holds.length;
-            holds = Arrays.copyOf(holds, hosts + SPARE_HOSTS);
-            Arrays.fill(holds, known, holds.length, foreign ? FOREIGN : OPEN);
-        }
+    // ---- its next update
+
+    void prepare(ConfigurationUpdate update) {
+        preparedUpdate = update;
     }
 
-    /** Of so many hosts one is forgotten. It may return under any id, so of whoever is listed from now on nothing is known. */
-    void forget(int host, int hosts) {
-        growTo(hosts);
-        foreign = true;
-        forgot = true;
-        everShut.clear(host);
-        Arrays.fill(holds, hosts, holds.length, FOREIGN);
-        holds[host] = FOREIGN;
+    Optional<ConfigurationUpdate> preparedUpdate() {
+        return Optional.ofNullable(preparedUpdate);
     }
 
-    /** Whether a line that lets the host back must come with its table: this steward once shut it out. */
-    boolean mustBeLetBack(int host) {
-        return holds(host) == SHUT || holds(host) == UNSURE;
+    void send(ConfigurationUpdate update) {
+        stream.write(update);
+        preparedUpdate = null;
     }
 }
--- a/src/test/java/linenring/controller/ChannelAccountTest.java
+++ b/src/test/java/linenring/controller/ChannelAccountTest.java
@@ -151,8 +151,8 @@
         planner.advanceClock(now);
         planner.beginHostList(true);
         IntStream.range(0, hosts)
-                .forEach(h ->
-                        planner.hostReady(fleetState.hostIds.assign("s-" + h), h % 3, 0, 1, Double.NEGATIVE_INFINITY));
+                .forEach(h -> planner.hostReady(
+                        fleetState.hostIds().assign("s-" + h), h % 3, 0, 1, Double.NEGATIVE_INFINITY));
         planner.endHostList();
         int next = hosts;
         for (int round = 0; round < 900; round++) { // 45 s
@@ -166,11 +166,11 @@
                 boolean is = line != null && line.open;
                 if (is && chance.nextDouble() < ends) {
                     ends(line);
-                    fleetState.left(p);
+                    fleetState.disconnect(p);
                     planner.proxyDisconnected(p);
                 } else if (chance.nextDouble() < (is ? 0.0005 : joins)) { // some before their old end is seen
                     lines.set(p, new Line(p));
-                    fleetState.joined(p, lines.get(p), chance.nextInt(3) == 0);
+                    fleetState.connect(p, lines.get(p), chance.nextInt(3) == 0);
                     planner.proxyJoined(p, p % 3, 1 + p % 5);
                 } else if (is && chance.nextDouble() < 0.001) {
                     line.mute = !line.mute;
@@ -180,7 +180,7 @@
                 planner.beginHostList(false);
                 for (int h = 0; h < hosts / 10; h++) {
                     planner.hostDraining(next - hosts + h, (next - hosts + h) % 3, 0, 1);
-                    planner.hostReady(fleetState.hostIds.assign("s-" + (next + h)), (next + h) % 3, 0, 1, now);
+                    planner.hostReady(fleetState.hostIds().assign("s-" + (next + h)), (next + h) % 3, 0, 1, now);
                 }
                 next += hosts / 10;
                 planner.endHostList();
@@ -206,7 +206,7 @@
             planner.beginHostList(false);
             if (round == 400) { // a release: half as many come, and their ramp fills what ordinary lines may
                 IntStream.range(60, 90)
-                        .forEach(h -> planner.hostReady(fleetState.hostIds.assign("s-" + h), h % 3, 0, 1, now));
+                        .forEach(h -> planner.hostReady(fleetState.hostIds().assign("s-" + h), h % 3, 0, 1, now));
             } else if (round > 400 && round % 20 == 10) {
                 for (int h = round / 20 * 3 - 60; h < round / 20 * 3 - 57; h++) {
                     planner.hostDraining(h, h % 3, 0, 1);
@@ -277,7 +277,7 @@
             planner.beginHostList(false);
             if (round == 360 || round == 420) {
                 for (int h = 0; h < replaced; h++, next++) {
-                    planner.hostReady(fleetState.hostIds.assign("s-" + next), next % 3, 0, 1, now);
+                    planner.hostReady(fleetState.hostIds().assign("s-" + next), next % 3, 0, 1, now);
                 }
             } else if (round == 400 || round == 460) {
                 for (int h = next - hosts - replaced; h < next - hosts; h++) {
@@ -343,13 +343,13 @@
         planner.messageAcknowledged(first.to().proxy, first.mark(), 1e12);
         for (int p = 0; p < proxies; p++) {
             ends(lines.get(p));
-            fleetState.left(p);
+            fleetState.disconnect(p);
             planner.proxyDisconnected(p);
         }
         now += 5 * limit / PACE + 3 * TRANSIT + 200;
         planner.advanceClock(now);
         for (int p = 0; p < proxies; p++) {
-            fleetState.joined(p, new Line(p), false);
+            fleetState.connect(p, new Line(p), false);
             planner.proxyJoined(p, p % 3, 1);
         }
         planner.reconcile();
@@ -363,7 +363,7 @@
         planner.advanceClock(now);
         planner.beginHostList(true);
         IntStream.range(0, hosts)
-                .forEach(h -> planner.hostReady(fleetState.hostIds.assign("s-" + h), h % 3, 0, 1, started));
+                .forEach(h -> planner.hostReady(fleetState.hostIds().assign("s-" + h), h % 3, 0, 1, started));
         planner.endHostList();
         join(fleetState, planner, proxies, fresh);
     }
@@ -373,7 +373,7 @@
         for (int p = lines.size(); p < proxies; p++) {
             lines.add(new Line(p));
             written.add(new ArrayDeque<>());
-            fleetState.joined(p, lines.get(p), fresh);
+            fleetState.connect(p, lines.get(p), fresh);
             planner.proxyJoined(p, p % 3, 1);
         }
     }
--- a/src/test/java/linenring/controller/ControlLoopFixture.java
+++ b/src/test/java/linenring/controller/ControlLoopFixture.java
@@ -90,7 +90,7 @@
         for (double end = now + ms; now < end; ) {
             now += STEP_MS;
             proxies.stream().filter(proxy -> !proxy.silent).forEach(this::answer);
-            steward.round(now);
+            steward.runRound(now);
         }
         return this;
     }
@@ -104,7 +104,7 @@
     }
 
     int hostIds() {
-        return steward.hostIds();
+        return steward.hostIdCount();
     }
 
     /** What the proxies of a zone met at a host within the last second. */
--- a/src/test/java/linenring/controller/ControlLoopTest.java
+++ b/src/test/java/linenring/controller/ControlLoopTest.java
@@ -197,7 +197,7 @@
                 .append(events)
                 .append("eob\n");
         sockets.run();
-        steward.round(T0 + ms);
+        steward.runRound(T0 + ms);
         socketsSaw.add(proxies[0] + "\n" + proxies[1]);
     }
 
@@ -306,16 +306,16 @@
         steward.onHostList(new HostList(1, true, List.of(entry(0, State.READY, Double.NEGATIVE_INFINITY))));
         Seen old = proxies[0], fresh = proxies[1];
         exchange.enqueueMessage(old, new InboundMessage.Subscribe(0, 0, 1, true));
-        steward.round(T0 + 10);
+        steward.runRound(T0 + 10);
         assertEquals(1, old.marks.size());
         exchange.enqueueMessage(fresh, new InboundMessage.Subscribe(0, 0, 1, false));
         exchange.enqueueStreamClosed(old);
-        steward.round(T0 + 20);
+        steward.runRound(T0 + 20);
         assertTrue(old.closed != null);
         assertEquals(1, fresh.marks.size()); // bound anew on its new stream
         exchange.enqueueHostList(new HostList(2, false, List.of(entry(1, State.READY, Double.NEGATIVE_INFINITY))));
         for (int i = 3; i < 40; i++) {
-            steward.round(T0 + 100 * i);
+            steward.runRound(T0 + 100 * i);
         }
         assertTrue(fresh.lines.get("order").containsKey("s-1")); // and told of changes still
         assertFalse(old.lines.get("order").containsKey("s-1"));
@@ -328,7 +328,7 @@
         exchange.enqueueMessage(proxies[0], new InboundMessage.Subscribe(0, 0, 1, true));
         for (int i = 1; i < 60; i++) {
             exchange.enqueueMessage(proxies[1], new InboundMessage.LoadReport("s-9", 0, 50, 50, 0, 500));
-            steward.round(T0 + 100 * i);
+            steward.runRound(T0 + 100 * i);
         }
         assertEquals("[s-0]", proxies[0].lines.get("order").keySet().toString());
         assertTrue(proxies[0].out.isEmpty());
@@ -346,11 +346,11 @@
         Seen silent = proxies[0], well = proxies[1];
         exchange.enqueueMessage(silent, new InboundMessage.Subscribe(0, 0, 1, true));
         exchange.enqueueMessage(well, new InboundMessage.Subscribe(1, 1, 1, true));
-        steward.round(T0 + 10);
+        steward.runRound(T0 + 10);
         for (int h = 0; h < 16; h++) {
             exchange.enqueueHostList(new HostList(2 + h, false, List.of(entry(h, State.TERMINATING, 0))));
             for (int i = 0; i < 10; i++) {
-                steward.round(T0 + 6000 + 1000 * h + 100 * i);
+                steward.runRound(T0 + 6000 + 1000 * h + 100 * i);
                 exchange.enqueueMessage(
                         well, new InboundMessage.Acknowledgement(1, well.marks.get(well.marks.size() - 1), 100));
             }
@@ -378,7 +378,7 @@
                         entry(1, null, 0),
                         entry(2, State.READY, Double.NEGATIVE_INFINITY))));
         exchange.enqueueMessage(proxies[0], new InboundMessage.Subscribe(0, 0, 1, true));
-        steward.round(T0 + 10);
+        steward.runRound(T0 + 10);
         assertEquals("[s-0, s-1, s-2]", proxies[0].lines.get("order").keySet().toString());
         assertEquals(
                 1,
@@ -407,14 +407,14 @@
         };
         exchange.enqueueMessage(broken, new InboundMessage.Subscribe(0, 0, 2, true)); // asked most: written to first
         exchange.enqueueMessage(proxies[1], new InboundMessage.Subscribe(1, 0, 1, true));
-        steward.round(T0 + 10);
+        steward.runRound(T0 + 10);
         assertEquals("[s-0]", proxies[1].lines.get("order").keySet().toString());
         assertEquals(List.of("can't be written to"), closed);
         exchange.enqueueMessage(
                 proxies[0], new InboundMessage.Subscribe(0, 0, 2, false)); // its old stream can't be closed either
         exchange.enqueueHostList(new HostList(2, false, List.of(entry(1, State.READY, Double.NEGATIVE_INFINITY))));
         for (int i = 1; i < 40; i++) {
-            steward.round(T0 + 100 * i); // and the thread goes on
+            steward.runRound(T0 + 100 * i); // and the thread goes on
         }
         assertTrue(proxies[0].lines.get("order").containsKey("s-0")
                 && proxies[1].lines.get("order").containsKey("s-1"));
@@ -427,7 +427,7 @@
                 proxies[0],
                 new InboundMessage.Subscribe(99, 0, 1, true)); // no such proxy: the reader lets none through
         exchange.enqueueMessage(proxies[1], new InboundMessage.Subscribe(1, 0, 1, true));
-        steward.round(T0 + 10);
+        steward.runRound(T0 + 10);
         assertEquals("can't be taken in", proxies[0].closed);
         assertEquals(null, proxies[1].closed);
     }
--- a/src/test/java/linenring/controller/FleetStateTest.java
+++ b/src/test/java/linenring/controller/FleetStateTest.java
@@ -7,6 +7,7 @@
 import java.io.PrintStream;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.OptionalInt;
 import linenring.event.ProxyStream;
 import linenring.log.Log;
 import linenring.planner.Commands.RetryPolicy;
@@ -44,14 +45,14 @@
 
     private FleetState fleet() {
         for (int h = 0; h < 3; h++) {
-            fleetState.hostIds.assign("s-" + h);
+            fleetState.hostIds().assign("s-" + h);
             fleetState.setWeight(7, h, 1);
         }
         return fleetState;
     }
 
     private Way bound() {
-        fleet().joined(0, way, true);
+        fleet().connect(0, way, true);
         fleetState.bindProxy(7, 0, 0);
         fleetState.requestAcknowledgement(1);
         fleetState.send();
@@ -70,13 +71,13 @@
 
     @Test
     void aBindBringsTheWholeTableWithLevelsWithdrawnHostsAndTheMarkAsOneMessage() {
-        fleet().joined(0, way, true);
+        fleet().connect(0, way, true);
         fleetState.setEjected(1, true);
         fleetState.send();
         fleetState.setAdmission(7, 0, 0.8, RetryPolicy.ONE_IF_NOT_EXECUTED);
         fleetState.bindProxy(7, 0, 0);
         fleetState.requestAcknowledgement(905);
-        fleetState.joined(0, way, true); // the withdrawal it was told of on its way may be lost with the stream
+        fleetState.connect(0, way, true); // the withdrawal it was told of on its way may be lost with the stream
         fleetState.bindProxy(7, 0, 0);
         fleetState.requestAcknowledgement(906);
         fleetState.send();
@@ -95,7 +96,7 @@
     @Test
     void changesGoToThoseBoundToTheTableAlone() {
         bound();
-        fleetState.joined(1, other, true);
+        fleetState.connect(1, other, true);
         fleetState.setWeight(7, 1, 0);
         fleetState.setWeight(7, 2, 0.5);
         fleetState.requestAcknowledgement(2);
@@ -110,7 +111,7 @@
     @Test
     void aWithdrawalReachesStandingTablesToo() {
         bound();
-        fleetState.joined(1, other, true);
+        fleetState.connect(1, other, true);
         fleetState.setEjected(1, true);
         fleetState.requestAcknowledgement(2);
         fleetState.send();
@@ -121,11 +122,11 @@
 
     @Test
     void operationsOnOtherTablesOrLevelsGetPartsOfTheirOwn() {
-        fleetState.hostIds.assign("s-0");
+        fleetState.hostIds().assign("s-0");
         fleetState.setWeight(7, 0, 1);
         fleetState.setWeight(8, 0, 0.5);
         fleetState.setAdmission(7, 1, 0.7, RetryPolicy.NONE);
-        fleetState.joined(0, way, true);
+        fleetState.connect(0, way, true);
         fleetState.bindProxy(7, 1, 0);
         fleetState.bindProxy(8, 2, 0);
         fleetState.requestAcknowledgement(3);
@@ -198,7 +199,7 @@
                                 NONE,
                                 ConfigurationUpdate.NO_NONCE)),
                 way.last());
-        fleetState.joined(1, other, true);
+        fleetState.connect(1, other, true);
         fleetState.bindProxy(7, 0, 1);
         fleetState.send();
         assertEquals(new AdmissionPolicy(0.4, 0), other.last().get(1).admission());
@@ -210,10 +211,10 @@
         bound();
         fleetState.setEjected(1, true);
         fleetState.send();
-        fleetState.left(0);
+        fleetState.disconnect(0);
         fleetState.setEjected(1, false); // said to nobody: the proxy still shuts it out
         fleetState.send();
-        fleetState.joined(0, other, false);
+        fleetState.connect(0, other, false);
         fleetState.bindProxy(7, 0, 0);
         fleetState.send();
         assertTrue(other.last().get(0).restored().contains("s-1"));
@@ -224,7 +225,7 @@
         bound();
         fleetState.setEjected(1, true);
         fleetState.send();
-        fleetState.joined(0, way, false); // on the very same stream
+        fleetState.connect(0, way, false); // on the very same stream
         fleetState.setEjected(1, false);
         fleetState.bindProxy(7, 0, 0);
         fleetState.send();
@@ -237,8 +238,8 @@
         bound();
         fleetState.setEjected(0, true);
         fleetState.send();
-        fleetState.left(0);
-        fleetState.joined(0, other, false); // meanwhile another steward, or an earlier life, ordered there
+        fleetState.disconnect(0);
+        fleetState.connect(0, other, false); // meanwhile another steward, or an earlier life, ordered there
         fleetState.setEjected(0, false);
         fleetState.setAdmission(7, 0, 1, RetryPolicy.ONE_IF_NOT_EXECUTED);
         assertEquals(1, fleetState.extraEntriesOfBind(7, 0)); // the decisions' account must know of the line for s-0
@@ -256,7 +257,7 @@
 
     @Test
     void aHostThatOthersMayHaveShutOutIsLetBackWithItsNextLineButNoDrainWaitsForIt() {
-        fleet().joined(0, way, false);
+        fleet().connect(0, way, false);
         fleetState.setAdmission(7, 1, 0.9, RetryPolicy.NONE);
         fleetState.setAdmission(7, 2, 0.8, RetryPolicy.NONE);
         fleetState.bindProxy(7, 0, 0);
@@ -286,10 +287,10 @@
     @Test
     void aTableOfTensOfThousandsOfHostsGoesInSeveralParts() {
         for (int h = 0; h < 25_000; h++) {
-            fleetState.hostIds.assign("s-" + h);
+            fleetState.hostIds().assign("s-" + h);
             fleetState.setWeight(7, h, 1);
         }
-        fleetState.joined(0, way, true);
+        fleetState.connect(0, way, true);
         fleetState.bindProxy(7, 0, 0);
         fleetState.requestAcknowledgement(1);
         fleetState.send();
@@ -305,7 +306,7 @@
     @Test
     void aLineForAHostThatWasWithdrawnWhileInNoTableShutsItOutAtOnce() {
         bound();
-        fleetState.hostIds.assign("s-3");
+        fleetState.hostIds().assign("s-3");
         fleetState.setEjected(3, true);
         fleetState.send();
         assertEquals(1, way.commands.size()); // it holds no line of it
@@ -320,7 +321,7 @@
     @Test
     void sendsNoMessageForAnAcknowledgementRequestAlone() {
         bound();
-        fleetState.joined(1, other, true);
+        fleetState.connect(1, other, true);
         fleetState.requestAcknowledgement(9);
         fleetState.send();
         assertEquals(1, way.commands.size());
@@ -330,17 +331,17 @@
     @Test
     void aNewStreamEndsTheOldOneAndTheOldOnesEndIsNoLeaving() {
         bound();
-        fleetState.joined(0, other, false);
+        fleetState.connect(0, other, false);
         assertTrue(way.closed != null && other.closed == null);
-        assertEquals(-1, fleetState.proxyOf(way));
-        assertEquals(0, fleetState.proxyOf(other));
+        assertEquals(OptionalInt.empty(), fleetState.proxyOf(way));
+        assertEquals(OptionalInt.of(0), fleetState.proxyOf(other));
         assertTrue(fleetState.isCurrent(0, other) && !fleetState.isCurrent(0, way));
     }
 
     @Test
     void nothingIsWrittenToAProxyThatHasLeft() {
         bound();
-        fleetState.left(0);
+        fleetState.disconnect(0);
         fleetState.setWeight(7, 0, 0.1);
         fleetState.bindProxy(7, 0, 0);
         fleetState.setEjected(1, true);
--- a/src/test/java/linenring/controller/HostIdAllocatorTest.java
+++ b/src/test/java/linenring/controller/HostIdAllocatorTest.java
@@ -5,23 +5,24 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
 import java.util.List;
+import java.util.OptionalInt;
 import org.junit.jupiter.api.Test;
 
-class HostIdsTest {
+class HostIdAllocatorTest {
     private static final int RETAINED = 1024;
 
-    private final HostIds ids = new HostIds();
+    private final HostIdAllocator ids = new HostIdAllocator();
 
     private int list(String host) {
         int id = ids.assign(host);
-        ids.listed(id);
+        ids.markListed(id);
         return id;
     }
 
     @Test
     void keepsTheIdOfAHostThatReturnsSoon() {
         int id = list("s-1");
-        ids.removed(id);
+        ids.markRemoved(id);
         assertEquals(0, ids.surplus());
         assertEquals(id, list("s-1"));
         assertEquals(List.of(), ids.removed());
@@ -30,7 +31,7 @@
     @Test
     void namesTheLongestRemovedHostFirst() {
         for (int host = 0; host <= RETAINED; host++) {
-            ids.removed(list("s-" + host));
+            ids.markRemoved(list("s-" + host));
         }
         assertEquals(1, ids.surplus());
         assertEquals(0, ids.removed().get(0));
@@ -45,7 +46,7 @@
             list("alive-" + host);
         }
         for (int host = 0; host < 2 * RETAINED; host++) {
-            ids.removed(list("gone-" + host));
+            ids.markRemoved(list("gone-" + host));
         }
         assertEquals(0, ids.surplus());
     }
@@ -54,9 +55,9 @@
     void givesAReleasedIdToTheNextHostAndForgetsTheFormer() {
         int former = list("s-1");
         list("s-2");
-        ids.removed(former);
+        ids.markRemoved(former);
         ids.release(former);
-        assertEquals(HostIds.NONE, ids.find("s-1"));
+        assertEquals(OptionalInt.empty(), ids.find("s-1"));
         assertEquals(former, list("s-3"));
         assertEquals("s-3", ids.name(former));
         assertNotEquals(former, list("s-1"));
@@ -69,7 +70,7 @@
         }
         ids.beginList();
         int other = list("other");
-        ids.endWholeList();
+        ids.endCompleteList();
         assertEquals(1, ids.surplus());
         assertEquals(RETAINED + 1, ids.removed().size());
         assertFalse(ids.removed().contains(other));
