--- a/src/main/java/linenring/controller/Clock.java
+++ b/src/main/java/linenring/controller/Clock.java
@@ -4,8 +4,8 @@
 
 /** A monotonic clock that is set to Unix time once, at its start: no later step of the system's clock moves it. */
 final class Clock {
-    private static final double MS_PER_SECOND = 1e3;
-    private static final double NANOS_PER_MS = 1e6;
+    private static final double MILLIS_PER_SECOND = 1e3;
+    private static final double NANOS_PER_MILLI = 1e6;
 
     private final long startNanos = System.nanoTime();
     private final double startMs;
@@ -15,11 +15,11 @@
     }
 
     Clock(Instant start) {
-        startMs = start.getEpochSecond() * MS_PER_SECOND + start.getNano() / NANOS_PER_MS;
+        startMs = start.getEpochSecond() * MILLIS_PER_SECOND + start.getNano() / NANOS_PER_MILLI;
     }
 
     /** Milliseconds since the Unix epoch. */
     double nowMs() {
-        return startMs + (System.nanoTime() - startNanos) / NANOS_PER_MS;
+        return startMs + (System.nanoTime() - startNanos) / NANOS_PER_MILLI;
     }
 }
--- a/src/main/java/linenring/controller/ControlLoop.java
+++ b/src/main/java/linenring/controller/ControlLoop.java
@@ -25,7 +25,7 @@
      */
     private static final double MAX_WAIT_MS = 1000;
 
-    private static final double NANOS_PER_MS = TimeUnit.MILLISECONDS.toNanos(1);
+    private static final double NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
 
     private final EventQueue eventQueue;
     private final Log log;
@@ -76,12 +76,12 @@
     private void awaitAndRunRound() throws InterruptedException {
         double lastMs = clock.nowMs();
         double waitMs = Math.min(MAX_WAIT_MS, fleetState.nextCallMs() - lastMs);
-        boolean hasEvents = eventQueue.await((long) (waitMs * NANOS_PER_MS));
+        boolean hasEvents = eventQueue.await((long) (waitMs * NANOS_PER_MILLI));
         boolean isCallDue = fleetState.nextCallMs() <= clock.nowMs();
         if (!hasEvents && lastRoundSucceeded && !isCallDue) {
             return;
         }
-        long earlyNanos = (long) ((lastMs + quantumMs - clock.nowMs()) * NANOS_PER_MS);
+        long earlyNanos = (long) ((lastMs + quantumMs - clock.nowMs()) * NANOS_PER_MILLI);
         if (earlyNanos > 0) {
             LockSupport.parkNanos(earlyNanos);
         }
--- a/src/test/java/linenring/event/EventQueueTest.java
+++ b/src/test/java/linenring/event/EventQueueTest.java
@@ -11,63 +11,68 @@
 import org.junit.jupiter.api.Test;
 
 class EventQueueTest {
-    private final EventQueue exchange = new EventQueue();
-    private final RecordingEventHandler taker = new RecordingEventHandler();
-    private final List<Object> taken = taker.taken();
+    private static final InboundMessage SUBSCRIBE = new InboundMessage.Subscribe(1, 0, 1, true);
+    private static final InboundMessage ACKNOWLEDGEMENT = new InboundMessage.Acknowledgement(1, 7, 100);
+
+    private final EventQueue queue = new EventQueue();
+    private final RecordingEventHandler handler = new RecordingEventHandler();
+    private final List<Object> taken = handler.taken();
+
+    private static InboundMessage report(int requests) {
+        return new InboundMessage.RequestRateReport(1, 0, requests, 500);
+    }
 
     @Test
-    void whatIsLeftIsTakenOnceAndInOrder() throws InterruptedException {
+    void deliversEachEventOnceAndInOrder() throws InterruptedException {
         HostList list = new HostList(1, true, List.of());
-        exchange.enqueueMessage(null, new InboundMessage.Subscribe(1, 0, 1, true));
-        exchange.enqueueHostList(list);
-        exchange.enqueueStreamClosed(null);
-        assertTrue(exchange.await(0));
-        assertEquals(0, exchange.drainTo(taker));
-        assertEquals(List.of(new InboundMessage.Subscribe(1, 0, 1, true), list, "ended"), taken);
-        assertFalse(exchange.await(0));
+        queue.enqueueMessage(null, SUBSCRIBE);
+        queue.enqueueHostList(list);
+        queue.enqueueStreamClosed(null);
+        assertTrue(queue.await(0));
+        assertEquals(0, queue.drainTo(handler));
+        assertEquals(List.of(SUBSCRIBE, list, RecordingEventHandler.ENDED), taken);
+        assertFalse(queue.await(0));
     }
 
+    /** The loop is held up while reports go on: those beyond the limit are dropped and counted, and no other event is. */
     @Test
-    void aFloodOfSumsIsCutAndCountedAndNothingElseIsLost() {
+    void dropsAndCountsOnlyReportsWhenFlooded() {
         for (int i = 0; i < 30_000; i++) {
-            exchange.enqueueMessage(null, new InboundMessage.RequestRateReport(1, 0, i, 500));
+            queue.enqueueMessage(null, report(i));
         }
-        exchange.enqueueMessage(null, new InboundMessage.Acknowledgement(1, 7, 100));
-        exchange.enqueueStreamClosed(null);
-        assertEquals(10_000, exchange.drainTo(taker));
+        queue.enqueueMessage(null, ACKNOWLEDGEMENT);
+        queue.enqueueStreamClosed(null);
+        assertEquals(10_000, queue.drainTo(handler));
         assertEquals(20_002, taken.size());
-        assertEquals(0, exchange.drainTo(taker));
+        assertEquals(0, queue.drainTo(handler));
     }
 
+    /** The same flood, around other events: what is kept of it must be the latest, at its place among them. */
     @Test
-    void inAFloodOfSumsTheNewestAreKeptInTheirPlaceAmongTheRest() {
-        exchange.enqueueMessage(null, new InboundMessage.Subscribe(1, 0, 1, true));
+    void keepsTheNewestReportsInOrderWhenFlooded() {
+        queue.enqueueMessage(null, SUBSCRIBE);
         for (int i = 0; i < 30_000; i++) {
-            exchange.enqueueMessage(null, new InboundMessage.RequestRateReport(1, 0, i, 500));
+            queue.enqueueMessage(null, report(i));
             if (i == 29_000) {
-                exchange.enqueueMessage(null, new InboundMessage.Acknowledgement(1, 7, 100));
+                queue.enqueueMessage(null, ACKNOWLEDGEMENT);
             }
         }
-        exchange.drainTo(taker);
-        assertEquals(new InboundMessage.Subscribe(1, 0, 1, true), taken.get(0));
-        assertEquals(
-                new InboundMessage.RequestRateReport(1, 0, 10_000, 500),
-                taken.get(1)); // those before it are too old to go by
-        assertEquals(new InboundMessage.RequestRateReport(1, 0, 29_999, 500), taken.get(taken.size() - 1));
-        assertEquals(
-                new InboundMessage.Acknowledgement(1, 7, 100),
-                taken.get(taken.indexOf(new InboundMessage.RequestRateReport(1, 0, 29_000, 500)) + 1));
+        queue.drainTo(handler);
+        assertEquals(SUBSCRIBE, taken.get(0));
+        assertEquals(report(10_000), taken.get(1)); // those before it are too old to go by
+        assertEquals(report(29_999), taken.get(taken.size() - 1));
+        assertEquals(ACKNOWLEDGEMENT, taken.get(taken.indexOf(report(29_000)) + 1));
     }
 
-    /** The watch goes on from this list's version: who is not told of it now never is. */
+    /** Discovery goes on from this list's version: a loop that does not get it now never learns what it says. */
     @Test
-    void aListReachesTheStewardThoughOneWhoFollowsItFails() {
+    void deliversAHostListThoughAListenerFails() {
         HostList list = new HostList(7, true, List.of());
-        exchange.addHostListListener(l -> {
-            throw new IllegalStateException("a follower's fault");
+        queue.addHostListListener(ignored -> {
+            throw new IllegalStateException("a listener's fault");
         });
-        assertThrows(IllegalStateException.class, () -> exchange.enqueueHostList(list));
-        exchange.drainTo(taker);
+        assertThrows(IllegalStateException.class, () -> queue.enqueueHostList(list));
+        queue.drainTo(handler);
         assertEquals(List.of(list), taken);
     }
 }
--- a/src/test/java/linenring/event/RecordingEventHandler.java
+++ b/src/test/java/linenring/event/RecordingEventHandler.java
@@ -5,40 +5,42 @@
 import linenring.protocol.HostList;
 import linenring.protocol.InboundMessage;
 
-/** Keeps what it takes, in order: arrivals, lists, and {@link #ENDED} for each stream's end. */
+/** Keeps the events that it takes, in order: messages, host lists, and {@link #ENDED} for the end of a stream. */
 public final class RecordingEventHandler implements EventQueue.EventHandler {
+    /** Stands for the end of a stream. */
     public static final String ENDED = "ended";
 
     private final List<Object> taken = new ArrayList<>();
 
+    /** All events so far. */
     public List<Object> taken() {
         return taken;
     }
 
-    /** The lists; nothing else may have come. */
+    /** The host lists; no other event may have come. */
     public List<HostList> lists() {
         List<HostList> lists = new ArrayList<>();
-        for (Object what : taken) {
-            if (!(what instanceof HostList list)) {
-                throw new AssertionError("only lists are expected, and not " + what);
+        for (Object event : taken) {
+            if (!(event instanceof HostList list)) {
+                throw new AssertionError("only host lists are expected, and not " + event);
             }
             lists.add(list);
         }
         return lists;
     }
 
-    /** Their versions; nothing else may have come. */
+    /** The versions of the host lists; no other event may have come. */
     public List<Long> versions() {
         return lists().stream().map(HostList::version).toList();
     }
 
     @Override
-    public void onMessage(ProxyStream from, InboundMessage what) {
-        taken.add(what);
+    public void onMessage(ProxyStream stream, InboundMessage message) {
+        taken.add(message);
     }
 
     @Override
-    public void onStreamClosed(ProxyStream which) {
+    public void onStreamClosed(ProxyStream stream) {
         taken.add(ENDED);
     }
 
