--- a/src/main/java/linenring/cli/Handover.java
+++ b/src/main/java/linenring/cli/Handover.java
@@ -101,7 +101,7 @@
 
     @Override
     public ServerSocketChannel listener() {
-        return instance.front().listener();
+        return instance.front().listeningSocket();
     }
 
     // ---- the process that takes over
--- a/src/main/java/linenring/cli/Instance.java
+++ b/src/main/java/linenring/cli/Instance.java
@@ -9,7 +9,9 @@
 import linenring.controller.ControlLoop;
 import linenring.discovery.HostWatch;
 import linenring.event.EventQueue;
+import linenring.gateway.GatewayStartException;
 import linenring.gateway.Http2Gateway;
+import linenring.gateway.ListenOptions;
 import linenring.gateway.settings.GatewaySettings;
 import linenring.log.Log;
 import linenring.protocol.Codec;
@@ -154,13 +156,14 @@
 
     /** Null, or why not. */
     String openFront(ServerSocketChannel listener, boolean accepts) {
-        Http2Gateway.Opened opened =
-                Http2Gateway.open(plan, told.figures().measure(), hosts, exchange, listener, accepts, log);
-        front = opened.front();
-        return front != null
-                ? null
-                : "the front cannot listen at " + plan.listen().getAddress().getHostAddress() + ":"
-                        + plan.listen().getPort() + ": " + opened.fault();
+        try {
+            front = Http2Gateway.start(
+                    plan, told.figures().measure(), hosts, exchange, new ListenOptions(listener, accepts), log);
+            return null;
+        } catch (GatewayStartException e) {
+            return "the front cannot listen at " + plan.listen().getAddress().getHostAddress() + ":"
+                    + plan.listen().getPort() + ": " + e.getMessage();
+        }
     }
 
     /** Waits until the front has a table to pick from, or for two seconds. */
@@ -186,14 +189,14 @@
                 endWhenDrained();
             });
             if (!first) {
-                log.info("front", "is told to end again, and drains still");
+                log.info("gateway", "drains still, at one more SIGTERM");
             }
         });
     }
 
     /** The front accepts, again or for the first time, unless it drains at a SIGTERM. */
     void accept() {
-        ending.unlessBegun(front::accept);
+        ending.unlessBegun(front::startAccepting);
     }
 
     void endWhenDrained() {
@@ -204,7 +207,7 @@
                             } catch (InterruptedException e) {
                                 // ends all the same
                             }
-                            log.info("front", front.totals());
+                            log.info("gateway", front.totals());
                             System.exit(0);
                         },
                         "drain")
--- a/src/main/java/linenring/cli/ServeCommand.java
+++ b/src/main/java/linenring/cli/ServeCommand.java
@@ -49,11 +49,11 @@
         GatewaySettings plan = null;
         if (frontFile != null) {
             GatewaySettingsReader.Outcome front = GatewaySettingsReader.read(frontFile, told.names());
-            if (front.plan() == null) {
+            if (front.settings() == null) {
                 front.faults().forEach(f -> System.err.println("linenring: " + f));
                 return new Prepared(null, CONFIGURATION);
             }
-            plan = front.plan();
+            plan = front.settings();
         }
         PrintStream err = new PrintStream(new FileOutputStream(FileDescriptor.err), true);
         Log log = json ? new Log(new JsonSink(err)) : new Log(err);
--- a/src/main/java/linenring/cli/Subcommands.java
+++ b/src/main/java/linenring/cli/Subcommands.java
@@ -111,7 +111,7 @@
         }
         GatewaySettingsReader.Outcome read = GatewaySettingsReader.read(file, names);
         read.faults().forEach(System.err::println);
-        if (read.plan() == null) {
+        if (read.settings() == null) {
             return ServeCommand.CONFIGURATION;
         }
         System.out.println(file + ": no fault found"
--- a/src/main/java/linenring/cli/TestBackendCommand.java
+++ b/src/main/java/linenring/cli/TestBackendCommand.java
@@ -8,6 +8,8 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
+import linenring.testserver.Behaviour;
+import linenring.testserver.Reaction;
 import linenring.testserver.TestBackend;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -38,7 +40,7 @@
             paramLabel = "DEED",
             defaultValue = "ANSWER",
             description = "what it does with each invocation: ${COMPLETION-CANDIDATES} (${DEFAULT-VALUE})")
-    private TestBackend.Deed fault;
+    private Behaviour fault;
 
     @Option(
             names = "--path",
@@ -81,19 +83,18 @@
     }
 
     private TestBackend open(int port) throws IOException {
-        TestBackend node = new TestBackend(port).streams(STREAMS_PER_NODE);
-        node.always(
-                path,
-                TestBackend.Told.of(fault).after(Durations.milliseconds(after)).bytes(bytes));
+        TestBackend node = new TestBackend(port).withMaxStreams(STREAMS_PER_NODE);
+        node.onPath(
+                path, Reaction.of(fault).after(Durations.milliseconds(after)).withBytes(bytes));
         System.out.println("node at 127.0.0.1:" + port + ": " + fault.name().toLowerCase(Locale.ROOT));
         return node;
     }
 
     private static void report(TestBackend node, Map<TestBackend, Integer> arrivedBefore) {
-        int arrived = node.arrived();
+        int arrived = node.requests();
         Integer before = arrivedBefore.put(node, arrived);
         if (arrived > (before == null ? 0 : before)) {
-            System.out.println(node.address() + " ran " + node.ran() + " of " + arrived + " that came");
+            System.out.println(node.address() + " ran " + node.executionsByPath() + " of " + arrived + " that came");
         }
     }
 }
--- a/src/main/java/linenring/gateway/BufferBudget.java
+++ b/src/main/java/linenring/gateway/BufferBudget.java
@@ -1,27 +1,28 @@
 package linenring.gateway;
 
-/** Bytes that may be held together; who asks for more than is left gets none. */
+/** Bytes that may be held by all requests together. Thread-safe. */
 final class BufferBudget {
-    private final long most;
-    private long taken;
+    private final long maxBytes;
+    private long reservedBytes; // guarded by this
 
-    BufferBudget(long most) {
-        this.most = most;
+    BufferBudget(long maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
-    synchronized boolean take(long bytes) {
-        if (taken + bytes > most) {
+    /** False, and nothing is reserved, where so many are not left. */
+    synchronized boolean tryReserve(long bytes) {
+        if (reservedBytes + bytes > maxBytes) {
             return false;
         }
-        taken += bytes;
+        reservedBytes += bytes;
         return true;
     }
 
-    synchronized void giveBack(long bytes) {
-        taken -= bytes;
+    synchronized void release(long bytes) {
+        reservedBytes -= bytes;
     }
 
-    synchronized long taken() {
-        return taken;
+    synchronized long reservedBytes() {
+        return reservedBytes;
     }
 }
--- /dev/null
+++ b/src/main/java/linenring/gateway/ClientSessionListener.java
@@ -0,0 +1,74 @@
+package linenring.gateway;
+
+import linenring.log.Log;
+import org.eclipse.jetty.http2.ErrorCode;
+import org.eclipse.jetty.http2.api.Session;
+import org.eclipse.jetty.http2.api.Stream;
+import org.eclipse.jetty.http2.api.server.ServerSessionListener;
+import org.eclipse.jetty.http2.frames.GoAwayFrame;
+import org.eclipse.jetty.http2.frames.HeadersFrame;
+import org.eclipse.jetty.http2.frames.PingFrame;
+import org.eclipse.jetty.http2.frames.SettingsFrame;
+import org.eclipse.jetty.util.Callback;
+
+/** The clients' HTTP/2 sessions. Jetty calls for one session after the other on that session's thread. */
+final class ClientSessionListener implements ServerSessionListener {
+    private final GracefulShutdown shutdown;
+    private final RequestDispatcher dispatcher;
+    private final Log log;
+
+    ClientSessionListener(GracefulShutdown shutdown, RequestDispatcher dispatcher, Log log) {
+        this.shutdown = shutdown;
+        this.dispatcher = dispatcher;
+        this.log = log;
+    }
+
+    @Override
+    public void onAccept(Session session) {
+        shutdown.sessionOpened(session);
+    }
+
+    @Override
+    public void onSettings(Session session, SettingsFrame frame) {
+        shutdown.settingsReceived(session);
+    }
+
+    @Override
+    public Stream.Listener onNewStream(Stream stream, HeadersFrame frame) {
+        if (!shutdown.acceptStream(stream.getSession(), stream.getId())) {
+            Responses.reset(stream, ErrorCode.REFUSED_STREAM_ERROR); // proof that it was not processed (RFC 9113, 8.7)
+            return null;
+        }
+        stream.setIdleTimeout(GatewayTransport.UNLIMITED); // attempts and stalls have limits of their own
+        return dispatcher.dispatch(stream, frame);
+    }
+
+    @Override
+    public void onClose(Session session, GoAwayFrame frame, Callback callback) {
+        shutdown.sessionClosed(session);
+        callback.succeeded();
+    }
+
+    @Override
+    public void onFailure(Session session, Throwable failure, Callback callback) {
+        if (failure.getMessage() != null) { // else it has only closed its connection
+            log.info(
+                    Http2Gateway.CLIENT_LOG_SUBJECT,
+                    session.getRemoteSocketAddress() + " failed: " + failure.getMessage());
+        }
+        shutdown.sessionClosed(session);
+        callback.succeeded();
+    }
+
+    @Override
+    public void onPing(Session session, PingFrame frame) {
+        if (frame.isReply()) {
+            shutdown.pingAnswered(session);
+        }
+    }
+
+    @Override
+    public boolean onIdleTimeout(Session session) {
+        return shutdown.isIdle(session); // while something is active, its own limits count
+    }
+}
--- a/src/main/java/linenring/gateway/ConnectionAcceptor.java
+++ b/src/main/java/linenring/gateway/ConnectionAcceptor.java
@@ -1,5 +1,6 @@
 package linenring.gateway;
 
+import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashSet;
@@ -15,83 +16,93 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Lets in who begins with HTTP/2's preface (RFC 9113, 3.4). HTTP/1.1, its obsolete upgrade to h2c included, is answered
- * that this port speaks HTTP/2 alone; whatever else comes, or nothing in time, is closed.
+ * Hands connections that begin with HTTP/2's preface (RFC 9113, 3.4) on to the HTTP/2 factory. HTTP/1.1, its obsolete
+ * upgrade to h2c included (RFC 9113, 3.1), is answered that this port speaks HTTP/2 alone; whatever else comes, or
+ * nothing in time, is closed.
  */
 final class ConnectionAcceptor extends AbstractConnectionFactory implements Connection.Listener {
-    private static final byte[] PREFACE = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-    private static final long SILENT_MS =
-            1000; // as at the steward's own address: who dials says at once what it speaks
-    private static final String WORDS = "This port speaks HTTP/2 with prior knowledge alone.\n";
-    private static final byte[] REFUSAL = ("HTTP/1.1 505 HTTP Version Not Supported\r\nContent-Type: text/plain\r\n"
-                    + "Content-Length: " + WORDS.length() + "\r\nConnection: close\r\n\r\n" + WORDS)
-            .getBytes(StandardCharsets.US_ASCII);
-    private static final Set<String> METHODS = Set.of("GET ", "POST", "PUT ", "HEAD", "DELE", "OPTI", "PATC", "CONN");
+    /** As at the controller's own address: a client says at once what it speaks. */
+    private static final long PREFACE_TIMEOUT_MS = 1000;
+
+    private static final int PREFACE_BUFFER_BYTES = 4096; // whatever comes with the preface is handed on with it
+    private static final String BODY_TEXT = "This port speaks HTTP/2 with prior knowledge alone.\n";
+    private static final byte[] HTTP1_ANSWER =
+            ("HTTP/1.1 505 HTTP Version Not Supported\r\nContent-Type: text/plain\r\n" + "Content-Length: "
+                            + BODY_TEXT.length() + "\r\nConnection: close\r\n\r\n" + BODY_TEXT)
+                    .getBytes(StandardCharsets.US_ASCII);
 
     private final ConnectionFactory http2;
-    private final int most;
+    private final int maxConnections;
     private final Log log;
-    private final Set<Knock> knocking = new LinkedHashSet<>(); // oldest first
-    private int open;
+    private final Set<PendingConnection> pending = new LinkedHashSet<>(); // oldest first; guarded by this
+    private int openConnections; // guarded by this
 
-    /** Lets in so many connections at most; it is to be told of them as their listener. */
-    ConnectionAcceptor(ConnectionFactory http2, int most, Log log) {
-        super("door");
+    /** The connector calls it as the listener of its connections. */
+    ConnectionAcceptor(ConnectionFactory http2, int maxConnections, Log log) {
+        super("preface");
         this.http2 = http2;
-        this.most = most;
+        this.maxConnections = maxConnections;
         this.log = log;
     }
 
     @Override
     public Connection newConnection(Connector connector, EndPoint endPoint) {
-        long idle = endPoint.getIdleTimeout();
-        endPoint.setIdleTimeout(SILENT_MS);
-        return configure(new Knock(connector, endPoint, idle), connector, endPoint);
+        long idleTimeoutMs = endPoint.getIdleTimeout();
+        endPoint.setIdleTimeout(PREFACE_TIMEOUT_MS);
+        return configure(new PendingConnection(connector, endPoint, idleTimeoutMs), connector, endPoint);
     }
 
     @Override
     public synchronized void onOpened(Connection connection) {
-        open++;
-        if (connection instanceof Knock k) {
-            knocking.add(k);
+        openConnections++;
+        if (connection instanceof PendingConnection opened) {
+            pending.add(opened);
         }
     }
 
     @Override
     public synchronized void onClosed(Connection connection) {
-        open--;
-        knocking.remove(connection);
+        openConnections--;
+        if (connection instanceof PendingConnection closed) {
+            pending.remove(closed);
+        }
     }
 
-    /** Who goes where one too many is there: the oldest that has not said what it speaks, or null. */
-    private synchronized Knock tooMany() {
-        return open <= most ? null : knocking.iterator().next();
+    /**
+     * The connection to close where one too many is open, or null: the oldest that has sent no preface yet.
+     *
+     * <p>It guards against connections that take all places and send nothing. To stop accepting instead would keep
+     * everybody out while the silent ones are waited for.
+     */
+    private synchronized PendingConnection connectionToClose() {
+        return openConnections <= maxConnections ? null : pending.iterator().next();
     }
 
-    private final class Knock extends AbstractConnection {
+    /** A connection that has not sent the preface yet. */
+    private final class PendingConnection extends AbstractConnection {
         private final Connector connector;
-        private final long idle;
-        private final ByteBuffer begun = BufferUtil.allocate(4096);
+        private final long idleTimeoutMs; // from the preface on
+        private final ByteBuffer received = BufferUtil.allocate(PREFACE_BUFFER_BYTES);
 
-        Knock(Connector connector, EndPoint endPoint, long idle) {
+        PendingConnection(Connector connector, EndPoint endPoint, long idleTimeoutMs) {
             super(endPoint, connector.getExecutor());
             this.connector = connector;
-            this.idle = idle;
+            this.idleTimeoutMs = idleTimeoutMs;
         }
 
         @Override
         public void onOpen() {
             super.onOpen();
-            Knock goes = tooMany();
-            if (goes
-                    != null) { // closing all accepting instead would let in nobody while the silent ones are waited for
+            PendingConnection closed = connectionToClose();
+            if (closed != null) {
+                EndPoint endPoint = closed.getEndPoint();
                 log.info(
-                        "client",
-                        goes.getEndPoint().getRemoteSocketAddress() + " makes room, " + most
+                        Http2Gateway.CLIENT_LOG_SUBJECT,
+                        endPoint.getRemoteSocketAddress() + " makes room, " + maxConnections
                                 + " connections are open: closed");
-                goes.getEndPoint().close();
+                endPoint.close();
             }
-            if (goes != this) {
+            if (!equals(closed)) {
                 fillInterested();
             }
         }
@@ -99,49 +110,54 @@
         @Override
         public void onFillable() {
             try {
-                int got = getEndPoint().fill(begun);
-                if (got < 0) {
+                if (getEndPoint().fill(received) < 0) {
                     getEndPoint().close();
-                    return;
-                }
-                int fits = 0, have = begun.remaining();
-                while (fits < Math.min(have, PREFACE.length) && begun.get(begun.position() + fits) == PREFACE[fits]) {
-                    fits++;
+                } else {
+                    checkPreface();
                 }
-                if (fits == PREFACE.length) {
-                    getEndPoint().setIdleTimeout(idle);
+            } catch (IOException | RuntimeException failure) {
+                getEndPoint().close(failure);
+            }
+        }
+
+        private void checkPreface() throws IOException {
+            switch (ClientProtocol.of(received)) {
+                case HTTP2 -> {
+                    getEndPoint().setIdleTimeout(idleTimeoutMs);
                     Connection next = http2.newConnection(connector, getEndPoint());
-                    ((Connection.UpgradeTo) next).onUpgradeTo(begun);
+                    ((Connection.UpgradeTo) next).onUpgradeTo(received);
                     getEndPoint().upgrade(next);
-                } else if (fits == have) {
-                    fillInterested();
-                } else {
-                    refuse(have);
                 }
-            } catch (java.io.IOException | RuntimeException e) {
-                getEndPoint().close(e);
+                case INCOMPLETE_PREFACE -> fillInterested();
+                case HTTP1 -> {
+                    logRefusal("speaks HTTP/1");
+                    answerHttp1();
+                }
+                case HTTP1_UPGRADE -> {
+                    logRefusal("asks for the obsolete upgrade to h2c");
+                    answerHttp1();
+                }
+                case TLS -> {
+                    logRefusal("speaks TLS");
+                    getEndPoint().close();
+                }
+                case UNKNOWN -> {
+                    logRefusal("does not begin with HTTP/2's preface");
+                    getEndPoint().close();
+                }
             }
         }
 
-        private void refuse(int have) {
-            String start = StandardCharsets.ISO_8859_1.decode(begun.slice()).toString();
-            boolean http1 = have >= 4 && METHODS.contains(start.substring(0, 4));
-            String what = http1
-                    ? start.toLowerCase(java.util.Locale.ROOT).contains("upgrade: h2c")
-                            ? "asks for the obsolete upgrade to h2c"
-                            : "speaks HTTP/1"
-                    : start.charAt(0) == 0x16 ? "speaks TLS" : "does not begin with HTTP/2's preface";
-            log.info("client", getEndPoint().getRemoteSocketAddress() + " " + what + ": refused");
-            if (http1) {
-                getEndPoint()
-                        .write(
-                                Callback.from(
-                                        getEndPoint()::shutdownOutput,
-                                        x -> getEndPoint().close()),
-                                ByteBuffer.wrap(REFUSAL));
-            } else {
-                getEndPoint().close();
-            }
+        private void logRefusal(String finding) {
+            log.info(
+                    Http2Gateway.CLIENT_LOG_SUBJECT,
+                    getEndPoint().getRemoteSocketAddress() + " " + finding + ": refused");
+        }
+
+        private void answerHttp1() {
+            Callback callback = Callback.from(
+                    getEndPoint()::shutdownOutput, failure -> getEndPoint().close());
+            getEndPoint().write(callback, ByteBuffer.wrap(HTTP1_ANSWER));
         }
 
         @Override
--- /dev/null
+++ b/src/main/java/linenring/gateway/GatewayTransport.java
@@ -0,0 +1,167 @@
+package linenring.gateway;
+
+import java.nio.channels.ServerSocketChannel;
+import java.util.concurrent.Executor;
+import java.util.function.Supplier;
+import linenring.gateway.settings.GatewaySettings;
+import linenring.log.Log;
+import org.eclipse.jetty.http2.WindowRateControl;
+import org.eclipse.jetty.http2.api.server.ServerSessionListener;
+import org.eclipse.jetty.http2.client.HTTP2Client;
+import org.eclipse.jetty.http2.server.RawHTTP2ServerConnectionFactory;
+import org.eclipse.jetty.io.ClientConnector;
+import org.eclipse.jetty.server.HttpConfiguration;
+import org.eclipse.jetty.server.Server;
+import org.eclipse.jetty.server.ServerConnector;
+import org.eclipse.jetty.util.thread.QueuedThreadPool;
+import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
+import org.eclipse.jetty.util.thread.Scheduler;
+
+/** Jetty's parts of a gateway: threads, timers, the server towards clients, the client towards hosts. */
+final class GatewayTransport {
+    /** As a timeout of Jetty's: none, since this software has its own. */
+    static final long UNLIMITED = -1;
+
+    /** None of them waits for anything: selectors, helpers, a burst. */
+    private static final int MAX_THREADS = 32;
+
+    private static final int MIN_THREADS = 4;
+
+    /** No thread waits in accept, so that accepting can be stopped. */
+    private static final int ACCEPTORS = 0;
+
+    private static final int SELECTORS = 1;
+
+    /** Connections that the kernel completes while nothing accepts, during an upgrade. The number has no known reason. */
+    private static final int ACCEPT_QUEUE_CONNECTIONS = 512;
+
+    /** RFC 9113, 6.9.2: a session's window cannot begin smaller. */
+    private static final int MIN_SESSION_WINDOW_BYTES = 65_535;
+
+    private final GatewaySettings settings;
+    private final Log log;
+    private final QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
+    private final Scheduler scheduler = new ScheduledExecutorScheduler("gateway-timer", true);
+    private final HTTP2Client client;
+    private Server server;
+    private ServerConnector connector;
+
+    /** {@code clientFactory}: so that a test can order what Jetty does. */
+    GatewayTransport(GatewaySettings settings, Supplier<HTTP2Client> clientFactory, Log log) {
+        this.settings = settings;
+        this.log = log;
+        client = clientFactory.get();
+        threads.setName("gateway");
+        threads.setDaemon(true);
+    }
+
+    /** Starts the threads and the client, and makes the server; {@link #startServer} then listens. */
+    void start(ServerSessionListener sessions, ListenOptions options) throws Exception {
+        scheduler.start();
+        server = new Server(threads, scheduler, null);
+        createConnector(sessions, options);
+        configureClient();
+        threads.start();
+        client.start();
+    }
+
+    void startServer() throws Exception {
+        server.start();
+    }
+
+    private void createConnector(ServerSessionListener sessions, ListenOptions options) throws Exception {
+        GatewaySettings.Clients clients = settings.clients();
+        RawHTTP2ServerConnectionFactory http2 = connectionFactory(sessions);
+        server.addBean(http2); // has the life of the server, as it is no connector's own
+        ConnectionAcceptor acceptor = new ConnectionAcceptor(http2, clients.maxConnections(), log);
+        connector = new ServerConnector(server, ACCEPTORS, SELECTORS, acceptor);
+        connector.setHost(settings.listen().getAddress().getHostAddress());
+        connector.setPort(settings.listen().getPort());
+        connector.setIdleTimeout((long) clients.idleTimeoutMs());
+        connector.setReuseAddress(true);
+        connector.setAcceptQueueSize(ACCEPT_QUEUE_CONNECTIONS);
+        if (options.inheritedSocket() != null) {
+            connector.open(options.inheritedSocket());
+        }
+        if (options.acceptsAtOnce()) {
+            server.addConnector(connector);
+        } // else it is started by the first startAccepting()
+        connector.addBean(acceptor); // as a listener of each connection's beginning and end
+    }
+
+    private RawHTTP2ServerConnectionFactory connectionFactory(ServerSessionListener sessions) {
+        GatewaySettings.Clients clients = settings.clients();
+        HttpConfiguration http = new HttpConfiguration();
+        http.setRequestHeaderSize(clients.maxHeaderBytes());
+        RawHTTP2ServerConnectionFactory http2 = new RawHTTP2ServerConnectionFactory(http, sessions);
+        http2.setMaxConcurrentStreams(clients.maxStreams());
+        http2.setInitialStreamRecvWindow(settings.body().streamWindowBytes());
+        http2.setInitialSessionRecvWindow(sessionWindowBytes(clients.maxStreams()));
+        http2.setStreamIdleTimeout(UNLIMITED); // attempts, stalls and sessions have limits of their own
+        http2.setRateControlFactory(new WindowRateControl.Factory(clients.maxFramesPerSecond()));
+        http2.setMaxHeaderBlockFragment(clients.maxHeaderBytes());
+        return http2;
+    }
+
+    private void configureClient() {
+        ClientConnector dialer = client.getClientConnector();
+        dialer.setExecutor(threads);
+        dialer.setScheduler(scheduler);
+        dialer.setSelectors(SELECTORS);
+        client.setInitialStreamRecvWindow(settings.body().streamWindowBytes());
+        client.setInitialSessionRecvWindow(sessionWindowBytes(settings.pool().maxStreams()));
+        client.setConnectTimeout((long) Math.ceil(settings.dialTimeoutMs()));
+        client.setIdleTimeout(UNLIMITED);
+        client.setStreamIdleTimeout(UNLIMITED);
+    }
+
+    /** As much as all streams may hold: no stream's unread data keeps another's out (RFC 9113, 5.2). */
+    private int sessionWindowBytes(int streams) {
+        long allStreams = (long) streams * settings.body().streamWindowBytes();
+        return (int) Math.min(Integer.MAX_VALUE, Math.max(MIN_SESSION_WINDOW_BYTES, allStreams));
+    }
+
+    Executor threads() {
+        return threads;
+    }
+
+    Scheduler scheduler() {
+        return scheduler;
+    }
+
+    HTTP2Client client() {
+        return client;
+    }
+
+    /** Again or for the first time. */
+    void startAccepting() throws Exception {
+        if (connector.isStarted()) {
+            connector.setAccepting(true);
+        } else {
+            server.addConnector(connector);
+            connector.start();
+        }
+    }
+
+    void stopAccepting() {
+        connector.setAccepting(false);
+    }
+
+    ServerSocketChannel listeningSocket() {
+        return (ServerSocketChannel) connector.getTransport();
+    }
+
+    int port() {
+        return connector.getLocalPort();
+    }
+
+    /** Stops what was started, at once. */
+    void stop() throws Exception {
+        if (server != null) {
+            server.stop();
+        }
+        client.stop();
+        threads.stop();
+        scheduler.stop();
+    }
+}
--- a/src/main/java/linenring/gateway/RetainedBody.java
+++ b/src/main/java/linenring/gateway/RetainedBody.java
@@ -4,57 +4,58 @@
 import java.nio.ByteBuffer;
 
 /**
- * The beginning of a request's body, kept so that it can be sent a second time. Past its bound, or that of all bodies
- * together, nothing is kept, and the invocation has the one try that is under way. Files would come here.
+ * The beginning of a request's body, retained so that it can be sent a second time. Past its limit, or that of all bodies
+ * together, nothing is retained, and the request has no attempt but the one that is under way. Not thread-safe.
  */
 final class RetainedBody {
-    private final int most;
-    private final BufferBudget room;
-    private ByteArrayOutputStream kept = new ByteArrayOutputStream(0);
-    private int taken;
-    private boolean whole = true; // all that was read is kept
+    private final int maxBytes;
+    private final BufferBudget budget;
+    private ByteArrayOutputStream bytes = new ByteArrayOutputStream(0);
+    private int reservedBytes;
+    private boolean complete = true; // all that was read is retained
     private boolean ended;
 
-    RetainedBody(int most, BufferBudget room) {
-        this.most = most;
-        this.room = room;
+    RetainedBody(int maxBytes, BufferBudget budget) {
+        this.maxBytes = maxBytes;
+        this.budget = budget;
     }
 
-    /** Takes a copy of what was read, as long as there is room. */
-    void add(ByteBuffer bytes, boolean last) {
+    /** Takes a copy of what was read, as long as there is capacity. */
+    void add(ByteBuffer read, boolean last) {
         ended |= last;
-        int more = bytes.remaining();
-        if (!whole || more == 0) {
+        int length = read.remaining();
+        if (!complete || length == 0) {
             return;
         }
-        if (taken + more > most || !room.take(more)) {
-            letGo();
-            whole = false;
+        if (reservedBytes + length > maxBytes || !budget.tryReserve(length)) {
+            discard();
             return;
         }
-        taken += more;
-        byte[] copy = new byte[more];
-        bytes.duplicate().get(copy);
-        kept.writeBytes(copy);
+        reservedBytes += length;
+        byte[] copy = new byte[length];
+        read.duplicate().get(copy);
+        bytes.writeBytes(copy);
     }
 
     /** Whether all that was read can be sent again. */
-    boolean isWhole() {
-        return whole;
+    boolean isComplete() {
+        return complete;
     }
 
+    /** Whether the end of the body was read. */
     boolean hasEnded() {
         return ended;
     }
 
     byte[] bytes() {
-        return kept.toByteArray();
+        return bytes.toByteArray();
     }
 
-    void letGo() {
-        room.giveBack(taken);
-        taken = 0;
-        kept = new ByteArrayOutputStream(0);
-        whole = false;
+    /** Gives its bytes back; from then on nothing is retained. */
+    void discard() {
+        budget.release(reservedBytes);
+        reservedBytes = 0;
+        bytes = new ByteArrayOutputStream(0);
+        complete = false;
     }
 }
--- a/src/main/java/linenring/gateway/UpstreamConnections.java
+++ b/src/main/java/linenring/gateway/UpstreamConnections.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleSupplier;
+import java.util.function.Function;
 import linenring.routing.ConnectionPool;
 import linenring.routing.HostRegistry;
 import org.eclipse.jetty.http2.ErrorCode;
@@ -18,214 +19,225 @@
 import org.eclipse.jetty.util.Promise;
 import org.eclipse.jetty.util.thread.Scheduler;
 
-/** The connections to one host: does what its {@link Pool} decides. */
+/**
+ * The connections to one host: does what its {@link ConnectionPool} decides. The pool is called under this object's lock;
+ * what it decides is done without the lock, since Jetty and the waiters call back.
+ */
 final class UpstreamConnections {
-    /** Who wants a stream; called once, by any thread. */
-    interface Wants {
-        void granted(Connection on);
+    /** Who wants a stream. One of the two is called, once, by any thread. */
+    interface StreamWaiter {
+        /** A stream of this connection may be opened; {@link Connection#streamClosed} is called once it is over. */
+        void granted(Connection connection);
 
-        void turnedAway();
+        /** There is no connection, or none in time. */
+        void rejected();
     }
 
-    /** One connection; what the host has said about it. */
+    /** One connection, and what the host has announced on it. */
     final class Connection implements Session.Listener, Promise<Session> {
         private volatile Session session;
-        private volatile int lastProcessed = Integer.MAX_VALUE; // as its GOAWAY says
-        private boolean settled, failed; // opened or failed was told; guarded by the link
+        private volatile int lastProcessedStream = Integer.MAX_VALUE; // as its GOAWAY says (RFC 9113, 6.8)
+        private boolean dialEnded; // guarded by the enclosing object
+        private boolean dialFailed; // guarded by the enclosing object
 
         Session session() {
             return session;
         }
 
-        /** Whether the host has said that it did not process this stream of ours. */
-        boolean isNotProcessed(int stream) {
-            return stream > lastProcessed;
+        /** Whether the host has announced that it did not process this stream (RFC 9113, 6.8). */
+        boolean isNotProcessed(int streamId) {
+            return streamId > lastProcessedStream;
         }
 
-        void done() {
-            follow(pool(p -> p.streamClosed(this, clock.getAsDouble())));
+        /** A stream that was granted is over. */
+        void streamClosed() {
+            decide(state -> state.streamClosed(this, clock.getAsDouble()));
         }
 
+        /** The host speaks HTTP/2 for certain only once its SETTINGS have come (RFC 9113, 3.4). */
         @Override
         public void succeeded(Session result) {
-            session = result; // its SETTINGS say whether it speaks HTTP/2
-            closeIfFailed();
+            session = result;
+            closeIfDialFailed();
         }
 
-        /** A dial that was given up may come through all the same, before or after that was told: nobody knows of it. */
-        private boolean closeIfFailed() {
-            Session open = session;
-            boolean given;
+        /**
+         * A dial that was given up may come through all the same, before or after that was decided. Nobody would use or
+         * close such a session, and it would stay open for ever.
+         */
+        private boolean closeIfDialFailed() {
+            Session opened = session;
+            boolean failed;
             synchronized (UpstreamConnections.this) {
-                given = failed;
+                failed = dialFailed;
             }
-            if (given && open != null) {
-                open.close(
-                        ErrorCode.CANCEL_STREAM_ERROR.code,
-                        "no settings",
-                        Callback.from(((HTTP2Session) open).getEndPoint()::close));
+            if (failed && opened != null) {
+                closeSession(opened, ErrorCode.CANCEL_STREAM_ERROR, "no settings");
             }
-            return given;
+            return failed;
         }
 
         @Override
-        public void failed(Throwable x) {
-            dialFailed();
+        public void failed(Throwable failure) {
+            failDial();
         }
 
-        private void dialFailed() {
+        private void failDial() {
             synchronized (UpstreamConnections.this) {
-                if (settled) {
+                if (dialEnded) {
                     return;
                 }
-                settled = failed = true;
+                dialEnded = true;
+                dialFailed = true;
             }
-            follow(pool(p -> p.dialFailed(clock.getAsDouble())));
-            closeIfFailed();
+            decide(state -> state.dialFailed(clock.getAsDouble()));
+            closeIfDialFailed();
         }
 
         @Override
         public void onSettings(Session from, SettingsFrame frame) {
             session = from;
-            if (closeIfFailed()) {
+            if (closeIfDialFailed()) {
                 return;
             }
-            Map<Integer, Integer> told = frame.getSettings();
-            int streams = Math.min(streamsMost, told.getOrDefault(SettingsFrame.MAX_CONCURRENT_STREAMS, streamsMost));
+            Map<Integer, Integer> values = frame.getSettings();
+            int streams = Math.min(maxStreams, values.getOrDefault(SettingsFrame.MAX_CONCURRENT_STREAMS, maxStreams));
             boolean first;
             synchronized (UpstreamConnections.this) {
-                first = !settled;
-                settled = true;
+                first = !dialEnded;
+                dialEnded = true;
             }
             if (first) {
-                follow(pool(p -> p.connectionOpened(this, streams, clock.getAsDouble())));
-            } else if (told.containsKey(SettingsFrame.MAX_CONCURRENT_STREAMS)) {
-                follow(pool(p -> p.maxStreamsChanged(this, streams, clock.getAsDouble())));
+                decide(state -> state.connectionOpened(this, streams, clock.getAsDouble()));
+            } else if (values.containsKey(SettingsFrame.MAX_CONCURRENT_STREAMS)) {
+                decide(state -> state.maxStreamsChanged(this, streams, clock.getAsDouble()));
             }
         }
 
         @Override
         public void onGoAway(Session from, GoAwayFrame frame) {
-            lastProcessed = frame.getLastStreamId();
-            follow(pool(p -> p.connectionGoingAway(this, clock.getAsDouble())));
+            lastProcessedStream = frame.getLastStreamId();
+            decide(state -> state.connectionGoingAway(this, clock.getAsDouble()));
         }
 
         @Override
         public void onClose(Session from, GoAwayFrame frame, Callback callback) {
-            ended();
+            connectionEnded();
             callback.succeeded();
         }
 
         @Override
         public void onFailure(Session from, Throwable failure, Callback callback) {
-            ended();
+            connectionEnded();
             callback.succeeded();
         }
 
         @Override
         public boolean onIdleTimeout(Session from) {
-            return false; // the pool says when an idle one is closed
+            return false; // the pool decides when an idle one is closed
         }
 
-        /** Ends it; nothing runs on it any more, so that it need not wait for the host to close its side. */
-        void close() {
-            session.close(
-                    ErrorCode.NO_ERROR.code, "idle", Callback.from(((HTTP2Session) session).getEndPoint()::close));
+        /** Nothing is active on it any more, so that it need not wait for the host to close its side. */
+        private void closeIdleSession() {
+            closeSession(session, ErrorCode.NO_ERROR, "idle");
         }
 
-        private void ended() {
-            dialFailed();
-            follow(pool(p -> p.connectionLost(this, clock.getAsDouble())));
+        private void connectionEnded() {
+            failDial();
+            decide(state -> state.connectionLost(this, clock.getAsDouble()));
         }
     }
 
-    private interface Ask {
-        ConnectionPool.Actions<Connection, Wants> of(ConnectionPool<Connection, Wants> pool);
-    }
-
     private final HTTP2Client client;
     private final HostRegistry.Host host;
-    private final int streamsMost;
-    private final long dialMs;
+    private final int maxStreams;
+    private final long dialTimeoutMs;
     private final Scheduler scheduler;
     private final DoubleSupplier clock;
-    private final ConnectionPool<Connection, Wants> pool;
+    private final ConnectionPool<Connection, StreamWaiter> pool; // guarded by this
 
+    /** {@code clock}: in ms. */
     UpstreamConnections(
             HTTP2Client client,
             HostRegistry.Host host,
-            ConnectionPool.Limits bounds,
-            double dialMs,
+            ConnectionPool.Limits limits,
+            double dialTimeoutMs,
             Scheduler scheduler,
             DoubleSupplier clock) {
         this.client = client;
         this.host = host;
-        streamsMost = bounds.maxStreams();
-        this.dialMs = (long) Math.ceil(dialMs);
+        maxStreams = limits.maxStreams();
+        this.dialTimeoutMs = (long) Math.ceil(dialTimeoutMs);
         this.scheduler = scheduler;
         this.clock = clock;
-        pool = new ConnectionPool<>(bounds);
+        pool = new ConnectionPool<>(limits);
     }
 
     String address() {
         return host.address();
     }
 
-    private synchronized ConnectionPool.Actions<Connection, Wants> pool(Ask ask) {
-        return ask.of(pool);
-    }
-
-    void want(Wants who) {
+    void requestStream(StreamWaiter waiter) {
         ConnectionPool.StreamGrant<Connection> grant;
         synchronized (this) {
-            grant = pool.requestStream(who, clock.getAsDouble());
+            grant = pool.requestStream(waiter, clock.getAsDouble());
         }
-        if (grant instanceof ConnectionPool.StreamGrant.Granted<Connection> take) {
-            who.granted(take.connection());
+        if (grant instanceof ConnectionPool.StreamGrant.Granted<Connection> granted) {
+            waiter.granted(granted.connection());
         } else if (grant instanceof ConnectionPool.StreamGrant.Rejected<Connection>) {
-            who.turnedAway();
-        } else if (((ConnectionPool.StreamGrant.Queued<Connection>) grant).openConnection()) {
+            waiter.rejected();
+        } else if (grant instanceof ConnectionPool.StreamGrant.Queued<Connection> queued && queued.openConnection()) {
             dial();
         }
     }
 
-    /** False if it was granted or turned away already. */
-    boolean gone(Wants who) {
-        synchronized (this) {
-            return pool.cancel(who);
-        }
+    /** Who waited no longer does; false if it was granted a stream or rejected already. */
+    synchronized boolean cancel(StreamWaiter waiter) {
+        return pool.cancel(waiter);
     }
 
-    void retire(boolean out) {
-        follow(pool(p -> p.setRetired(out, clock.getAsDouble())));
+    /** Whether the host is not to be used any more. */
+    void setRetired(boolean retired) {
+        decide(state -> state.setRetired(retired, clock.getAsDouble()));
     }
 
-    void sweep() {
-        follow(pool(p -> p.closeIdle(clock.getAsDouble())));
+    void closeIdle() {
+        decide(state -> state.closeIdle(clock.getAsDouble()));
     }
 
-    private void follow(ConnectionPool.Actions<Connection, Wants> f) {
-        f.connectionsToClose().forEach(Connection::close);
-        f.assigned().forEach(s -> s.waiter().granted(s.connection()));
-        f.rejected().forEach(Wants::turnedAway);
-        if (f.openConnection()) {
+    /** Lets the pool decide under the lock, and acts on its decision without. */
+    private void decide(
+            Function<ConnectionPool<Connection, StreamWaiter>, ConnectionPool.Actions<Connection, StreamWaiter>>
+                    event) {
+        ConnectionPool.Actions<Connection, StreamWaiter> actions;
+        synchronized (this) {
+            actions = event.apply(pool);
+        }
+        actions.connectionsToClose().forEach(Connection::closeIdleSession);
+        actions.assigned().forEach(assigned -> assigned.waiter().granted(assigned.connection()));
+        actions.rejected().forEach(StreamWaiter::rejected);
+        if (actions.openConnection()) {
             dial();
         }
     }
 
     private void dial() {
         Connection connection = new Connection();
-        InetSocketAddress at = address(host.address());
-        if (at == null) {
-            connection.dialFailed();
+        InetSocketAddress address = parseAddress(host.address());
+        if (address == null) {
+            connection.failDial();
             return;
         }
-        scheduler.schedule(connection::dialFailed, dialMs, TimeUnit.MILLISECONDS);
-        client.connect(at, connection, connection);
+        scheduler.schedule(connection::failDial, dialTimeoutMs, TimeUnit.MILLISECONDS);
+        client.connect(address, connection, connection);
+    }
+
+    private static void closeSession(Session session, ErrorCode code, String reason) {
+        session.close(code.code, reason, Callback.from(((HTTP2Session) session).getEndPoint()::close));
     }
 
-    /** Where the list says that the host is: figures, nothing is looked up; null if it is no address. */
-    static InetSocketAddress address(String text) {
+    /** The listed address, a numeric one so that no name is looked up; null if it is none. */
+    private static InetSocketAddress parseAddress(String text) {
         int colon = text == null ? -1 : text.lastIndexOf(':');
         if (colon < 0 || !text.substring(0, colon).matches("[0-9.]+|\\[[0-9a-fA-F:.]+]")) {
             return null;
@@ -233,7 +245,7 @@
         try {
             return new InetSocketAddress(
                     InetAddress.getByName(text.substring(0, colon)), Integer.parseInt(text.substring(colon + 1)));
-        } catch (UnknownHostException | IllegalArgumentException e) {
+        } catch (UnknownHostException | IllegalArgumentException invalid) {
             return null;
         }
     }
--- a/src/main/java/linenring/gateway/settings/GatewaySettingsReader.java
+++ b/src/main/java/linenring/gateway/settings/GatewaySettingsReader.java
@@ -9,9 +9,9 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Comparator;
-import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
+import java.util.Locale;
 import java.util.Set;
 import linenring.kdl.SettingsDocument;
 import linenring.kdl.SettingsSchema;
@@ -22,40 +22,21 @@
 import linenring.settings.Names;
 
 /**
- * Reads a front's settings: KDL, then the schema, then what a schema can't say. Each fault is one line that names the
- * file, the line, the key and what was expected.
+ * Reads a gateway's settings: KDL, then the schema, then what a schema can't say. Each fault is one line that names the
+ * file, the line, the key and what was expected. The keys of the file are mapped to {@link GatewaySettings} here alone.
  */
 public final class GatewaySettingsReader {
-    /** A plan, or the faults; without {@code names} what depends on the steward's configuration is not checked. */
-    public record Outcome(GatewaySettings plan, List<String> faults) {}
+    /** Settings, or null and the faults. */
+    public record Outcome(GatewaySettings settings, List<String> faults) {}
 
     private static final Set<String> LISTS = Set.of("operation", "route");
-    // Beside each default, how it was chosen:
-    private static final String BUDGET = "20%"; // a host lost in five is retried whole
-    private static final String BUDGET_OVER = "10s"; // longer than any integration timeout
-    private static final int BUDGET_LEAST = 10; // one a second where next to nothing comes
-    private static final double OBJECTIVES = 1.2; // the deployments' own figure
-    private static final int AVOID_AFTER = 8; // the deployments' sidecars: 5 to 8
-    private static final String AVOID_FOR = "4s"; // theirs: 2.2 to 7.2 s
-    private static final int CONNECTIONS = 4; // 4 x 32 streams are more than a host of 4 cores runs
-    private static final int HOST_STREAMS = 32; // the sidecars' own
-    private static final int WAITING = 256; // as many again may wait for a dial, of 1 ms on this network
-    private static final String IDLE = "15s"; // the deployments' keep-alive
-    private static final String DIAL = "250ms"; // their connect time-out
-    private static final double REDIAL_LEAST_MS = 100, REDIAL_MOST_MS = 5000; // a host's restart takes seconds
-    private static final int CLIENTS = 1024, STREAMS = 128, RUNNING = 10_000;
-    private static final String HEADERS = "16KiB"; // ten times what the supplier's software sends
-    private static final String CLIENT_IDLE = "60s", STALL = "10s"; // longer than any integration timeout
-    private static final int FRAMES = 200; // pings, settings, resets and empty frames of one connection
-    private static final String KEPT = "16KiB", KEPT_IN_ALL = "16MiB", WINDOW = "64KiB";
-    private static final String IN_ALL = "512MiB"; // 4,000 uploads at a time, or 8,000 invocations without a body
-    private static final String REPORT = "500ms"; // the collectors' own
-    private static final String DRAIN = "30s";
-    private static final String GREET = "20s", PREPARE = "30s"; // a start takes 2 s here; a busy machine ten times that
-    private static final String TAKE = "5s"; // nobody accepts meanwhile; dials wait in the kernel
-    private static final String PROBATION = "10s"; // faults of a new release that end it at once show within seconds
+    private static final int MAX_PORT = 65_535;
+    private static final int MAX_HEADER_BYTES = 1 << 20;
+    private static final int MAX_RETAINED_BYTES = 64 << 20;
+    private static final int MAX_WINDOW_BYTES = 16 << 20;
+    private static final int MIN_WINDOW_BYTES = 16 << 10; // HTTP/2's least frame size (RFC 9113, 4.2)
 
-    private final Names names;
+    private final Names names; // null: what depends on the controller's configuration is not checked
     private final SettingsDocument document;
 
     private GatewaySettingsReader(Names names, SettingsDocument document) {
@@ -63,10 +44,11 @@
         this.document = document;
     }
 
+    /** {@code names}: the controller's, or null, and what depends on them is not checked. */
     public static Outcome read(Path file, Names names) {
         try {
             return read(file.toString(), Files.readString(file), names);
-        } catch (IOException | RuntimeException e) {
+        } catch (IOException | RuntimeException unreadable) {
             return new Outcome(null, List.of(file + ": cannot be read"));
         }
     }
@@ -77,187 +59,242 @@
         if (!document.isSound()) {
             return new Outcome(null, document.faults());
         }
-        GatewaySettings plan =
-                new GatewaySettingsReader(names, document).plan(document.root().get("front"));
-        return new Outcome(document.isSound() ? plan : null, document.faults());
+        GatewaySettings settings = new GatewaySettingsReader(names, document)
+                .settings(document.root().get("front"));
+        return new Outcome(document.isSound() ? settings : null, document.faults());
     }
 
-    private void fault(String pointer, String what) {
-        document.fault(pointer, what);
+    private void fault(String pointer, String description) {
+        document.fault(pointer, description);
     }
 
-    // ---- what a schema can't say
+    private GatewaySettings settings(JsonNode root) {
+        List<OperationPolicy> operations = operations(root);
+        List<GatewaySettings.Route> routes = routes(root, operations);
+        JsonNode proxy = root.get("proxy");
+        int zone = zone(proxy);
+        checkProxy(proxy);
+        JsonNode hosts = root.path("hosts");
+        return new GatewaySettings(
+                address(root.get("listen").asText()),
+                proxy.get("id").asInt(),
+                zone,
+                proxy.path("usual").asDouble(0),
+                root.path("mark-header").asText(null),
+                operations,
+                routes,
+                retries(root.path("tries")),
+                outlierEjection(root.path("avoid")),
+                pool(hosts),
+                millis(hosts, "dial", GatewayDefaults.DIAL_TIMEOUT),
+                clients(root.path("clients")),
+                body(root.path("body")),
+                millis(root, "report", GatewayDefaults.REPORT),
+                millis(root, "drain", GatewayDefaults.DRAIN),
+                root.has("handover") ? handover(root.get("handover")) : null);
+    }
 
-    private GatewaySettings plan(JsonNode in) {
-        List<OperationPolicy> terms = new ArrayList<>();
-        Map<String, Integer> numbers = new HashMap<>();
-        for (int k = 0; k < in.get("operation").size(); k++) {
-            terms.add(terms(in.get("operation").get(k), "/front/operation/" + k, numbers, in.has("mark-header")));
-        }
-        List<OperationPolicy> ordered = new ArrayList<>(terms);
-        if (names != null) {
-            ordered.sort(Comparator.comparingInt(t -> names.operations().indexOf(t.operation())));
-            for (String operation : names.operations()) {
-                if (!numbers.containsKey(operation)) {
-                    fault("/front", "front: operation \"" + operation + "\" of the steward is missing");
-                }
-            }
-        }
-        List<GatewaySettings.Route> routes = new ArrayList<>();
-        for (int k = 0; k < in.get("route").size(); k++) {
-            routes.add(route(in.get("route").get(k), "/front/route/" + k, ordered, routes));
-        }
-        JsonNode proxy = in.get("proxy"), tries = in.path("tries"), avoid = in.path("avoid");
-        JsonNode hosts = in.path("hosts"), clients = in.path("clients"), body = in.path("body");
+    private int zone(JsonNode proxy) {
         int zone = names == null ? 0 : names.zones().indexOf(proxy.get("zone").asText());
         if (zone < 0) {
             fault(
                     "/front/proxy/zone",
-                    "front.proxy.zone: the steward knows no zone " + proxy.get("zone") + "; it knows "
+                    "front.proxy.zone: the controller knows no zone " + proxy.get("zone") + "; it knows "
                             + String.join(", ", names.zones()));
         }
+        return zone;
+    }
+
+    private void checkProxy(JsonNode proxy) {
         if (names != null && proxy.get("id").asInt() >= names.proxies()) {
             fault(
                     "/front/proxy/id",
-                    "front.proxy.id: " + proxy.get("id") + " is not under the steward's " + names.proxies()
+                    "front.proxy.id: " + proxy.get("id") + " is not under the controller's " + names.proxies()
                             + " proxies");
         }
-        GatewaySettings plan = new GatewaySettings(
-                address(in.get("listen").asText()),
-                proxy.get("id").asInt(),
-                zone,
-                proxy.path("usual").asDouble(0),
-                in.path("mark-header").asText(null),
-                ordered,
-                routes,
-                new GatewaySettings.Further(
-                        Units.share(tries.path("budget").asText(BUDGET)),
-                        Units.millis(tries.path("over").asText(BUDGET_OVER)),
-                        tries.path("least").asInt(BUDGET_LEAST),
-                        tries.path("objectives").asDouble(OBJECTIVES)),
-                new GatewaySettings.Avoid(
-                        avoid.path("after").asInt(AVOID_AFTER),
-                        Units.millis(avoid.path("for").asText(AVOID_FOR))),
-                new ConnectionPool.Limits(
-                        hosts.path("connections").asInt(CONNECTIONS),
-                        hosts.path("streams").asInt(HOST_STREAMS),
-                        hosts.path("waiting").asInt(WAITING),
-                        Units.millis(hosts.path("idle").asText(IDLE)),
-                        REDIAL_LEAST_MS,
-                        REDIAL_MOST_MS),
-                Units.millis(hosts.path("dial").asText(DIAL)),
-                new GatewaySettings.Clients(
-                        clients.path("connections").asInt(CLIENTS),
-                        clients.path("streams").asInt(STREAMS),
-                        clients.path("running").asInt(RUNNING),
-                        size(clients, "headers", HEADERS, 1 << 20),
-                        Units.millis(clients.path("idle").asText(CLIENT_IDLE)),
-                        Units.millis(clients.path("stall").asText(STALL)),
-                        clients.path("frames-per-second").asInt(FRAMES)),
-                new GatewaySettings.Body(
-                        size(body, "kept", KEPT, 64 << 20),
-                        Units.bytes(body.path("kept-in-all").asText(KEPT_IN_ALL)),
-                        size(body, "window", WINDOW, 16 << 20),
-                        Units.bytes(body.path("in-all").asText(IN_ALL))),
-                Units.millis(in.path("report").asText(REPORT)),
-                Units.millis(in.path("drain").asText(DRAIN)),
-                in.has("handover") ? handover(in.get("handover")) : null);
-        if (plan.body().window() < 16 << 10) {
+    }
+
+    private InetSocketAddress address(String text) {
+        int colon = text.lastIndexOf(':');
+        int port = Integer.parseInt(text.substring(colon + 1));
+        try {
+            if (port <= MAX_PORT) {
+                // The schema accepts numeric addresses alone, so that no name is looked up.
+                return new InetSocketAddress(InetAddress.getByName(text.substring(0, colon)), port);
+            }
+        } catch (UnknownHostException noAddress) {
+            // the fault below says so
+        }
+        fault("/front/listen", "front.listen: \"" + text + "\" is no address and port");
+        return null;
+    }
+
+    private static GatewaySettings.Retries retries(JsonNode tries) {
+        return new GatewaySettings.Retries(
+                Units.share(tries.path("budget").asText(GatewayDefaults.RETRY_BUDGET)),
+                millis(tries, "over", GatewayDefaults.RETRY_BUDGET_WINDOW),
+                tries.path("least").asInt(GatewayDefaults.MIN_RETRIES),
+                tries.path("objectives").asDouble(GatewayDefaults.ATTEMPT_OBJECTIVES));
+    }
+
+    private static GatewaySettings.OutlierEjection outlierEjection(JsonNode avoid) {
+        return new GatewaySettings.OutlierEjection(
+                avoid.path("after").asInt(GatewayDefaults.CONSECUTIVE_FAILURES),
+                millis(avoid, "for", GatewayDefaults.EJECTION));
+    }
+
+    private static ConnectionPool.Limits pool(JsonNode hosts) {
+        return new ConnectionPool.Limits(
+                hosts.path("connections").asInt(GatewayDefaults.HOST_CONNECTIONS),
+                hosts.path("streams").asInt(GatewayDefaults.HOST_STREAMS),
+                hosts.path("waiting").asInt(GatewayDefaults.HOST_WAITERS),
+                millis(hosts, "idle", GatewayDefaults.HOST_IDLE),
+                GatewayDefaults.MIN_REDIAL_MS,
+                GatewayDefaults.MAX_REDIAL_MS);
+    }
+
+    private GatewaySettings.Clients clients(JsonNode clients) {
+        return new GatewaySettings.Clients(
+                clients.path("connections").asInt(GatewayDefaults.CLIENT_CONNECTIONS),
+                clients.path("streams").asInt(GatewayDefaults.CLIENT_STREAMS),
+                clients.path("running").asInt(GatewayDefaults.ACTIVE_REQUESTS),
+                bytes(clients, "headers", GatewayDefaults.HEADERS, MAX_HEADER_BYTES),
+                millis(clients, "idle", GatewayDefaults.CLIENT_IDLE),
+                millis(clients, "stall", GatewayDefaults.STALL),
+                clients.path("frames-per-second").asInt(GatewayDefaults.FRAMES_PER_SECOND));
+    }
+
+    private GatewaySettings.Body body(JsonNode body) {
+        GatewaySettings.Body settings = new GatewaySettings.Body(
+                bytes(body, "kept", GatewayDefaults.RETAINED, MAX_RETAINED_BYTES),
+                Units.bytes(body.path("kept-in-all").asText(GatewayDefaults.RETAINED_IN_ALL)),
+                bytes(body, "window", GatewayDefaults.WINDOW, MAX_WINDOW_BYTES),
+                Units.bytes(body.path("in-all").asText(GatewayDefaults.WINDOWS_IN_ALL)));
+        if (settings.streamWindowBytes() < MIN_WINDOW_BYTES) {
             fault(
                     "/front/body/window",
                     "front.body.window: \"" + body.path("window").asText()
                             + "\" is under 16KiB, the least frame of HTTP/2");
         }
-        return plan;
+        return settings;
     }
 
-    private static GatewaySettings.Handover handover(JsonNode in) {
+    private static GatewaySettings.Handover handover(JsonNode handover) {
+        JsonNode command = handover.get("command");
         return new GatewaySettings.Handover(
-                Path.of(in.get("dir").asText()),
-                in.has("command")
-                        ? List.of("/bin/sh", "-c", "exec " + in.get("command").asText())
-                        : List.of(),
-                Units.millis(in.path("greet").asText(GREET)),
-                Units.millis(in.path("prepare").asText(PREPARE)),
-                Units.millis(in.path("take").asText(TAKE)),
-                Units.millis(in.path("probation").asText(PROBATION)));
+                Path.of(handover.get("dir").asText()),
+                command == null ? List.of() : List.of("/bin/sh", "-c", "exec " + command.asText()),
+                millis(handover, "greet", GatewayDefaults.GREET),
+                millis(handover, "prepare", GatewayDefaults.PREPARE),
+                millis(handover, "take", GatewayDefaults.TAKE),
+                millis(handover, "probation", GatewayDefaults.PROBATION));
+    }
+
+    private static double millis(JsonNode parent, String key, String byDefault) {
+        return Units.millis(parent.path(key).asText(byDefault));
     }
 
-    private int size(JsonNode in, String name, String absent, int most) {
-        long bytes = Units.bytes(in.path(name).asText(absent));
-        if (bytes > most) {
-            fault("/front", "front: " + name + " of " + in.path(name).asText() + " is over " + most + " bytes");
-            return most;
+    private int bytes(JsonNode parent, String key, String byDefault, int maxBytes) {
+        long bytes = Units.bytes(parent.path(key).asText(byDefault));
+        if (bytes > maxBytes) {
+            fault("/front", "front: " + key + " of " + parent.path(key).asText() + " is over " + maxBytes + " bytes");
+            return maxBytes;
         }
         return (int) bytes;
     }
 
-    private OperationPolicy terms(JsonNode in, String at, Map<String, Integer> numbers, boolean markHeader) {
-        String name = in.get("arguments").get(0).asText();
+    /** In the controller's order, where it is known. */
+    private List<OperationPolicy> operations(JsonNode root) {
+        List<OperationPolicy> operations = new ArrayList<>();
+        Set<String> given = new HashSet<>();
+        for (int i = 0; i < root.get("operation").size(); i++) {
+            operations.add(
+                    operation(root.get("operation").get(i), "/front/operation/" + i, given, root.has("mark-header")));
+        }
+        if (names != null) {
+            operations.sort(Comparator.comparingInt(policy -> names.operations().indexOf(policy.operation())));
+            for (String operation : names.operations()) {
+                if (!given.contains(operation)) {
+                    fault("/front", "front: operation \"" + operation + "\" of the controller is missing");
+                }
+            }
+        }
+        return operations;
+    }
+
+    private OperationPolicy operation(JsonNode node, String pointer, Set<String> given, boolean hasKeyHeader) {
+        String name = node.get("arguments").get(0).asText();
         String key = "operation \"" + name + "\"";
-        if (numbers.putIfAbsent(name, numbers.size()) != null) {
-            fault(at, key + " is told a second time");
+        if (!given.add(name)) {
+            fault(pointer, key + " is given a second time");
         }
         if (names != null && !names.operations().contains(name)) {
-            fault(at, key + ": the steward knows no such operation; it knows " + String.join(", ", names.operations()));
-        }
-        Idempotence effect = Idempotence.valueOf(
-                in.get("effect").asText().toUpperCase(java.util.Locale.ROOT).replace('-', '_'));
-        if (effect == Idempotence.FINGERPRINTED && !in.has("window")) {
-            fault(at, key + ": a fingerprinted operation needs the window in which hosts drop a repeat");
+            fault(
+                    pointer,
+                    key + ": the controller knows no such operation; it knows "
+                            + String.join(", ", names.operations()));
         }
-        if (effect == Idempotence.FINGERPRINTED && !markHeader) {
-            fault(at, key + ": a fingerprinted operation needs mark-header");
+        Idempotence idempotence = Idempotence.valueOf(
+                node.get("effect").asText().toUpperCase(Locale.ROOT).replace('-', '_'));
+        if (idempotence == Idempotence.FINGERPRINTED) {
+            checkDeduplication(node, pointer, key, hasKeyHeader);
         }
-        double objective = Units.millis(in.get("objective").asText()),
-                timeout = Units.millis(in.get("timeout").asText());
-        if (!(objective > 0) || timeout < objective) {
-            fault(at, key + ": its timeout " + in.get("timeout") + " is under its objective " + in.get("objective"));
-            timeout = objective = 1;
+        double objectiveMs = Units.millis(node.get("objective").asText());
+        double timeoutMs = Units.millis(node.get("timeout").asText());
+        if (!(objectiveMs > 0) || timeoutMs < objectiveMs) {
+            fault(
+                    pointer,
+                    key + ": its timeout " + node.get("timeout") + " is under its objective " + node.get("objective"));
+            objectiveMs = 1; // so that reading can go on; the fault is there
+            timeoutMs = 1;
         }
         return new OperationPolicy(
                 name,
-                effect,
+                idempotence,
                 OperationPolicy.DeduplicationScope.valueOf(
-                        in.path("group").asText("zone").toUpperCase(java.util.Locale.ROOT)),
-                Units.millis(in.path("window").asText("0s")),
-                objective,
-                timeout);
+                        node.path("group").asText("zone").toUpperCase(Locale.ROOT)),
+                millis(node, "window", "0s"),
+                objectiveMs,
+                timeoutMs);
     }
 
-    private GatewaySettings.Route route(
-            JsonNode in, String at, List<OperationPolicy> operations, List<GatewaySettings.Route> before) {
-        String method = in.get("arguments").get(0).asText(),
-                prefix = in.get("arguments").get(1).asText();
-        String key = "route \"" + method + "\" \"" + prefix + "\"";
-        String operation = in.get("operation").asText();
-        int number = -1;
-        for (int k = 0; k < operations.size(); k++) {
-            number = operations.get(k).operation().equals(operation) ? k : number;
-        }
-        if (number < 0) {
-            fault(at, key + ": there is no operation \"" + operation + "\"");
+    private void checkDeduplication(JsonNode node, String pointer, String key, boolean hasKeyHeader) {
+        if (!node.has("window")) {
+            fault(pointer, key + ": a fingerprinted operation needs the window in which hosts drop a repeat");
         }
-        if (!prefix.startsWith("/") || !method.matches("[A-Z]+")) {
-            fault(at, key + ": a method in capitals and a path that begins with / are expected");
+        if (!hasKeyHeader) {
+            fault(pointer, key + ": a fingerprinted operation needs mark-header");
         }
-        if (before.stream()
-                .anyMatch(r -> r.method().equals(method) && r.prefix().equals(prefix))) {
-            fault(at, key + " is told a second time");
+    }
+
+    private List<GatewaySettings.Route> routes(JsonNode root, List<OperationPolicy> operations) {
+        List<String> operationNames =
+                operations.stream().map(OperationPolicy::operation).toList();
+        List<GatewaySettings.Route> routes = new ArrayList<>();
+        for (int i = 0; i < root.get("route").size(); i++) {
+            routes.add(route(root.get("route").get(i), "/front/route/" + i, operationNames, routes));
         }
-        return new GatewaySettings.Route(method, prefix, number);
+        return routes;
     }
 
-    private InetSocketAddress address(String text) {
-        int colon = text.lastIndexOf(':'), port = Integer.parseInt(text.substring(colon + 1));
-        try {
-            if (port <= 65535) {
-                return new InetSocketAddress(InetAddress.getByName(text.substring(0, colon)), port); // figures alone
-            }
-        } catch (UnknownHostException e) {
-            // told below
+    private GatewaySettings.Route route(
+            JsonNode node, String pointer, List<String> operationNames, List<GatewaySettings.Route> earlier) {
+        String method = node.get("arguments").get(0).asText();
+        String prefix = node.get("arguments").get(1).asText();
+        String key = "route \"" + method + "\" \"" + prefix + "\"";
+        String operationName = node.get("operation").asText();
+        int operation = operationNames.lastIndexOf(operationName);
+        if (operation < 0) {
+            fault(pointer, key + ": there is no operation \"" + operationName + "\"");
         }
-        fault("/front/listen", "front.listen: \"" + text + "\" is no address and port");
-        return null;
+        if (!prefix.startsWith("/") || !method.matches("[A-Z]+")) {
+            fault(pointer, key + ": a method in capitals and a path that begins with / are expected");
+        }
+        if (earlier.stream()
+                .anyMatch(
+                        route -> route.method().equals(method) && route.prefix().equals(prefix))) {
+            fault(pointer, key + " is given a second time");
+        }
+        return new GatewaySettings.Route(method, prefix, operation);
     }
 }
--- a/src/main/java/linenring/routing/ConnectionPool.java
+++ b/src/main/java/linenring/routing/ConnectionPool.java
@@ -38,7 +38,7 @@
      * Sizes and times.
      *
      * @param maxConnections to the host
-     * @param maxStreams     on one connection, and what one is expected to carry before the host has said
+     * @param maxStreams     on one connection, and what one is expected to carry before the host has sent its settings
      * @param maxWaiters     in the queue
      * @param maxIdleMs      after which a connection without streams is closed
      * @param minRedialMs    backoff after the first failed dial
@@ -131,7 +131,7 @@
         return settle(nowMs);
     }
 
-    /** The host has said how many streams it takes on a connection (RFC 9113, 6.5.2). */
+    /** The host limits how many streams it takes on a connection (RFC 9113, 6.5.2). */
     public Actions<C, W> maxStreamsChanged(C connection, int maxStreams, double nowMs) {
         for (PooledConnection<C> pooled : connections) {
             if (pooled.connection.equals(connection)) {
--- a/src/main/java/linenring/routing/OutlierEjection.java
+++ b/src/main/java/linenring/routing/OutlierEjection.java
@@ -7,7 +7,7 @@
  *
  * <p>It guards against a host that fails before any report has reached the controller; that shows as consecutive
  * failures at one proxy. Own attempts alone count, as with any proxy, so nothing has to be waited for. It does harm
- * where a host fails by what it is asked and not by what it is: then all hosts are ejected in turn, and {@link Tables}
+ * where failures come from the requests and not from the host: then all hosts are ejected in turn, and {@link Tables}
  * picks among all of them again.
  */
 final class OutlierEjection {
--- a/src/main/java/linenring/routing/RetryDecision.java
+++ b/src/main/java/linenring/routing/RetryDecision.java
@@ -8,7 +8,7 @@
  * over. One attempt runs at a time. Calls come one after the other, from any thread, and hold this object's lock. Times
  * are ms on the caller's clock.
  *
- * <p>A failed attempt is followed by another unless one of these forbids it, asked in this order:
+ * <p>A failed attempt is followed by another unless one of these forbids it, checked in this order:
  * <ol>
  *   <li>the client is gone or has its answer;
  *   <li>the controller's retry policy is used up, the timeout is over, or the body is not retained;
@@ -68,7 +68,7 @@
         if (over) {
             return NextStep.NOTHING;
         }
-        if (failure.cause() != AttemptFailure.Cause.GOING_AWAY) { // a host that leaves in order has not failed
+        if (failure.countsAgainstHost()) {
             context.tables().recordOutcome(host, false, nowMs);
         }
         duplicateGuard.recordFailure(failure, host, sentAtMs);
--- /dev/null
+++ b/src/main/java/linenring/testserver/BackendStatistics.java
@@ -0,0 +1,82 @@
+package linenring.testserver;
+
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.atomic.AtomicLong;
+import org.eclipse.jetty.http.HttpFields;
+
+/** What a test backend has seen and done. Thread-safe. */
+final class BackendStatistics {
+    private final Map<String, Integer> executionsByPath = new TreeMap<>(); // guarded by this
+    private final Map<String, Integer> executionsByKey = new TreeMap<>(); // guarded by this
+    private final Map<String, Long> bodyBytesByPath = new ConcurrentHashMap<>();
+    private final AtomicLong sentBytes = new AtomicLong();
+    private volatile HttpFields trailers = HttpFields.EMPTY;
+    private int requests; // guarded by this
+    private int activeRequests; // guarded by this
+
+    /** A request came; {@code key}: its idempotency key where it is executed, else null. */
+    synchronized void requestReceived(String key) {
+        requests++;
+        if (key != null) {
+            executionsByKey.merge(key, 1, Integer::sum);
+        }
+    }
+
+    synchronized void executed(String path) {
+        executionsByPath.merge(path, 1, Integer::sum);
+    }
+
+    synchronized void answerStarted() {
+        activeRequests++;
+    }
+
+    synchronized void answerEnded() {
+        activeRequests--;
+    }
+
+    void bodyReceived(String path, int bytes) {
+        bodyBytesByPath.merge(path, (long) bytes, Long::sum);
+    }
+
+    void bodySent(int bytes) {
+        sentBytes.addAndGet(bytes);
+    }
+
+    void trailersReceived(HttpFields fields) {
+        trailers = fields;
+    }
+
+    synchronized int executions(String path) {
+        return executionsByPath.getOrDefault(path, 0);
+    }
+
+    synchronized Map<String, Integer> executionsByPath() {
+        return new TreeMap<>(executionsByPath);
+    }
+
+    synchronized int executionsOfKey(String key) {
+        return executionsByKey.getOrDefault(key, 0);
+    }
+
+    synchronized int requests() {
+        return requests;
+    }
+
+    synchronized int activeRequests() {
+        return activeRequests;
+    }
+
+    long bodyBytes(String path) {
+        return bodyBytesByPath.getOrDefault(path, 0L);
+    }
+
+    long sentBytes() {
+        return sentBytes.get();
+    }
+
+    HttpFields trailers() {
+        return trailers;
+    }
+}
--- a/src/main/java/linenring/testserver/LoadClient.java
+++ b/src/main/java/linenring/testserver/LoadClient.java
@@ -1,6 +1,5 @@
 package linenring.testserver;
 
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.Socket;
@@ -8,54 +7,120 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BooleanSupplier;
 import org.eclipse.jetty.http.HttpFields;
+import org.eclipse.jetty.http.HttpStatus;
 import org.eclipse.jetty.http.MetaData;
 
 /**
- * A stand-in for a client: one HTTP/2 connection of raw frames, which behaves unless it is told to misbehave through
- * {@link #link}. It keeps what came back for each stream.
+ * A test client: one HTTP/2 connection of raw frames, which keeps to the protocol unless it is made to break it through
+ * {@link #frames}. It keeps what came back for each stream. Any thread may call it.
  */
 public final class LoadClient implements AutoCloseable {
-    /** What has come back on one stream. */
+    /** What has come back on one stream. Written by the reading thread, read by any. */
     public static final class Answer {
-        public volatile int status;
-        public volatile HttpFields fields, trailers;
-        public final List<Integer> early = new ArrayList<>(); // statuses under 200
-        public volatile long bytes;
-        public volatile boolean ended;
-        public volatile int reset = -1; // the error code, or -1
-        public volatile long endedAt; // nanoTime
+        private static final int NOT_RESET = -1;
 
+        private final List<Integer> interimStatuses = new CopyOnWriteArrayList<>();
+        private volatile int status;
+        private volatile HttpFields fields;
+        private volatile HttpFields trailers;
+        private final AtomicLong bytes = new AtomicLong();
+        private volatile boolean complete;
+        private volatile int resetCode = NOT_RESET;
+
+        /** 0 while there is none. */
+        public int status() {
+            return status;
+        }
+
+        /** Null while there are none. */
+        public HttpFields fields() {
+            return fields;
+        }
+
+        /** Null while there are none. */
+        public HttpFields trailers() {
+            return trailers;
+        }
+
+        /** Those under 200. */
+        public List<Integer> interimStatuses() {
+            return List.copyOf(interimStatuses);
+        }
+
+        /** Of its body. */
+        public long bytes() {
+            return bytes.get();
+        }
+
+        /** Whether it ended as it should. */
+        public boolean isComplete() {
+            return complete;
+        }
+
+        /** Whether the stream was reset. */
+        public boolean isReset() {
+            return resetCode != NOT_RESET;
+        }
+
+        /** The error code, or -1. */
+        public int resetCode() {
+            return resetCode;
+        }
+
+        /** Whether nothing more comes. */
         public boolean isOver() {
-            return ended || reset >= 0;
+            return complete || isReset();
+        }
+
+        private void headersReceived(MetaData received, boolean last) {
+            if (!(received instanceof MetaData.Response head)) {
+                trailers = received.getHttpFields();
+            } else if (head.getStatus() < HttpStatus.OK_200) {
+                interimStatuses.add(head.getStatus());
+            } else {
+                status = head.getStatus();
+                fields = head.getHttpFields();
+            }
+            complete = complete || last;
         }
     }
 
-    private static final long WAIT_MS = 15_000; // past any bound in the stories; a story that waits so long has failed
+    /** Past any limit in the tests: a test that waits so long has failed. */
+    private static final long MAX_WAIT_MS = 15_000;
 
-    private final Socket socket;
-    public final FrameConnection link;
-    private final Map<Integer, Answer> answers = new ConcurrentHashMap<>();
-    private final List<FrameConnection.Frame> goAways = new ArrayList<>();
-    private final Thread reader;
-    private final List<FrameConnection.Frame> heldPings = new ArrayList<>();
-    private volatile boolean opensWindows = true, answersPings = true, closed;
-    private int nextStream = 1;
+    private static final long RECHECK_MS = 5;
 
-    /** Connects and says its preface; {@code settings} as pairs. */
+    private final FrameConnection frames;
+    private final Map<Integer, Answer> answers = new ConcurrentHashMap<>(); // by stream
+    private final List<Frame> goAways = new ArrayList<>(); // guarded by this
+    private final List<Frame> heldPings = new ArrayList<>(); // guarded by this
+    private volatile boolean opensWindows = true;
+    private volatile boolean answersPings = true;
+    private volatile boolean closed;
+    private int nextStream = 1; // guarded by this
+
+    /** Connects to a port on loopback and sends its preface; {@code settings} as pairs of identifier and value. */
     public LoadClient(int port, int... settings) throws IOException {
-        socket = new Socket(InetAddress.getByName("127.0.0.1"), port);
-        link = new FrameConnection(socket);
-        link.raw(FrameConnection.PREFACE);
-        link.settings(settings);
-        reader = new Thread(this::read, "caller");
+        frames = new FrameConnection(new Socket(InetAddress.getLoopbackAddress(), port));
+        frames.sendBytes(FrameConnection.preface());
+        frames.sendSettings(settings);
+        Thread reader = new Thread(this::read, "test-client");
         reader.setDaemon(true);
         reader.start();
     }
 
-    /** From now on it answers no PING, as one whose way or reading is slow, until it is told to. */
-    public LoadClient holdingPings() {
+    /** To send what a client should not. */
+    public FrameConnection frames() {
+        return frames;
+    }
+
+    /** Answers no PING, as a client whose network or reading is slow, until {@link #answerPings}. */
+    public LoadClient holdPings() {
         answersPings = false;
         return this;
     }
@@ -63,29 +128,30 @@
     /** Answers those that it held, and later ones at once. */
     public synchronized void answerPings() throws IOException {
         answersPings = true;
-        for (FrameConnection.Frame f : heldPings) {
-            link.write(FrameConnection.PING, FrameConnection.ACK, 0, f.payload());
+        for (Frame ping : heldPings) {
+            frames.answerPing(ping);
         }
         heldPings.clear();
     }
 
+    /** How many PINGs wait for an answer. */
     public synchronized int heldPings() {
         return heldPings.size();
     }
 
-    /** From now on it never opens a window. */
-    public LoadClient ignoringWindows() {
+    /** From now on it allows no more data than it has. */
+    public LoadClient ignoreWindows() {
         opensWindows = false;
         return this;
     }
 
-    /** Sends a whole request without a body; tells its stream. */
+    /** Sends a request without a body; returns its stream. */
     public int send(String method, String path, String... fields) throws IOException {
-        return begin(method, path, true, fields);
+        return sendHeaders(method, path, true, fields);
     }
 
-    /** Sends a request's head; tells its stream. */
-    public synchronized int begin(String method, String path, boolean end, String... fields) throws IOException {
+    /** Sends a request's headers, with fields as pairs; returns its stream. */
+    public synchronized int sendHeaders(String method, String path, boolean last, String... fields) throws IOException {
         HttpFields.Mutable all = HttpFields.build();
         for (int i = 0; i < fields.length; i += 2) {
             all.put(fields[i], fields[i + 1]);
@@ -93,71 +159,73 @@
         int stream = nextStream;
         nextStream += 2;
         answers.put(stream, new Answer());
-        link.headers(stream, FrameConnection.request(method, path, all), end);
+        frames.sendHeaders(stream, FrameConnection.request(method, path, all), last);
         return stream;
     }
 
-    public void body(int stream, int bytes, boolean end) throws IOException {
-        link.write(FrameConnection.DATA, end ? FrameConnection.END_STREAM : 0, stream, new byte[bytes]);
+    /** Sends so much of a request's body. */
+    public void sendData(int stream, int bytes, boolean last) throws IOException {
+        frames.sendFrame(Frame.DATA, last ? Frame.END_STREAM : 0, stream, new byte[bytes]);
     }
 
+    /** What has come back so far. */
     public Answer answer(int stream) {
         return answers.get(stream);
     }
 
-    /** Waits until the stream is over. */
+    /** Waits until the stream is over, or the connection. */
     public Answer await(int stream) {
-        until(() -> answer(stream).isOver() || closed, "stream " + stream + " is over");
+        await(() -> answer(stream).isOver() || closed, "stream " + stream + " is over");
         return answer(stream);
     }
 
-    /** Sends and waits. */
+    /** Sends a request without a body and waits for its answer. */
     public Answer call(String method, String path, String... fields) throws IOException {
         return await(send(method, path, fields));
     }
 
-    /** Waits until it is so; fails after 15 s. */
-    public void until(BooleanSupplier so, String what) {
-        awaiting(this, so, what);
+    /** Waits until a condition holds; fails after 15 s. */
+    public void await(BooleanSupplier condition, String description) {
+        await(this, condition, description);
     }
 
-    /** Waits on a lock that is notified, and looks again every 5 ms, until it is so; fails after 15 s. */
-    public static void awaiting(Object lock, BooleanSupplier so, String what) {
-        long end = System.nanoTime() + WAIT_MS * 1_000_000;
+    /** Waits on a lock that is notified, and looks again every 5 ms, until a condition holds; fails after 15 s. */
+    public static void await(Object lock, BooleanSupplier condition, String description) {
+        long giveUpNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_WAIT_MS);
         synchronized (lock) {
-            while (!so.getAsBoolean()) {
-                if (System.nanoTime() > end) {
-                    throw new AssertionError("not in " + WAIT_MS + " ms: " + what);
+            while (!condition.getAsBoolean()) {
+                if (System.nanoTime() > giveUpNanos) {
+                    throw new AssertionError("not in " + MAX_WAIT_MS + " ms: " + description);
                 }
                 try {
-                    lock.wait(5);
-                } catch (InterruptedException e) {
-                    throw new AssertionError(what, e);
+                    lock.wait(RECHECK_MS);
+                } catch (InterruptedException interrupted) {
+                    throw new AssertionError(description, interrupted);
                 }
             }
         }
     }
 
-    /** Frames of GOAWAY that came, oldest first. */
-    public synchronized List<FrameConnection.Frame> goAways() {
+    /** GOAWAY frames that came, oldest first. */
+    public synchronized List<Frame> goAways() {
         return List.copyOf(goAways);
     }
 
+    /** Whether the connection has ended. */
     public boolean isClosed() {
         return closed;
     }
 
     private void read() {
-        Map<Integer, ByteArrayOutputStream> blocks = new ConcurrentHashMap<>();
         try {
-            for (FrameConnection.Frame f = link.read(); f != null; f = link.read()) {
+            for (Frame frame = frames.read(); frame != null; frame = frames.read()) {
                 synchronized (this) {
-                    took(f, blocks);
+                    received(frame);
                     notifyAll();
                 }
             }
-        } catch (IOException | RuntimeException e) {
-            // its end
+        } catch (IOException | RuntimeException ended) {
+            // the connection's end, whichever side made it
         } finally {
             closed = true;
             synchronized (this) {
@@ -166,70 +234,53 @@
         }
     }
 
-    private void took(FrameConnection.Frame f, Map<Integer, ByteArrayOutputStream> blocks) throws IOException {
-        Answer a = answers.get(f.stream());
-        switch (f.type()) {
-            case FrameConnection.SETTINGS -> {
-                if (!f.has(FrameConnection.ACK)) {
-                    link.write(FrameConnection.SETTINGS, FrameConnection.ACK, 0);
+    private void received(Frame frame) throws IOException {
+        Answer answer = answers.get(frame.stream());
+        switch (frame.type()) {
+            case Frame.SETTINGS -> frames.acknowledge(frame);
+            case Frame.PING -> pingReceived(frame);
+            case Frame.GOAWAY -> goAways.add(frame);
+            case Frame.HEADERS -> {
+                MetaData head = frames.decode(frame);
+                if (answer != null) {
+                    answer.headersReceived(head, frame.has(Frame.END_STREAM));
                 }
             }
-            case FrameConnection.PING -> {
-                if (!f.has(FrameConnection.ACK) && answersPings) {
-                    link.write(FrameConnection.PING, FrameConnection.ACK, 0, f.payload());
-                } else if (!f.has(FrameConnection.ACK)) {
-                    heldPings.add(f);
-                }
-            }
-            case FrameConnection.GOAWAY -> goAways.add(f);
-            case FrameConnection.HEADERS -> head(f, a);
-            case FrameConnection.DATA -> {
-                if (f.payload().length > 0 && opensWindows) {
-                    link.window(0, f.payload().length);
-                    if (!f.has(FrameConnection.END_STREAM)) {
-                        link.window(f.stream(), f.payload().length);
-                    }
-                }
-                if (a != null) {
-                    a.bytes += f.payload().length;
-                    end(a, f.has(FrameConnection.END_STREAM));
-                }
-            }
-            case FrameConnection.RST_STREAM -> {
-                if (a != null) {
-                    a.reset = f.figure(0);
-                    a.endedAt = a.endedAt == 0 ? System.nanoTime() : a.endedAt;
+            case Frame.DATA -> dataReceived(frame, answer);
+            case Frame.RST_STREAM -> {
+                if (answer != null) {
+                    answer.resetCode = frame.uint31(0);
                 }
             }
             default -> {}
         }
     }
 
-    private void head(FrameConnection.Frame f, Answer a) throws IOException {
-        MetaData decoded = link.decode(f);
-        if (a == null) {
-            return;
+    private void pingReceived(Frame ping) throws IOException {
+        if (answersPings) {
+            frames.acknowledge(ping);
+        } else if (ping.wantsAck()) {
+            heldPings.add(ping);
         }
-        if (!(decoded instanceof MetaData.Response head)) {
-            a.trailers = decoded.getHttpFields();
-        } else if (head.getStatus() < 200) {
-            a.early.add(head.getStatus());
-        } else {
-            a.status = head.getStatus();
-            a.fields = head.getHttpFields();
-        }
-        end(a, f.has(FrameConnection.END_STREAM));
     }
 
-    private static void end(Answer a, boolean ends) {
-        if (ends) {
-            a.endedAt = System.nanoTime();
-            a.ended = true;
+    private void dataReceived(Frame data, Answer answer) throws IOException {
+        int length = data.payload().length;
+        boolean last = data.has(Frame.END_STREAM);
+        if (length > 0 && opensWindows) {
+            frames.sendWindowUpdate(0, length);
+            if (!last) {
+                frames.sendWindowUpdate(data.stream(), length);
+            }
+        }
+        if (answer != null) {
+            answer.bytes.addAndGet(length);
+            answer.complete = answer.complete || last;
         }
     }
 
     @Override
     public void close() throws IOException {
-        link.close();
+        frames.close();
     }
 }
--- a/src/test/java/linenring/gateway/GatewayBesideControllerTest.java
+++ b/src/test/java/linenring/gateway/GatewayBesideControllerTest.java
@@ -3,44 +3,44 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
+import java.io.OutputStream;
 import java.io.PrintStream;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.IntStream;
 import linenring.controller.ControlLoop;
 import linenring.event.EventQueue;
-import linenring.gateway.settings.SettingsText;
 import linenring.log.Log;
 import linenring.planner.PlannerSettings;
 import linenring.protocol.HostList;
 import linenring.routing.HostRegistry;
+import linenring.testserver.Behaviour;
 import linenring.testserver.LoadClient;
+import linenring.testserver.Reaction;
 import linenring.testserver.TestBackend;
-import linenring.testserver.TestBackend.Deed;
-import linenring.testserver.TestBackend.Told;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The whole of it: the decisions, a steward's thread, a front that is its only proxy, stand-in nodes. */
+/** A controller with its thread, a gateway that is its only proxy, and test backends. */
 @Timeout(90)
 class GatewayBesideControllerTest {
-    private final List<TestBackend> nodes = new ArrayList<>();
-    private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
-    private final Log log = new Log(new PrintStream(logged, true));
-    private final EventQueue exchange = new EventQueue();
-    private Thread thread;
-    private Http2Gateway front;
+    private static final int BACKENDS = 4;
+
+    private final List<TestBackend> backends = new ArrayList<>();
+    private final Log log = new Log(new PrintStream(OutputStream.nullOutputStream(), true, StandardCharsets.UTF_8));
+    private final EventQueue events = new EventQueue();
+    private Thread controllerThread;
+    private Http2Gateway gateway;
     private long version;
 
-    @BeforeEach
-    void opens() throws IOException {
-        PlannerSettings.Operation open = new PlannerSettings.Operation(500, 1, -1, -1, false, 2);
-        PlannerSettings figures = new PlannerSettings(
-                List.of(open, open, open),
+    private static PlannerSettings plannerSettings() {
+        PlannerSettings.Operation operation = new PlannerSettings.Operation(500, 1, -1, -1, false, 2);
+        return new PlannerSettings(
+                List.of(operation, operation, operation),
                 new PlannerSettings.ColdStart(0.2, 1000),
                 new PlannerSettings.Channel(5000, 4, 5000, 0, 10_000, 10, 50, 1000),
                 new PlannerSettings.Shards(0, false, 0, 0),
@@ -49,185 +49,158 @@
                 0,
                 false,
                 6);
-        for (int h = 0; h < 4; h++) {
-            nodes.add(new TestBackend());
+    }
+
+    @BeforeEach
+    void start() throws IOException, GatewayStartException {
+        for (int i = 0; i < BACKENDS; i++) {
+            backends.add(new TestBackend());
         }
-        HostRegistry book = new HostRegistry();
-        exchange.addHostListListener(book::apply);
-        ControlLoop steward = new ControlLoop(figures, GatewayFixture.NAMES, null, exchange, log);
-        thread = new Thread(steward::run, "steward");
-        thread.setDaemon(true);
-        thread.start();
+        HostRegistry hosts = new HostRegistry();
+        events.addHostListListener(hosts::apply);
+        ControlLoop controller = new ControlLoop(plannerSettings(), GatewayFixture.NAMES, null, events, log);
+        controllerThread = new Thread(controller::run, "controller");
+        controllerThread.setDaemon(true);
+        controllerThread.start();
         list(HostList.State.READY, 0, 1, 2, 3);
-        front = Http2Gateway.open(
-                        SettingsText.plan(String.format(GatewayFixture.PLAN, "avoid after=0"), GatewayFixture.NAMES),
-                        PlannerSettings.Measure.SHARE,
-                        book,
-                        exchange,
-                        log)
-                .front();
+        gateway = Http2Gateway.start(
+                GatewayFixture.settings("avoid after=0"),
+                PlannerSettings.Measure.SHARE,
+                hosts,
+                events,
+                ListenOptions.openSocket(),
+                log);
     }
 
     @AfterEach
-    void closes() throws IOException {
-        front.close();
-        thread.interrupt();
-        for (TestBackend n : nodes) {
-            n.close();
+    void stop() throws IOException {
+        gateway.close();
+        controllerThread.interrupt();
+        for (TestBackend backend : backends) {
+            backend.close();
         }
     }
 
     private void list(HostList.State state, int... hosts) {
         version++;
-        exchange.enqueueHostList(new HostList(
-                version,
-                version == 1,
-                IntStream.of(hosts)
-                        .mapToObj(h -> new HostList.Entry(
-                                "s-" + h,
-                                h % 2,
-                                0,
-                                state,
-                                1,
-                                Double.NEGATIVE_INFINITY,
-                                nodes.get(h).address(),
-                                -1))
-                        .toList()));
+        events.enqueueHostList(GatewayFixture.hostList(version, version == 1, state, IntStream.of(hosts), backends));
+    }
+
+    private static int quote(LoadClient client) {
+        try {
+            return client.call("GET", "/quote").status();
+        } catch (IOException failure) {
+            throw new AssertionError(failure);
+        }
+    }
+
+    /** How many of 40 quotes are answered with another status than 200. */
+    private static int failedOf40(LoadClient client) {
+        int failed = 0;
+        for (int i = 0; i < 40; i++) {
+            failed += quote(client) == 200 ? 0 : 1;
+        }
+        return failed;
     }
 
-    private LoadClient served() throws IOException {
-        LoadClient c = new LoadClient(front.port());
-        LoadClient.awaiting(
-                this,
-                () -> {
-                    try {
-                        return c.call("GET", "/quote").status == 200;
-                    } catch (IOException e) {
-                        throw new AssertionError(e);
-                    }
-                },
-                "the first table has come");
-        return c;
+    /** A client, once the gateway has its first table. */
+    private LoadClient connect() throws IOException {
+        LoadClient client = new LoadClient(gateway.port());
+        LoadClient.await(this, () -> quote(client) == 200, "the first table has come");
+        return client;
+    }
+
+    private int executions(String path) {
+        return backends.stream().mapToInt(backend -> backend.executions(path)).sum();
     }
 
     @Test
-    void aHostThatIsListedAsDrainingGetsNothingOnceTheOrderIsInForceAndTheRestGoesOn() throws IOException {
-        try (LoadClient c = served()) {
+    void sendsNothingToDrainingHostOnceUpdateIsApplied() throws IOException {
+        try (LoadClient client = connect()) {
             list(HostList.State.TERMINATING, 0);
-            int[] last = {-1};
-            LoadClient.awaiting(
+            TestBackend draining = backends.get(0);
+            LoadClient.await(
                     this,
                     () -> { // 40 in a row without it; of four equal hosts that is chance once in 100,000
-                        int before = nodes.get(0).ran("/quote");
-                        for (int i = 0; i < 40; i++) {
-                            try {
-                                assertEquals(200, c.call("GET", "/quote").status);
-                            } catch (IOException e) {
-                                throw new AssertionError(e);
-                            }
-                        }
-                        last[0] = nodes.get(0).ran("/quote");
-                        return before == last[0];
+                        int before = draining.executions("/quote");
+                        assertEquals(0, failedOf40(client));
+                        return before == draining.executions("/quote");
                     },
-                    "s-0 is left alone");
+                    "s-0 gets nothing");
+            int last = draining.executions("/quote");
             for (int i = 0; i < 100; i++) {
-                assertEquals(200, c.call("GET", "/quote").status);
+                assertEquals(200, quote(client));
             }
-            assertEquals(last[0], nodes.get(0).ran("/quote"));
+            assertEquals(last, draining.executions("/quote"));
         }
     }
 
-    /** The front avoids nobody by itself here: it is its sums by which the decisions shut the host out. */
+    /** The gateway ejects no host by itself here: the controller does, by the gateway's load reports. */
     @Test
-    void aHostThatErrorsIsShutOutByTheDecisionsThroughTheFrontsOwnSums() throws IOException {
-        try (LoadClient c = served()) {
-            nodes.get(1).always("/", Told.of(Deed.ERROR));
-            LoadClient.awaiting(
-                    this,
-                    () -> {
-                        int errored = 0;
-                        for (int i = 0; i < 40; i++) {
-                            try {
-                                errored += c.call("GET", "/quote").status == 200 ? 0 : 1;
-                            } catch (IOException e) {
-                                throw new AssertionError(e);
-                            }
-                        }
-                        return errored == 0;
-                    },
-                    "s-1 is shut out");
+    void ejectsFailingHostByReportsOfGateway() throws IOException {
+        try (LoadClient client = connect()) {
+            backends.get(1).onPath("/", Reaction.of(Behaviour.ERROR));
+            LoadClient.await(this, () -> failedOf40(client) == 0, "s-1 is ejected");
         }
     }
 
     @Test
-    void whereAllHostsDrainTheAnswerIsAtOnceAndServiceReturnsWithThem() throws IOException {
-        try (LoadClient c = served()) {
+    void answersAtOnceWhileAllHostsDrainAndRecovers() throws IOException {
+        try (LoadClient client = connect()) {
             list(HostList.State.TERMINATING, 0, 1, 2, 3);
-            LoadClient.awaiting(
-                    this,
-                    () -> {
-                        try {
-                            return c.call("GET", "/quote").status == 503;
-                        } catch (IOException e) {
-                            throw new AssertionError(e);
-                        }
-                    },
-                    "nothing can be picked");
+            LoadClient.await(this, () -> quote(client) == 503, "no host can be picked");
             long from = System.nanoTime();
-            assertEquals(503, c.call("POST", "/assign").status);
+            assertEquals(503, client.call("POST", "/assign").status());
             assertTrue(System.nanoTime() - from < 1_000_000_000L);
             list(HostList.State.READY, 0, 1, 2, 3);
-            served().close();
+            connect().close();
         }
     }
 
     @Test
-    void whereTheStewardIsGoneTheFrontGoesOnWithWhatItHolds() throws Exception {
-        try (LoadClient c = served()) {
-            thread.interrupt();
-            thread.join();
+    void goesOnWithItsTablesWithoutController() throws Exception {
+        try (LoadClient client = connect()) {
+            controllerThread.interrupt();
+            controllerThread.join();
             for (int i = 0; i < 200; i++) {
-                assertEquals(200, c.call("GET", "/quote").status);
+                assertEquals(200, quote(client));
             }
-            assertTrue(nodes.stream().allMatch(n -> n.ran("/quote") > 10));
+            assertTrue(backends.stream().allMatch(backend -> backend.executions("/quote") > 10));
         }
     }
 
     @Test
-    void aDrainOfTheFrontWhileAHostDrainsFinishesBoth() throws Exception {
-        try (LoadClient c = served()) {
-            nodes.forEach(n -> n.always("/assign", Told.of(Deed.ANSWER).after(600)));
+    void finishesDrainWhileHostsDrain() throws Exception {
+        try (LoadClient client = connect()) {
+            backends.forEach(backend ->
+                    backend.onPath("/assign", Reaction.of(Behaviour.ANSWER).after(600)));
             List<Integer> streams = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
-                streams.add(c.send("POST", "/assign"));
+                streams.add(client.send("POST", "/assign"));
             }
-            c.until(() -> nodes.stream().mapToInt(n -> n.ran("/assign")).sum() == 60, "all run");
+            client.await(() -> executions("/assign") == 60, "backends execute all");
             list(HostList.State.TERMINATING, 2, 3);
-            front.drain();
-            front.awaitDrained();
-            streams.forEach(s -> assertEquals(200, c.await(s).status));
-            assertEquals(60, nodes.stream().mapToInt(n -> n.ran("/assign")).sum());
+            gateway.drain();
+            gateway.awaitDrained();
+            streams.forEach(stream -> assertEquals(200, client.await(stream).status()));
+            assertEquals(60, executions("/assign"));
         }
     }
 
     @Test
-    void aHostThatComesBackAtAnotherAddressIsDialledThere() throws IOException {
-        try (LoadClient c = served();
+    void dialsHostAtItsNewAddress() throws IOException {
+        try (LoadClient client = connect();
                 TestBackend elsewhere = new TestBackend()) {
-            nodes.get(0).close();
-            nodes.set(0, elsewhere);
+            backends.get(0).close();
+            backends.set(0, elsewhere);
             list(HostList.State.READY, 0);
-            LoadClient.awaiting(
+            LoadClient.await(
                     this,
                     () -> {
-                        try {
-                            c.call("GET", "/quote");
-                        } catch (IOException e) {
-                            throw new AssertionError(e);
-                        }
-                        return elsewhere.ran("/quote") > 0;
+                        quote(client); // with whatever status
+                        return elsewhere.executions("/quote") > 0;
                     },
-                    "it is found");
+                    "the new address is used");
         }
     }
 }
--- a/src/test/java/linenring/gateway/GatewayFixture.java
+++ b/src/test/java/linenring/gateway/GatewayFixture.java
@@ -3,6 +3,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -24,10 +25,11 @@
 import linenring.testserver.TestBackend;
 import org.eclipse.jetty.http2.client.HTTP2Client;
 
-/** A front, stand-in nodes of zones a and b by turns, and a steward that orders what the story says. */
+/** A gateway, test backends in zones a and b alternately, and in the controller's place the orders of a test. */
 final class GatewayFixture implements AutoCloseable, EventQueue.EventHandler {
     static final Names NAMES = new Names(List.of("a", "b"), List.of("std"), List.of("quote", "book", "assign"), 4, 4);
-    static final String PLAN = """
+
+    private static final String SETTINGS = """
             front {
                 listen "127.0.0.1:0"
                 proxy id=0 zone="a"
@@ -41,120 +43,163 @@
                 route "POST" "/book" operation="book"
                 route "POST" "/assign" operation="assign"
                 report "50ms"
-                %s
+                MORE_SETTINGS
             }
             """;
 
-    final List<TestBackend> nodes = new ArrayList<>();
-    final List<LoadClient> callers = new ArrayList<>();
-    final EventQueue exchange = new EventQueue();
-    final ByteArrayOutputStream logged = new ByteArrayOutputStream();
-    final List<InboundMessage> heard = Collections.synchronizedList(new ArrayList<>());
-    final Http2Gateway front;
+    /** By their number in a configuration update. */
+    private static final List<RetryPolicy> RETRY_POLICIES =
+            List.of(RetryPolicy.NONE, RetryPolicy.ONE_IF_NOT_EXECUTED, RetryPolicy.ONE, RetryPolicy.TWO);
+
+    private final List<TestBackend> backends = new ArrayList<>();
+    private final List<LoadClient> clients = new ArrayList<>();
+    private final EventQueue events = new EventQueue();
+    private final ByteArrayOutputStream log = new ByteArrayOutputStream();
+    private final List<InboundMessage> messages = Collections.synchronizedList(new ArrayList<>());
+    private final Http2Gateway gateway;
     private volatile ProxyStream stream;
-    private int mark;
+    private int nonce;
 
-    GatewayFixture(int nodes) throws IOException {
-        this(nodes, "");
+    GatewayFixture(int count) throws IOException {
+        this(count, "");
     }
 
     /** With further lines of settings. */
-    GatewayFixture(int count, String more) throws IOException {
-        this(count, more, HTTP2Client::new);
+    GatewayFixture(int count, String moreSettings) throws IOException {
+        this(count, moreSettings, HTTP2Client::new);
     }
 
-    /** With a client of the test's making towards the nodes. */
-    GatewayFixture(int count, String more, Supplier<HTTP2Client> clientFactory) throws IOException {
-        for (int h = 0; h < count; h++) {
-            nodes.add(new TestBackend());
+    /** With a client of the test's making towards the backends. */
+    GatewayFixture(int count, String moreSettings, Supplier<HTTP2Client> clientFactory) throws IOException {
+        for (int i = 0; i < count; i++) {
+            backends.add(new TestBackend());
         }
-        GatewaySettings plan = SettingsText.plan(String.format(PLAN, more), NAMES);
-        HostRegistry book = new HostRegistry();
-        book.apply(list());
-        exchange.addHostListListener(book::apply);
-        Log log = new Log(new PrintStream(logged, true));
-        Http2Gateway.Opened opened =
-                Http2Gateway.open(plan, Measure.SHARE, book, exchange, null, true, log, clientFactory);
-        if (opened.front() == null) {
-            throw new IOException(opened.fault());
+        HostRegistry hosts = new HostRegistry();
+        hosts.apply(hostList(1, true, HostList.State.READY, IntStream.range(0, count), backends));
+        events.addHostListListener(hosts::apply);
+        try {
+            gateway = Http2Gateway.start(
+                    settings(moreSettings),
+                    Measure.SHARE,
+                    hosts,
+                    events,
+                    ListenOptions.openSocket(),
+                    new Log(new PrintStream(log, true, StandardCharsets.UTF_8)),
+                    clientFactory);
+        } catch (GatewayStartException failure) {
+            throw new IOException(failure);
         }
-        front = opened.front();
-        exchange.drainTo(this);
-        all(RetryPolicy.ONE_IF_NOT_EXECUTED);
+        processEvents();
+        orderAll(RetryPolicy.ONE_IF_NOT_EXECUTED);
+    }
+
+    static GatewaySettings settings(String moreSettings) {
+        return SettingsText.parse(SETTINGS.replace("MORE_SETTINGS", moreSettings), NAMES);
     }
 
-    HostList list() {
+    /** Hosts s-0, s-1, ..., each at the backend of its number. */
+    static HostList hostList(
+            long version, boolean complete, HostList.State state, IntStream hosts, List<TestBackend> backends) {
         return new HostList(
-                1,
-                true,
-                IntStream.range(0, nodes.size())
-                        .mapToObj(h -> new HostList.Entry(
-                                "s-" + h,
-                                h % 2,
-                                0,
-                                HostList.State.READY,
-                                1,
-                                0,
-                                nodes.get(h).address(),
-                                -1))
-                        .toList());
+                version,
+                complete,
+                hosts.mapToObj(host -> entry(host, state, backends.get(host))).toList());
+    }
+
+    private static HostList.Entry entry(int host, HostList.State state, TestBackend backend) {
+        return new HostList.Entry("s-" + host, host % 2, 0, state, 1, Double.NEGATIVE_INFINITY, backend.address(), -1);
+    }
+
+    Http2Gateway gateway() {
+        return gateway;
+    }
+
+    List<TestBackend> backends() {
+        return backends;
     }
 
-    /** All nodes with equal weight, and this way to try again, in force when it returns. */
-    void all(RetryPolicy tries) {
-        table(IntStream.range(0, nodes.size()).toArray(), 1, tries);
+    /** What the controller would have received. */
+    List<InboundMessage> messages() {
+        return List.copyOf(messages);
     }
 
-    void table(int[] hosts, double level, RetryPolicy tries) {
+    String log() {
+        return log.toString(StandardCharsets.UTF_8);
+    }
+
+    /** Orders all backends with equal weight, and this retry policy; in force when it returns. */
+    void orderAll(RetryPolicy retryPolicy) {
+        orderTable(IntStream.range(0, backends.size()).toArray(), 1, retryPolicy);
+    }
+
+    /** Orders a complete table; in force when it returns. */
+    void orderTable(int[] hosts, double admissionRatio, RetryPolicy retryPolicy) {
+        nonce++;
         order(new ConfigurationUpdate.Part(
                 List.of(),
                 true,
                 IntStream.of(hosts)
-                        .mapToObj(h -> new ConfigurationUpdate.TableEntry("s-" + h, 1))
+                        .mapToObj(host -> new ConfigurationUpdate.TableEntry("s-" + host, 1))
                         .toList(),
-                new ConfigurationUpdate.AdmissionPolicy(level, tries.ordinal()),
+                new ConfigurationUpdate.AdmissionPolicy(admissionRatio, RETRY_POLICIES.indexOf(retryPolicy)),
                 List.of(),
                 List.of(),
-                ++mark));
+                nonce));
     }
 
-    void ejected(String... words) {
-        order(new ConfigurationUpdate.Part(List.of(), false, List.of(), null, List.of(words), List.of(), ++mark));
+    /** Orders that hosts are ejected; in force when it returns. */
+    void orderEjected(String... hosts) {
+        nonce++;
+        order(new ConfigurationUpdate.Part(List.of(), false, List.of(), null, List.of(hosts), List.of(), nonce));
     }
 
     private void order(ConfigurationUpdate.Part part) {
         stream.write(new ConfigurationUpdate(List.of(part)));
-        int asked = mark;
-        LoadClient.awaiting(
+        LoadClient.await(
                 this,
                 () -> {
-                    exchange.drainTo(this);
-                    return heard.stream()
-                            .anyMatch(a -> a instanceof InboundMessage.Acknowledgement done && done.nonce() == asked);
+                    processEvents();
+                    return messages().stream().anyMatch(message -> isAcknowledgement(message, part.nonce()));
                 },
-                "mark " + asked + " is answered");
+                "update " + part.nonce() + " is acknowledged");
+    }
+
+    private static boolean isAcknowledgement(InboundMessage message, int nonce) {
+        return message instanceof InboundMessage.Acknowledgement acknowledgement && acknowledgement.nonce() == nonce;
+    }
+
+    /** Takes what the gateway has sent to its controller. */
+    void processEvents() {
+        events.drainTo(this);
+    }
+
+    LoadClient connect() throws IOException {
+        LoadClient client = new LoadClient(gateway.port());
+        clients.add(client);
+        return client;
     }
 
-    LoadClient caller(int... settings) throws IOException {
-        LoadClient c = new LoadClient(front.port(), settings);
-        callers.add(c);
-        return c;
+    int executions(String path) {
+        return backends.stream().mapToInt(backend -> backend.executions(path)).sum();
     }
 
-    int ran(String path) {
-        return nodes.stream().mapToInt(n -> n.ran(path)).sum();
+    int executionsOfKey(String key) {
+        return backends.stream()
+                .mapToInt(backend -> backend.executionsOfKey(key))
+                .sum();
     }
 
-    int marked(String word) {
-        return nodes.stream().mapToInt(n -> n.marked(word)).sum();
+    /** Waits until no request is active. */
+    void awaitIdle() {
+        LoadClient.await(this, () -> gateway.activeRequests() == 0, "no request is active");
     }
 
     @Override
-    public void onMessage(ProxyStream from, InboundMessage what) {
-        if (what instanceof InboundMessage.Subscribe) {
+    public void onMessage(ProxyStream from, InboundMessage message) {
+        if (message instanceof InboundMessage.Subscribe) {
             stream = from;
         }
-        heard.add(what);
+        messages.add(message);
     }
 
     @Override
@@ -164,17 +209,17 @@
 
     @Override
     public void onHostList(HostList list) {
-        // the front hears of it by itself
+        // the gateway follows the list by itself
     }
 
     @Override
     public void close() throws IOException {
-        for (LoadClient c : callers) {
-            c.close();
+        for (LoadClient client : clients) {
+            client.close();
         }
-        front.close();
-        for (TestBackend n : nodes) {
-            n.close();
+        gateway.close();
+        for (TestBackend backend : backends) {
+            backend.close();
         }
     }
 }
--- a/src/test/java/linenring/gateway/GatewayMeasurements.java
+++ b/src/test/java/linenring/gateway/GatewayMeasurements.java
@@ -7,31 +7,45 @@
 import linenring.load.LoadGenerator;
 import linenring.testserver.LoadClient;
 
-/** Measurements by hand against a front of another process; see docs/results.md. Not run with the tests. */
+/** Measurements by hand against a gateway of another process; see docs/results.md. Not run with the tests. */
 public final class GatewayMeasurements {
     private GatewayMeasurements() {}
 
-    /** {@code idle PORT CONNECTIONS STREAMS SECONDS} holds streams open; {@code sinners PORT COUNT} has them beside a load. */
+    /**
+     * {@code idle PORT CONNECTIONS STREAMS SECONDS} holds streams open; {@code stalled PORT COUNT} has clients that take
+     * nothing beside a load.
+     */
     public static void main(String[] args) throws IOException, InterruptedException {
-        int port = Integer.parseInt(args[1]), count = Integer.parseInt(args[2]);
-        List<LoadClient> callers = new ArrayList<>();
+        int port = Integer.parseInt(args[1]);
+        int count = Integer.parseInt(args[2]);
         if (args[0].equals("idle")) {
-            for (int i = 0; i < count; i++) {
-                callers.add(new LoadClient(port));
-                for (int s = 0; s < Integer.parseInt(args[3]); s++) {
-                    callers.get(i).send("GET", "/read/idle");
-                }
+            holdIdleStreams(port, count, Integer.parseInt(args[3]), Integer.parseInt(args[4]));
+        } else {
+            loadBesideStalledClients(port, count);
+        }
+    }
+
+    private static void holdIdleStreams(int port, int connections, int streams, int seconds)
+            throws IOException, InterruptedException {
+        List<LoadClient> clients = new ArrayList<>();
+        for (int i = 0; i < connections; i++) {
+            LoadClient client = new LoadClient(port);
+            clients.add(client);
+            for (int j = 0; j < streams; j++) {
+                client.send("GET", "/read/idle");
             }
-            TimeUnit.SECONDS.sleep(Integer.parseInt(args[4]));
-            int over = 0;
-            for (LoadClient c : callers) {
-                for (int s = 0; s < Integer.parseInt(args[3]); s++) {
-                    over += c.answer(2 * s + 1).isOver() ? 1 : 0;
-                }
+        }
+        TimeUnit.SECONDS.sleep(seconds);
+        int over = 0;
+        for (LoadClient client : clients) {
+            for (int j = 0; j < streams; j++) {
+                over += client.answer(2 * j + 1).isOver() ? 1 : 0;
             }
-            System.out.println(count + " connections, " + over + " streams over");
-            return;
         }
+        System.out.println(connections + " connections, " + over + " streams over");
+    }
+
+    private static void loadBesideStalledClients(int port, int count) throws IOException, InterruptedException {
         LoadGenerator.Plan plan = new LoadGenerator.Plan(
                 "127.0.0.1",
                 port,
@@ -44,13 +58,15 @@
                 5000,
                 1);
         System.out.print("without: " + LoadGenerator.table(LoadGenerator.run(plan)));
+        List<LoadClient> stalled = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            LoadClient c = new LoadClient(port).ignoringWindows();
-            callers.add(c);
-            c.send("GET", "/read/large");
+            LoadClient client = new LoadClient(port).ignoreWindows();
+            stalled.add(client);
+            client.send("GET", "/read/large");
         }
         System.out.print("with " + count + ": " + LoadGenerator.table(LoadGenerator.run(plan)));
-        long still = callers.stream().filter(c -> !c.answer(1).isOver()).count();
-        System.out.println(still + " of them still hold their stream");
+        long open =
+                stalled.stream().filter(client -> !client.answer(1).isOver()).count();
+        System.out.println(open + " of them still hold their stream");
     }
 }
--- /dev/null
+++ b/src/test/java/linenring/gateway/RoutesTest.java
@@ -0,0 +1,23 @@
+package linenring.gateway;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import linenring.gateway.settings.GatewaySettings.Route;
+import org.junit.jupiter.api.Test;
+
+class RoutesTest {
+    @Test
+    void findsLongestPrefixOfWholeSegments() {
+        Routes routes =
+                new Routes(List.of(new Route("GET", "/a", 0), new Route("GET", "/a/b", 1), new Route("GET", "/c/", 2)));
+        assertEquals(0, routes.operation("GET", "/a"));
+        assertEquals(0, routes.operation("GET", "/a/x/y"));
+        assertEquals(1, routes.operation("GET", "/a/b/x?q=/c/"));
+        assertEquals(Routes.NONE, routes.operation("GET", "/ab"));
+        assertEquals(2, routes.operation("GET", "/c/d"));
+        assertEquals(Routes.NONE, routes.operation("GET", "/c"));
+        assertEquals(Routes.NONE, routes.operation("POST", "/a"));
+        assertEquals(Routes.NONE, routes.operation("CONNECT", null));
+    }
+}
--- a/src/test/java/linenring/gateway/settings/GatewaySettingsReaderTest.java
+++ b/src/test/java/linenring/gateway/settings/GatewaySettingsReaderTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
+import java.nio.file.Path;
 import java.util.List;
 import linenring.routing.Idempotence;
 import linenring.routing.OperationPolicy;
@@ -13,7 +14,7 @@
 
 class GatewaySettingsReaderTest {
     private static final Names NAMES = new Names(List.of("a", "b"), List.of("std"), List.of("quote", "book"), 4, 4);
-    private static final String GOOD = """
+    private static final String VALID = """
             // line 1
             front {
                 listen "127.0.0.1:8080"
@@ -27,24 +28,25 @@
             """;
 
     @Test
-    void aPlanHasTheStewardsOrderOfOperationsAndDefaultsForAllElse() {
-        GatewaySettings plan = SettingsText.plan(GOOD, NAMES);
+    void hasOperationsInOrderOfControllerAndDefaultsForTheRest() {
+        GatewaySettings settings = SettingsText.parse(VALID, NAMES);
         assertEquals(
                 new OperationPolicy(
                         "quote", Idempotence.IDEMPOTENT, OperationPolicy.DeduplicationScope.ZONE, 0, 750, 2000),
-                plan.operations().get(0));
+                settings.operations().get(0));
         assertEquals(
                 new OperationPolicy(
                         "book", Idempotence.FINGERPRINTED, OperationPolicy.DeduplicationScope.CELL, 2500, 1200, 4000),
-                plan.operations().get(1));
+                settings.operations().get(1));
         assertEquals(
-                new GatewaySettings.Route("GET", "/quotes", 0), plan.routes().get(0));
-        assertEquals(1, plan.zone());
-        assertEquals(16 << 10, plan.body().kept());
-        assertEquals(0.2, plan.tries().share());
+                new GatewaySettings.Route("GET", "/quotes", 0),
+                settings.routes().get(0));
+        assertEquals(1, settings.zone());
+        assertEquals(16 << 10, settings.body().maxRetainedBytes());
+        assertEquals(0.2, settings.retries().budgetShare());
     }
 
-    /** A line of the good file replaced; what is said of it, all of it. */
+    /** A line of the valid file replaced, and all faults that are reported of it. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -54,8 +56,8 @@
                 "3 | listen \"127.0.0.1:99999\" | 3: front.listen: \"127.0.0.1:99999\" is no address and port",
                 "3 | listne \"127.0.0.1:80\" | 2: front: listen is missing; 3: front: listne is not known here",
                 "3 | listen \"127.0.0.1:80 | 3: a quote is opened and not closed on its line",
-                "4 | proxy id=1 zone=\"c\" | 4: front.proxy.zone: the steward knows no zone \"c\"; it knows a, b",
-                "4 | proxy id=4 zone=\"b\" | 4: front.proxy.id: 4 is not under the steward's 4 proxies",
+                "4 | proxy id=1 zone=\"c\" | 4: front.proxy.zone: the controller knows no zone \"c\"; it knows a, b",
+                "4 | proxy id=4 zone=\"b\" | 4: front.proxy.id: 4 is not under the controller's 4 proxies",
                 "4 | proxy id=-1 zone=\"b\" | 4: front.proxy.id: -1 is not a proxy's number, from 0",
                 "4 | proxy id=1 | 4: front.proxy: zone is missing",
                 "4 | proxy id=true zone=\"b\" | 4: 'true' is written #true, or in quotes if text is meant",
@@ -68,11 +70,11 @@
                 "7 | operation \"quote\" effect=\"idempotent\" objective=\"3s\" timeout=\"2s\" | 7: operation \"quote\": its timeout \"2s\" is under its objective \"3s\"",
                 "7 | operation \"quote\" effect=\"fingerprinted\" objective=\"1s\" timeout=\"2s\" | 7: operation \"quote\": a fingerprinted operation needs the window in which hosts drop a repeat",
                 "7 | operation effect=\"idempotent\" objective=\"1s\" timeout=\"2s\" | 7: front.operation: what it is called is missing",
-                "7 | operation \"assign\" effect=\"idempotent\" objective=\"1s\" timeout=\"2s\" | 7: operation \"assign\": the steward knows no such operation; it knows quote, book; 2: front: operation \"quote\" of the steward is missing; 8: route \"GET\" \"/quotes\": there is no operation \"quote\"",
+                "7 | operation \"assign\" effect=\"idempotent\" objective=\"1s\" timeout=\"2s\" | 7: operation \"assign\": the controller knows no such operation; it knows quote, book; 2: front: operation \"quote\" of the controller is missing; 8: route \"GET\" \"/quotes\": there is no operation \"quote\"",
                 "8 | route \"GET\" operation=\"quote\" | 8: front.route: [\"GET\"] is not a method and the beginning of a path",
                 "8 | route \"GET\" \"/quotes\" operation=\"quotes\" | 8: route \"GET\" \"/quotes\": there is no operation \"quotes\"",
                 "8 | route \"get\" \"quotes\" operation=\"quote\" | 8: route \"get\" \"quotes\": a method in capitals and a path that begins with / are expected",
-                "8 | route \"POST\" \"/\" operation=\"quote\" | 9: route \"POST\" \"/\" is told a second time",
+                "8 | route \"POST\" \"/\" operation=\"quote\" | 9: route \"POST\" \"/\" is given a second time",
                 "8 | drain 30 | 8: front.drain: 30 is not a duration with its unit, such as \"750ms\" or \"2.5s\"",
                 "8 | drain \"30s\"; drain \"20s\" | 8: drain is given a second time, first on line 8",
                 "8 | tries budget=20 | 8: front.tries.budget: 20 is not a share, such as \"20%\"",
@@ -86,24 +88,23 @@
                 "8 | } } | 8: '}' can't stand here",
                 "8 | hosts = 2 | 8: '=' can't stand here"
             })
-    void aMistakeIsToldByFileLineAndWhatWasExpected(int line, String instead, String said) {
-        String[] lines = GOOD.split("\n");
-        lines[line - 1] = instead == null ? "" : instead;
+    void reportsFileLineAndExpectationOfMistake(int line, String replacement, String faults) {
+        String[] lines = VALID.split("\n");
+        lines[line - 1] = replacement == null ? "" : replacement;
         GatewaySettingsReader.Outcome read =
                 GatewaySettingsReader.read("f.kdl", String.join("\n", lines) + "\n", NAMES);
-        assertNull(read.plan());
+        assertNull(read.settings());
         String expected = "f.kdl:"
-                + said.replace("; ", "; f.kdl:")
+                + faults.replace("; ", "; f.kdl:")
                         .replace("; f.kdl:it knows", "; it knows")
                         .replace("; f.kdl:text that", "; text that");
         assertEquals(expected, String.join("; ", read.faults()));
     }
 
     @Test
-    void aFileThatIsNotThereIsOneLine() {
+    void reportsMissingFileInOneLine() {
         assertEquals(
                 List.of("/no/such.kdl: cannot be read"),
-                GatewaySettingsReader.read(java.nio.file.Path.of("/no/such.kdl"), NAMES)
-                        .faults());
+                GatewaySettingsReader.read(Path.of("/no/such.kdl"), NAMES).faults());
     }
 }
--- a/src/test/java/linenring/gateway/settings/SettingsText.java
+++ b/src/test/java/linenring/gateway/settings/SettingsText.java
@@ -2,15 +2,16 @@
 
 import linenring.settings.Names;
 
-/** A plan from a story's text. */
+/** Settings from a test's text. */
 public final class SettingsText {
     private SettingsText() {}
 
-    public static GatewaySettings plan(String text, Names names) {
-        GatewaySettingsReader.Outcome read = GatewaySettingsReader.read("story.kdl", text, names);
-        if (read.plan() == null) {
+    /** Fails where the text has a mistake. */
+    public static GatewaySettings parse(String text, Names names) {
+        GatewaySettingsReader.Outcome read = GatewaySettingsReader.read("test.kdl", text, names);
+        if (read.settings() == null) {
             throw new AssertionError(String.join("\n", read.faults()));
         }
-        return read.plan();
+        return read.settings();
     }
 }
--- a/src/test/java/linenring/handover/HandoverTest.java
+++ b/src/test/java/linenring/handover/HandoverTest.java
@@ -16,11 +16,12 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import linenring.handover.wire.Wire;
+import linenring.load.CallOutcomes;
 import linenring.load.LoadGenerator;
+import linenring.testserver.Behaviour;
 import linenring.testserver.LoadClient;
+import linenring.testserver.Reaction;
 import linenring.testserver.TestBackend;
-import linenring.testserver.TestBackend.Deed;
-import linenring.testserver.TestBackend.Told;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -44,7 +45,7 @@
     void nodes() throws IOException {
         for (int h = 0; h < 2; h++) {
             nodes.add(new TestBackend());
-            nodes.get(h).always("/assign", Told.of(Deed.ANSWER).after(30));
+            nodes.get(h).onPath("/assign", Reaction.of(Behaviour.ANSWER).after(30));
         }
         log = temp.resolve("log");
         dir = temp.resolve("handover");
@@ -113,8 +114,8 @@
                 new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile());
         builder.environment().put("GW_CONFIG", configuration.toString());
         process = builder.start();
-        logged("takes invocations at");
-        LoadClient.awaiting(this, () -> Files.exists(dir.resolve(Upgrades.SOCKET)), "it may be upgraded");
+        logged("accepts requests at");
+        LoadClient.await(this, () -> Files.exists(dir.resolve(Upgrades.SOCKET)), "it may be upgraded");
     }
 
     private String log() {
@@ -126,7 +127,7 @@
     }
 
     private void logged(String words) {
-        LoadClient.awaiting(this, () -> log().contains(words), "the log says: " + words);
+        LoadClient.await(this, () -> log().contains(words), "the log says: " + words);
     }
 
     private ProcessHandle newest() {
@@ -173,9 +174,10 @@
 
     /** All calls were answered 200, and each assign ran once. */
     private void nothingLost(LoadGenerator.Outcomes all) {
-        long assigns = all.by().get("assign").sent;
-        all.by().forEach((name, o) -> assertEquals(java.util.Map.of("200", o.sent), o.ends, name));
-        assertEquals(assigns, nodes.stream().mapToInt(n -> n.ran("/assign")).sum());
+        long assigns = all.byOperation().get("assign").sent();
+        all.byOperation().forEach((name, o) -> assertEquals(java.util.Map.of("200", o.sent()), o.countsByEnd(), name));
+        assertEquals(
+                assigns, nodes.stream().mapToInt(n -> n.executions("/assign")).sum());
     }
 
     @Test
@@ -185,7 +187,7 @@
         Wire.Ended first = upgrade().get(40, TimeUnit.SECONDS);
         assertTrue(first.getWell(), () -> first.getWords() + log());
         assertTrue(process.waitFor(20, TimeUnit.SECONDS), "the old process ends once it has drained");
-        LoadClient.awaiting(this, () -> log().split("the port is this process's alone").length > 1, "it is alone");
+        LoadClient.await(this, () -> log().split("the port is this process's alone").length > 1, "it is alone");
         Wire.Ended second = upgrade().get(40, TimeUnit.SECONDS);
         assertTrue(second.getWell(), () -> second.getWords() + log());
         nothingLost(load.get(40, TimeUnit.SECONDS));
@@ -210,7 +212,7 @@
     }
 
     private Wire.Ended upgradeWhile(CompletableFuture<Wire.Ended> other) throws Exception {
-        LoadClient.awaiting(this, () -> log().split("starts process").length == 3, "the second one is started");
+        LoadClient.await(this, () -> log().split("starts process").length == 3, "the second one is started");
         assertTrue(!other.isDone());
         return upgrade().get(40, TimeUnit.SECONDS);
     }
@@ -240,17 +242,21 @@
         Wire.Ended ended = upgrade.get(40, TimeUnit.SECONDS);
         assertEquals("this process goes on: the new process ended with 137", ended.getWords());
         LoadGenerator.Outcomes all = load.get(40, TimeUnit.SECONDS);
-        LoadGenerator.Outcome assigns = all.by().get("assign");
-        long lost = all.by().values().stream()
-                .mapToLong(o -> o.ends.getOrDefault("lost", 0L) + o.ends.getOrDefault("unsent", 0L))
+        CallOutcomes assigns = all.byOperation().get("assign");
+        long lost = all.byOperation().values().stream()
+                .mapToLong(o -> o.countsByEnd().getOrDefault("lost", 0L)
+                        + o.countsByEnd().getOrDefault("unsent", 0L))
                 .sum();
-        assertTrue(lost < 60, () -> "of 1,200 calls " + assigns.ends + all.by().get("quote").ends);
-        assertTrue(nodes.stream().mapToInt(n -> n.ran("/assign")).sum() <= assigns.sent);
         assertTrue(
-                assigns.ends.keySet().stream().allMatch(List.of("200", "lost", "unsent")::contains),
-                () -> assigns.ends.toString());
+                lost < 60,
+                () -> "of 1,200 calls " + assigns.countsByEnd()
+                        + all.byOperation().get("quote").countsByEnd());
+        assertTrue(nodes.stream().mapToInt(n -> n.executions("/assign")).sum() <= assigns.sent());
+        assertTrue(
+                assigns.countsByEnd().keySet().stream().allMatch(List.of("200", "lost", "unsent")::contains),
+                () -> assigns.countsByEnd().toString());
         try (LoadClient c = new LoadClient(port)) {
-            assertEquals(200, c.call("GET", "/quote").status);
+            assertEquals(200, c.call("GET", "/quote").status());
         }
         assertTrue(process.isAlive());
     }
@@ -265,7 +271,7 @@
         logged("the port is this process's alone");
         assertEquals(null, upgrade.get(40, TimeUnit.SECONDS));
         try (LoadClient c = new LoadClient(port)) {
-            assertEquals(200, c.call("GET", "/quote").status);
+            assertEquals(200, c.call("GET", "/quote").status());
         }
         Optional<Wire.Ended> next =
                 Optional.ofNullable(upgrade().get(40, TimeUnit.SECONDS)); // it has a successor in turn
@@ -283,7 +289,7 @@
         serves("");
         logged("is not possible");
         try (LoadClient c = new LoadClient(port)) {
-            assertEquals(200, c.call("GET", "/quote").status);
+            assertEquals(200, c.call("GET", "/quote").status());
         }
     }
 }
--- a/src/test/java/linenring/routing/ConnectionPoolTest.java
+++ b/src/test/java/linenring/routing/ConnectionPoolTest.java
@@ -19,7 +19,7 @@
 class ConnectionPoolTest {
     private final ConnectionPool<String, Integer> pool = createPool();
 
-    /** Two connections of one stream each until the host has said more, five waiters, redials after 100 ms to 1 s. */
+    /** Two connections of one stream each until the host allows more, five waiters, redials after 100 ms to 1 s. */
     private static ConnectionPool<String, Integer> createPool() {
         return new ConnectionPool<>(new ConnectionPool.Limits(2, 1, 5, 15_000, 100, 1000));
     }
--- a/src/test/java/linenring/routing/RetryDecisionTest.java
+++ b/src/test/java/linenring/routing/RetryDecisionTest.java
@@ -3,7 +3,7 @@
 import static linenring.routing.RoutingFixture.ASSIGN;
 import static linenring.routing.RoutingFixture.BOOK;
 import static linenring.routing.RoutingFixture.QUOTE;
-import static linenring.routing.RoutingFixture.level;
+import static linenring.routing.RoutingFixture.admission;
 import static linenring.routing.RoutingFixture.sentTo;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -31,7 +31,7 @@
     private static final AttemptFailure ERRORED = new AttemptFailure(Execution.RAN, Cause.ANSWERED_ERRORED);
 
     private static RoutingFixture sixHosts(RetryPolicy retryPolicy) {
-        return new RoutingFixture(6).withCompleteTables(6, level(1, retryPolicy));
+        return new RoutingFixture(6).withCompleteTables(6, admission(1, retryPolicy));
     }
 
     private static FailureReason reason(NextStep step) {
@@ -98,7 +98,7 @@
         hosts.set(sentTo(request.attemptFailed(LOST, 5, true)));
         hosts.set(sentTo(request.attemptFailed(ERRORED, 6, true)));
         assertEquals(3, hosts.cardinality());
-        // The host's own words are the answer.
+        // The host's own error is the answer.
         assertInstanceOf(NextStep.Forward.class, request.attemptFailed(ERRORED, 7, true));
         assertEquals(3, request.attempts());
     }
@@ -135,7 +135,7 @@
 
     @Test
     void doesNotRepeatWhenScopeHasNoOtherHost() {
-        RoutingFixture fixture = new RoutingFixture(2).withCompleteTables(2, level(1, RetryPolicy.TWO));
+        RoutingFixture fixture = new RoutingFixture(2).withCompleteTables(2, admission(1, RetryPolicy.TWO));
         RetryDecision request = fixture.request(BOOK, true, 0);
         request.begin(0, true);
         assertEquals(FailureReason.ERRORED, reason(request.attemptFailed(LOST, 5, true)));
@@ -187,7 +187,7 @@
         RetryDecision noHost = new RoutingFixture(2).request(QUOTE, false, 0);
         assertEquals(FailureReason.NO_HOST, reason(noHost.begin(0, true)));
         RoutingFixture fixture = new RoutingFixture(2, Measure.PER_SECOND)
-                .withCompleteTables(2, level(0.5, RetryPolicy.ONE_IF_NOT_EXECUTED));
+                .withCompleteTables(2, admission(0.5, RetryPolicy.ONE_IF_NOT_EXECUTED));
         fixture.request(QUOTE, false, 0).begin(0, true);
         NextStep.Reject rejected =
                 (NextStep.Reject) fixture.request(QUOTE, false, 100).begin(100, true);
--- a/src/test/java/linenring/routing/RoutingFixture.java
+++ b/src/test/java/linenring/routing/RoutingFixture.java
@@ -64,20 +64,20 @@
         return new ConfigurationUpdate.TableEntry("s-" + host, weight);
     }
 
-    static ConfigurationUpdate.AdmissionPolicy level(double admissionRatio, RetryPolicy retryPolicy) {
+    static ConfigurationUpdate.AdmissionPolicy admission(double admissionRatio, RetryPolicy retryPolicy) {
         return new ConfigurationUpdate.AdmissionPolicy(admissionRatio, TableUpdate.RETRY_POLICIES.indexOf(retryPolicy));
     }
 
     static ConfigurationUpdate.Part part(
             List<String> operations,
             boolean complete,
-            ConfigurationUpdate.AdmissionPolicy level,
+            ConfigurationUpdate.AdmissionPolicy admission,
             ConfigurationUpdate.TableEntry... entries) {
         return new ConfigurationUpdate.Part(
                 operations,
                 complete,
                 Arrays.asList(entries),
-                level,
+                admission,
                 List.of(),
                 List.of(),
                 ConfigurationUpdate.NO_NONCE);
@@ -101,11 +101,11 @@
     }
 
     /** Replaces all tables by one that holds the first hosts, with equal weights. */
-    RoutingFixture withCompleteTables(int count, ConfigurationUpdate.AdmissionPolicy level) {
+    RoutingFixture withCompleteTables(int count, ConfigurationUpdate.AdmissionPolicy admission) {
         ConfigurationUpdate.TableEntry[] entries = IntStream.range(0, count)
                 .mapToObj(host -> entry(host, 1))
                 .toArray(ConfigurationUpdate.TableEntry[]::new);
-        apply(update(part(List.of(), true, level, entries)));
+        apply(update(part(List.of(), true, admission, entries)));
         return this;
     }
 
--- a/src/test/java/linenring/routing/TablesTest.java
+++ b/src/test/java/linenring/routing/TablesTest.java
@@ -1,8 +1,8 @@
 package linenring.routing;
 
+import static linenring.routing.RoutingFixture.admission;
 import static linenring.routing.RoutingFixture.ejections;
 import static linenring.routing.RoutingFixture.entry;
-import static linenring.routing.RoutingFixture.level;
 import static linenring.routing.RoutingFixture.part;
 import static linenring.routing.RoutingFixture.update;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -49,7 +49,7 @@
 
     @Test
     void resetsAdmissionWithCompleteTableAndKeepsItWithChanges() {
-        RoutingFixture fixture = new RoutingFixture(2).withCompleteTables(2, level(0, RetryPolicy.ONE));
+        RoutingFixture fixture = new RoutingFixture(2).withCompleteTables(2, admission(0, RetryPolicy.ONE));
         fixture.apply(update(part(List.of("quote"), false, null, entry(0, 0.5))));
         assertTrue(fixture.tables().admissionRetryAfterMs(0, 0, 0.5) > 0);
         assertEquals(RetryPolicy.ONE, fixture.tables().retryPolicy(0));
@@ -141,7 +141,7 @@
     @Test
     void admitsOrderedRateAndSaysWhenToRetry() {
         RoutingFixture fixture = new RoutingFixture(1, Measure.PER_SECOND)
-                .withCompleteTables(1, level(20, RetryPolicy.ONE_IF_NOT_EXECUTED));
+                .withCompleteTables(1, admission(20, RetryPolicy.ONE_IF_NOT_EXECUTED));
         int admitted = 0;
         for (double nowMs = 0; nowMs < 10_000; nowMs += 10) { // 100 requests a second
             admitted += fixture.tables().admissionRetryAfterMs(0, nowMs, 0.5) == 0 ? 1 : 0;
