--- a/src/main/java/linenring/cli/ScaleSubcommand.java
+++ b/src/main/java/linenring/cli/ScaleSubcommand.java
@@ -69,11 +69,11 @@
             throw new CommandLine.ParameterException(
                     spec.commandLine(), "scale: either the settings' FILE or --from RECORD is needed");
         }
-        ScaleCommand.Shutdown ending =
-                record != null ? ScaleCommand.again(record) : new ScaleCommand(arguments()).run();
-        return switch (ending) {
+        ScaleCommand.Result result =
+                record != null ? ScaleCommand.rewriteTables(record) : new ScaleCommand(arguments()).run();
+        return switch (result) {
             case MEASURED -> 0;
-            case SETTINGS_AT_FAULT -> ServeCommand.CONFIGURATION;
+            case INVALID_SETTINGS -> ServeCommand.CONFIGURATION;
             case RECORD_NOT_WRITTEN -> ServeCommand.CANNOT_START;
         };
     }
--- a/src/main/java/linenring/scale/run/CatalogueDriver.java
+++ b/src/main/java/linenring/scale/run/CatalogueDriver.java
@@ -3,6 +3,7 @@
 import java.util.List;
 import java.util.Random;
 import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
 import linenring.routing.HostRegistry;
@@ -11,15 +12,16 @@
 import linenring.scale.catalogue.CatalogueEvents;
 import linenring.scale.catalogue.CatalogueServer;
 
-/** Lets the catalogue's events happen in time and tells them: first to the hollow proxies' hosts, then to all watchers. */
+/** Applies the catalogue's events when they are due and publishes them: first to the simulated proxies, then to all watchers. */
 final class CatalogueDriver implements AutoCloseable {
-    private static final long TICK_NS = 10_000_000;
+    private static final long TICK_NANOS = 10_000_000;
+    private static final long STOP_TIMEOUT_MS = 1000;
 
     private final CatalogueEvents events;
     private final HostRegistry hosts;
     private final List<CatalogueServer> servers = new CopyOnWriteArrayList<>();
     private final Thread thread = new Thread(this::run, "catalogue-events");
-    private volatile long hostsChanged;
+    private final AtomicLong changedEntries = new AtomicLong();
     private volatile long lastChangeNanos = System.nanoTime();
     private volatile boolean closed;
 
@@ -30,7 +32,7 @@
         thread.setDaemon(true);
     }
 
-    void tells(CatalogueServer server) {
+    void publishTo(CatalogueServer server) {
         servers.add(server);
     }
 
@@ -38,7 +40,7 @@
         thread.start();
     }
 
-    /** Changes what is to happen; the time handed in is now, Unix ms. */
+    /** Orders events. */
     void script(Consumer<CatalogueEvents> change) {
         synchronized (events) {
             change.accept(events);
@@ -48,20 +50,20 @@
     private void run() {
         while (!closed) {
             synchronized (events) {
-                events.advance(System.currentTimeMillis()).forEach(this::tell);
+                events.advance(System.currentTimeMillis()).forEach(this::publish);
             }
-            LockSupport.parkNanos(TICK_NS);
+            LockSupport.parkNanos(TICK_NANOS);
         }
     }
 
-    private void tell(CatalogueChange change) {
+    private void publish(CatalogueChange change) {
         hosts.apply(change.asHostList());
-        servers.forEach(s -> s.publish(change));
-        hostsChanged += change.hosts().size();
+        servers.forEach(server -> server.publish(change));
+        changedEntries.addAndGet(change.hosts().size());
         lastChangeNanos = System.nanoTime();
     }
 
-    /** Whether something is due still. */
+    /** Whether further events are ordered. */
     boolean isBusy() {
         synchronized (events) {
             return events.nextTimeMs() != Long.MAX_VALUE;
@@ -69,11 +71,11 @@
     }
 
     /** Entries that have changed since the start. */
-    long hostsChanged() {
-        return hostsChanged;
+    long changedEntries() {
+        return changedEntries.get();
     }
 
-    /** When the last change was told, by {@link System#nanoTime}. */
+    /** When the last change was published, by {@link System#nanoTime}. */
     long lastChangeNanos() {
         return lastChangeNanos;
     }
@@ -83,8 +85,8 @@
         closed = true;
         LockSupport.unpark(thread);
         try {
-            thread.join(1000);
-        } catch (InterruptedException e) {
+            thread.join(STOP_TIMEOUT_MS);
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
--- a/src/main/java/linenring/scale/run/InProcessMember.java
+++ b/src/main/java/linenring/scale/run/InProcessMember.java
@@ -6,54 +6,54 @@
 import linenring.scale.fleet.SimulatedFleet;
 import org.eclipse.jetty.util.thread.Scheduler;
 
-/** A hollow steward and its fleet. */
+/** A simulated controller and its fleet. */
 final class InProcessMember implements AutoCloseable {
     private final SimulatedFleet fleet;
     private final InProcessFleets fleets;
-    private InProcessController steward;
+    private InProcessController controller;
     private InProcessFleets.Connection connection;
 
-    /** {@code keepsLedger}: of what the catalogue tells it, which takes time and memory. */
+    /** {@code keepsLedger}: whether it records the lists it receives, which takes time and memory. */
     InProcessMember(
             String name,
-            ControllerConfiguration assignment,
+            ControllerConfiguration configuration,
             Scheduler scheduler,
             SimulatedFleet fleet,
             InProcessFleets fleets,
             boolean keepsLedger) {
         this.fleet = fleet;
         this.fleets = fleets;
-        steward = new InProcessController(name, assignment, scheduler, keepsLedger);
+        controller = new InProcessController(name, configuration, scheduler, keepsLedger);
     }
 
     void open() throws Exception { // Jetty's start() may throw any
-        steward.open();
-        connection = fleets.join(fleet, steward.codec(), steward.events());
+        controller.open();
+        connection = fleets.join(fleet, controller.codec(), controller.events());
     }
 
     SimulatedFleet fleet() {
         return fleet;
     }
 
-    InProcessController steward() {
-        return steward;
+    InProcessController controller() {
+        return controller;
     }
 
     InProcessFleets.Connection connection() {
         return connection;
     }
 
-    /** Ends the steward and lets its memory go; the fleet stays as it is. */
-    void letGo() {
+    /** Ends the controller and releases its memory; the fleet stays as it is. */
+    void release() {
         connection.end();
-        steward.close();
-        steward = null;
+        controller.close();
+        controller = null;
     }
 
     @Override
     public void close() {
-        if (steward != null && connection != null) {
-            letGo();
+        if (controller != null && connection != null) {
+            release();
         }
     }
 }
--- a/src/main/java/linenring/scale/run/PointRunner.java
+++ b/src/main/java/linenring/scale/run/PointRunner.java
@@ -4,6 +4,7 @@
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
@@ -15,15 +16,26 @@
 import linenring.scale.process.ProcessorTimes;
 
 /**
- * Measures one workload: waits until all proxies have tables, lets the steady rates begin, warms up, and reads what the real
- * and the hollow stewards use over a window.
+ * Measures one workload: waits until all proxies have tables, starts the steady rates, warms up, and reads what the real and
+ * the simulated controllers use over a window.
  */
 final class PointRunner {
-    private static final long SETTLE_S = 60;
-    private static final double STARTS_AND_ENDS_S = 10;
-    private static final int REAL_STEWARDS_MOST = 4;
-    private static final int STEWARDS_PER_REAL = 8; // one of so many is a real one
-    private static final double LET_GO_S = 0.5, BETWEEN_COLLECTIONS_S = 0.2;
+    private static final long SETTLE_TIMEOUT_S = 60;
+    /** For starting and ending all processes. */
+    private static final double START_AND_STOP_S = 10;
+
+    private static final int MAX_REAL_CONTROLLERS = 4;
+    /** One controller of that many is a real one. */
+    private static final int CONTROLLERS_PER_REAL = 8;
+
+    private static final double RELEASE_S = 0.5;
+    private static final double BETWEEN_COLLECTIONS_S = 0.2;
+    private static final double SECOND_NANOS = 1e9;
+    private static final double SECOND_MS = 1000;
+    private static final double MEGABYTE = 1e6;
+    private static final double PERCENT = 100;
+    /** The share of a core from which a thread is shown in progress messages. */
+    private static final double MIN_THREAD_SHARE = 0.0005;
 
     private final double warmUpSeconds;
     private final double windowSeconds;
@@ -37,58 +49,57 @@
         this.progress = progress;
     }
 
-    /** What one steward is read from at one time. */
+    /** The counters of one controller at one time. */
     private record Reading(ProcessorTimes times, Traffic.Counts traffic) {}
 
-    /** How many of a workload's stewards are real ones. */
-    static int realStewards(Workload workload) {
-        return Math.min(REAL_STEWARDS_MOST, Math.max(1, workload.stewards() / STEWARDS_PER_REAL));
+    /** How many of a workload's controllers are real ones. */
+    static int realControllers(Workload workload) {
+        return Math.min(MAX_REAL_CONTROLLERS, Math.max(1, workload.stewards() / CONTROLLERS_PER_REAL));
     }
 
-    /** How long a point takes if its proxies have their tables at once, in s. */
-    double secondsAtLeast() {
-        return STARTS_AND_ENDS_S + warmUpSeconds + windowSeconds;
+    /** How long a point takes if its proxies have their tables at once. */
+    double minSeconds() {
+        return START_AND_STOP_S + warmUpSeconds + windowSeconds;
     }
 
-    /** Takes so many seconds at most: what is to spare is for settling. */
-    Point measure(double size, Workload workload, double secondsAtMost)
-            throws Exception { // Jetty's start() may throw any
-        long settle = (long) Math.min(SETTLE_S, secondsAtMost - secondsAtLeast());
+    /** Takes {@code maxSeconds} at most: what is to spare is for settling. */
+    Point measure(double size, Workload workload, double maxSeconds) throws Exception { // Jetty's start() may throw any
+        long settle = (long) Math.min(SETTLE_TIMEOUT_S, maxSeconds - minSeconds());
         try (Testbed testbed = new Testbed(workload, seed)) {
             return measure(size, testbed, settle);
         }
     }
 
     private Point measure(double size, Testbed testbed, long settleSeconds) throws Exception {
-        int realStewards = realStewards(testbed.workload());
-        testbed.open(realStewards, Math.max(1, testbed.workload().stewards() - realStewards));
+        int realControllers = realControllers(testbed.workload());
+        testbed.open(realControllers, Math.max(1, testbed.workload().stewards() - realControllers));
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(settleSeconds);
         String failure = settle(testbed, deadline);
-        String hollowFailure = testbed.awaitHollowSettled(deadline);
-        if (failure != null || hollowFailure != null) {
-            progress.say("real: " + failure + "; hollow: " + hollowFailure);
+        String simulatedFailure = testbed.awaitSimulatedSettled(deadline);
+        if (failure != null || simulatedFailure != null) {
+            progress.report("real: " + failure + "; simulated: " + simulatedFailure);
         }
-        if (failure != null && hollowFailure != null) {
+        if (failure != null && simulatedFailure != null) {
             return new Point(size, testbed.workload(), null, null, failure);
         }
-        testbed.beginSteadyRates();
+        testbed.startSteadyRates();
         sleep(warmUpSeconds);
         RealWindow real = failure == null ? new RealWindow(testbed.real()) : null;
-        InProcessWindow hollow = hollowFailure == null ? new InProcessWindow(testbed.hollow()) : null;
+        InProcessWindow simulated = simulatedFailure == null ? new InProcessWindow(testbed.simulated()) : null;
         sleep(windowSeconds);
         Usage realUsage = null;
         if (real != null) {
             failure = ending(testbed.real());
             realUsage = failure == null ? real.usage() : null;
         }
-        Usage hollowUsage = hollow == null ? null : hollow.usage();
+        Usage simulatedUsage = simulated == null ? null : simulated.usage();
         if (realUsage != null) {
-            progress.say(words(realUsage, hollowUsage));
+            progress.report(describe(realUsage, simulatedUsage));
         }
-        return new Point(size, testbed.workload(), realUsage, hollowUsage, failure);
+        return new Point(size, testbed.workload(), realUsage, simulatedUsage, failure);
     }
 
-    /** Waits until all real stewards are settled; null, or what is missing at the first that is not. */
+    /** Waits until all real controllers are settled; null, or what is missing at the first that is not. */
     private static String settle(Testbed testbed, long deadline) throws InterruptedException {
         for (RealMember member : testbed.real()) {
             String missing = testbed.awaitSettled(member, deadline);
@@ -99,20 +110,20 @@
         return null;
     }
 
-    /** How the first of them ended that has, or null. */
+    /** How the first of them that has ended did so, or null. */
     private static String ending(List<RealMember> members) {
         return members.stream()
-                .filter(m -> !m.process().isAlive())
-                .map(m -> m.process().ending())
+                .filter(member -> !member.process().isAlive())
+                .map(member -> member.process().ending())
                 .findFirst()
                 .orElse(null);
     }
 
     private static void sleep(double seconds) throws InterruptedException {
-        TimeUnit.MILLISECONDS.sleep((long) (1000 * seconds));
+        TimeUnit.MILLISECONDS.sleep((long) (SECOND_MS * seconds));
     }
 
-    /** What the real stewards use from its making on; its mean over them. */
+    /** What the real controllers use from its creation on; the mean over them. */
     private static final class RealWindow {
         private final List<RealMember> members;
         private final List<Reading> before = new ArrayList<>();
@@ -142,7 +153,7 @@
 
         private static Usage usage(RealMember member, Reading before, Reading after)
                 throws IOException, InterruptedException {
-            double seconds = (after.times().atNanos() - before.times().atNanos()) / 1e9;
+            double seconds = (after.times().atNanos() - before.times().atNanos()) / SECOND_NANOS;
             Traffic.Counts traffic = after.traffic().since(before.traffic());
             return new Usage(
                     after.times().shareSince(before.times()),
@@ -158,8 +169,8 @@
 
     private static Usage mean(List<Usage> usages) {
         Map<String, Double> byThread = new HashMap<>();
-        usages.forEach(u ->
-                u.shareByThread().forEach((name, share) -> byThread.merge(name, share / usages.size(), Double::sum)));
+        usages.forEach(usage -> usage.shareByThread()
+                .forEach((name, share) -> byThread.merge(name, share / usages.size(), Double::sum)));
         return new Usage(
                 mean(usages, Usage::processorShare),
                 mean(usages, Usage::residentBytes),
@@ -171,14 +182,14 @@
                 byThread);
     }
 
-    private static double mean(List<Usage> usages, ToDoubleFunction<Usage> figure) {
-        return usages.stream().mapToDouble(figure).average().orElse(Double.NaN);
+    private static double mean(List<Usage> usages, ToDoubleFunction<Usage> value) {
+        return usages.stream().mapToDouble(value).average().orElse(Double.NaN);
     }
 
-    /** What the hollow stewards use from its making on; its mean over them. */
+    /** What the simulated controllers use from its creation on; the mean over them. */
     private static final class InProcessWindow {
         private final List<InProcessMember> members;
-        private final long begunAt = System.nanoTime();
+        private final long startNanos = System.nanoTime();
         private final long processorNanos;
         private final Traffic.Counts traffic;
 
@@ -189,32 +200,34 @@
         }
 
         private long processorNanos() {
-            return members.stream().mapToLong(m -> m.steward().processorNanos()).sum();
+            return members.stream()
+                    .mapToLong(member -> member.controller().processorNanos())
+                    .sum();
         }
 
         private Traffic.Counts traffic() {
             return members.stream()
-                    .map(m -> m.connection().traffic().counts())
+                    .map(member -> member.connection().traffic().counts())
                     .reduce(new Traffic.Counts(0, 0, 0, 0), Traffic.Counts::plus);
         }
 
-        /** Lets the stewards go, as their memory is what goes with them. */
+        /** Ends the controllers: their memory is what this process's heap loses with them. */
         Usage usage() throws InterruptedException {
-            double stewardSeconds = (System.nanoTime() - begunAt) / 1e9 * members.size();
-            double processorSeconds = (processorNanos() - processorNanos) / 1e9;
+            double controllerSeconds = (System.nanoTime() - startNanos) / SECOND_NANOS * members.size();
+            double processorSeconds = (processorNanos() - processorNanos) / SECOND_NANOS;
             Traffic.Counts used = traffic().since(traffic);
-            long with = heapAfterCollection();
-            members.forEach(InProcessMember::letGo);
-            sleep(LET_GO_S);
-            double heap = (double) (with - heapAfterCollection()) / members.size();
+            long bytesBefore = heapAfterCollection();
+            members.forEach(InProcessMember::release);
+            sleep(RELEASE_S);
+            double heap = (double) (bytesBefore - heapAfterCollection()) / members.size();
             return new Usage(
-                    processorSeconds / stewardSeconds,
+                    processorSeconds / controllerSeconds,
                     Double.NaN,
                     heap,
-                    Double.NaN, // what is said in memory has no bytes
-                    used.bytesOut() / stewardSeconds,
-                    used.messagesIn() / stewardSeconds,
-                    used.messagesOut() / stewardSeconds,
+                    Double.NaN, // messages in memory have no bytes
+                    used.bytesOut() / controllerSeconds,
+                    used.messagesIn() / controllerSeconds,
+                    used.messagesOut() / controllerSeconds,
                     Map.of());
         }
 
@@ -227,31 +240,34 @@
         }
     }
 
-    // ---- words
+    // ---- progress messages
 
-    private static String words(Usage real, Usage hollow) {
+    private static String describe(Usage real, Usage simulated) {
         return String.format(
+                        Locale.ROOT,
                         "real: %.2f%% of a core, %.1f MB resident, %.1f MB heap, %.0f B/s in, %.0f B/s out",
-                        100 * real.processorShare(),
-                        real.residentBytes() / 1e6,
-                        real.heapBytes() / 1e6,
+                        PERCENT * real.processorShare(),
+                        real.residentBytes() / MEGABYTE,
+                        real.heapBytes() / MEGABYTE,
                         real.bytesInPerSecond(),
                         real.bytesOutPerSecond())
-                + (hollow == null
+                + (simulated == null
                         ? ""
                         : String.format(
-                                "; hollow: %.2f%%, %.1f MB heap",
-                                100 * hollow.processorShare(), hollow.heapBytes() / 1e6))
+                                Locale.ROOT,
+                                "; simulated: %.2f%%, %.1f MB heap",
+                                PERCENT * simulated.processorShare(),
+                                simulated.heapBytes() / MEGABYTE))
                 + "; threads " + byThread(real.shareByThread());
     }
 
     private static String byThread(Map<String, Double> shares) {
-        StringBuilder words = new StringBuilder();
+        StringBuilder text = new StringBuilder();
         new TreeMap<>(shares).forEach((name, share) -> {
-            if (share >= 0.0005) {
-                words.append(String.format("%s %.2f%% ", name, 100 * share));
+            if (share >= MIN_THREAD_SHARE) {
+                text.append(String.format(Locale.ROOT, "%s %.2f%% ", name, PERCENT * share));
             }
         });
-        return words.toString().strip();
+        return text.toString().strip();
     }
 }
--- a/src/main/java/linenring/scale/run/Progress.java
+++ b/src/main/java/linenring/scale/run/Progress.java
@@ -1,9 +1,10 @@
 package linenring.scale.run;
 
-/** Where a long run tells how far it has come. */
+/** Receives messages on how far a long run has come. */
 public interface Progress {
-    /** Tells nothing. */
-    Progress NONE = words -> {};
+    /** Ignores them. */
+    Progress NONE = message -> {};
 
-    void say(String words);
+    /** Receives one message. */
+    void report(String message);
 }
--- a/src/main/java/linenring/scale/run/RealMember.java
+++ b/src/main/java/linenring/scale/run/RealMember.java
@@ -11,38 +11,39 @@
 import linenring.scale.process.ControllerProcess;
 import linenring.scale.process.MeasuredConfiguration;
 
-/** A real steward with the agent and the fleet that only it has, so that all its bytes are counted. */
+/** A real controller with a discovery agent and a fleet of its own, so that all its bytes are counted. */
 final class RealMember implements AutoCloseable {
     private final ControllerProcess process;
-    private final MeasuredConfiguration settings;
+    private final MeasuredConfiguration configuration;
     private final CatalogueServer server;
     private final SocketFleet fleet;
 
-    RealMember(String name, Path folder, MeasuredConfiguration settings, CatalogueServer server, SimulatedFleet fleet)
+    RealMember(
+            String name, Path folder, MeasuredConfiguration configuration, CatalogueServer server, SimulatedFleet fleet)
             throws IOException {
-        this.settings = settings;
+        this.configuration = configuration;
         this.server = server;
         process = new ControllerProcess(name, folder);
         this.fleet = new SocketFleet(fleet, process.listen(), "fleet-" + name);
     }
 
-    /** An address at which nobody listens, for stewards that don't either. */
-    static InetSocketAddress nowhere() {
+    /** An address at which nobody listens, for controllers that don't either. */
+    static InetSocketAddress unusedAddress() {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     }
 
     /** Starts it and, once it serves, its fleet. */
     void open() throws IOException, InterruptedException {
         server.open();
-        process.start(settings, server.address());
+        process.start(configuration, server.address());
         process.awaitPong();
         fleet.start();
     }
 
-    /** Kills it and starts it anew; its proxies dial until it is back. */
+    /** Kills it and starts it again; its proxies reconnect until it is back. */
     void restart() throws IOException {
         process.kill();
-        process.start(settings, server.address());
+        process.start(configuration, server.address());
     }
 
     ControllerProcess process() {
@@ -57,10 +58,12 @@
         return fleet;
     }
 
-    /** All that went to it and came from it so far: its fleet's and the catalogue's. */
+    /** All traffic so far, with its fleet and with its agent. */
     Traffic.Counts traffic() {
-        Traffic.Counts catalogue = new Traffic.Counts(server.bytesOut(), server.bytesIn(), server.linesOut(), 0);
-        return fleet.traffic().counts().plus(catalogue);
+        long fromAgent = server.bytesOut();
+        long toAgent = server.bytesIn();
+        Traffic.Counts withAgent = new Traffic.Counts(fromAgent, toAgent, server.linesOut(), 0);
+        return fleet.traffic().counts().plus(withAgent);
     }
 
     @Override
--- a/src/main/java/linenring/scale/run/ScaleCommand.java
+++ b/src/main/java/linenring/scale/run/ScaleCommand.java
@@ -9,82 +9,87 @@
 import linenring.scale.settings.ScalePlan;
 import linenring.scale.settings.ScalePlanReader;
 
-/** The sub-command {@code scale}: reads the settings, measures, and writes the record. */
+/** The subcommand {@code scale}: reads the settings, measures, and writes the record. */
 public final class ScaleCommand {
-    /** What came of it. */
-    public enum Shutdown {
+    /** How it ended. */
+    public enum Result {
         MEASURED,
-        SETTINGS_AT_FAULT,
+        INVALID_SETTINGS,
         RECORD_NOT_WRITTEN
     }
 
     /**
-     * What it is told.
+     * The arguments of the command line.
      *
-     * @param seed goes before the settings' where it is there
-     * @param name that the record's files begin with
-     * @param build what is measured, in words
+     * @param seed overrides the settings' seed
+     * @param directory where the record is written
+     * @param name the prefix of the record's files
+     * @param build what is measured, as text
+     * @param progress whether to report progress on standard error
      */
     public record Arguments(
             Path settings, OptionalLong seed, Path directory, String name, String build, boolean progress) {}
 
     private final Arguments arguments;
     private final Progress progress;
-    private IOException notWritten;
+    private IOException writeFailure;
 
+    /** A run with these arguments. */
     public ScaleCommand(Arguments arguments) {
         this.arguments = arguments;
-        progress = arguments.progress() ? words -> System.err.println("scale: " + words) : Progress.NONE;
+        progress = arguments.progress() ? message -> System.err.println("scale: " + message) : Progress.NONE;
     }
 
-    public Shutdown run() throws InterruptedException {
+    /** Measures and writes the record, also after each point. */
+    public Result run() throws InterruptedException {
         ScalePlanReader.Outcome read = ScalePlanReader.read(arguments.settings());
         if (read.plan() == null) {
             read.faults().forEach(System.err::println);
-            return Shutdown.SETTINGS_AT_FAULT;
+            return Result.INVALID_SETTINGS;
         }
         RunReport report = new RunReport(arguments.directory());
         ScalePlan plan =
                 read.plan().withSeed(arguments.seed().orElse(read.plan().seed()));
-        ScaleRun run = new ScaleRunner(plan, arguments.build(), progress, soFar -> writeRecord(report, soFar)).run();
+        ScaleRun run =
+                new ScaleRunner(plan, arguments.build(), progress, results -> writeRecord(report, results)).run();
         try {
             report.write(run, arguments.name());
-        } catch (IOException e) {
-            notWritten = e;
+        } catch (IOException failed) {
+            writeFailure = failed;
         }
-        if (notWritten != null) {
+        if (writeFailure != null) {
             System.err.println(
-                    "linenring: the record can't be written to " + arguments.directory() + ": " + notWritten);
-            return Shutdown.RECORD_NOT_WRITTEN;
+                    "linenring: the record can't be written to " + arguments.directory() + ": " + writeFailure);
+            return Result.RECORD_NOT_WRITTEN;
         }
         System.out.println(arguments.directory().resolve(arguments.name() + ".md"));
-        return Shutdown.MEASURED;
+        return Result.MEASURED;
     }
 
     /** Writes the tables, fits and plots of a record again, beside it. */
-    public static Shutdown again(Path record) {
+    public static Result rewriteTables(Path record) {
         try {
             String name = record.getFileName().toString().replaceFirst("\\.json$", "");
             Path directory = record.toAbsolutePath().getParent();
             RunRecords.Outcome read = RunRecords.read(record);
             if (read.run() == null) {
                 System.err.println("linenring: " + read.fault());
-                return Shutdown.SETTINGS_AT_FAULT;
+                return Result.INVALID_SETTINGS;
             }
             new RunReport(directory).writeTables(read.run(), name);
             System.out.println(directory.resolve(name + ".md"));
-            return Shutdown.MEASURED;
-        } catch (IOException e) {
-            System.err.println("linenring: " + record + " can't be read or written again: " + e.getMessage());
-            return Shutdown.RECORD_NOT_WRITTEN;
+            return Result.MEASURED;
+        } catch (IOException failed) {
+            System.err.println("linenring: " + record + " can't be read or written again: " + failed.getMessage());
+            return Result.RECORD_NOT_WRITTEN;
         }
     }
 
-    private void writeRecord(RunReport report, ScaleRun soFar) {
+    private void writeRecord(RunReport report, ScaleRun results) {
         try {
-            report.writeRecord(soFar, arguments.name());
-        } catch (IOException e) {
-            notWritten = e;
+            report.writeRecord(results, arguments.name());
+        } catch (IOException failed) {
+            writeFailure = failed;
         }
     }
 }
--- a/src/main/java/linenring/scale/run/ScaleRunner.java
+++ b/src/main/java/linenring/scale/run/ScaleRunner.java
@@ -20,36 +20,40 @@
 import linenring.scale.measurement.Workload;
 import linenring.scale.settings.ScalePlan;
 
-/** A whole run: sweep after sweep, point after point, then the scenarios; it ends by itself within its bound of time. */
+/** Runs a plan: sweep after sweep, point after point, then the scenarios. It ends by itself within the plan's time. */
 public final class ScaleRunner {
-    private static final String TIME_IS_UP = "not run: the run's time was up";
-    private static final String MEMORY_IS_UP = "not run: the run's memory was up";
+    private static final String OUT_OF_TIME = "not run: the run's time was up";
+    private static final String OUT_OF_MEMORY = "not run: the run's memory was up";
     private static final String TOO_FEW_PROCESSES = "not run: the run may not start so many processes";
-    private static final long STEWARD_BYTES = 256L << 20; // more than its flags let a real one have
+    /** More than its flags allow a real controller. */
+    private static final long CONTROLLER_BYTES = 256L << 20;
+
+    private static final double SECOND_MS = 1000;
 
     private final ScalePlan plan;
     private final String build;
     private final Progress progress;
-    private final Consumer<ScaleRun> soFar;
+    private final Consumer<ScaleRun> listener;
     private final Instant startedAt = Instant.now();
     private final List<MeasuredSweep> sweeps = new ArrayList<>();
     private final List<ScenarioOutcome> scenarios = new ArrayList<>();
 
-    /** {@code soFar} is told what there is after each point and each scenario. */
-    public ScaleRunner(ScalePlan plan, String build, Progress progress, Consumer<ScaleRun> soFar) {
+    /** The {@code listener} gets the results so far after each point and each scenario. */
+    public ScaleRunner(ScalePlan plan, String build, Progress progress, Consumer<ScaleRun> listener) {
         this.plan = plan;
         this.build = build;
         this.progress = progress;
-        this.soFar = soFar;
+        this.listener = listener;
     }
 
+    /** Measures everything; what the limits do not allow is a failed point. */
     public ScaleRun run() throws InterruptedException {
         for (Sweep sweep : plan.sweeps()) {
             run(sweep);
         }
         for (Scenario scenario : plan.scenarios()) {
             scenarios.add(play(scenario));
-            soFar.accept(result());
+            listener.accept(result());
         }
         return result();
     }
@@ -58,60 +62,60 @@
         List<Point> points = new ArrayList<>();
         sweeps.add(new MeasuredSweep(sweep.variable(), sweep.base(), points));
         for (double size : sweep.sizes()) {
-            progress.say(sweep.variable().description() + ": " + size);
+            progress.report(sweep.variable().description() + ": " + size);
             points.add(measure(size, sweep.base().with(sweep.variable(), size)));
             sweeps.set(sweeps.size() - 1, new MeasuredSweep(sweep.variable(), sweep.base(), points));
-            soFar.accept(result());
+            listener.accept(result());
         }
     }
 
     private Point measure(double size, Workload workload) throws InterruptedException {
         PointRunner runner = new PointRunner(plan.warmUpSeconds(), plan.windowSeconds(), plan.seed(), progress);
-        String beyond = beyondBounds(runner.secondsAtLeast(), PointRunner.realStewards(workload));
-        if (beyond != null) {
-            return new Point(size, workload, null, null, beyond);
+        String limit = exceededLimit(runner.minSeconds(), PointRunner.realControllers(workload));
+        if (limit != null) {
+            return new Point(size, workload, null, null, limit);
         }
         try {
             return runner.measure(size, workload, secondsLeft());
-        } catch (InterruptedException e) {
-            throw e;
-        } catch (Exception e) { // whatever it is, it ends this point and no more
-            return new Point(size, workload, null, null, "fault of the measurement: " + e);
+        } catch (InterruptedException interrupted) {
+            throw interrupted;
+        } catch (Exception failed) { // the other points are measured all the same
+            return new Point(size, workload, null, null, "fault of the measurement: " + failed);
         }
     }
 
     private ScenarioOutcome play(Scenario scenario) throws InterruptedException {
-        progress.say("scenario: " + scenario.description());
-        String beyond = beyondBounds(ScenarioPlayer.SECONDS_AT_MOST, 1);
-        if (beyond != null) {
-            return ScenarioPlayer.failed(scenario, plan.scenarioWorkload(), beyond);
+        progress.report("scenario: " + scenario.description());
+        String limit = exceededLimit(ScenarioPlayer.MAX_SECONDS, 1);
+        if (limit != null) {
+            return ScenarioPlayer.failed(scenario, plan.scenarioWorkload(), limit);
         }
         try {
             return new ScenarioPlayer(plan.seed(), progress).play(scenario, plan.scenarioWorkload());
-        } catch (InterruptedException e) {
-            throw e;
-        } catch (Exception e) { // whatever it is, it ends this scenario and no more
-            return ScenarioPlayer.failed(scenario, plan.scenarioWorkload(), "fault of the measurement: " + e);
+        } catch (InterruptedException interrupted) {
+            throw interrupted;
+        } catch (Exception failed) { // the other scenarios are played all the same
+            return ScenarioPlayer.failed(scenario, plan.scenarioWorkload(), "fault of the measurement: " + failed);
         }
     }
 
-    /** Which bound keeps what takes so many seconds and real stewards from being run, in words, or null. */
-    private String beyondBounds(double seconds, int realStewards) {
-        if (plan.bounds().processes() < 1 + realStewards) {
+    /** Which limit forbids a measurement of that many seconds and real controllers, as text, or null. */
+    private String exceededLimit(double seconds, int realControllers) {
+        if (plan.bounds().processes() < 1 + realControllers) {
             return TOO_FEW_PROCESSES;
         }
         if (secondsLeft() < seconds) {
-            return TIME_IS_UP;
+            return OUT_OF_TIME;
         }
         System.gc();
         Runtime runtime = Runtime.getRuntime();
         long used = runtime.totalMemory() - runtime.freeMemory();
-        return used + realStewards * STEWARD_BYTES > plan.bounds().memoryBytes() ? MEMORY_IS_UP : null;
+        return used + realControllers * CONTROLLER_BYTES > plan.bounds().memoryBytes() ? OUT_OF_MEMORY : null;
     }
 
     private double secondsLeft() {
         return plan.bounds().seconds()
-                - Duration.between(startedAt, Instant.now()).toMillis() / 1000.0;
+                - Duration.between(startedAt, Instant.now()).toMillis() / SECOND_MS;
     }
 
     private ScaleRun result() {
@@ -131,16 +135,16 @@
     private static String machine() {
         return "%s; %s memory; load %s, of which this run is a part"
                 .formatted(
-                        first("/proc/cpuinfo", "model name\\s*: (.*)"),
-                        first("/proc/meminfo", "MemTotal:\\s+(.*)"),
-                        first("/proc/loadavg", "(\\S+ \\S+ \\S+)"));
+                        firstMatch("/proc/cpuinfo", "model name\\s*: (.*)"),
+                        firstMatch("/proc/meminfo", "MemTotal:\\s+(.*)"),
+                        firstMatch("/proc/loadavg", "(\\S+ \\S+ \\S+)"));
     }
 
-    private static String first(String file, String pattern) {
+    private static String firstMatch(String file, String pattern) {
         try {
             Matcher found = Pattern.compile(pattern).matcher(Files.readString(Path.of(file)));
             return found.find() ? found.group(1).strip() : "unknown";
-        } catch (IOException e) {
+        } catch (IOException unreadable) {
             return "unknown";
         }
     }
--- a/src/main/java/linenring/scale/run/ScenarioPlayer.java
+++ b/src/main/java/linenring/scale/run/ScenarioPlayer.java
@@ -14,26 +14,37 @@
 import linenring.scale.measurement.Workload;
 import linenring.scale.process.ProcessorTimes;
 
-/** Plays one scenario to a real steward and a hollow one, and waits until the tables of the real one's proxies agree. */
+/** Plays one scenario to a real and a simulated controller, and waits until the tables of the real one's proxies agree. */
 final class ScenarioPlayer {
-    /** How long one takes at most. */
-    static final double SECONDS_AT_MOST = 260;
+    /** How long one scenario takes at most. */
+    static final double MAX_SECONDS = 260;
 
-    private static final long SETTLE_S = 60, CONVERGE_S = 90;
-    private static final long QUIET_MS =
-            15_000; // before the event: the first tables have gone out, what runs often is compiled
-    private static final long WATCH_MS = 10_000; // from the event on at least
+    private static final long SETTLE_TIMEOUT_S = 60;
+    private static final long CONVERGENCE_TIMEOUT_S = 90;
+    /** Before the event: until then the first tables have gone out and hot code is compiled. */
+    private static final long QUIET_MS = 15_000;
+
+    /** The minimum time from the event on. */
+    private static final long WATCH_MS = 10_000;
+
+    private static final double SECOND_NANOS = 1e9;
+    private static final double PERMILLE = 1000;
+    private static final double TENTHS = 10;
     private static final long POLL_MS = 100;
-    private static final double CHURN_PER_SECOND = 10; // where the workload has no changes of its own
+    /** If the workload has no changes of its own. */
+    private static final double CHURN_PER_SECOND = 10;
+
     private static final long CHURN_MS = 10_000;
-    private static final long ZONE_AWAY_MS = 10_000;
-    private static final long SILENT_MS = 5000; // stands for the hour: what counts is how much is caught up
+    private static final long ZONE_LOST_MS = 10_000;
+    /** Stands for an hour: what counts is how many changes are caught up with. */
+    private static final long SILENT_MS = 5000;
+
     /** 10,000 restarts and 270 failures a day of 73,000 hosts, over an hour. */
     private static final double HOUR_SHARE = 10_270.0 / 24 / 73_000;
 
-    private static final int SPOILT_ENTRIES = 5;
-    private static final double ROLLING_STEP = 0.1;
-    private static final long ROLLING_EVERY_MS = 2000;
+    private static final int INVALID_ENTRIES = 5;
+    private static final double ROLLING_STEP_SHARE = 0.1;
+    private static final long ROLLING_INTERVAL_MS = 2000;
 
     private final long seed;
     private final Progress progress;
@@ -44,7 +55,7 @@
         this(seed, progress, QUIET_MS, WATCH_MS);
     }
 
-    /** With so much time before the event, and so much from it on at least. */
+    /** With {@code quietMs} before the event and at least {@code watchMs} after it. */
     ScenarioPlayer(long seed, Progress progress, long quietMs, long watchMs) {
         this.seed = seed;
         this.progress = progress;
@@ -52,6 +63,7 @@
         this.watchMs = watchMs;
     }
 
+    /** The outcome of a scenario that could not be played. */
     static ScenarioOutcome failed(Scenario scenario, Workload workload, String failure) {
         double none = Double.NaN;
         return new ScenarioOutcome(scenario, workload, null, null, 0, none, none, none, none, failure);
@@ -61,11 +73,11 @@
         try (Testbed testbed = new Testbed(workload, seed)) {
             testbed.open(1, 1);
             RealMember real = testbed.real().get(0);
-            String failure = testbed.awaitSettled(real, System.nanoTime() + TimeUnit.SECONDS.toNanos(SETTLE_S));
+            String failure = testbed.awaitSettled(real, System.nanoTime() + TimeUnit.SECONDS.toNanos(SETTLE_TIMEOUT_S));
             if (failure != null) {
                 return failed(scenario, workload, failure);
             }
-            testbed.awaitHollowSettled(System.nanoTime() + TimeUnit.SECONDS.toNanos(SETTLE_S));
+            testbed.awaitSimulatedSettled(System.nanoTime() + TimeUnit.SECONDS.toNanos(SETTLE_TIMEOUT_S));
             TimeUnit.MILLISECONDS.sleep(quietMs);
             return new Play(scenario, testbed, real).play();
         }
@@ -76,28 +88,28 @@
         private final Scenario scenario;
         private final Testbed testbed;
         private final RealMember real;
-        private final boolean whole; // tables hold all hosts that are ready
+        private final boolean completeTables; // each table has all ready hosts, as it had before the event
         private final PeakShare peak = new PeakShare();
         private final StaleHosts stale = new StaleHosts();
-        private final long begunAt = System.nanoTime();
+        private final long startNanos = System.nanoTime();
         private final Traffic.Counts trafficBefore;
-        private final long hollowNanosBefore;
-        private final Traffic.Counts hollowTrafficBefore;
-        private final long hostsBefore;
+        private final long simulatedNanosBefore;
+        private final Traffic.Counts simulatedTrafficBefore;
+        private final long changedEntriesBefore;
         private ProcessorTimes first;
-        private long eventEndedAt; // once nothing more is due to happen
+        private long eventEndNanos; // 0 while further events are ordered
         private double processorSecondsBeforeRestart;
 
         Play(Scenario scenario, Testbed testbed, RealMember real) throws IOException {
             this.scenario = scenario;
             this.testbed = testbed;
             this.real = real;
-            whole = testbed.agreement(real.fleet().fleet(), true).isComplete();
+            completeTables = testbed.agreement(real.fleet().fleet(), true).isComplete();
             trafficBefore = real.traffic();
-            InProcessMember hollow = testbed.hollow().get(0);
-            hollowNanosBefore = hollow.steward().processorNanos();
-            hollowTrafficBefore = hollow.connection().traffic().counts();
-            hostsBefore = testbed.driver().hostsChanged();
+            InProcessMember simulated = testbed.simulated().get(0);
+            simulatedNanosBefore = simulated.controller().processorNanos();
+            simulatedTrafficBefore = simulated.connection().traffic().counts();
+            changedEntriesBefore = testbed.driver().changedEntries();
             first = real.process().processorTimes(false);
         }
 
@@ -109,8 +121,8 @@
             }
             String failure = failure(converged);
             ScenarioOutcome outcome = outcome(converged, failure);
-            progress.say(scenario + ": converged after " + converged + " s, peak "
-                    + Math.round(1000 * peak.peak()) / 10.0 + "% of a core"
+            progress.report(scenario + ": converged after " + converged + " s, peak "
+                    + Math.round(PERMILLE * peak.peak()) / TENTHS + "% of a core"
                     + (failure == null ? "" : "; " + failure));
             return outcome;
         }
@@ -118,65 +130,69 @@
         private String failure(double converged) {
             List<String> faults = real.fleet().fleet().faults();
             if (Double.isNaN(converged)) {
-                return "not converged in " + CONVERGE_S + " s: " + agreement();
+                return "not converged in " + CONVERGENCE_TIMEOUT_S + " s: " + agreement();
             }
             return faults.isEmpty() ? null : faults.size() + " faults, the first: " + faults.get(0);
         }
 
         private Agreement agreement() {
-            return testbed.agreement(real.fleet().fleet(), whole);
+            return testbed.agreement(real.fleet().fleet(), completeTables);
         }
 
         /**
-         * Seconds from the last of the event until the tables agreed, or the longest for which one held a host that was not
-         * ready any more; NaN where they did not come to agree.
+         * Seconds from the end of the event until the tables agreed, or the longest for which one held a host that was not
+         * ready any more; NaN if they did not agree in time.
          */
         private double awaitConvergence() throws InterruptedException {
             double converged = Double.NaN;
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(CONVERGE_S);
+            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(CONVERGENCE_TIMEOUT_S);
             while (real.process().isAlive() && System.nanoTime() < end) {
                 watchFor(POLL_MS);
                 long now = System.nanoTime();
                 if (!hasEnded()) {
                     continue;
                 }
-                boolean agrees = agreement().isComplete() && holdsPresentList();
-                converged = !agrees ? Double.NaN : Double.isNaN(converged) ? (now - eventEndedAt) / 1e9 : converged;
-                if (agrees && now - begunAt > TimeUnit.MILLISECONDS.toNanos(watchMs)) {
+                boolean agrees = agreement().isComplete() && holdsCurrentList();
+                if (!agrees) {
+                    converged = Double.NaN;
+                } else if (Double.isNaN(converged)) {
+                    converged = (now - eventEndNanos) / SECOND_NANOS;
+                }
+                if (agrees && now - startNanos > TimeUnit.MILLISECONDS.toNanos(watchMs)) {
                     break;
                 }
             }
             return Math.max(converged, stale.longestSeconds());
         }
 
-        private boolean holdsPresentList() {
+        private boolean holdsCurrentList() {
             return real.server().watchersAt(testbed.catalogue().version()) > 0;
         }
 
         private boolean hasEnded() {
-            if (eventEndedAt == 0 && !testbed.driver().isBusy()) {
-                eventEndedAt = System.nanoTime();
+            if (eventEndNanos == 0 && !testbed.driver().isBusy()) {
+                eventEndNanos = System.nanoTime();
             }
-            return eventEndedAt != 0;
+            return eventEndNanos != 0;
         }
 
         private ScenarioOutcome outcome(double converged, String failure) throws IOException {
             ProcessorTimes last = real.process().processorTimes(false);
-            double seconds = (System.nanoTime() - begunAt) / 1e9;
+            double seconds = (System.nanoTime() - startNanos) / SECOND_NANOS;
             Traffic.Counts traffic = real.traffic().since(trafficBefore);
-            double processorSeconds = processorSecondsBeforeRestart + (last.nanos() - first.nanos()) / 1e9;
+            double processorSeconds = processorSecondsBeforeRestart + (last.nanos() - first.nanos()) / SECOND_NANOS;
             Usage realUsage = usage(processorSeconds, real.process().residentBytes(), traffic, seconds);
-            InProcessMember hollow = testbed.hollow().get(0);
-            Traffic.Counts hollowTraffic =
-                    hollow.connection().traffic().counts().since(hollowTrafficBefore);
-            double hollowSeconds = (hollow.steward().processorNanos() - hollowNanosBefore) / 1e9;
-            Usage hollowUsage = usage(hollowSeconds, Double.NaN, hollowTraffic, seconds);
+            InProcessMember simulated = testbed.simulated().get(0);
+            Traffic.Counts simulatedTraffic =
+                    simulated.connection().traffic().counts().since(simulatedTrafficBefore);
+            double simulatedSeconds = (simulated.controller().processorNanos() - simulatedNanosBefore) / SECOND_NANOS;
+            Usage simulatedUsage = usage(simulatedSeconds, Double.NaN, simulatedTraffic, seconds);
             return new ScenarioOutcome(
                     scenario,
                     testbed.workload(),
                     realUsage,
-                    hollowUsage,
-                    (int) (testbed.driver().hostsChanged() - hostsBefore),
+                    simulatedUsage,
+                    (int) (testbed.driver().changedEntries() - changedEntriesBefore),
                     converged,
                     traffic.bytesIn(),
                     traffic.bytesOut(),
@@ -184,10 +200,10 @@
                     failure);
         }
 
-        private Usage usage(double processorSeconds, double resident, Traffic.Counts traffic, double seconds) {
+        private Usage usage(double processorSeconds, double residentBytes, Traffic.Counts traffic, double seconds) {
             return new Usage(
                     processorSeconds / seconds,
-                    resident,
+                    residentBytes,
                     Double.NaN,
                     traffic.bytesIn() / seconds,
                     traffic.bytesOut() / seconds,
@@ -196,7 +212,7 @@
                     Map.of());
         }
 
-        // ---- the events
+        // ---- events
 
         private void begin() throws IOException, InterruptedException {
             long now = System.currentTimeMillis();
@@ -205,16 +221,16 @@
                 case CHURN -> churn(now);
                 case ROLLING_RESTART -> rollingRestart(now);
                 case RACK_LOST -> testbed.script(events -> events.loseRack(now, 0, 0));
-                case ZONE_LOST_AND_BACK -> testbed.script(events -> events.loseZone(now, 0, ZONE_AWAY_MS));
+                case ZONE_LOST_AND_BACK -> testbed.script(events -> events.loseZone(now, 0, ZONE_LOST_MS));
                 case SILENCE_CAUGHT_UP -> silence(now);
-                case SPOILT_LIST -> spoiltList(now);
+                case SPOILT_LIST -> invalidEntries();
                 case PARTIAL_LIST -> {
                     real.server().cutNextLists(1);
                     restart();
                 }
                 case PROXIES_RESTARTED -> {
                     real.fleet().rejoinAll();
-                    testbed.hollow().get(0).connection().rejoinAll();
+                    testbed.simulated().get(0).connection().rejoinAll();
                 }
                 case STEWARDS_RESTARTED -> restart();
             }
@@ -230,53 +246,53 @@
         }
 
         private void rollingRestart(long now) {
-            List<CatalogueHost> service = testbed.catalogue().hosts(h -> h.service() == 0);
-            int step = (int) Math.max(1, service.size() * ROLLING_STEP);
-            testbed.script(events -> events.rollingRestart(now, service, step, ROLLING_EVERY_MS));
+            List<CatalogueHost> service = testbed.catalogue().hosts(host -> host.service() == 0);
+            int step = (int) Math.max(1, service.size() * ROLLING_STEP_SHARE);
+            testbed.script(events -> events.rollingRestart(now, service, step, ROLLING_INTERVAL_MS));
         }
 
         private void silence(long now) throws InterruptedException {
-            testbed.servers().forEach(s -> s.setSilent(true));
+            testbed.servers().forEach(server -> server.setSilent(true));
             List<CatalogueHost> all = testbed.catalogue().hosts(CatalogueHost::isReady);
             int changed = (int) Math.ceil(all.size() * HOUR_SHARE);
-            int every = Math.max(1, all.size() / changed);
-            List<CatalogueHost> some = IntStream.range(0, changed)
-                    .mapToObj(i -> all.get(i * every))
+            int stride = Math.max(1, all.size() / changed);
+            List<CatalogueHost> replaced = IntStream.range(0, changed)
+                    .mapToObj(index -> all.get(index * stride))
                     .toList();
-            testbed.script(events -> events.replaceAll(now, some));
+            testbed.script(events -> events.replaceAll(now, replaced));
             watchFor(SILENT_MS);
-            testbed.servers().forEach(s -> s.setSilent(false));
+            testbed.servers().forEach(server -> server.setSilent(false));
         }
 
-        /** The steward begins anew with a list of which some entries can't be read; later these hosts change, and are read. */
-        private void spoiltList(long now) throws IOException, InterruptedException {
-            real.server().corruptNextLists(1, SPOILT_ENTRIES);
-            List<CatalogueHost> spoilt = testbed.catalogue()
-                    .hosts(h -> true)
-                    .subList(0, Math.min(SPOILT_ENTRIES, testbed.workload().catalogueHosts()));
+        /** The controller restarts with a list of which some entries can't be read; later these hosts change, and are read. */
+        private void invalidEntries() throws IOException, InterruptedException {
+            real.server().corruptNextLists(1, INVALID_ENTRIES);
+            List<CatalogueHost> affected = testbed.catalogue()
+                    .hosts(host -> true)
+                    .subList(0, Math.min(INVALID_ENTRIES, testbed.workload().catalogueHosts()));
             restart();
             watchFor(watchMs);
-            testbed.script(events -> events.rollingRestart(System.currentTimeMillis(), spoilt, SPOILT_ENTRIES, 1));
+            testbed.script(events -> events.rollingRestart(System.currentTimeMillis(), affected, INVALID_ENTRIES, 1));
         }
 
         private void restart() throws IOException {
             processorSecondsBeforeRestart +=
-                    (real.process().processorTimes(false).nanos() - first.nanos()) / 1e9;
+                    (real.process().processorTimes(false).nanos() - first.nanos()) / SECOND_NANOS;
             real.restart();
             first = new ProcessorTimes(System.nanoTime(), 0, Map.of()); // it has used none yet
         }
 
-        /** Passes so much time and reads the peak meanwhile. */
-        private void watchFor(long ms) throws InterruptedException {
-            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
+        /** Waits, and takes readings meanwhile. */
+        private void watchFor(long durationMs) throws InterruptedException {
+            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(durationMs);
             do {
                 try {
-                    peak.read(real.process().processorTimes(false));
-                } catch (IOException e) {
-                    return; // it has ended, which is told at the end
+                    peak.add(real.process().processorTimes(false));
+                } catch (IOException ended) {
+                    return; // the process has ended, which the outcome says
                 }
-                stale.seen(testbed.staleHosts(real.fleet().fleet()), System.nanoTime());
-                TimeUnit.MILLISECONDS.sleep(Math.min(ms, POLL_MS));
+                stale.add(testbed.staleHosts(real.fleet().fleet()), System.nanoTime());
+                TimeUnit.MILLISECONDS.sleep(Math.min(durationMs, POLL_MS));
             } while (System.nanoTime() < end);
         }
     }
--- a/src/main/java/linenring/scale/run/StaleHosts.java
+++ b/src/main/java/linenring/scale/run/StaleHosts.java
@@ -4,20 +4,22 @@
 import java.util.Map;
 import java.util.Set;
 
-/** For how long tables held hosts that were not ready any more, as seen a few times a second. Without I/O. */
+/** For how long tables held hosts that were not ready any more, from readings a few times a second. Without I/O. */
 final class StaleHosts {
-    private final Map<String, Long> since = new HashMap<>(); // by host, when it was first seen so
+    private static final double SECOND_NANOS = 1e9;
+
+    private final Map<String, Long> sinceNanos = new HashMap<>(); // by host
     private long longestNanos;
 
-    /** These are held now, and no others. */
-    void seen(Set<String> stale, long nowNanos) {
-        since.forEach((host, at) -> longestNanos = Math.max(longestNanos, nowNanos - at));
-        since.keySet().retainAll(stale);
-        stale.forEach(host -> since.putIfAbsent(host, nowNanos));
+    /** Adds a reading: these hosts are stale now, and no others. */
+    void add(Set<String> stale, long nowNanos) {
+        sinceNanos.forEach((host, start) -> longestNanos = Math.max(longestNanos, nowNanos - start));
+        sinceNanos.keySet().retainAll(stale);
+        stale.forEach(host -> sinceNanos.putIfAbsent(host, nowNanos));
     }
 
-    /** The longest for any one host. */
+    /** The longest time of any one host. */
     double longestSeconds() {
-        return longestNanos / 1e9;
+        return longestNanos / SECOND_NANOS;
     }
 }
--- a/src/main/java/linenring/scale/run/Testbed.java
+++ b/src/main/java/linenring/scale/run/Testbed.java
@@ -30,50 +30,50 @@
 import linenring.scale.process.MeasuredConfiguration;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 
-/** A catalogue with its real and hollow stewards and their fleets, on loopback, for one workload. */
+/** A catalogue with its real and simulated controllers and their fleets, on loopback, for one workload. */
 final class Testbed implements AutoCloseable {
-    /** Three operations that all hosts run. */
+    /** The operations, each of which all hosts run. */
     static final List<String> OPERATIONS = List.of("lookup", "order", "report");
 
     private static final int KINDS = 2;
     private static final int HOSTS_PER_RACK = 40;
-    private static final double REQUESTS_PER_PROXY = 20; // a second
+    private static final double REQUESTS_PER_SECOND = 20; // to each proxy
     private static final long POLL_MS = 50;
 
     private final Workload workload;
     private final long seed;
     private final boolean keepsLedgers;
-    private final Path folder;
+    private final Path directory;
     private final Catalogue catalogue;
     private final List<String> scope;
     private final HostRegistry hosts = new HostRegistry();
     private final CatalogueDriver driver;
-    private final CatalogueServer hollowCatalogue;
-    private final InProcessFleets memoryFleets = new InProcessFleets();
-    private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler("hollow-timer", true);
+    private final CatalogueServer simulatedCatalogue;
+    private final InProcessFleets inProcessFleets = new InProcessFleets();
+    private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler("simulated-timer", true);
     private final List<RealMember> real = new ArrayList<>();
-    private final List<InProcessMember> hollow = new ArrayList<>();
+    private final List<InProcessMember> simulated = new ArrayList<>();
 
     /** Builds the catalogue; nothing runs yet. */
     Testbed(Workload workload, long seed) throws IOException {
         this(workload, seed, false);
     }
 
-    /** With ledgers, if so asked, of what the catalogue tells hollow stewards. */
+    /** {@code keepsLedgers}: whether simulated controllers record the lists they receive. */
     Testbed(Workload workload, long seed, boolean keepsLedgers) throws IOException {
         this.workload = workload;
         this.seed = seed;
         this.keepsLedgers = keepsLedgers;
-        folder = Files.createTempDirectory("linenring-scale");
+        directory = Files.createTempDirectory("linenring-scale");
         catalogue = new Catalogue(new CatalogueLayout(
                 workload.catalogueHosts(), workload.zones(), KINDS, workload.services(), HOSTS_PER_RACK));
         scope = scope(workload);
         driver = new CatalogueDriver(catalogue, hosts, seed);
-        hollowCatalogue = new CatalogueServer(catalogue, "catalogue-hollow");
-        driver.tells(hollowCatalogue);
+        simulatedCatalogue = new CatalogueServer(catalogue, "catalogue-simulated");
+        driver.publishTo(simulatedCatalogue);
     }
 
-    /** The services whose hosts are about as many as the workload's in scope; empty for all. */
+    /** The services that have about as many hosts as the workload has in scope; empty for all. */
     private static List<String> scope(Workload workload) {
         if (workload.hostsInScope() >= workload.catalogueHosts()) {
             return List.of();
@@ -84,30 +84,35 @@
                 .toList();
     }
 
-    /** Starts the stewards, real ones first; each gets a fleet of the workload's proxies. */
-    void open(int realStewards, int hollowStewards) throws Exception { // Jetty's start() may throw any
-        hollowCatalogue.open();
+    /** Starts the controllers, real ones first; each gets a fleet of the workload's proxies. */
+    void open(int realControllers, int simulatedControllers) throws Exception { // Jetty's start() may throw any
+        simulatedCatalogue.open();
         scheduler.start();
-        memoryFleets.start();
+        inProcessFleets.start();
         driver.start();
-        for (int i = 0; i < realStewards; i++) {
+        for (int i = 0; i < realControllers; i++) {
             CatalogueServer server = new CatalogueServer(catalogue, "catalogue-real-" + i);
-            driver.tells(server);
-            real.add(new RealMember("real-" + i, folder, settings(), server, fleet(i)));
+            driver.publishTo(server);
+            real.add(new RealMember("real-" + i, directory, measuredConfiguration(), server, fleet(i)));
         }
         for (RealMember member : real) {
             member.open();
         }
-        for (int i = 0; i < hollowStewards; i++) {
-            hollow.add(new InProcessMember(
-                    "hollow-" + i, assignment(i), scheduler, fleet(realStewards + i), memoryFleets, keepsLedgers));
+        for (int i = 0; i < simulatedControllers; i++) {
+            simulated.add(new InProcessMember(
+                    "simulated-" + i,
+                    configuration(i),
+                    scheduler,
+                    fleet(realControllers + i),
+                    inProcessFleets,
+                    keepsLedgers));
         }
-        for (InProcessMember member : hollow) {
+        for (InProcessMember member : simulated) {
             member.open();
         }
     }
 
-    private MeasuredConfiguration settings() {
+    private MeasuredConfiguration measuredConfiguration() {
         CatalogueLayout layout = catalogue.layout();
         return new MeasuredConfiguration(
                 layout.zoneNames(),
@@ -125,24 +130,27 @@
                 OPERATIONS,
                 ChannelLimits.ofFleet(workload.proxies()),
                 workload.reportsPerSecond(),
-                REQUESTS_PER_PROXY);
+                REQUESTS_PER_SECOND);
         return new SimulatedFleet(layout, hosts, new Random(seed + 1 + number));
     }
 
-    private ControllerConfiguration assignment(int number) throws IOException {
-        Path file = folder.resolve("hollow-" + number + ".json");
-        Files.write(file, settings().json("hollow-" + number, RealMember.nowhere(), hollowCatalogue.address()));
+    private ControllerConfiguration configuration(int number) throws IOException {
+        Path file = directory.resolve("simulated-" + number + ".json");
+        Files.write(
+                file,
+                measuredConfiguration()
+                        .json("simulated-" + number, RealMember.unusedAddress(), simulatedCatalogue.address()));
         ControllerConfiguration.Outcome read = ControllerConfigurationReader.read(Map.of("GW_CONFIG", file.toString()));
         if (read.assignment() == null) {
-            throw new IllegalStateException("the configuration that was generated is at fault: " + read.fault());
+            throw new IllegalStateException("the generated configuration is invalid: " + read.fault());
         }
         return read.assignment();
     }
 
-    // ---- what happens
+    // ---- events
 
-    /** Begins the workload's steady changes. */
-    void beginSteadyRates() {
+    /** Starts the workload's steady changes. */
+    void startSteadyRates() {
         long now = System.currentTimeMillis();
         driver.script(events -> {
             events.churn(now, workload.changesPerSecond());
@@ -166,26 +174,26 @@
         return real;
     }
 
-    List<InProcessMember> hollow() {
-        return hollow;
+    List<InProcessMember> simulated() {
+        return simulated;
     }
 
     Workload workload() {
         return workload;
     }
 
-    /** The agent of all hollow stewards. */
-    CatalogueServer hollowCatalogue() {
-        return hollowCatalogue;
+    /** The discovery agent of all simulated controllers. */
+    CatalogueServer simulatedCatalogue() {
+        return simulatedCatalogue;
     }
 
     /** All servers of the catalogue. */
     List<CatalogueServer> servers() {
-        return Stream.concat(Stream.of(hollowCatalogue), real.stream().map(RealMember::server))
+        return Stream.concat(Stream.of(simulatedCatalogue), real.stream().map(RealMember::server))
                 .toList();
     }
 
-    // ---- what it has come to
+    // ---- state
 
     /** The ids of the hosts that are ready and that tables may hold. */
     Set<String> readyInScope() {
@@ -194,12 +202,12 @@
         }
         Set<String> ready = new HashSet<>();
         catalogue
-                .hosts(h -> h.isReady() && scope.contains(CatalogueLayout.serviceName(h.service())))
-                .forEach(h -> ready.add(h.id()));
+                .hosts(host -> host.isReady() && scope.contains(CatalogueLayout.serviceName(host.service())))
+                .forEach(host -> ready.add(host.id()));
         return ready;
     }
 
-    /** Waits until that member's proxies have tables and it holds the present list; null, or what is missing. */
+    /** Waits until that member's proxies have tables and it holds the current list; null, or what is missing. */
     String awaitSettled(RealMember member, long deadlineNanos) throws InterruptedException {
         while (true) {
             if (!member.process().isAlive()) {
@@ -217,15 +225,16 @@
         }
     }
 
-    /** The same for all hollow members. */
-    String awaitHollowSettled(long deadlineNanos) throws InterruptedException {
+    /** The same for all simulated members. */
+    String awaitSimulatedSettled(long deadlineNanos) throws InterruptedException {
         while (true) {
             String missing = null;
-            for (InProcessMember member : hollow) {
-                String own = missing(member.fleet(), hollowCatalogue.watchersAt(catalogue.version()), hollow.size());
-                missing = missing == null ? own : missing;
-                if (member.steward().failure() != null) {
-                    return member.steward().failure();
+            for (InProcessMember member : simulated) {
+                String ownMissing =
+                        missing(member.fleet(), simulatedCatalogue.watchersAt(catalogue.version()), simulated.size());
+                missing = missing == null ? ownMissing : missing;
+                if (member.controller().failure() != null) {
+                    return member.controller().failure();
                 }
             }
             if (missing == null) {
@@ -238,51 +247,51 @@
         }
     }
 
-    private static String missing(SimulatedFleet fleet, int watchers, int due) {
-        if (watchers < due) {
-            return watchers + " of " + due + " hold the present list";
+    private static String missing(SimulatedFleet fleet, int watchers, int expectedWatchers) {
+        if (watchers < expectedWatchers) {
+            return watchers + " of " + expectedWatchers + " hold the current list";
         }
         long without = fleet.proxies().stream()
-                .filter(p -> !p.isUpdated() || !p.hasHosts())
+                .filter(proxy -> !proxy.isUpdated() || !proxy.hasHosts())
                 .count();
         return without == 0 ? null : without + " of " + fleet.proxies().size() + " proxies have no table";
     }
 
     /** The ids of hosts that are not ready and that a proxy may still send to. */
     Set<String> staleHosts(SimulatedFleet fleet) {
-        Set<String> open = new HashSet<>();
+        Set<String> eligible = new HashSet<>();
         for (SimulatedProxy proxy : fleet.proxies()) {
             for (int operation = 0; operation < OPERATIONS.size(); operation++) {
-                open.addAll(proxy.eligibleHosts(operation));
+                eligible.addAll(proxy.eligibleHosts(operation));
             }
         }
-        open.removeAll(readyInScope());
-        return open;
+        eligible.removeAll(readyInScope());
+        return eligible;
     }
 
-    /** How far a fleet agrees with the catalogue. */
-    Agreement agreement(SimulatedFleet fleet, boolean whole) {
-        return Agreement.of(fleet.proxies(), OPERATIONS.size(), readyInScope(), whole);
+    /** How far a fleet agrees with the catalogue; {@code completeTables}: each table must have all ready hosts. */
+    Agreement agreement(SimulatedFleet fleet, boolean completeTables) {
+        return Agreement.of(fleet.proxies(), OPERATIONS.size(), readyInScope(), completeTables);
     }
 
-    /** Ends all: the real stewards are killed. */
+    /** Ends everything; real controllers are killed. */
     @Override
     public void close() {
         driver.close();
         real.forEach(RealMember::close);
-        hollow.forEach(InProcessMember::close);
-        memoryFleets.close();
-        hollowCatalogue.close();
+        simulated.forEach(InProcessMember::close);
+        inProcessFleets.close();
+        simulatedCatalogue.close();
         try {
             scheduler.stop();
-            deleteFolder();
-        } catch (Exception e) { // stop() may throw any; what is left in the temporary folder harms nobody
+            deleteDirectory();
+        } catch (Exception ignored) { // stop() may throw any; what is left in the temporary directory does no harm
             return;
         }
     }
 
-    private void deleteFolder() throws IOException {
-        try (Stream<Path> files = Files.walk(folder)) {
+    private void deleteDirectory() throws IOException {
+        try (Stream<Path> files = Files.walk(directory)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
             }
--- a/src/test/java/linenring/scale/run/CatalogueFaultsTest.java
+++ b/src/test/java/linenring/scale/run/CatalogueFaultsTest.java
@@ -5,6 +5,7 @@
 
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
+import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.ExecutorService;
@@ -29,9 +30,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The real host watch at the stand-in catalogue, over loopback, where the catalogue is at fault. */
+/** The real host watch against the simulated discovery agent, over loopback, when the agent fails. */
 class CatalogueFaultsTest {
-    private static final long GIVE_UP_S = 30; // not an assert on time: where it hangs, it ends
+    private static final long TIMEOUT_S = 30; // no assertion on time: it only ends a test that hangs
 
     private final Catalogue catalogue = new Catalogue(new CatalogueLayout(40, 2, 2, 4, 5));
     private final ExecutorService executor = Executors.newCachedThreadPool();
@@ -49,14 +50,22 @@
     }
 
     private void watch() throws Exception {
-        EventQueue exchange = new EventQueue();
-        exchange.addHostListListener(ledger::listed);
+        EventQueue events = new EventQueue();
+        events.addHostListListener(ledger::listed);
         CatalogueLayout layout = catalogue.layout();
         Names names = new Names(layout.zoneNames(), layout.kindNames(), List.of("lookup"), 1, 4);
         Log log = new Log(new PrintStream(logged, true));
         watch = new HostWatch(
-                server.address(), ServiceScope.ALL, null, new Codec(names), exchange, log, executor, scheduler, why -> {
-                    throw new AssertionError(why);
+                server.address(),
+                ServiceScope.ALL,
+                null,
+                new Codec(names),
+                events,
+                log,
+                executor,
+                scheduler,
+                reason -> {
+                    throw new AssertionError(reason);
                 });
         watch.open();
     }
@@ -69,20 +78,20 @@
         executor.shutdownNow();
     }
 
-    private static boolean await(BooleanSupplier what) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GIVE_UP_S);
-        while (!what.getAsBoolean() && System.nanoTime() < end) {
+    private static boolean await(BooleanSupplier condition) throws InterruptedException {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+        while (!condition.getAsBoolean() && System.nanoTime() < end) {
             TimeUnit.MILLISECONDS.sleep(20);
         }
-        return what.getAsBoolean();
+        return condition.getAsBoolean();
     }
 
     private List<CatalogueHost> zone(int zone) {
-        return catalogue.hosts(h -> h.zone() == zone);
+        return catalogue.hosts(host -> host.zone() == zone);
     }
 
-    private void assertHoldsTheCatalogue() throws InterruptedException {
-        assertTrue(await(() -> ledger.version() == catalogue.version()), logged.toString());
+    private void assertLedgerMatchesCatalogue() throws InterruptedException {
+        assertTrue(await(() -> ledger.version() == catalogue.version()), logged.toString(StandardCharsets.UTF_8));
         assertEquals(catalogue.readyIds(), ledger.readyIds());
         assertEquals(List.of(), ledger.faults());
     }
@@ -92,64 +101,65 @@
     }
 
     @Test
-    void aListThatIsCutWithinAnEntryIsAskedForAgain() throws Exception {
+    void pollsAgainAfterAListThatIsCutWithinAnEntry() throws Exception {
         server.cutNextLists(2);
         watch();
-        assertHoldsTheCatalogue();
-        assertEquals(1, ledger.completeLists()); // of the cut ones nothing was taken
+        assertLedgerMatchesCatalogue();
+        assertEquals(1, ledger.completeLists()); // nothing of the cut ones was taken
     }
 
     @Test
-    void spoiltEntriesAreLeftOutAloneUntilTheyChange() throws Exception {
+    void leavesInvalidEntriesOutUntilTheyChange() throws Exception {
         server.corruptNextLists(1, 3);
         watch();
         assertTrue(await(() -> ledger.version() == catalogue.version()));
-        Set<String> spoilt = catalogue.hosts(h -> true).subList(0, 3).stream()
+        Set<String> invalid = catalogue.hosts(host -> true).subList(0, 3).stream()
                 .map(CatalogueHost::id)
                 .collect(Collectors.toSet());
         Set<String> others = catalogue.readyIds();
-        others.removeAll(spoilt);
+        others.removeAll(invalid);
         assertEquals(others, ledger.readyIds());
-        publish(catalogue.start(catalogue.hosts(h -> spoilt.contains(h.id())), 5));
-        assertHoldsTheCatalogue();
+        publish(catalogue.start(catalogue.hosts(host -> invalid.contains(host.id())), 5));
+        assertLedgerMatchesCatalogue();
     }
 
     @Test
-    void whatChangedInASilenceIsCaughtUpInOneLine() throws Exception {
+    void catchesUpWithASilenceInOneDelta() throws Exception {
         watch();
-        assertHoldsTheCatalogue();
+        assertLedgerMatchesCatalogue();
         assertTrue(await(() -> server.watchersAt(catalogue.version()) == 1));
         server.setSilent(true);
         for (CatalogueHost host : zone(0)) {
             publish(catalogue.replace(List.of(host), 7));
         }
         publish(catalogue.terminate(zone(1)));
-        assertTrue(await(() -> logged.toString().contains("nothing came for"))); // it dials again, and hears nothing
+        assertTrue(await(() -> logged.toString(StandardCharsets.UTF_8)
+                .contains("nothing came for"))); // it reconnects, and gets nothing
         server.setSilent(false);
-        assertHoldsTheCatalogue();
+        assertLedgerMatchesCatalogue();
         assertEquals(1, ledger.deltas());
         assertEquals(1, ledger.catchUps());
     }
 
     @Test
-    void aZoneComesBackInOneList() throws Exception {
+    void takesAReturningZoneInOneList() throws Exception {
         watch();
-        assertHoldsTheCatalogue();
+        assertLedgerMatchesCatalogue();
         List<CatalogueHost> lost = zone(1);
         publish(catalogue.remove(lost));
-        assertHoldsTheCatalogue();
+        assertLedgerMatchesCatalogue();
         publish(catalogue.start(lost, 9));
-        assertHoldsTheCatalogue();
+        assertLedgerMatchesCatalogue();
         assertEquals(0, ledger.catchUps());
     }
 
     @Test
-    void anAgentThatRestartsIsDialledAgainAndNothingIsLost() throws Exception {
+    void reconnectsToARestartedAgentWithoutLoss() throws Exception {
         watch();
-        assertHoldsTheCatalogue();
+        assertLedgerMatchesCatalogue();
         server.disconnectAll();
         publish(catalogue.terminate(zone(0)));
         publish(catalogue.remove(zone(0)));
-        assertHoldsTheCatalogue();
+        assertLedgerMatchesCatalogue();
     }
 }
--- a/src/test/java/linenring/scale/run/PeakShareTest.java
+++ b/src/test/java/linenring/scale/run/PeakShareTest.java
@@ -7,16 +7,16 @@
 import org.junit.jupiter.api.Test;
 
 class PeakShareTest {
-    private static final long MS = 1_000_000;
+    private static final long NANOS_PER_MS = 1_000_000;
 
     private final PeakShare share = new PeakShare();
 
-    private void read(long atMs, long usedMs) {
-        share.read(new ProcessorTimes(atMs * MS, usedMs * MS, Map.of()));
+    private void read(long readMs, long usedMs) {
+        share.add(new ProcessorTimes(readMs * NANOS_PER_MS, usedMs * NANOS_PER_MS, Map.of()));
     }
 
     @Test
-    void tellsTheDearestSecondAndNotTheDearestMoment() {
+    void reportsThePeakOverASecondAndNotOverAMoment() {
         read(0, 0);
         read(500, 10);
         read(600, 110); // 100% for a tenth of a second
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void startsAnewWithAnotherProcess() {
+    void startsAgainWithAnotherProcess() {
         read(0, 900);
         read(1000, 1000);
         read(1100, 20);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void isNothingBeforeASecondIsOver() {
+    void isZeroBeforeASecondIsOver() {
         read(0, 0);
         read(900, 900);
         assertEquals(0, share.peak());
--- a/src/test/java/linenring/scale/run/PointRunnerTest.java
+++ b/src/test/java/linenring/scale/run/PointRunnerTest.java
@@ -9,12 +9,12 @@
 import linenring.scale.measurement.Workload;
 import org.junit.jupiter.api.Test;
 
-/** A point is measured whole: that there are figures and that traffic is counted, not how large they are. */
+/** A point has all its values and traffic is counted; not how large the values are. */
 class PointRunnerTest {
     private static final double ENOUGH_SECONDS = 120;
 
     @Test
-    void measuresARealStewardAndAHollowOneUnderTheSameWorkload() throws Exception {
+    void measuresARealAndASimulatedControllerUnderTheSameWorkload() throws Exception {
         Workload workload = new Workload(32, 32, 4, 4, 2, 2, 4, 40, 0);
         Point point = new PointRunner(0.5, 1.5, 1, Progress.NONE).measure(32, workload, ENOUGH_SECONDS);
         assertNull(point.failure());
@@ -28,10 +28,12 @@
     }
 
     @Test
-    void oneStewardInEightIsARealOneAndFourAtMost() {
+    void runsOneControllerInEightForRealAndAtMostFour() {
         int[][] cases = {{1, 1}, {2, 1}, {8, 1}, {16, 2}, {33, 4}, {200, 4}};
-        for (int[] each : cases) {
-            assertEquals(each[1], PointRunner.realStewards(new Workload(64, 64, 8, 4, 3, each[0], 0, 0, 0)));
+        for (int[] controllersAndReal : cases) {
+            assertEquals(
+                    controllersAndReal[1],
+                    PointRunner.realControllers(new Workload(64, 64, 8, 4, 3, controllersAndReal[0], 0, 0, 0)));
         }
     }
 }
--- a/src/test/java/linenring/scale/run/ScaleRunnerTest.java
+++ b/src/test/java/linenring/scale/run/ScaleRunnerTest.java
@@ -16,7 +16,7 @@
     private static final Workload WORKLOAD = new Workload(64, 64, 8, 4, 3, 2, 1, 20, 0);
     private static final long ENOUGH_BYTES = 8L << 30;
 
-    private final List<ScaleRun> toldSoFar = new ArrayList<>();
+    private final List<ScaleRun> published = new ArrayList<>();
 
     private ScaleRun run(ScalePlan.Bounds bounds) throws InterruptedException {
         ScalePlan plan = new ScalePlan(
@@ -27,34 +27,38 @@
                 List.of(new Sweep(Variable.PROXIES, List.of(4.0, 8.0), WORKLOAD)),
                 List.of(Scenario.IDLE),
                 WORKLOAD);
-        return new ScaleRunner(plan, "b1", Progress.NONE, toldSoFar::add).run();
+        return new ScaleRunner(plan, "b1", Progress.NONE, published::add).run();
     }
 
-    private void assertNothingRuns(ScalePlan.Bounds bounds, String why) throws InterruptedException {
+    private void assertNothingRuns(ScalePlan.Bounds bounds, String failure) throws InterruptedException {
         ScaleRun run = run(bounds);
         assertEquals(
-                List.of(why, why),
-                run.sweeps().get(0).points().stream().map(p -> p.failure()).toList());
+                List.of(failure, failure),
+                run.sweeps().get(0).points().stream()
+                        .map(point -> point.failure())
+                        .toList());
         assertEquals(
                 List.of(WORKLOAD.with(Variable.PROXIES, 4), WORKLOAD),
-                run.sweeps().get(0).points().stream().map(p -> p.workload()).toList());
-        assertEquals(why, run.scenarios().get(0).failure());
-        assertEquals(3, toldSoFar.size());
-        assertEquals(1, toldSoFar.get(0).sweeps().get(0).points().size());
+                run.sweeps().get(0).points().stream()
+                        .map(point -> point.workload())
+                        .toList());
+        assertEquals(failure, run.scenarios().get(0).failure());
+        assertEquals(3, published.size());
+        assertEquals(1, published.get(0).sweeps().get(0).points().size());
     }
 
     @Test
-    void whatNoTimeIsLeftForIsTold() throws InterruptedException {
+    void reportsPointsThatTheTimeLimitForbids() throws InterruptedException {
         assertNothingRuns(new ScalePlan.Bounds(ENOUGH_BYTES, 20, 2), "not run: the run's time was up");
     }
 
     @Test
-    void whatNoMemoryIsLeftForIsTold() throws InterruptedException {
+    void reportsPointsThatTheMemoryLimitForbids() throws InterruptedException {
         assertNothingRuns(new ScalePlan.Bounds(1 << 20, 20, 10_000), "not run: the run's memory was up");
     }
 
     @Test
-    void whatNoProcessIsLeftForIsTold() throws InterruptedException {
+    void reportsPointsThatTheProcessLimitForbids() throws InterruptedException {
         assertNothingRuns(
                 new ScalePlan.Bounds(ENOUGH_BYTES, 1, 10_000), "not run: the run may not start so many processes");
     }
--- a/src/test/java/linenring/scale/run/ScaleTest.java
+++ b/src/test/java/linenring/scale/run/ScaleTest.java
@@ -15,74 +15,76 @@
 import linenring.scale.measurement.Workload;
 import org.junit.jupiter.api.Test;
 
-/** A small scale run, on correctness alone: one real steward and two hollow ones under churn, replacements and a lost zone. */
+/** A small scale run, on correctness alone: one real and two simulated controllers under churn, replacements and a lost zone. */
 class ScaleTest {
     private static final Workload SMALL = new Workload(48, 48, 6, 4, 3, 3, 20, 60, 2);
-    /** The same of which two services in four are in scope. */
+    /** The same with two services of four in scope. */
     private static final Workload SCOPED = new Workload(48, 24, 6, 4, 3, 3, 20, 60, 2);
 
-    private static final long CHURN_MS = 4000, ZONE_AWAY_MS = 1500;
+    private static final long CHURN_MS = 4000;
+    private static final long ZONE_LOST_MS = 1500;
     private static final int FAILING = 5;
-    private static final long GIVE_UP_S = 40; // not an assert on time: where it hangs, it ends
+    private static final long TIMEOUT_S = 40; // no assertion on time: it only ends a test that hangs
 
-    private static boolean await(BooleanSupplier what) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GIVE_UP_S);
-        while (!what.getAsBoolean() && System.nanoTime() < end) {
+    private static boolean await(BooleanSupplier condition) throws InterruptedException {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+        while (!condition.getAsBoolean() && System.nanoTime() < end) {
             TimeUnit.MILLISECONDS.sleep(50);
         }
-        return what.getAsBoolean();
+        return condition.getAsBoolean();
     }
 
     private static long deadline() {
-        return System.nanoTime() + TimeUnit.SECONDS.toNanos(GIVE_UP_S);
+        return System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
     }
 
     @Test
-    void allStewardsAndTheirProxiesComeToHoldWhatTheCatalogueHolds() throws Exception {
-        playToItsEnd(SMALL);
+    void convergesAllControllersAndProxiesToTheCatalogue() throws Exception {
+        playUntilConverged(SMALL);
     }
 
     @Test
-    void stewardsUnderAScopeComeToHoldTheHostsOfTheirServicesAndNoOthers() throws Exception {
-        playToItsEnd(SCOPED);
+    void convergesControllersUnderAScopeToTheirServicesOnly() throws Exception {
+        playUntilConverged(SCOPED);
     }
 
-    private static void playToItsEnd(Workload workload) throws Exception {
+    private static void playUntilConverged(Workload workload) throws Exception {
         try (Testbed testbed = new Testbed(workload, 5, true)) {
             testbed.open(1, 2);
             RealMember real = testbed.real().get(0);
             assertNull(testbed.awaitSettled(real, deadline()));
-            assertNull(testbed.awaitHollowSettled(deadline()));
+            assertNull(testbed.awaitSimulatedSettled(deadline()));
 
-            testbed.beginSteadyRates();
+            testbed.startSteadyRates();
             TimeUnit.MILLISECONDS.sleep(CHURN_MS);
             testbed.script(CatalogueEvents::endSteadyRates);
-            List<CatalogueHost> failing = testbed.catalogue().hosts(h -> h.zone() == 2 && h.isReady());
+            List<CatalogueHost> failing = testbed.catalogue().hosts(host -> host.zone() == 2 && host.isReady());
             testbed.script(
                     events -> { // some are gone for good without a drain, and a zone for a while
                         long now = System.currentTimeMillis();
                         events.replaceAll(now, failing.subList(0, FAILING));
-                        events.loseZone(now, 1, ZONE_AWAY_MS);
+                        events.loseZone(now, 1, ZONE_LOST_MS);
                     });
             assertTrue(await(() -> !testbed.driver().isBusy()));
 
             assertConverges(testbed, real.fleet().fleet());
             assertTrue(real.process().isAlive(), real.process().ending());
-            for (InProcessMember member : testbed.hollow()) {
+            for (InProcessMember member : testbed.simulated()) {
                 assertConverges(testbed, member.fleet());
-                assertNull(member.steward().failure());
-                assertEachChangeOnceAndInOrder(testbed, member.steward().ledger());
+                assertNull(member.controller().failure());
+                assertEachVersionCameOnceAndInOrder(testbed, member.controller().ledger());
             }
-            long dialledAgain =
-                    testbed.hollowCatalogue().watchesOpened() - testbed.hollow().size();
-            long jumps = testbed.hollow().stream()
-                    .mapToLong(m -> m.steward().ledger().catchUps())
+            long reconnects = testbed.simulatedCatalogue().watchesOpened()
+                    - testbed.simulated().size();
+            long catchUps = testbed.simulated().stream()
+                    .mapToLong(member -> member.controller().ledger().catchUps())
                     .sum();
-            assertTrue(jumps <= dialledAgain, jumps + " lines of several changes on " + dialledAgain + " new watches");
+            assertTrue(
+                    catchUps <= reconnects, catchUps + " deltas of several versions on " + reconnects + " new watches");
         }
     }
 
-    /** The tables of all proxies hold the hosts that are ready, all of them and no other, and no proxy was ever without one. */
+    /** The tables of all proxies hold the hosts that are ready, all of them and no other, and no proxy was ever without a host. */
     private static void assertConverges(Testbed testbed, SimulatedFleet fleet) throws InterruptedException {
         await(() -> testbed.agreement(fleet, true).isComplete());
         assertEquals(new Agreement(0, 0, 0, 0), testbed.agreement(fleet, true));
@@ -91,7 +93,8 @@
         assertTrue(fleet.updatesApplied() > 0);
     }
 
-    private static void assertEachChangeOnceAndInOrder(Testbed testbed, ListLedger ledger) throws InterruptedException {
+    private static void assertEachVersionCameOnceAndInOrder(Testbed testbed, ListLedger ledger)
+            throws InterruptedException {
         long version = testbed.catalogue().version();
         await(() -> ledger.version() == version);
         assertEquals(version, ledger.version());
@@ -103,7 +106,7 @@
     }
 
     @Test
-    void aDeadStewardIsTold() throws Exception {
+    void reportsADeadController() throws Exception {
         try (Testbed testbed = new Testbed(SMALL, 5)) {
             testbed.open(1, 1);
             RealMember real = testbed.real().get(0);
--- a/src/test/java/linenring/scale/run/ScenarioPlayerTest.java
+++ b/src/test/java/linenring/scale/run/ScenarioPlayerTest.java
@@ -10,7 +10,7 @@
 import linenring.scale.measurement.Workload;
 import org.junit.jupiter.api.Test;
 
-/** Scenarios come to their end, and the tables agree then; not how long that takes. */
+/** Scenarios end with tables that agree with the catalogue; not how long that takes. */
 class ScenarioPlayerTest {
     private static final Workload SMALL = new Workload(24, 24, 4, 4, 2, 2, 0, 20, 0);
 
@@ -23,19 +23,19 @@
     }
 
     @Test
-    void proxiesThatJoinAnewAreServedAnew() throws Exception {
+    void servesProxiesThatJoinAgain() throws Exception {
         ScenarioOutcome outcome = play(Scenario.PROXIES_RESTARTED);
         assertEquals(0, outcome.hostsConcerned());
     }
 
     @Test
-    void aStewardThatStartsAnewWithACutListServesAllTheSame() throws Exception {
+    void servesAfterARestartWithACutList() throws Exception {
         ScenarioOutcome outcome = play(Scenario.PARTIAL_LIST);
         assertTrue(outcome.convergenceSeconds() > 0); // its proxies were without it for a while
     }
 
     @Test
-    void whatChangedInASilenceIsInTheTablesAfterIt() throws Exception {
+    void appliesTheChangesOfASilenceAfterIt() throws Exception {
         assertEquals(2, play(Scenario.SILENCE_CAUGHT_UP).hostsConcerned()); // one host is gone, another in its place
     }
 }
--- a/src/test/java/linenring/scale/run/StaleHostsTest.java
+++ b/src/test/java/linenring/scale/run/StaleHostsTest.java
@@ -6,25 +6,25 @@
 import org.junit.jupiter.api.Test;
 
 class StaleHostsTest {
-    private static final long SECOND = 1_000_000_000;
+    private static final long SECOND_NANOS = 1_000_000_000;
 
     private final StaleHosts stale = new StaleHosts();
 
     @Test
-    void tellsTheLongestOfAnyOneHost() {
-        stale.seen(Set.of("s-1"), 0);
-        stale.seen(Set.of("s-1", "s-2"), SECOND);
-        stale.seen(Set.of("s-2"), 2 * SECOND);
-        stale.seen(Set.of("s-2", "s-1"), 3 * SECOND); // again, which counts anew
-        stale.seen(Set.of("s-1"), 4 * SECOND);
-        stale.seen(Set.of(), 5 * SECOND);
+    void reportsTheLongestTimeOfOneHost() {
+        stale.add(Set.of("s-1"), 0);
+        stale.add(Set.of("s-1", "s-2"), SECOND_NANOS);
+        stale.add(Set.of("s-2"), 2 * SECOND_NANOS);
+        stale.add(Set.of("s-2", "s-1"), 3 * SECOND_NANOS); // again, which starts a new time
+        stale.add(Set.of("s-1"), 4 * SECOND_NANOS);
+        stale.add(Set.of(), 5 * SECOND_NANOS);
         assertEquals(3, stale.longestSeconds()); // s-2, from 1 to 4
     }
 
     @Test
-    void isNothingWhereNoneWasStale() {
-        stale.seen(Set.of(), 0);
-        stale.seen(Set.of(), SECOND);
+    void isZeroIfNoHostWasStale() {
+        stale.add(Set.of(), 0);
+        stale.add(Set.of(), SECOND_NANOS);
         assertEquals(0, stale.longestSeconds());
     }
 }
