--- a/src/main/java/linenring/scale/fleet/InProcessController.java
+++ b/src/main/java/linenring/scale/fleet/InProcessController.java
@@ -76,7 +76,7 @@
                 log,
                 executor,
                 scheduler,
-                reason -> log.error("steward", "would end: " + reason)); // it shares its process with others
+                reason -> log.error("controller", "would end: " + reason)); // it shares its process with others
         watch.open();
     }
 
