--- a/src/main/java/linenring/planner/EndpointTable.java
+++ b/src/main/java/linenring/planner/EndpointTable.java
@@ -100,21 +100,16 @@
         return Collections.unmodifiableList(members);
     }
 
-    /** Adds a host to a table that has members of its own. */
+    /** Adds a host to a table of subsets. */
     void addMember(Host host) {
         members.add(host);
     }
 
-    /** Takes a host out of the members, which must not be the fleet's own list. */
+    /** Takes a host out of a table of subsets; the others have a view of all hosts. */
     void removeMember(Host host) {
         members.remove(host);
     }
 
-    /** Whether its members are this very list. */
-    boolean sharesMembers(List<Host> hosts) {
-        return members == hosts;
-    }
-
     /** Proxies that are bound to it, in the order of their binding. */
     Set<ProxyState> users() {
         return Collections.unmodifiableSet(users);
--- a/src/main/java/linenring/planner/Fleet.java
+++ b/src/main/java/linenring/planner/Fleet.java
@@ -31,11 +31,6 @@
         return Collections.unmodifiableList(hosts);
     }
 
-    /** The list of all hosts itself, for tables that any host may be in. */
-    List<Host> sharedHosts() {
-        return hosts;
-    }
-
     List<Zone> zones() {
         return Collections.unmodifiableList(zones);
     }
--- a/src/main/java/linenring/planner/TableRegistry.java
+++ b/src/main/java/linenring/planner/TableRegistry.java
@@ -103,14 +103,7 @@
 
     private EndpointTable add(int number, int operations, int homeZone, int fullTable) {
         EndpointTable table = new EndpointTable(
-                number,
-                operations,
-                anyOf(operations),
-                homeZone,
-                fullTable,
-                Host.WITHOUT_SUBSET,
-                0,
-                fleet.sharedHosts());
+                number, operations, anyOf(operations), homeZone, fullTable, Host.WITHOUT_SUBSET, 0, fleet.hosts());
         tables.add(table);
         return table;
     }
@@ -160,7 +153,7 @@
     /** Takes a host that is forgotten out of the members of all tables. */
     void forget(Host host) {
         for (EndpointTable table : tables) {
-            if (!table.sharesMembers(fleet.sharedHosts())) {
+            if (table.isOfSubsets()) {
                 table.removeMember(host);
             }
         }
