--- a/src/main/java/linenring/controller/EjectionRecord.java
+++ b/src/main/java/linenring/controller/EjectionRecord.java
@@ -12,7 +12,6 @@
  */
 final class EjectionRecord {
     private static final int SPARE_HOSTS = 16;
-    private static final EjectionStatus[] STATUSES = EjectionStatus.values();
 
     /** Hosts that this controller ever told the proxy to eject. */
     private final BitSet everEjected = new BitSet();
@@ -20,7 +19,7 @@
     private boolean othersMayHaveEjected;
     /** Hosts were forgotten that the proxy may still have ejected. */
     private boolean forgotHosts;
-    /** Ordinals of {@link EjectionStatus} by host id; hosts beyond its end have the default. */
+    /** Codes of {@link EjectionStatus} by host id; hosts beyond its end have the default. */
     private byte[] statusByHost = {};
 
     /**
@@ -37,12 +36,12 @@
     }
 
     EjectionStatus status(int host) {
-        return host < statusByHost.length ? STATUSES[statusByHost[host]] : defaultStatus();
+        return host < statusByHost.length ? EjectionStatus.ofCode(statusByHost[host]) : defaultStatus();
     }
 
     void set(int host, EjectionStatus status) {
         growTo(host + 1);
-        statusByHost[host] = (byte) status.ordinal();
+        statusByHost[host] = status.code();
         if (status == EjectionStatus.EJECTED) {
             everEjected.set(host);
         }
@@ -58,8 +57,8 @@
         othersMayHaveEjected = true;
         forgotHosts = true;
         everEjected.clear(host);
-        Arrays.fill(statusByHost, hostIds, statusByHost.length, (byte) EjectionStatus.UNKNOWN.ordinal());
-        statusByHost[host] = (byte) EjectionStatus.UNKNOWN.ordinal();
+        Arrays.fill(statusByHost, hostIds, statusByHost.length, EjectionStatus.UNKNOWN.code());
+        statusByHost[host] = EjectionStatus.UNKNOWN.code();
     }
 
     /** Whether a table that holds the host must come with its restoration, since this controller once ejected it there. */
@@ -76,8 +75,8 @@
         if (hosts > statusByHost.length) {
             int known = statusByHost.length;
             statusByHost = Arrays.copyOf(statusByHost, hosts + SPARE_HOSTS);
-            Arrays.fill(statusByHost, known, statusByHost.length, (byte)
-                    defaultStatus().ordinal());
+            Arrays.fill(
+                    statusByHost, known, statusByHost.length, defaultStatus().code());
         }
     }
 }
--- a/src/test/java/linenring/controller/WholeListsTest.java
+++ b/src/test/java/linenring/controller/CompleteListsTest.java
@@ -23,16 +23,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Discovery may send the whole list where changes were due, at any moment: it has to come to the same. */
-class WholeListsTest {
-    private static final int HOSTS = 24, PROXIES = 6;
+/** Discovery may send the complete list where changes were due, at any moment: it must lead to the same tables. */
+class CompleteListsTest {
+    private static final int HOSTS = 24;
+    private static final int PROXIES = 6;
     private static final Set<String> DRAINING = Set.of("s-0", "s-1", "s-2", "s-3", "s-4", "s-5");
 
     /** The list as discovery holds it, and the changes of one step. */
     private static final class Catalogue {
-        final TreeMap<String, HostList.Entry> listed = new TreeMap<>();
-        final List<HostList.Entry> changes = new ArrayList<>();
-        long version = 1;
+        private final TreeMap<String, HostList.Entry> listed = new TreeMap<>();
+        private final List<HostList.Entry> changes = new ArrayList<>();
+        private long version = 1;
 
         void put(HostList.Entry entry) {
             changes.add(entry);
@@ -47,14 +48,14 @@
             return new HostList(++version, false, List.copyOf(changes));
         }
 
-        HostList whole() {
+        HostList complete() {
             return new HostList(version, true, List.copyOf(listed.values()));
         }
     }
 
     @ParameterizedTest(name = "seed {0}")
     @ValueSource(ints = {1, 2, 3, 4, 5})
-    void leaveEveryProxyWithWhatChangesWouldHaveLeftItWith(int seed) {
+    void completeListsLeadToTheSameTablesAsChanges(int seed) {
         ControlLoopFixture byChanges = new ControlLoopFixture(warmHosts(1, HOSTS), PROXIES).joinAll(PROXIES, true);
         ControlLoopFixture byWholeLists = new ControlLoopFixture(warmHosts(1, HOSTS), PROXIES).joinAll(PROXIES, true);
         Catalogue catalogue = new Catalogue();
@@ -64,15 +65,15 @@
             catalogue.changes.clear();
             changeSomeHosts(catalogue, byChanges.now(), chance);
             HostList changes = catalogue.nextChanges();
-            byChanges.exchange.enqueueHostList(changes);
-            byWholeLists.exchange.enqueueHostList(step % 3 == 0 ? changes : catalogue.whole());
-            double ms = 100 + 50 * chance.nextInt(12);
-            byChanges.pass(ms);
-            byWholeLists.pass(ms);
+            byChanges.eventQueue().enqueueHostList(changes);
+            byWholeLists.eventQueue().enqueueHostList(step % 3 == 0 ? changes : catalogue.complete());
+            double stepMs = 100 + 50 * chance.nextInt(12);
+            byChanges.pass(stepMs);
+            byWholeLists.pass(stepMs);
             assertEquals(tables(byChanges), tables(byWholeLists), "after step " + step);
         }
-        RecordingProxy any = byWholeLists.proxies.get(0);
-        assertTrue(any.shutOutAt.size() > 10 && any.letBackAt.size() > 5, "hosts went and came");
+        RecordingProxy any = byWholeLists.proxies().get(0);
+        assertTrue(any.ejectedAt().size() > 10 && any.restoredAt().size() > 5, "hosts went and came");
     }
 
     private static void changeSomeHosts(Catalogue catalogue, double now, Random chance) {
@@ -92,84 +93,85 @@
     }
 
     private static List<String> tables(ControlLoopFixture fixture) {
-        return fixture.proxies.stream()
-                .map(proxy -> proxy.weights + " without " + proxy.ejected)
+        return fixture.proxies().stream()
+                .map(proxy -> proxy.weights() + " without " + proxy.ejected())
                 .toList();
     }
 
-    /** The drains wait, since the channel has no room for them at once; then the whole list names the same again. */
-    @ParameterizedTest(name = "whole list {0} ms after the word")
+    /** Drains wait, since the channel has no room for all at once, when a complete list names the same hosts again. */
+    @ParameterizedTest(name = "complete list {0} ms after the change")
     @ValueSource(ints = {50, 100, 250, 1000, 3000})
-    void inTheMiddleOfADrainTellNothingTwiceAndDelayNothing(int afterMs) {
+    void completeListDuringADrainRepeatsAndDelaysNoEjection(int afterMs) {
         ControlLoopFixture fixture = new ControlLoopFixture(warmHosts(1, HOSTS), 40, 280)
                 .joinAll(40, true)
                 .pass(20_000);
-        double told = fixture.now();
-        fixture.exchange.enqueueHostList(new HostList(2, false, draining()));
+        double announcedMs = fixture.now();
+        fixture.eventQueue().enqueueHostList(new HostList(2, false, draining()));
         fixture.pass(ControlLoopFixture.STEP_MS);
         assertTrue(
-                fixture.proxies.stream().anyMatch(proxy -> proxy.ejected.size() < DRAINING.size()),
+                fixture.proxies().stream().anyMatch(proxy -> proxy.ejected().size() < DRAINING.size()),
                 "some of the drains wait for room");
         fixture.pass(afterMs - ControlLoopFixture.STEP_MS);
-        List<HostList.Entry> whole = new ArrayList<>(draining());
-        IntStream.range(DRAINING.size(), HOSTS).forEach(h -> whole.add(host(h, State.READY, LONG_AGO)));
-        fixture.exchange.enqueueHostList(new HostList(3, true, whole));
+        List<HostList.Entry> complete = new ArrayList<>(draining());
+        IntStream.range(DRAINING.size(), HOSTS).forEach(number -> complete.add(host(number, State.READY, LONG_AGO)));
+        fixture.eventQueue().enqueueHostList(new HostList(3, true, complete));
         fixture.pass(10_000);
-        for (RecordingProxy proxy : fixture.proxies) {
-            assertEquals(DRAINING, proxy.ejected);
+        for (RecordingProxy proxy : fixture.proxies()) {
+            assertEquals(DRAINING, proxy.ejected());
             for (String host : DRAINING) {
-                assertEquals(1, proxy.shutOutAt.get(host).size(), host + " is told once to proxy " + proxy.id);
-                assertInGrace(told, proxy, host);
+                assertEquals(1, proxy.ejectedAt().get(host).size(), host + " is ejected once to proxy " + proxy.id());
+                assertInGrace(announcedMs, proxy, host);
             }
-            assertTrue(proxy.letBackAt.isEmpty(), "nobody is let back: " + proxy.letBackAt);
+            assertTrue(proxy.restoredAt().isEmpty(), "nobody is restored: " + proxy.restoredAt());
         }
     }
 
-    /** Those that drained have gone by the time of the whole list, which names neither them nor one more. */
+    /** The hosts that drained have gone by the time of a complete list, which names neither them nor one other host. */
     @Test
-    void thatLeaveADrainingHostOutKeepItOutAndWithdrawWhomElseTheyLeaveOut() {
+    void completeListWithoutADrainingHostKeepsItEjectedAndEjectsOtherUnnamedHosts() {
         ControlLoopFixture fixture = new ControlLoopFixture(warmHosts(1, HOSTS), PROXIES)
                 .joinAll(PROXIES, true)
                 .pass(20_000);
-        fixture.exchange.enqueueHostList(new HostList(2, false, draining()));
+        fixture.eventQueue().enqueueHostList(new HostList(2, false, draining()));
         fixture.pass(ControlLoopFixture.STEP_MS);
-        double told = fixture.now();
-        fixture.exchange.enqueueHostList(new HostList(
-                3,
-                true,
-                IntStream.range(DRAINING.size() + 1, HOSTS)
-                        .mapToObj(h -> host(h, State.READY, LONG_AGO))
-                        .toList()));
+        double announcedMs = fixture.now();
+        fixture.eventQueue()
+                .enqueueHostList(new HostList(
+                        3,
+                        true,
+                        IntStream.range(DRAINING.size() + 1, HOSTS)
+                                .mapToObj(number -> host(number, State.READY, LONG_AGO))
+                                .toList()));
         fixture.pass(10_000);
         Set<String> gone = new TreeSet<>(DRAINING);
         gone.add("s-" + DRAINING.size());
-        for (RecordingProxy proxy : fixture.proxies) {
+        for (RecordingProxy proxy : fixture.proxies()) {
             assertFalse(proxy.pickable().keySet().stream().anyMatch(gone::contains), "picks one that is gone");
             assertEquals(HOSTS - gone.size(), proxy.pickable().size());
-            gone.forEach(host -> assertInGrace(told, proxy, host));
-            gone.forEach(host -> assertEquals(1, proxy.shutOutAt.get(host).size(), host + " is told once"));
+            gone.forEach(host -> assertInGrace(announcedMs, proxy, host));
+            gone.forEach(host -> assertEquals(1, proxy.ejectedAt().get(host).size(), host + " is ejected once"));
         }
     }
 
     /** A host that drained is listed as ready again, with a later start: it comes back, and as a cold one. */
     @Test
-    void thatNameADrainingHostAsRestartedBringItBackAsAColdOne() {
+    void completeListWithADrainingHostRestartedRestoresItAsAColdHost() {
         ControlLoopFixture fixture = new ControlLoopFixture(warmHosts(1, HOSTS), PROXIES)
                 .joinAll(PROXIES, true)
                 .pass(20_000);
-        fixture.exchange.enqueueHostList(new HostList(2, false, draining()));
+        fixture.eventQueue().enqueueHostList(new HostList(2, false, draining()));
         fixture.pass(3000);
-        List<HostList.Entry> whole = new ArrayList<>(List.of(host(0, State.READY, fixture.now())));
-        IntStream.range(DRAINING.size(), HOSTS).forEach(h -> whole.add(host(h, State.READY, LONG_AGO)));
-        fixture.exchange.enqueueHostList(new HostList(3, true, whole));
+        List<HostList.Entry> complete = new ArrayList<>(List.of(host(0, State.READY, fixture.now())));
+        IntStream.range(DRAINING.size(), HOSTS).forEach(number -> complete.add(host(number, State.READY, LONG_AGO)));
+        fixture.eventQueue().enqueueHostList(new HostList(3, true, complete));
         fixture.pass(2000);
-        for (RecordingProxy proxy : fixture.proxies) {
+        for (RecordingProxy proxy : fixture.proxies()) {
             double cold = proxy.pickable().getOrDefault("s-0", 0.0);
             double warm = proxy.pickable().get("s-" + (HOSTS - 1));
             assertTrue(cold > 0 && cold < 0.8 * warm, "weight " + cold + " beside " + warm);
         }
         fixture.pass(30_000);
-        for (RecordingProxy proxy : fixture.proxies) {
+        for (RecordingProxy proxy : fixture.proxies()) {
             assertEquals(
                     proxy.pickable().get("s-" + (HOSTS - 1)), proxy.pickable().get("s-0"), 0.01);
         }
@@ -177,28 +179,28 @@
 
     /** Entries that can't be read may be hosts that serve: such a list withdraws nobody for not being named. */
     @Test
-    void withSpoiltEntriesWithdrawNobodyForNotBeingNamed() {
+    void completeListWithInvalidEntriesRemovesNoUnnamedHost() {
         ControlLoopFixture fixture = new ControlLoopFixture(warmHosts(1, HOSTS), PROXIES)
                 .joinAll(PROXIES, true)
                 .pass(20_000);
-        fixture.exchange.enqueueHostList(new HostList(2, true, draining(), List.of("s-9: no zone")));
+        fixture.eventQueue().enqueueHostList(new HostList(2, true, draining(), List.of("s-9: no zone")));
         fixture.pass(5000);
-        for (RecordingProxy proxy : fixture.proxies) {
-            assertEquals(DRAINING, proxy.ejected);
+        for (RecordingProxy proxy : fixture.proxies()) {
+            assertEquals(DRAINING, proxy.ejected());
             assertEquals(HOSTS - DRAINING.size(), proxy.pickable().size());
         }
     }
 
     private static List<HostList.Entry> draining() {
         return IntStream.range(0, DRAINING.size())
-                .mapToObj(h -> host(h, State.TERMINATING, LONG_AGO))
+                .mapToObj(number -> host(number, State.TERMINATING, LONG_AGO))
                 .collect(Collectors.toList());
     }
 
-    private static void assertInGrace(double told, RecordingProxy proxy, String host) {
-        double inForce = proxy.shutOutAt.get(host).get(0) + ControlLoopFixture.TRANSIT_MS;
+    private static void assertInGrace(double announcedMs, RecordingProxy proxy, String host) {
+        double inForce = proxy.ejectedAt().get(host).get(0) + ControlLoopFixture.TRANSIT_MS;
         assertTrue(
-                inForce - told <= GRACE_MS + SOCKET_SLACK_MS,
-                host + " is out at proxy " + proxy.id + " " + (inForce - told) + " ms after the word");
+                inForce - announcedMs <= GRACE_MS + SOCKET_SLACK_MS,
+                host + " is out at proxy " + proxy.id() + " " + (inForce - announcedMs) + " ms after the change");
     }
 }
--- a/src/test/java/linenring/controller/FaultAtRestTest.java
+++ b/src/test/java/linenring/controller/FaultAtRestTest.java
@@ -11,32 +11,38 @@
 import java.util.concurrent.TimeUnit;
 import linenring.event.EventQueue;
 import linenring.log.Log;
-import linenring.planner.PlannerSettings;
 import linenring.protocol.HostList;
 import linenring.protocol.HostList.State;
 import linenring.settings.Names;
 import org.junit.jupiter.api.Test;
 
-/** A fault in the decisions, at a steward that nothing reaches any more and that is asked for no call. */
+/**
+ * A fault in the planner, at a controller that no event reaches any more: the planner may have asked for no further call, and the loop
+ * would wait until something arrives. Proxies would go on with an old table.
+ */
 class FaultAtRestTest {
     private static final int HOSTS = 4;
-    private static final int NO_KIND = -1; // no list can name it; it makes each reconciliation fail
+    private static final int INVALID_KIND = -1; // no list can name it; it makes each reconciliation fail
     private static final int ATTEMPTS = 3;
     private static final long WAIT_SECONDS = 10;
 
-    private final EventQueue exchange = new EventQueue();
+    private final EventQueue eventQueue = new EventQueue();
     private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
 
     @Test
-    void decidesAgainThoughNothingArrives() throws InterruptedException {
-        ControlLoop steward = new ControlLoop(
-                settings(), names(), warmHosts(1, HOSTS), exchange, new Log(new PrintStream(logged, true)));
-        Thread thread = new Thread(steward::run, "steward");
+    void decidesAgainAfterAFaultThoughNothingArrives() throws InterruptedException {
+        ControlLoop controlLoop = new ControlLoop(
+                ControlLoopFixture.settings(1000),
+                names(),
+                warmHosts(1, HOSTS),
+                eventQueue,
+                new Log(new PrintStream(logged, true)));
+        Thread thread = new Thread(controlLoop::run, "controller");
         thread.start();
         try {
             TimeUnit.SECONDS.sleep(1); // it has come to rest
-            exchange.enqueueHostList(
-                    new HostList(2, false, List.of(new HostList.Entry("s-9", 0, NO_KIND, State.READY, 1, LONG_AGO))));
+            eventQueue.enqueueHostList(new HostList(
+                    2, false, List.of(new HostList.Entry("s-9", 0, INVALID_KIND, State.READY, 1, LONG_AGO))));
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
             while (faults() < ATTEMPTS && System.nanoTime() < end) {
                 TimeUnit.MILLISECONDS.sleep(50);
@@ -55,19 +61,6 @@
                 .count();
     }
 
-    private static PlannerSettings settings() {
-        return new PlannerSettings(
-                List.of(new PlannerSettings.Operation(1000, 1, -1, -1, false, 3)),
-                new PlannerSettings.ColdStart(0.2, 18_000),
-                new PlannerSettings.Channel(1200, 4, 1000, 30, 10_000, 150, 300, 2000),
-                new PlannerSettings.Shards(0, false, 0, 0),
-                PlannerSettings.Measure.SHARE,
-                false,
-                0,
-                false,
-                6);
-    }
-
     private static Names names() {
         return new Names(List.of("a", "b", "c"), List.of("m1"), List.of("lookup"), 1, 4);
     }
--- a/src/test/java/linenring/controller/FleetStateTest.java
+++ b/src/test/java/linenring/controller/FleetStateTest.java
@@ -20,28 +20,29 @@
 class FleetStateTest {
     private static final List<String> NONE = List.of();
 
-    private static final class Way implements ProxyStream {
-        final List<ConfigurationUpdate> commands = new ArrayList<>();
-        String closed;
+    private static final class RecordingStream implements ProxyStream {
+        private final List<ConfigurationUpdate> updates = new ArrayList<>();
+        private String closeReason;
 
         @Override
-        public void write(ConfigurationUpdate order) {
-            commands.add(order);
+        public void write(ConfigurationUpdate update) {
+            updates.add(update);
         }
 
         @Override
-        public void close(String why) {
-            closed = why;
+        public void close(String reason) {
+            closeReason = reason;
         }
 
-        List<Part> last() {
-            return commands.get(commands.size() - 1).parts();
+        List<Part> lastParts() {
+            return updates.get(updates.size() - 1).parts();
         }
     }
 
     private final FleetState fleetState =
             new FleetState(List.of("lookup", "order"), 3, new Log(new PrintStream(OutputStream.nullOutputStream())));
-    private final Way way = new Way(), other = new Way();
+    private final RecordingStream stream = new RecordingStream();
+    private final RecordingStream other = new RecordingStream();
 
     private FleetState fleet() {
         for (int h = 0; h < 3; h++) {
@@ -51,37 +52,37 @@
         return fleetState;
     }
 
-    private Way bound() {
-        fleet().connect(0, way, true);
+    private RecordingStream bound() {
+        fleet().connect(0, stream, true);
         fleetState.bindProxy(7, 0, 0);
         fleetState.requestAcknowledgement(1);
         fleetState.send();
-        return way;
+        return stream;
     }
 
     private static Part part(
-            List<TableEntry> lines,
-            boolean whole,
-            AdmissionPolicy level,
-            List<String> out,
-            List<String> back,
-            int mark) {
-        return new Part(NONE, whole, lines, level, out, back, mark);
+            List<TableEntry> entries,
+            boolean replacesTable,
+            AdmissionPolicy admission,
+            List<String> ejected,
+            List<String> restored,
+            int nonce) {
+        return new Part(NONE, replacesTable, entries, admission, ejected, restored, nonce);
     }
 
     @Test
-    void aBindBringsTheWholeTableWithLevelsWithdrawnHostsAndTheMarkAsOneMessage() {
-        fleet().connect(0, way, true);
+    void bindingSendsTableAdmissionEjectionsAndNonceAsOneUpdate() {
+        fleet().connect(0, stream, true);
         fleetState.setEjected(1, true);
         fleetState.send();
         fleetState.setAdmission(7, 0, 0.8, RetryPolicy.ONE_IF_NOT_EXECUTED);
         fleetState.bindProxy(7, 0, 0);
         fleetState.requestAcknowledgement(905);
-        fleetState.connect(0, way, true); // the withdrawal it was told of on its way may be lost with the stream
+        fleetState.connect(0, stream, true); // the ejection that is on its way may be lost with the stream
         fleetState.bindProxy(7, 0, 0);
         fleetState.requestAcknowledgement(906);
         fleetState.send();
-        assertEquals(2, way.commands.size());
+        assertEquals(2, stream.updates.size());
         assertEquals(
                 List.of(part(
                         List.of(new TableEntry("s-0", 1), new TableEntry("s-1", 1), new TableEntry("s-2", 1)),
@@ -90,11 +91,11 @@
                         List.of("s-1"),
                         NONE,
                         906)),
-                way.last());
+                stream.lastParts());
     }
 
     @Test
-    void changesGoToThoseBoundToTheTableAlone() {
+    void changesAreSentOnlyToProxiesBoundToTheTable() {
         bound();
         fleetState.connect(1, other, true);
         fleetState.setWeight(7, 1, 0);
@@ -104,29 +105,29 @@
         assertEquals(
                 List.of(part(
                         List.of(new TableEntry("s-1", 0), new TableEntry("s-2", 0.5)), false, null, NONE, NONE, 2)),
-                way.last());
-        assertEquals(0, other.commands.size());
+                stream.lastParts());
+        assertEquals(0, other.updates.size());
     }
 
     @Test
-    void aWithdrawalReachesStandingTablesToo() {
+    void ejectionIsSentToProxiesWithInheritedTablesToo() {
         bound();
         fleetState.connect(1, other, true);
         fleetState.setEjected(1, true);
         fleetState.requestAcknowledgement(2);
         fleetState.send();
         List<Part> expected = List.of(part(List.of(), false, null, List.of("s-1"), NONE, 2));
-        assertEquals(expected, way.last());
-        assertEquals(expected, other.last());
+        assertEquals(expected, stream.lastParts());
+        assertEquals(expected, other.lastParts());
     }
 
     @Test
-    void operationsOnOtherTablesOrLevelsGetPartsOfTheirOwn() {
+    void operationsOnDifferentTablesGetPartsOfTheirOwn() {
         fleetState.hostIds().assign("s-0");
         fleetState.setWeight(7, 0, 1);
         fleetState.setWeight(8, 0, 0.5);
         fleetState.setAdmission(7, 1, 0.7, RetryPolicy.NONE);
-        fleetState.connect(0, way, true);
+        fleetState.connect(0, stream, true);
         fleetState.bindProxy(7, 1, 0);
         fleetState.bindProxy(8, 2, 0);
         fleetState.requestAcknowledgement(3);
@@ -142,11 +143,11 @@
                                 NONE,
                                 ConfigurationUpdate.WITHOUT_NONCE),
                         new Part(List.of("order"), true, List.of(new TableEntry("s-0", 0.5)), null, NONE, NONE, 3)),
-                way.last());
+                stream.lastParts());
     }
 
     @Test
-    void levelsThatDifferByOperationGoWithTheLinesInOneMessage() {
+    void admissionThatDiffersByOperationGoesWithTheEntriesInOneUpdate() {
         bound();
         fleetState.setWeight(7, 0, 0.5);
         fleetState.setAdmission(7, 1, 0.4, RetryPolicy.ONE_IF_NOT_EXECUTED);
@@ -171,7 +172,7 @@
                                 NONE,
                                 ConfigurationUpdate.WITHOUT_NONCE),
                         new Part(List.of("order"), false, List.of(), new AdmissionPolicy(1, 1), NONE, NONE, 4)),
-                way.last());
+                stream.lastParts());
     }
 
     @Test
@@ -198,76 +199,79 @@
                                 NONE,
                                 NONE,
                                 ConfigurationUpdate.WITHOUT_NONCE)),
-                way.last());
+                stream.lastParts());
         fleetState.connect(1, other, true);
         fleetState.bindProxy(7, 0, 1);
         fleetState.send();
-        assertEquals(new AdmissionPolicy(0.4, 0), other.last().get(1).admission());
-        assertEquals(new AdmissionPolicy(0.6, 2), other.last().get(2).admission());
+        assertEquals(new AdmissionPolicy(0.4, 0), other.lastParts().get(1).admission());
+        assertEquals(new AdmissionPolicy(0.6, 2), other.lastParts().get(2).admission());
     }
 
     @Test
-    void aHostThatWasShutOutBeforeABreakIsLetBackWithTheNextTable() {
+    void hostEjectedBeforeADisconnectIsRestoredWithTheNextTable() {
         bound();
         fleetState.setEjected(1, true);
         fleetState.send();
         fleetState.disconnect(0);
-        fleetState.setEjected(1, false); // said to nobody: the proxy still shuts it out
+        fleetState.setEjected(1, false); // sent to nobody: the proxy still has it ejected
         fleetState.send();
         fleetState.connect(0, other, false);
         fleetState.bindProxy(7, 0, 0);
         fleetState.send();
-        assertTrue(other.last().get(0).restored().contains("s-1"));
+        assertTrue(other.lastParts().get(0).restored().contains("s-1"));
     }
 
     @Test
-    void aProxyThatWasFrozenIsSureOfAllButWhatWasOnItsWay() {
+    void proxyThatResubscribesOnTheSameStreamIsSentOnlyWhatMayBeLost() {
         bound();
         fleetState.setEjected(1, true);
         fleetState.send();
-        fleetState.connect(0, way, false); // on the very same stream
+        fleetState.connect(0, stream, false); // on the very same stream
         fleetState.setEjected(1, false);
         fleetState.bindProxy(7, 0, 0);
         fleetState.send();
-        assertEquals(List.of("s-1"), way.last().get(0).restored());
-        assertEquals(null, way.closed);
+        assertEquals(List.of("s-1"), stream.lastParts().get(0).restored());
+        assertEquals(null, stream.closeReason);
     }
 
     @Test
-    void hostsThatOthersMayHaveShutOutAreLetBackAFewAtATime() {
+    void hostsThatOthersMayHaveEjectedAreRestoredAFewAtATime() {
         bound();
         fleetState.setEjected(0, true);
         fleetState.send();
         fleetState.disconnect(0);
-        fleetState.connect(0, other, false); // meanwhile another steward, or an earlier life, ordered there
+        fleetState.connect(
+                0, other, false); // meanwhile another controller, or an earlier process of this one, was in charge
         fleetState.setEjected(0, false);
         fleetState.setAdmission(7, 0, 1, RetryPolicy.ONE_IF_NOT_EXECUTED);
-        assertEquals(1, fleetState.extraEntriesOfBind(7, 0)); // the decisions' account must know of the line for s-0
+        assertEquals(1, fleetState.extraEntriesOfBind(7, 0)); // the planner must count the restoration of s-0
         fleetState.bindProxy(7, 0, 0);
         fleetState.send();
-        assertEquals(List.of("s-0", "s-1"), other.last().get(0).restored()); // two levels are told in one line
+        assertEquals(
+                List.of("s-0", "s-1"),
+                other.lastParts().get(0).restored()); // two policies are sent as one, which leaves room for one
         fleetState.setWeight(7, 0, 0.5);
-        assertEquals(2, fleetState.entriesInMessage(0, 1)); // the account is told of it
+        assertEquals(2, fleetState.entriesInMessage(0, 1)); // the planner is told of it
         fleetState.send();
-        assertEquals(List.of("s-2"), other.last().get(0).restored()); // one with each message
+        assertEquals(List.of("s-2"), other.lastParts().get(0).restored()); // one with each update
         fleetState.setWeight(7, 0, 0.6);
         fleetState.send();
-        assertEquals(NONE, other.last().get(0).restored());
+        assertEquals(NONE, other.lastParts().get(0).restored());
     }
 
     @Test
-    void aHostThatOthersMayHaveShutOutIsLetBackWithItsNextLineButNoDrainWaitsForIt() {
-        fleet().connect(0, way, false);
+    void hostThatOthersMayHaveEjectedIsRestoredWithItsNextEntryButNotWithADrain() {
+        fleet().connect(0, stream, false);
         fleetState.setAdmission(7, 1, 0.9, RetryPolicy.NONE);
         fleetState.setAdmission(7, 2, 0.8, RetryPolicy.NONE);
         fleetState.bindProxy(7, 0, 0);
         fleetState.send();
-        assertEquals(NONE, way.last().get(2).restored());
+        assertEquals(NONE, stream.lastParts().get(2).restored());
         fleetState.setEjected(1, true);
         fleetState.send();
         assertEquals(
                 List.of(part(List.of(), false, null, List.of("s-1"), NONE, ConfigurationUpdate.WITHOUT_NONCE)),
-                way.last());
+                stream.lastParts());
         assertEquals(
                 List.of(1, 0, 1),
                 List.of(
@@ -276,47 +280,47 @@
                         fleetState.extraEntriesOfWeight(2, 0)));
         fleetState.setWeight(7, 2, 0.5);
         fleetState.send();
-        assertEquals(List.of("s-2", "s-0"), way.last().get(0).restored());
+        assertEquals(List.of("s-2", "s-0"), stream.lastParts().get(0).restored());
         assertEquals(0, fleetState.extraEntriesOfWeight(2, 0));
     }
 
     @Test
-    void aProxyThatIsAsNewAsTheStewardHasNothingToBeLetBack() {
-        assertEquals(NONE, bound().last().get(0).restored());
+    void newProxyIsSentNoRestoration() {
+        assertEquals(NONE, bound().lastParts().get(0).restored());
     }
 
     @Test
-    void aTableOfTensOfThousandsOfHostsGoesInSeveralParts() {
+    void tableOfTensOfThousandsOfHostsIsSentInSeveralParts() {
         for (int h = 0; h < 25_000; h++) {
             fleetState.hostIds().assign("s-" + h);
             fleetState.setWeight(7, h, 1);
         }
-        fleetState.connect(0, way, true);
+        fleetState.connect(0, stream, true);
         fleetState.bindProxy(7, 0, 0);
         fleetState.requestAcknowledgement(1);
         fleetState.send();
         assertEquals(
                 List.of(10_000, 10_000, 5000),
-                way.last().stream().map(e -> e.entries().size()).toList());
+                stream.lastParts().stream().map(part -> part.entries().size()).toList());
         assertEquals(
                 List.of(true, false, false),
-                way.last().stream().map(Part::replacesTable).toList());
-        assertEquals(1, way.last().get(2).nonce());
+                stream.lastParts().stream().map(Part::replacesTable).toList());
+        assertEquals(1, stream.lastParts().get(2).nonce());
     }
 
     @Test
-    void aLineForAHostThatWasWithdrawnWhileInNoTableShutsItOutAtOnce() {
+    void entryForAHostEjectedWhileInNoTableEjectsItToo() {
         bound();
         fleetState.hostIds().assign("s-3");
         fleetState.setEjected(3, true);
         fleetState.send();
-        assertEquals(1, way.commands.size()); // it holds no line of it
+        assertEquals(1, stream.updates.size()); // its table has no entry for it
         fleetState.setWeight(7, 3, 0.2);
         fleetState.send();
-        assertEquals(List.of("s-3"), way.last().get(0).ejected());
+        assertEquals(List.of("s-3"), stream.lastParts().get(0).ejected());
         fleetState.setEjected(3, false);
         fleetState.send();
-        assertEquals(List.of("s-3"), way.last().get(0).restored());
+        assertEquals(List.of("s-3"), stream.lastParts().get(0).restored());
     }
 
     @Test
@@ -325,22 +329,22 @@
         fleetState.connect(1, other, true);
         fleetState.requestAcknowledgement(9);
         fleetState.send();
-        assertEquals(1, way.commands.size());
-        assertEquals(List.of(), other.commands);
+        assertEquals(1, stream.updates.size());
+        assertEquals(List.of(), other.updates);
     }
 
     @Test
-    void aNewStreamEndsTheOldOneAndTheOldOnesEndIsNoLeaving() {
+    void newStreamClosesTheOldOneWhoseEndIsNoDisconnect() {
         bound();
         fleetState.connect(0, other, false);
-        assertTrue(way.closed != null && other.closed == null);
-        assertEquals(OptionalInt.empty(), fleetState.proxyOf(way));
+        assertTrue(stream.closeReason != null && other.closeReason == null);
+        assertEquals(OptionalInt.empty(), fleetState.proxyOf(stream));
         assertEquals(OptionalInt.of(0), fleetState.proxyOf(other));
-        assertTrue(fleetState.isCurrent(0, other) && !fleetState.isCurrent(0, way));
+        assertTrue(fleetState.isCurrent(0, other) && !fleetState.isCurrent(0, stream));
     }
 
     @Test
-    void nothingIsWrittenToAProxyThatHasLeft() {
+    void sendsNothingToADisconnectedProxy() {
         bound();
         fleetState.disconnect(0);
         fleetState.setWeight(7, 0, 0.1);
@@ -348,14 +352,16 @@
         fleetState.setEjected(1, true);
         fleetState.requestAcknowledgement(5);
         fleetState.send();
-        assertEquals(1, way.commands.size());
+        assertEquals(1, stream.updates.size());
     }
 
     @Test
-    void wipingATableEmptiesItForItsUsers() {
+    void clearingATableSendsAnEmptyOne() {
         bound();
         fleetState.clearTable(7);
         fleetState.send();
-        assertEquals(List.of(part(List.of(), true, null, NONE, NONE, ConfigurationUpdate.WITHOUT_NONCE)), way.last());
+        assertEquals(
+                List.of(part(List.of(), true, null, NONE, NONE, ConfigurationUpdate.WITHOUT_NONCE)),
+                stream.lastParts());
     }
 }
--- a/src/test/java/linenring/controller/ReloadDuringDrainsTest.java
+++ b/src/test/java/linenring/controller/ReloadDuringDrainsTest.java
@@ -37,22 +37,25 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * SIGHUP moves discovery (as {@code ServeCommand.reload} does, by {@link HostWatch#moveTo}) while drains are being told: lists come over
- * loopback from two agents, the steward's clock is the test's.
+ * SIGHUP moves discovery (as {@code ServeCommand.reload} does, by {@link HostWatch#moveTo}) while drains are being sent: lists come over
+ * loopback from two agents, the control loop's clock is the test's.
  */
 class ReloadDuringDrainsTest {
     private static final String ANSWER_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    private static final int HOSTS = 24, PROXIES = 40, DRAINS = 6;
-    private static final double LINES_MOST = 280; // the drains find no room together, so that some wait
+    private static final int HOSTS = 24;
+    private static final int PROXIES = 40;
+    private static final int DRAINS = 6;
+    private static final double MAX_QUEUED_ENTRIES = 280; // the drains find no room together, so that some wait
 
     private final QueuedThreadPool threads = new QueuedThreadPool(8, 2);
     private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
-    private final ControlLoopFixture fixture = new ControlLoopFixture(warmHosts(41, HOSTS), PROXIES, LINES_MOST)
+    private final ControlLoopFixture fixture = new ControlLoopFixture(warmHosts(41, HOSTS), PROXIES, MAX_QUEUED_ENTRIES)
             .joinAll(PROXIES, true)
             .pass(20_000);
-    private ServerSocket oldAgent, newAgent;
+    private ServerSocket oldAgent;
+    private ServerSocket newAgent;
     private HostWatch watch;
-    private double toldAt;
+    private double announcedMs;
 
     @BeforeEach
     void watchTheOldAgent() throws Exception {
@@ -65,7 +68,7 @@
                 ServiceScope.ALL,
                 warmHosts(41, HOSTS),
                 new Codec(new Names(List.of("a", "b", "c"), List.of("m1"), List.of("lookup"), PROXIES, 4)),
-                fixture.exchange,
+                fixture.eventQueue(),
                 new Log(new PrintStream(OutputStream.nullOutputStream())),
                 threads,
                 scheduler,
@@ -86,9 +89,9 @@
 
     /** The new address goes on with changes from the version held. */
     @Test
-    void drainsToldByTheOldAddressAreToldOnceAndInTimeWhereTheNewOneGoesOnWithChanges() throws Exception {
+    void drainsAreSentOnceAndInTimeIfTheNewAddressGoesOnWithChanges() throws Exception {
         try (Socket old = accept(oldAgent, 41)) {
-            tellDrains(old);
+            announceDrains(old);
             watch.moveTo(address(newAgent), ServiceScope.ALL);
             try (Socket moved = accept(newAgent, 42)) {
                 write(moved, ANSWER_HEAD + "1\r\n\n\r\n");
@@ -98,54 +101,55 @@
                 fixture.pass(10_000);
             }
         }
-        assertToldOnceAndInGrace(DRAINS + 1);
+        assertSentOnceAndInGrace(DRAINS + 1);
     }
 
-    /** The new address begins with its whole list, newer than what is held, in which the same hosts drain. */
+    /** The new address begins with its complete list, newer than what is held, in which the same hosts drain. */
     @Test
-    void drainsToldByTheOldAddressAreToldOnceAndInTimeWhereTheNewOneBeginsWithAWholeList() throws Exception {
+    void drainsAreSentOnceAndInTimeIfTheNewAddressBeginsWithACompleteList() throws Exception {
         try (Socket old = accept(oldAgent, 41)) {
-            tellDrains(old);
+            announceDrains(old);
             watch.moveTo(address(newAgent), ServiceScope.ALL);
             try (Socket moved = accept(newAgent, 42)) {
-                write(moved, ANSWER_HEAD + wholeWithDrains(44, DRAINS));
+                write(moved, ANSWER_HEAD + completeWithDrains(44, DRAINS));
                 awaitList();
                 fixture.pass(10_000);
             }
         }
-        assertToldOnceAndInGrace(DRAINS);
+        assertSentOnceAndInGrace(DRAINS);
     }
 
-    /** Its whole list is of before the drains: what is older than what is held calls none of them back. */
+    /** Its complete list is from before the drains: what is older than what is held restores none of them. */
     @Test
-    void drainsToldByTheOldAddressStandWhereTheNewOneIsBehind() throws Exception {
+    void drainsStayIfTheNewAddressIsBehind() throws Exception {
         try (Socket old = accept(oldAgent, 41)) {
-            tellDrains(old);
+            announceDrains(old);
             watch.moveTo(address(newAgent), ServiceScope.ALL);
             try (Socket moved = accept(newAgent, 42)) {
-                write(moved, ANSWER_HEAD + wholeWithDrains(41, 0));
+                write(moved, ANSWER_HEAD + completeWithDrains(41, 0));
                 assertEquals(-1, old.getInputStream().read(), "it has spoken");
                 fixture.pass(1000);
                 write(moved, list(42, false, IntStream.range(0, DRAINS), State.TERMINATING)); // it catches up
                 write(moved, list(43, false, IntStream.range(DRAINS, DRAINS + 1), State.TERMINATING));
-                double told = fixture.now();
+                double lastAnnouncedMs = fixture.now();
                 awaitList();
                 fixture.pass(10_000);
-                assertEquals(DRAINS + 1, fixture.proxies.get(0).ejected.size());
-                assertTrue(fixture.proxies.get(0).shutOutAt.get("s-" + DRAINS).get(0) - told <= GRACE_MS);
+                assertEquals(DRAINS + 1, fixture.proxies().get(0).ejected().size());
+                assertTrue(
+                        fixture.proxies().get(0).ejectedAt().get("s-" + DRAINS).get(0) - lastAnnouncedMs <= GRACE_MS);
             }
         }
-        assertToldOnce(DRAINS + 1);
+        assertSentOnce(DRAINS + 1);
     }
 
-    /** Two reloads in a row, the first to an address that accepts and says nothing: the old one goes on telling drains. */
+    /** Two reloads in a row, the first to an address that accepts and says nothing: the old one goes on to announce drains. */
     @Test
-    void drainsThatTheOldAddressTellsBetweenTwoReloadsAreInTime() throws Exception {
+    void drainsOfTheOldAddressBetweenTwoReloadsAreInTime() throws Exception {
         try (Socket old = accept(oldAgent, 41);
                 ServerSocket muteAgent = listen()) {
             watch.moveTo(address(muteAgent), ServiceScope.ALL);
             try (Socket mute = accept(muteAgent, 41)) {
-                tellDrains(old);
+                announceDrains(old);
                 watch.moveTo(address(newAgent), ServiceScope.ALL);
                 assertEquals(-1, mute.getInputStream().read(), "the first reload's address is left");
                 try (Socket moved = accept(newAgent, 42)) {
@@ -159,63 +163,67 @@
                 }
             }
         }
-        assertToldOnceAndInGrace(DRAINS + 2);
+        assertSentOnceAndInGrace(DRAINS + 2);
     }
 
-    private void tellDrains(Socket old) throws Exception {
+    private void announceDrains(Socket old) throws Exception {
         write(old, ANSWER_HEAD + list(42, false, IntStream.range(0, DRAINS), State.TERMINATING));
         awaitList();
-        toldAt = fixture.now();
+        announcedMs = fixture.now();
         fixture.pass(ControlLoopFixture.STEP_MS);
         assertTrue(
-                fixture.proxies.stream().anyMatch(proxy -> proxy.ejected.size() < DRAINS),
+                fixture.proxies().stream().anyMatch(proxy -> proxy.ejected().size() < DRAINS),
                 "some of the drains wait while discovery moves");
     }
 
-    private void assertToldOnce(int drains) {
-        TreeSet<String> expected =
-                IntStream.range(0, drains).mapToObj(h -> "s-" + h).collect(Collectors.toCollection(TreeSet::new));
-        for (RecordingProxy proxy : fixture.proxies) {
-            assertEquals(expected, proxy.ejected, "proxy " + proxy.id);
-            expected.forEach(host -> assertEquals(1, proxy.shutOutAt.get(host).size(), host + " is told once"));
-            assertTrue(proxy.letBackAt.isEmpty(), "none is called back: " + proxy.letBackAt);
+    private void assertSentOnce(int drains) {
+        TreeSet<String> expected = IntStream.range(0, drains)
+                .mapToObj(number -> "s-" + number)
+                .collect(Collectors.toCollection(TreeSet::new));
+        for (RecordingProxy proxy : fixture.proxies()) {
+            assertEquals(expected, proxy.ejected(), "proxy " + proxy.id());
+            expected.forEach(host -> assertEquals(1, proxy.ejectedAt().get(host).size(), host + " is ejected once"));
+            assertTrue(proxy.restoredAt().isEmpty(), "none is restored: " + proxy.restoredAt());
         }
     }
 
-    /** All that is told here is told within 200 ms of {@link #toldAt}, so that one limit does for all. */
-    private void assertToldOnceAndInGrace(int drains) {
-        assertToldOnce(drains);
-        for (RecordingProxy proxy : fixture.proxies) {
-            proxy.shutOutAt.forEach((host, at) -> {
-                double late = at.get(0) + TRANSIT_MS - toldAt;
-                assertTrue(late <= GRACE_MS + SOCKET_SLACK_MS, host + " at proxy " + proxy.id + " after " + late);
+    /** All drains are announced within 200 ms of {@link #announcedMs}, so that one limit does for all. */
+    private void assertSentOnceAndInGrace(int drains) {
+        assertSentOnce(drains);
+        for (RecordingProxy proxy : fixture.proxies()) {
+            proxy.ejectedAt().forEach((host, times) -> {
+                double late = times.get(0) + TRANSIT_MS - announcedMs;
+                assertTrue(late <= GRACE_MS + SOCKET_SLACK_MS, host + " at proxy " + proxy.id() + " after " + late);
             });
         }
     }
 
     private void awaitList() throws InterruptedException {
-        assertTrue(fixture.exchange.await(TimeUnit.SECONDS.toNanos(WAIT_SECONDS)), "the list reaches the exchange");
+        assertTrue(
+                fixture.eventQueue().await(TimeUnit.SECONDS.toNanos(WAIT_SECONDS)), "the list reaches the event queue");
     }
 
-    private static String wholeWithDrains(long version, int drains) {
+    private static String completeWithDrains(long version, int drains) {
         return list(
                 version,
                 true,
                 IntStream.range(0, HOSTS)
-                        .mapToObj(h -> host(h, h < drains ? State.TERMINATING : State.READY, LONG_AGO))
+                        .mapToObj(number -> host(number, number < drains ? State.TERMINATING : State.READY, LONG_AGO))
                         .toList());
     }
 
     private static String list(long version, boolean whole, IntStream hosts, State state) {
         return list(
-                version, whole, hosts.mapToObj(h -> host(h, state, LONG_AGO)).toList());
+                version,
+                whole,
+                hosts.mapToObj(number -> host(number, state, LONG_AGO)).toList());
     }
 
     /** One line of a watch, as a chunk. */
     private static String list(long version, boolean whole, List<HostList.Entry> entries) {
         String servers = entries.stream()
-                .map(e -> "{\"id\":\"" + e.host() + "\",\"zone\":\"" + "abc".charAt(e.zone())
-                        + "\",\"kind\":\"m1\",\"state\":\"" + (e.state() == State.READY ? "Ready" : "Terminating")
+                .map(entry -> "{\"id\":\"" + entry.host() + "\",\"zone\":\"" + "abc".charAt(entry.zone())
+                        + "\",\"kind\":\"m1\",\"state\":\"" + (entry.state() == State.READY ? "Ready" : "Terminating")
                         + "\",\"weight\":1,\"started_ms\":0}")
                 .collect(Collectors.joining(","));
         String line = "{\"version\":" + version + ",\"full\":" + whole + ",\"servers\":[" + servers + "]}\n";
--- a/src/test/java/linenring/controller/ReplacedHostsTest.java
+++ b/src/test/java/linenring/controller/ReplacedHostsTest.java
@@ -17,7 +17,10 @@
 import linenring.protocol.HostList.State;
 import org.junit.jupiter.api.Test;
 
-/** What is held is bound by who is alive, however many hosts come and go; ids of removed hosts are used again. */
+/**
+ * Hosts are replaced all day, each under a name that was never seen before. State that is kept for each of them would fill the heap in
+ * some weeks; it must be bounded by the hosts that are alive, with the ids of removed hosts used again.
+ */
 class ReplacedHostsTest {
     private static final int ALIVE = 100;
     private static final int TURNS = 1000;
@@ -33,55 +36,56 @@
     @Test
     void keepsBoundedStateThroughAHundredThousandReplacements() {
         ControlLoopFixture fixture = started();
-        RecordingProxy late = fixture.proxies.get(1);
+        RecordingProxy late = fixture.proxies().get(1);
         for (int turn = 1; turn <= TURNS; turn++) {
-            late.silent = turn % 100 < 30; // its answers come when the hosts that they told of are forgotten
+            late.setSilent(turn % 100 < 30); // its acknowledgements come when the hosts of these updates are forgotten
             replaceAll(fixture, turn);
             if (turn > FORGOTTEN_AFTER) {
                 reportFailures(fixture, turn - FORGOTTEN_AFTER);
             }
             fixture.pass(TURN_MS);
         }
-        late.silent = false;
+        late.setSilent(false);
         fixture.pass(10_000);
-        assertTrue(fixture.hostIds() <= 3 * ALIVE + RETAINED, fixture.hostIds() + " ids after " + REPLACEMENTS);
+        assertTrue(fixture.hostIdCount() <= 3 * ALIVE + RETAINED, fixture.hostIdCount() + " ids after " + REPLACEMENTS);
         Set<String> alive = names(TURNS);
-        for (RecordingProxy proxy : fixture.proxies) {
+        for (RecordingProxy proxy : fixture.proxies()) {
             assertEquals(alive, proxy.pickable().keySet());
             assertTrue(
-                    Collections.disjoint(proxy.shutOutAt.keySet(), alive), "reports on former hosts count for nobody");
+                    Collections.disjoint(proxy.ejectedAt().keySet(), alive),
+                    "reports on former hosts count for nobody");
         }
     }
 
     @Test
-    void letsBackAForgottenHostThatReturns() {
+    void restoresAForgottenHostThatReturns() {
         ControlLoopFixture fixture = started();
         int turns = FORGOTTEN_AFTER + 1;
         for (int turn = 1; turn <= turns; turn++) {
             replaceAll(fixture, turn);
             fixture.pass(TURN_MS);
         }
-        RecordingProxy proxy = fixture.proxies.get(0);
-        assertTrue(proxy.ejected.contains("s-0"), "the proxy keeps what it was told");
+        RecordingProxy proxy = fixture.proxies().get(0);
+        assertTrue(proxy.ejected().contains("s-0"), "the proxy keeps the ejection");
         List<HostList.Entry> entries = new ArrayList<>(entries(turns));
         entries.add(host(0, State.READY, LONG_AGO));
-        fixture.exchange.enqueueHostList(new HostList(++version, true, entries));
+        fixture.eventQueue().enqueueHostList(new HostList(++version, true, entries));
         fixture.pass(TURN_MS);
         assertTrue(proxy.pickable().containsKey("s-0"));
-        assertFalse(proxy.ejected.contains("s-0"));
+        assertFalse(proxy.ejected().contains("s-0"));
     }
 
     @Test
-    void aHostThatReturnsSoonHasItsOldId() {
+    void keepsTheIdOfAHostThatReturnsSoon() {
         ControlLoopFixture fixture = started();
-        int before = fixture.hostIds();
+        int before = fixture.hostIdCount();
         for (int turn = 0; turn < 50; turn++) {
             State state = turn % 2 == 0 ? State.GONE : State.READY;
-            fixture.exchange.enqueueHostList(new HostList(++version, false, List.of(host(7, state, LONG_AGO))));
+            fixture.eventQueue().enqueueHostList(new HostList(++version, false, List.of(host(7, state, LONG_AGO))));
             fixture.pass(TURN_MS);
         }
-        assertEquals(before, fixture.hostIds());
-        assertTrue(fixture.proxies.get(0).pickable().containsKey("s-7"));
+        assertEquals(before, fixture.hostIdCount());
+        assertTrue(fixture.proxies().get(0).pickable().containsKey("s-7"));
     }
 
     private static ControlLoopFixture started() {
@@ -92,7 +96,7 @@
 
     /** All hosts of the turn before are gone and others have come, in one list. */
     private void replaceAll(ControlLoopFixture fixture, int turn) {
-        fixture.exchange.enqueueHostList(new HostList(++version, true, entries(turn)));
+        fixture.eventQueue().enqueueHostList(new HostList(++version, true, entries(turn)));
     }
 
     private static List<HostList.Entry> entries(int turn) {
