--- a/src/main/java/linenring/routing/TableUpdate.java
+++ b/src/main/java/linenring/routing/TableUpdate.java
@@ -14,7 +14,7 @@
  * {@link Tables} takes over all of them or, where one cannot be used, none. Used by one thread, once.
  */
 final class TableUpdate {
-    /** By their number in a {@link ConfigurationUpdate.AdmissionPolicy}. */
+    /** By their code in a {@link ConfigurationUpdate.AdmissionPolicy}. */
     static final List<RetryPolicy> RETRY_POLICIES =
             List.of(RetryPolicy.NONE, RetryPolicy.ONE_IF_NOT_EXECUTED, RetryPolicy.ONE, RetryPolicy.TWO);
 
@@ -93,26 +93,27 @@
         return weights;
     }
 
-    private static void checkAdmission(ConfigurationUpdate.AdmissionPolicy level) throws UnusableUpdateException {
+    private static void checkAdmission(ConfigurationUpdate.AdmissionPolicy admission) throws UnusableUpdateException {
         int policies = RETRY_POLICIES.size();
-        if (level != null
-                && (!(level.admissionRatio() >= 0)
-                        || level.retryPolicyCode() < 0
-                        || level.retryPolicyCode() >= policies)) {
-            throw UnusableUpdateException.invalidAdmission(level.admissionRatio(), level.retryPolicyCode(), policies);
+        if (admission != null
+                && (!(admission.admissionRatio() >= 0)
+                        || admission.retryPolicyCode() < 0
+                        || admission.retryPolicyCode() >= policies)) {
+            throw UnusableUpdateException.invalidAdmission(
+                    admission.admissionRatio(), admission.retryPolicyCode(), policies);
         }
     }
 
-    /** A complete table replaces the entries; without a level it also forgets the one that was ordered before. */
+    /** A complete table replaces the entries; without an admission policy it also forgets the one that was ordered before. */
     private OperationTable changed(OperationTable before, ConfigurationUpdate.Part part, Map<Integer, Double> entries) {
         OperationTable next = (part.replacesTable() ? OperationTable.EMPTY : before).withEntries(entries);
-        ConfigurationUpdate.AdmissionPolicy level = part.admission();
-        if (level == null) {
+        ConfigurationUpdate.AdmissionPolicy admission = part.admission();
+        if (admission == null) {
             return next;
         }
         return next.withAdmission(
-                before.admission().withLimit(level.admissionRatio(), measure),
-                RETRY_POLICIES.get(level.retryPolicyCode()));
+                before.admission().withLimit(admission.admissionRatio(), measure),
+                RETRY_POLICIES.get(admission.retryPolicyCode()));
     }
 
     private void setEjected(List<String> ids, boolean ejected) throws UnusableUpdateException {
