--- a/src/main/java/linenring/cli/Instance.java
+++ b/src/main/java/linenring/cli/Instance.java
@@ -8,6 +8,7 @@
 import linenring.configuration.ControllerConfigurationReader;
 import linenring.controller.ControlLoop;
 import linenring.discovery.HostWatch;
+import linenring.discovery.WatchConfig;
 import linenring.event.EventQueue;
 import linenring.gateway.GatewayStartException;
 import linenring.gateway.Http2Gateway;
@@ -126,8 +127,8 @@
         threads.setDaemon(true);
         threads.start();
         scheduler.start();
-        HostWatch watch = new HostWatch(
-                told.discovery(), told.scope(), known, codec, exchange, log, threads, scheduler, this::endsForCapacity);
+        WatchConfig config = new WatchConfig(told.discovery(), told.scope(), known, this::endsForCapacity);
+        HostWatch watch = new HostWatch(config, codec, exchange, log, threads, scheduler);
         watch.open();
         hangUps.then(
                 () -> ServeCommand.reload(told, ControllerConfigurationReader.readAgain(System.getenv()), watch, log),
--- a/src/main/java/linenring/discovery/CapacityListener.java
+++ b/src/main/java/linenring/discovery/CapacityListener.java
@@ -1,6 +1,7 @@
 package linenring.discovery;
 
-/** Is told that the list of hosts has no room in memory and none is held to go on with. */
+/** Notified where the list of hosts does not fit the memory and there is no earlier one to go on with. */
 public interface CapacityListener {
-    void exceeded(String why);
+    /** The reason names the limit; it is for the log. */
+    void exceeded(String reason);
 }
--- a/src/main/java/linenring/discovery/HeldHosts.java
+++ b/src/main/java/linenring/discovery/HeldHosts.java
@@ -6,9 +6,10 @@
 import linenring.protocol.ServiceScope;
 
 /**
- * Which hosts the list that is held names, and the scope it was read under. Ids are kept under a scope alone, where a change
- * that takes a host out of it must be told from one of a host never held: the memory is that of what is in scope. A whole
- * list with spoilt entries takes nobody out, so whoever was held before it is held still. Not thread-safe.
+ * Which hosts the held list names, and the scope it was read under. Ids are kept under a scope alone, where a change that
+ * takes a host out of it must be distinguished from one of a host never held: the memory is that of what is in scope. A whole
+ * list with invalid entries removes nobody, so whoever was held before it is held still. Not thread-safe: guarded by the
+ * watch.
  */
 final class HeldHosts {
     private ServiceScope scope = ServiceScope.ALL;
@@ -17,29 +18,29 @@
     private boolean holdsList;
     private long revision;
 
-    /** Takes a list, or changes of the one that is held, which were read under the same scope. */
-    void taken(HostList list) {
+    /** Applies a list, or changes of the held one, which were read under the same scope. */
+    void apply(HostList list) {
         revision++;
         if (list.isComplete()) {
-            takenWhole(list);
+            applyWhole(list);
         }
         if (scope.isAll()) {
             return;
         }
-        for (HostList.Entry e : list.entries()) {
-            if (e.state() == HostList.State.GONE) {
-                ids.remove(e.host());
+        for (HostList.Entry entry : list.entries()) {
+            if (entry.state() == HostList.State.GONE) {
+                ids.remove(entry.host());
             } else {
-                ids.add(e.host());
+                ids.add(entry.host());
             }
         }
     }
 
-    private void takenWhole(HostList list) {
+    private void applyWhole(HostList list) {
         boolean othersStay = holdsList && !list.invalidEntries().isEmpty();
         mayBeAnybody = othersStay && !list.scope().isAll() && (mayBeAnybody || scope.isAll());
         if (!othersStay || list.scope().isAll()) {
-            ids = new HashSet<>(); // one that was large is let go
+            ids = new HashSet<>(); // in place of clear(), which would keep a large table
         }
         scope = list.scope();
         holdsList = true;
@@ -50,16 +51,16 @@
     }
 
     /** Whether the host is held; true too where that is not known. */
-    boolean names(String host) {
+    boolean mayContain(String host) {
         return mayBeAnybody || ids.contains(host);
     }
 
-    /** Whether it is sure that no host is held. */
+    /** Whether it is certain that no host is held. */
     boolean areKnownToBeNone() {
         return !scope.isAll() && !mayBeAnybody && ids.isEmpty();
     }
 
-    /** Grows with each list that was taken. */
+    /** Grows with each list that is applied. */
     long revision() {
         return revision;
     }
--- a/src/main/java/linenring/scale/fleet/InProcessController.java
+++ b/src/main/java/linenring/scale/fleet/InProcessController.java
@@ -14,6 +14,7 @@
 import linenring.configuration.ControllerConfiguration;
 import linenring.controller.ControlLoop;
 import linenring.discovery.HostWatch;
+import linenring.discovery.WatchConfig;
 import linenring.event.EventQueue;
 import linenring.log.Level;
 import linenring.log.Log;
@@ -67,16 +68,12 @@
         Log log = new Log(this::logged);
         thread = named(() -> decide(log), name);
         thread.start();
-        watch = new HostWatch(
+        WatchConfig config = new WatchConfig(
                 configuration.discovery(),
                 configuration.scope(),
                 configuration.known(),
-                codec,
-                events,
-                log,
-                executor,
-                scheduler,
                 reason -> log.error("steward", "would end: " + reason)); // it shares its process with others
+        watch = new HostWatch(config, codec, events, log, executor, scheduler);
         watch.open();
     }
 
--- a/src/test/java/linenring/controller/ReloadDuringDrainsTest.java
+++ b/src/test/java/linenring/controller/ReloadDuringDrainsTest.java
@@ -24,6 +24,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import linenring.discovery.HostWatch;
+import linenring.discovery.WatchConfig;
 import linenring.log.Log;
 import linenring.protocol.Codec;
 import linenring.protocol.HostList;
@@ -60,18 +61,16 @@
         scheduler.start();
         oldAgent = listen();
         newAgent = listen();
+        WatchConfig config = new WatchConfig(address(oldAgent), ServiceScope.ALL, warmHosts(41, HOSTS), why -> {
+            throw new AssertionError(why);
+        });
         watch = new HostWatch(
-                address(oldAgent),
-                ServiceScope.ALL,
-                warmHosts(41, HOSTS),
+                config,
                 new Codec(new Names(List.of("a", "b", "c"), List.of("m1"), List.of("lookup"), PROXIES, 4)),
                 fixture.exchange,
                 new Log(new PrintStream(OutputStream.nullOutputStream())),
                 threads,
-                scheduler,
-                why -> {
-                    throw new AssertionError(why);
-                });
+                scheduler);
         watch.open();
     }
 
--- a/src/test/java/linenring/discovery/AgentSocket.java
+++ b/src/test/java/linenring/discovery/AgentSocket.java
@@ -12,35 +12,47 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 
-/** A stand-in for the agent's end of a watch, on a loopback socket that a test reads and writes itself. */
+/** The agent's end of a watch, on a loopback socket that a test reads and writes itself. */
 public final class AgentSocket {
     public static final int WAIT_SECONDS = 20;
 
     private AgentSocket() {}
 
+    /** An agent that nobody has connected to yet. */
     public static ServerSocket listen() throws IOException {
         ServerSocket agent = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
         agent.setSoTimeout((int) TimeUnit.SECONDS.toMillis(WAIT_SECONDS));
         return agent;
     }
 
+    /** Where the agent listens. */
     public static InetSocketAddress address(ServerSocket agent) {
         return new InetSocketAddress(agent.getInetAddress(), agent.getLocalPort());
     }
 
     /** Accepts the watch, which has to ask for changes from this version. */
     public static Socket accept(ServerSocket agent, long fromVersion) throws IOException {
+        return accept(agent, "GET /catalog/members?watch=1&from=" + fromVersion + " HTTP/1.1");
+    }
+
+    /** Accepts the request for the whole list. */
+    static Socket acceptWholeList(ServerSocket agent) throws IOException {
+        return accept(agent, "GET /catalog/members HTTP/1.1");
+    }
+
+    private static Socket accept(ServerSocket agent, String requestLine) throws IOException {
         Socket socket = agent.accept();
         socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(WAIT_SECONDS));
-        BufferedReader in =
+        BufferedReader reader =
                 new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
-        assertEquals("GET /catalog/members?watch=1&from=" + fromVersion + " HTTP/1.1", in.readLine());
-        while (!in.readLine().isEmpty()) {
+        assertEquals(requestLine, reader.readLine());
+        while (!reader.readLine().isEmpty()) {
             // request headers
         }
         return socket;
     }
 
+    /** Sends the text as it is. */
     public static void write(Socket socket, String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
--- a/src/test/java/linenring/discovery/HostWatchTest.java
+++ b/src/test/java/linenring/discovery/HostWatchTest.java
@@ -1,377 +1,253 @@
 package linenring.discovery;
 
-import static linenring.discovery.AgentFixture.OK;
-import static linenring.discovery.AgentFixture.agent;
-import static linenring.discovery.AgentFixture.answer;
-import static linenring.discovery.AgentFixture.asked;
-import static linenring.discovery.AgentFixture.at;
-import static linenring.discovery.AgentFixture.chunk;
-import static linenring.discovery.AgentFixture.list;
-import static linenring.discovery.AgentFixture.say;
+import static linenring.discovery.AgentMessages.HEAD;
+import static linenring.discovery.AgentMessages.body;
+import static linenring.discovery.AgentMessages.chunk;
+import static linenring.discovery.AgentMessages.host;
+import static linenring.discovery.AgentMessages.list;
+import static linenring.discovery.AgentSocket.accept;
+import static linenring.discovery.AgentSocket.acceptWholeList;
+import static linenring.discovery.AgentSocket.address;
+import static linenring.discovery.AgentSocket.listen;
+import static linenring.discovery.AgentSocket.write;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.io.ByteArrayOutputStream;
-import java.io.PrintStream;
-import java.net.InetSocketAddress;
+import java.io.IOException;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
+import java.nio.channels.SocketChannel;
 import java.util.List;
-import java.util.concurrent.TimeUnit;
-import java.util.concurrent.TimeoutException;
-import java.util.concurrent.atomic.AtomicLong;
-import linenring.discovery.AgentFixture.Agent;
-import linenring.discovery.AgentFixture.Waits;
-import linenring.event.EventQueue;
-import linenring.event.RecordingEventHandler;
-import linenring.log.Log;
-import linenring.protocol.Codec;
 import linenring.protocol.HostList;
 import linenring.protocol.ServiceScope;
-import linenring.settings.Names;
-import org.eclipse.jetty.util.thread.QueuedThreadPool;
-import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 import org.junit.jupiter.api.Test;
 
-class HostWatchTest {
-    private static final CapacityListener NO_END = why -> {
-        throw new AssertionError(why);
-    };
-
-    private final EventQueue exchange = new EventQueue();
-    private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
-    private final Log log = new Log(new PrintStream(logged, true));
-    private final Codec codec = new Codec(new Names(List.of("a"), List.of("m1"), List.of("lookup"), 9, 4));
-    private final Waits waits = new Waits();
-
-    private HostWatch watch(long version) {
-        HostList known = version < 0 ? null : new HostList(version, true, List.of());
-        return new HostWatch(
-                new InetSocketAddress("127.0.0.1", 8500),
-                ServiceScope.ALL,
-                known,
-                codec,
-                exchange,
-                log,
-                Runnable::run,
-                waits,
-                NO_END);
-    }
-
-    private List<Long> versions() {
-        RecordingEventHandler taker = new RecordingEventHandler();
-        exchange.drainTo(taker);
-        return taker.versions();
-    }
+class HostWatchTest extends WatchFixture {
+    private static final HostList NONE_KNOWN = null;
 
     @Test
-    void aWatchAsksFromItsVersionAndTakesLinesHoweverTheyAreCut() {
-        Agent agent = new Agent(watch(41), "/catalog/members?watch=1&from=41", false);
+    void requestsFromItsVersionAndReadsLinesHoweverTheyAreCut() {
+        InMemoryAgent agent = InMemoryAgent.watched(watch(41));
         assertTrue(agent.takeOutputString()
                 .startsWith("GET /catalog/members?watch=1&from=41 HTTP/1.1\r\nHost: 127.0.0.1:8500\r\n"));
-        String two = list(42, false, "Ready") + "\n" + list(43, false, "Terminating");
-        String answer = OK + chunk("\n") + chunk(two.substring(0, 30)) + chunk(two.substring(30)) + chunk("\r\n");
-        for (char c : answer.toCharArray()) {
-            agent.addInput("" + c);
+        String two = list(42, false, host("Ready")) + "\n" + list(43, false, host("Terminating"));
+        String answer = HEAD + chunk("\n") + chunk(two.substring(0, 30)) + chunk(two.substring(30)) + chunk("\r\n");
+        for (int i = 0; i < answer.length(); i++) {
+            agent.addInput(answer.substring(i, i + 1));
         }
         assertEquals(List.of(42L, 43L), versions());
-        assertTrue(agent.isOpen() && waits.ms.isEmpty());
+        assertTrue(agent.isOpen() && delaysMs().isEmpty());
     }
 
     @Test
-    void aWholeListWhereChangesWereDueIsTakenAndAnOldChangeIsNot() {
+    void appliesAWholeListOnAWatchAndIgnoresAnOldChange() {
         HostWatch watch = watch(41);
-        Agent agent = new Agent(watch, "/", false);
-        agent.addInput(OK
-                + chunk(list(44, true, "Ready"))
-                + chunk(list(44, false, "Gone"))
-                + chunk(list(45, false, "Gone"))
-                + chunk(list(43, true, "Gone")));
+        InMemoryAgent agent = InMemoryAgent.watched(watch);
+        agent.addInput(HEAD
+                + chunk(list(44, true, host("Ready")))
+                + chunk(list(44, false, host("Gone")))
+                + chunk(list(45, false, host("Gone")))
+                + chunk(list(43, true, host("Gone"))));
         assertEquals(List.of(44L, 45L), versions());
-        assertTrue(logged.toString().contains("version 43, which is older than 45 and changes nothing"));
+        assertTrue(logText().contains("version 43, which is older than 45 and changes nothing"));
     }
 
     @Test
-    void silencePastABlankLineEndsTheAttemptAndItIsDialledAgain() {
-        Agent agent = new Agent(watch(41), "/", false);
-        agent.addInput(OK + chunk(list(42, false, "Ready")));
-        assertFalse(agent.connection.onIdleExpired(new TimeoutException()));
+    void redialsWhereNoBlankLineComesInTime() {
+        InMemoryAgent agent = InMemoryAgent.watched(watch(41));
+        agent.addInput(HEAD + chunk(list(42, false, host("Ready"))));
+        assertFalse(agent.expireIdle());
         assertFalse(agent.isOpen());
-        assertEquals(List.of(20L), waits.ms);
-        assertTrue(logged.toString().contains("had told and ended: nothing came for")
-                && logged.toString().contains("from version 42"));
+        assertEquals(List.of(20L), delaysMs());
+        assertTrue(logText().contains("had delivered and ended: nothing came for")
+                && logText().contains("from version 42"));
     }
 
     @Test
-    void whateverEndsAnAttemptSaysHowFarItHadComeAndTheWaitGrowsToItsCap() {
+    void logsHowFarEachAttemptCameAndBacksOffUpToTheLimit() {
         HostWatch watch = watch(41);
         for (String answer : List.of(
                 "",
                 "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
                 "SSH-2.0-x\r\n\r\n",
-                OK + chunk("{\"version\":\n"),
-                OK + chunk("{\"version\":42,\"full\":false}\n"),
-                OK + "0\r\n\r\n",
-                OK + "zz\r\n")) {
-            Agent agent = new Agent(watch, "/", false);
+                HEAD + chunk("{\"version\":\n"),
+                HEAD + chunk("{\"version\":42,\"full\":false}\n"),
+                HEAD + "0\r\n\r\n",
+                HEAD + "zz\r\n")) {
+            InMemoryAgent agent = InMemoryAgent.watched(watch);
             agent.addInput(answer);
             agent.addInputEOF();
             assertFalse(agent.isOpen(), answer);
         }
-        assertEquals(List.of(20L, 40L, 80L, 160L, 320L, 500L, 500L), waits.ms);
+        assertEquals(List.of(20L, 40L, 80L, 160L, 320L, 500L, 500L), delaysMs());
         assertEquals(List.of(), versions()); // the list stands
-        List<String> lines = logged.toString().lines().toList();
-        assertTrue(lines.get(0).contains("had asked and ended: ended by its peer"), lines.get(0));
+        List<String> lines = logText().lines().toList();
+        assertTrue(lines.get(0).contains("had requested and ended: ended by its peer"), lines.get(0));
         assertTrue(lines.get(1).contains("had answered and ended: status 503"), lines.get(1));
-        assertTrue(lines.get(2).contains("had asked and ended: no HTTP answer"), lines.get(2));
+        assertTrue(lines.get(2).contains("had requested and ended: no HTTP answer"), lines.get(2));
         assertTrue(lines.get(3).contains("can't be read, text: not JSON"), lines.get(3));
         assertTrue(lines.get(4).contains("can't be read, fields: field servers is missing"), lines.get(4));
     }
 
-    /** Moves there and back at once, then to an address where nobody answers, then to one that tells something. */
+    /** Moves there and back at once, then to an address where nobody answers, then to one that delivers. */
     @Test
-    void whereDiscoveryMovesTheOldAddressServesUntilTheNewOneHasTold() throws Exception {
-        QueuedThreadPool threads = new QueuedThreadPool(8, 2);
-        ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
-        threads.start();
-        scheduler.start();
-        try (ServerSocket old = agent();
-                ServerSocket mute = agent();
-                ServerSocket now = agent()) {
-            HostWatch watch = new HostWatch(
-                    at(old),
-                    ServiceScope.ALL,
-                    new HostList(41, true, List.of()),
-                    codec,
-                    exchange,
-                    log,
-                    threads,
-                    scheduler,
-                    NO_END);
-            watch.open();
-            try (Socket served = asked(old, "GET /catalog/members?watch=1&from=41 HTTP/1.1")) {
-                say(served, OK + chunk(list(42, false, "Ready")));
-                until(42);
-                watch.moveTo(at(mute), ServiceScope.ALL);
-                watch.moveTo(at(old), ServiceScope.ALL); // given up at once
-                watch.moveTo(at(mute), ServiceScope.ALL);
-                say(served, chunk(list(43, false, "Ready"))); // not a word from there: the old one serves
-                until(43);
-                watch.moveTo(at(now), ServiceScope.ALL);
-                watch.moveTo(at(now), ServiceScope.ALL); // once more changes nothing
-                try (Socket moved = asked(now, "GET /catalog/members?watch=1&from=43 HTTP/1.1")) {
-                    say(moved, OK + chunk("\n"));
-                    assertEquals(-1, served.getInputStream().read()); // now it is let go
-                    say(
+    void servesFromTheOldAddressUntilTheNewOneDelivers() throws Exception {
+        try (ServerSocket old = listen();
+                ServerSocket mute = listen();
+                ServerSocket now = listen()) {
+            HostWatch watch = dialling(old);
+            try (Socket served = accept(old, 41)) {
+                write(served, HEAD + chunk(list(42, false, host("Ready"))));
+                awaitVersion(42);
+                watch.moveTo(address(mute), ServiceScope.ALL);
+                watch.moveTo(address(old), ServiceScope.ALL); // abandoned at once
+                watch.moveTo(address(mute), ServiceScope.ALL);
+                write(served, chunk(list(43, false, host("Ready")))); // nothing came from there: the old one serves
+                awaitVersion(43);
+                watch.moveTo(address(now), ServiceScope.ALL);
+                watch.moveTo(address(now), ServiceScope.ALL); // once more changes nothing
+                try (Socket moved = accept(now, 43)) {
+                    write(moved, HEAD + chunk("\n"));
+                    assertEquals(-1, served.getInputStream().read()); // now it is closed
+                    write(
                             moved,
-                            chunk(list(40, true, "Gone"))
-                                    + chunk(list(43, false, "Gone"))
-                                    + chunk(list(44, false, "Gone")));
-                    until(44); // what is stale was passed over, and the version went along
+                            chunk(list(40, true, host("Gone")))
+                                    + chunk(list(43, false, host("Gone")))
+                                    + chunk(list(44, false, host("Gone"))));
+                    awaitVersion(44); // what is stale was ignored, and the version went along
                 }
-                try (Socket again = asked(now, "GET /catalog/members?watch=1&from=44 HTTP/1.1")) {
+                try (Socket again = accept(now, 44)) {
                     assertTrue(again.isConnected());
                 }
             }
             old.setSoTimeout(1);
             assertThrows(SocketTimeoutException.class, old::accept); // nobody dials there any more
-            watch.stop();
-        } finally {
-            threads.stop();
-            scheduler.stop();
         }
     }
 
-    private void until(long version) throws Exception {
-        assertTrue(exchange.await(TimeUnit.SECONDS.toNanos(20)));
-        assertEquals(List.of(version), versions());
-    }
-
     @Test
-    void withNoListItAsksForTheWholeThenWatchesAndAfterABreakGoesOnFromThere() throws Exception {
-        QueuedThreadPool threads = new QueuedThreadPool(8, 2);
-        ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
-        threads.start();
-        scheduler.start();
-        try (ServerSocket agent = agent()) {
-            HostWatch watch =
-                    new HostWatch(at(agent), ServiceScope.ALL, null, codec, exchange, log, threads, scheduler, NO_END);
-            watch.open();
-            String body = list(7, true, "Ready");
-            answer(
-                    agent,
-                    "GET /catalog/members HTTP/1.1",
-                    "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
-            answer(agent, "GET /catalog/members?watch=1&from=7 HTTP/1.1", OK + chunk(list(9, false, "Gone")));
-            answer(agent, "GET /catalog/members?watch=1&from=9 HTTP/1.1", OK);
+    void requestsTheWholeListThenWatchesAndResumesAfterABreak() throws Exception {
+        try (ServerSocket agent = listen()) {
+            dialling(agent, ServiceScope.ALL, NONE_KNOWN);
+            answer(acceptWholeList(agent), body(list(7, true, host("Ready"))));
+            answer(accept(agent, 7), HEAD + chunk(list(9, false, host("Gone"))));
+            answer(accept(agent, 9), HEAD);
             assertEquals(List.of(7L, 9L), versions());
-            watch.stop();
-        } finally {
-            threads.stop();
-            scheduler.stop();
         }
     }
 
-    /** Whom the settings name may count from one again: what was done there under lower numbers must not be missed for ever. */
+    /** The agent that the settings name may count from one again: changes under its lower versions must not be missed for ever. */
     @Test
-    void aSourceThatCountsAnewIsPassedOverWhileItMayBeLateAndThenItsWholeListIsTaken() throws Exception {
-        AtomicLong nanos = new AtomicLong();
-        QueuedThreadPool threads = new QueuedThreadPool(8, 2);
-        ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
-        threads.start();
-        scheduler.start();
-        try (ServerSocket old = agent();
-                ServerSocket now = agent()) {
-            HostWatch watch = new HostWatch(
-                    at(old),
-                    ServiceScope.ALL,
-                    new HostList(41, true, List.of()),
-                    codec,
-                    exchange,
-                    log,
-                    threads,
-                    scheduler,
-                    NO_END,
-                    Integer.MAX_VALUE,
-                    nanos::get);
-            watch.open();
-            try (Socket served = asked(old, "GET /catalog/members?watch=1&from=41 HTTP/1.1")) {
-                say(served, OK + chunk(list(42, false, "Ready")));
-                until(42);
-                watch.moveTo(at(now), ServiceScope.ALL);
-                try (Socket moved = asked(now, "GET /catalog/members?watch=1&from=42 HTTP/1.1")) {
-                    say(moved, OK + chunk(list(3, true, "Gone")) + chunk(list(4, false, "Ready")) + chunk("\n"));
+    void ignoresASourceThatCountsAnewWhileItMayLagAndThenAppliesItsWholeList() throws Exception {
+        try (ServerSocket old = listen();
+                ServerSocket now = listen()) {
+            HostWatch watch = dialling(old);
+            try (Socket served = accept(old, 41)) {
+                write(served, HEAD + chunk(list(42, false, host("Ready"))));
+                awaitVersion(42);
+                watch.moveTo(address(now), ServiceScope.ALL);
+                try (Socket moved = accept(now, 42)) {
+                    write(
+                            moved,
+                            HEAD
+                                    + chunk(list(3, true, host("Gone")))
+                                    + chunk(list(4, false, host("Ready")))
+                                    + chunk("\n"));
                     assertEquals(-1, served.getInputStream().read()); // all of that is read
-                    awaitLog("tells version 4, which is older than 42", 1);
+                    awaitLog("sends version 4, which is older than 42", 1);
                     assertEquals(List.of(), versions());
-                    nanos.set(3_000_000_000L);
-                    say(moved, chunk(list(4, false, "Ready"))); // it goes on to speak
-                    awaitLog("tells version 4, which is older than 42", 2);
-                    nanos.set(6_000_000_001L);
-                    say(moved, chunk("\n"));
+                    advanceNanos(3_000_000_000L);
+                    write(moved, chunk(list(4, false, host("Ready")))); // it goes on sending
+                    awaitLog("sends version 4, which is older than 42", 2);
+                    advanceNanos(3_000_000_001L);
+                    write(moved, chunk("\n"));
                     assertEquals(-1, moved.getInputStream().read());
                 }
-                String body = list(5, true, "Ready");
-                answer(
-                        now,
-                        "GET /catalog/members HTTP/1.1",
-                        "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
-                until(5);
-                answer(now, "GET /catalog/members?watch=1&from=5 HTTP/1.1", OK + chunk(list(6, false, "Gone")));
-                until(6);
+                answer(acceptWholeList(now), body(list(5, true, host("Ready"))));
+                awaitVersion(5);
+                answer(accept(now, 5), HEAD + chunk(list(6, false, host("Gone"))));
+                awaitVersion(6);
             }
-            watch.stop();
-        } finally {
-            threads.stop();
-            scheduler.stop();
         }
     }
 
     @Test
-    void anOldSourceThatFallsBackIsNeverTakenForAnother() {
-        Versions versions = new Versions(new HostList(41, true, List.of()));
-        Versions.Told source = new Versions.Told(false), late = new Versions.Told(true);
-        assertEquals(Versions.Verdict.PASSED_OVER, versions.judge(new HostList(7, true, List.of()), source, 0));
-        assertFalse(versions.countsAnew(source, Long.MAX_VALUE / 2));
-        assertEquals(Versions.Verdict.PASSED_OVER, versions.judge(new HostList(40, true, List.of()), late, 0));
-        assertEquals(Versions.Verdict.TAKEN, versions.judge(new HostList(42, false, List.of()), late, 1)); // only late
-        assertFalse(versions.countsAnew(late, Long.MAX_VALUE / 2));
+    void neverTreatsASourceThatWasNotMovedToAsRestarted() {
+        VersionTracker versions = new VersionTracker(new HostList(41, true, List.of()));
+        SourceHistory source = new SourceHistory(false);
+        SourceHistory late = new SourceHistory(true);
+        assertEquals(VersionTracker.Verdict.IGNORED, versions.judge(new HostList(7, true, List.of()), source, 0));
+        assertFalse(source.judgeRestart(Long.MAX_VALUE / 2));
+        assertEquals(VersionTracker.Verdict.IGNORED, versions.judge(new HostList(40, true, List.of()), late, 0));
+        assertEquals(
+                VersionTracker.Verdict.APPLIED,
+                versions.judge(new HostList(42, false, List.of()), late, 1)); // only late
+        assertFalse(late.judgeRestart(Long.MAX_VALUE / 2));
         assertEquals(42, versions.version());
     }
 
-    /** The last one may have had entries that could not be read, and the version alone does not tell. */
+    /** The last one may have had invalid entries, which its version does not show. */
     @Test
-    void aWholeListOfTheVersionThatIsHeldIsTaken() {
+    void appliesAWholeListOfTheHeldVersion() {
         HostWatch watch = watch(41);
-        new Agent(watch, "/", false).addInput(OK + chunk(list(41, true, "Ready")) + chunk(list(41, false, "Gone")));
+        InMemoryAgent.watched(watch)
+                .addInput(HEAD + chunk(list(41, true, host("Ready"))) + chunk(list(41, false, host("Gone"))));
         assertEquals(List.of(41L), versions());
     }
 
     @Test
-    void wordsThatCannotBeReadAreNoReasonToLeaveTheAddressThatServes() throws Exception {
-        QueuedThreadPool threads = new QueuedThreadPool(8, 2);
-        ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
-        threads.start();
-        scheduler.start();
-        try (ServerSocket old = agent();
-                ServerSocket wrong = agent()) {
-            HostWatch watch = new HostWatch(
-                    at(old),
-                    ServiceScope.ALL,
-                    new HostList(41, true, List.of()),
-                    codec,
-                    exchange,
-                    log,
-                    threads,
-                    scheduler,
-                    NO_END);
-            watch.open();
-            try (Socket served = asked(old, "GET /catalog/members?watch=1&from=41 HTTP/1.1")) {
-                say(served, OK + chunk("\n"));
-                watch.moveTo(at(wrong), ServiceScope.ALL);
-                try (Socket moved = asked(wrong, "GET /catalog/members?watch=1&from=41 HTTP/1.1")) {
-                    say(moved, OK + chunk("a page of another service\n"));
+    void staysAtTheServingAddressWhereTheNewOneSendsUnreadableData() throws Exception {
+        try (ServerSocket old = listen();
+                ServerSocket wrong = listen()) {
+            HostWatch watch = dialling(old);
+            try (Socket served = accept(old, 41)) {
+                write(served, HEAD + chunk("\n"));
+                watch.moveTo(address(wrong), ServiceScope.ALL);
+                try (Socket moved = accept(wrong, 41)) {
+                    write(moved, HEAD + chunk("a page of another service\n"));
                     assertEquals(-1, moved.getInputStream().read());
                 }
-                say(served, chunk(list(42, false, "Ready")));
-                until(42);
+                write(served, chunk(list(42, false, host("Ready"))));
+                awaitVersion(42);
             }
-            watch.stop();
-        } finally {
-            threads.stop();
-            scheduler.stop();
         }
     }
 
     @Test
-    void aLineThatDripsAndNeverEndsIsGivenUp() {
-        AtomicLong nanos = new AtomicLong();
-        HostWatch watch = new HostWatch(
-                new InetSocketAddress("127.0.0.1", 8500),
-                ServiceScope.ALL,
-                new HostList(41, true, List.of()),
-                codec,
-                exchange,
-                log,
-                Runnable::run,
-                waits,
-                NO_END,
-                Integer.MAX_VALUE,
-                nanos::get);
-        Agent agent = new Agent(watch, "/", false);
-        agent.addInput(OK + chunk("\n") + chunk("{\"vers"));
-        nanos.addAndGet(4_000_000_000L);
+    void abandonsALineThatDripsAndNeverEnds() {
+        HostWatch watch = watch(41);
+        InMemoryAgent agent = InMemoryAgent.watched(watch);
+        agent.addInput(HEAD + chunk("\n") + chunk("{\"vers"));
+        advanceNanos(4_000_000_000L);
         agent.addInput(chunk("i"));
         assertTrue(agent.isOpen());
-        nanos.addAndGet(2_000_000_001L);
+        advanceNanos(2_000_000_001L);
         agent.addInput(chunk("o"));
         assertFalse(agent.isOpen());
-        assertEquals(List.of(20L), waits.ms);
+        assertEquals(List.of(20L), delaysMs());
     }
 
-    /** A dial on one machine may be through at once; then Jetty tells its failure elsewhere. */
+    /** On one machine a connection may be made at once; then Jetty reports its failure by another method. */
     @Test
-    void aDialThatIsThroughAndCannotBeTakenInIsMadeAgainAndOneThatWasLeftIsNot() throws Exception {
+    void redialsAfterAConnectionMadeAtOnceFailsUnlessItWasAbandoned() throws Exception {
         HostWatch watch = watch(41);
-        try (ServerSocket agent = agent();
-                java.nio.channels.SocketChannel other = java.nio.channels.SocketChannel.open(at(agent))) {
-            watch.onAcceptFailed(other, new java.io.IOException("too many open files"));
-            assertEquals(List.of(), waits.ms); // none of its own
-            watch.serving().dialled = other;
-            watch.onAcceptFailed(other, new java.io.IOException("too many open files"));
-            assertEquals(List.of(20L), waits.ms);
+        try (ServerSocket agent = listen();
+                SocketChannel other = SocketChannel.open(address(agent))) {
+            watch.onAcceptFailed(other, new IOException("too many open files"));
+            assertEquals(List.of(), delaysMs()); // none of its own
+            watch.state().dialled(watch.state().serving(), other);
+            watch.onAcceptFailed(other, new IOException("too many open files"));
+            assertEquals(List.of(20L), delaysMs());
             assertFalse(other.isOpen());
         }
     }
 
-    private void awaitLog(String words, int times) {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (logged.toString().split(words, -1).length <= times) {
-            assertTrue(System.nanoTime() < end, words);
-            Thread.onSpinWait();
+    private static void answer(Socket connection, String answer) throws IOException {
+        try (connection) {
+            write(connection, answer);
         }
     }
 }
--- a/src/test/java/linenring/discovery/ScopedWatchTest.java
+++ b/src/test/java/linenring/discovery/ScopedWatchTest.java
@@ -1,8 +1,10 @@
 package linenring.discovery;
 
-import static linenring.discovery.AgentFixture.OK;
-import static linenring.discovery.AgentFixture.agent;
-import static linenring.discovery.AgentFixture.chunk;
+import static linenring.discovery.AgentMessages.HEAD;
+import static linenring.discovery.AgentMessages.body;
+import static linenring.discovery.AgentMessages.chunk;
+import static linenring.discovery.AgentMessages.entry;
+import static linenring.discovery.AgentMessages.list;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,20 +13,19 @@
 import java.util.List;
 import java.util.TreeSet;
 import java.util.stream.IntStream;
-import linenring.discovery.AgentFixture.Agent;
 import linenring.protocol.HostList;
 import linenring.protocol.ServiceScope;
 import org.junit.jupiter.api.Test;
 
-/** What the watch does under a scope, with lists that are cut, spoilt, late or too large. */
-class ScopedWatchTest extends ScopedWatchFixture {
+/** What the watch does under a scope, with lists that are cut, invalid, late or too large. */
+class ScopedWatchTest extends WatchFixture {
     @Test
-    void aListThatIsCutInAnEntryChangesNothingWherever() {
+    void ignoresAListThatEndsWithinAnEntry() {
         String whole = list(42, true, "s-1 svc-1 Ready", "s-2 svc-9 Ready", "s-3 svc-1 Ready");
         for (int cut = 1; cut < whole.length() - 1; cut++) {
             HostWatch watch = watch(ONE, known(ONE, "s-7", "s-8"), Integer.MAX_VALUE);
-            Agent agent = new Agent(watch, "/", false);
-            agent.addInput(OK + chunk(whole.substring(0, cut)));
+            InMemoryAgent agent = InMemoryAgent.watched(watch);
+            agent.addInput(HEAD + chunk(whole.substring(0, cut)));
             agent.addInputEOF();
             assertFalse(agent.isOpen());
             assertEquals("s-7 s-8", hosts(), "cut at " + cut);
@@ -32,21 +33,21 @@
     }
 
     @Test
-    void aBodyThatIsCutIsAskedForAgainAndNotTaken() {
+    void requestsABodyAgainThatEndsEarly() {
         HostWatch watch = watch(ONE, null, Integer.MAX_VALUE);
         String body = body(list(42, true, "s-1 svc-1 Ready"));
-        Agent agent = new Agent(watch, "/", true);
+        InMemoryAgent agent = InMemoryAgent.askedForWholeList(watch);
         agent.addInput(body.substring(0, body.length() - 9));
         agent.addInputEOF();
         assertEquals("", hosts());
-        assertEquals(List.of(20L), waits.ms);
+        assertEquals(List.of(20L), delaysMs());
     }
 
     @Test
-    void whatIsInScopeComesAndWhatChangesItsServiceLeaves() {
+    void addsHostsInScopeAndRemovesThoseThatChangeTheirService() {
         HostWatch watch = watch(ONE, known(ONE, "s-1"), Integer.MAX_VALUE);
-        Agent agent = new Agent(watch, "/", false);
-        agent.addInput(OK + chunk(list(42, false, "s-2 svc-1 Ready", "s-3 svc-9 Ready", "s-4  Ready")));
+        InMemoryAgent agent = InMemoryAgent.watched(watch);
+        agent.addInput(HEAD + chunk(list(42, false, "s-2 svc-1 Ready", "s-3 svc-9 Ready", "s-4  Ready")));
         assertEquals("s-1 s-2 s-4", hosts());
         agent.addInput(chunk(list(43, false, "s-1 svc-9 Ready", "s-3 svc-1 Ready")));
         assertEquals("s-2 s-3 s-4", hosts());
@@ -56,21 +57,21 @@
     }
 
     @Test
-    void aHostNeverHeldIsNotToldOfWhenItGoes() {
+    void ignoresTheRemovalOfAHostNeverHeld() {
         HostWatch watch = watch(ONE, known(ONE, "s-1"), Integer.MAX_VALUE);
-        List<HostList> told = new ArrayList<>();
-        exchange.addHostListListener(told::add);
-        new Agent(watch, "/", false)
-                .addInput(OK + chunk(list(42, false, "s-2 svc-9 Ready", "s-3 svc-9 Gone", "s-4  Gone")));
-        assertEquals(List.of(), told.get(0).entries());
-        assertEquals(42, told.get(0).version());
+        List<HostList> delivered = new ArrayList<>();
+        follow(delivered::add);
+        InMemoryAgent.watched(watch)
+                .addInput(HEAD + chunk(list(42, false, "s-2 svc-9 Ready", "s-3 svc-9 Gone", "s-4  Gone")));
+        assertEquals(List.of(), delivered.get(0).entries());
+        assertEquals(42, delivered.get(0).version());
     }
 
     @Test
-    void aServiceThatIsEmptiedByChangesAndRefilledFollowsThem() {
+    void followsChangesThatEmptyAndRefillAService() {
         HostWatch watch = watch(ONE, known(ONE, "s-1", "s-2"), Integer.MAX_VALUE);
-        Agent agent = new Agent(watch, "/", false);
-        agent.addInput(OK + chunk(list(42, false, "s-1 svc-1 Gone", "s-2 svc-1 Gone")));
+        InMemoryAgent agent = InMemoryAgent.watched(watch);
+        agent.addInput(HEAD + chunk(list(42, false, "s-1 svc-1 Gone", "s-2 svc-1 Gone")));
         assertEquals("", hosts());
         agent.addInput(chunk(list(43, true, "s-9 svc-9 Ready"))); // it is known to be empty: nothing is lost by this
         assertTrue(agent.isOpen());
@@ -78,39 +79,40 @@
         assertEquals("s-3", hosts());
     }
 
-    /** The scope's words may be wrong, or the catalogue's: neither may leave all proxies without a host. */
+    /** The scope's names may be wrong, or the catalogue's: neither may leave all proxies without a host. */
     @Test
-    void aWholeListWithNobodyInScopeLeavesTheLastOneInForceUntilSomebodyIs() {
+    void keepsTheHeldListWhereAWholeListHasNobodyInScope() {
         HostWatch watch = watch(ONE, known(ONE, "s-1", "s-2"), Integer.MAX_VALUE);
-        Agent agent = new Agent(watch, "/", false);
-        agent.addInput(OK + chunk(list(42, true, "s-1 svc-9 Ready", "s-2 svc-9 Ready")));
+        InMemoryAgent agent = InMemoryAgent.watched(watch);
+        agent.addInput(HEAD + chunk(list(42, true, "s-1 svc-9 Ready", "s-2 svc-9 Ready")));
         assertFalse(agent.isOpen());
         assertEquals("s-1 s-2", hosts());
-        assertEquals(List.of(5000L), waits.ms);
-        assertTrue(logged.toString()
-                .contains("ended: scope names none of the 2 hosts listed; the list before it stays in force"));
-        Agent changes = new Agent(watch, "/", false); // a list that is not held can't be changed
-        changes.addInput(OK + chunk(list(43, false, "s-3 svc-1 Ready")));
+        assertEquals(List.of(5000L), delaysMs());
+        assertTrue(
+                logText().contains("ended: scope names none of the 2 hosts listed; the list before it stays in force"));
+        InMemoryAgent changes = InMemoryAgent.watched(watch); // changes of a list that is not held
+        changes.addInput(HEAD + chunk(list(43, false, "s-3 svc-1 Ready")));
         assertFalse(changes.isOpen());
-        new Agent(watch, "/", true).addInput(body(list(43, true, "s-3 svc-1 Ready", "s-1 svc-9 Ready")));
+        InMemoryAgent.askedForWholeList(watch).addInput(body(list(43, true, "s-3 svc-1 Ready", "s-1 svc-9 Ready")));
         assertEquals("s-3", hosts());
     }
 
     @Test
-    void aStartWhoseScopeNamesNobodyTakesTheListAndHearsOfWhoComes() {
+    void startsWithNobodyInScopeAndFollowsChanges() {
         HostWatch watch = watch(ONE, null, Integer.MAX_VALUE);
-        List<HostList> told = new ArrayList<>();
-        exchange.addHostListListener(told::add);
-        new Agent(watch, "/", true).addInput(body(list(42, true, "s-1 svc-9 Ready")));
-        assertEquals(42, told.get(0).version());
-        assertTrue(logged.toString().contains("lists 0 hosts in scope and 1 outside"));
-        new Agent(watch, "/", false).addInput(OK + chunk(list(43, false, "s-2 svc-1 Ready")));
+        List<HostList> delivered = new ArrayList<>();
+        follow(delivered::add);
+        InMemoryAgent.askedForWholeList(watch).addInput(body(list(42, true, "s-1 svc-9 Ready")));
+        assertEquals(42, delivered.get(0).version());
+        assertTrue(logText().contains("lists 0 hosts in scope and 1 outside"));
+        InMemoryAgent.watched(watch).addInput(HEAD + chunk(list(43, false, "s-2 svc-1 Ready")));
         assertEquals("s-2", hosts());
     }
 
     @Test
-    void anHoursChangesInOneWholeListAreTakenAtOnce() {
-        String[] before = IntStream.range(0, 2000).mapToObj(i -> "s-" + i).toArray(String[]::new);
+    void appliesManyChangesInOneWholeListAtOnce() {
+        String[] before =
+                IntStream.range(0, 2000).mapToObj(index -> "s-" + index).toArray(String[]::new);
         HostWatch watch = watch(ONE, known(ONE, before), Integer.MAX_VALUE);
         List<String> entries = new ArrayList<>(); // a third has gone, a third drains, as many are new
         TreeSet<String> after = new TreeSet<>();
@@ -121,26 +123,27 @@
             }
             entries.add("o-" + i + " svc-9 Ready");
         }
-        Agent agent = new Agent(watch, "/", false);
-        agent.addInput(OK + chunk(list(90_000, true, entries.toArray(String[]::new))));
+        InMemoryAgent agent = InMemoryAgent.watched(watch);
+        agent.addInput(HEAD + chunk(list(90_000, true, entries.toArray(String[]::new))));
         assertEquals(String.join(" ", after), hosts());
-        assertEquals(HostList.State.TERMINATING, hosts.get("s-1"));
+        assertEquals(HostList.State.TERMINATING, state("s-1"));
         agent.addInput(chunk(list(90_001, false, "s-1 svc-1 Gone")));
         assertFalse(hosts().contains("s-1 "));
     }
 
     @Test
-    void aZoneThatReturnsInOneListOfChangesIsBackWhole() {
+    void restoresAZoneThatReturnsInOneListOfChanges() {
         HostWatch watch = watch(ONE, known(ONE, "s-0"), Integer.MAX_VALUE);
-        Agent agent = new Agent(watch, "/", false);
-        String[] gone =
-                IntStream.range(0, 300).mapToObj(i -> "s-" + i + "  Gone").toArray(String[]::new);
+        InMemoryAgent agent = InMemoryAgent.watched(watch);
+        String[] gone = IntStream.range(0, 300)
+                .mapToObj(index -> "s-" + index + "  Gone")
+                .toArray(String[]::new);
         String[] back = IntStream.range(0, 300)
-                .mapToObj(i -> "s-" + i + (i % 2 == 0 ? " svc-1 Ready" : " svc-9 Ready"))
+                .mapToObj(index -> "s-" + index + (index % 2 == 0 ? " svc-1 Ready" : " svc-9 Ready"))
                 .toArray(String[]::new);
-        agent.addInput(OK + chunk(list(42, false, back)));
+        agent.addInput(HEAD + chunk(list(42, false, back)));
         String all = hosts();
-        assertEquals(150, all.split(" ").length);
+        assertEquals(150, all.split(" ", -1).length);
         agent.addInput(chunk(list(43, false, gone)));
         assertEquals("", hosts());
         agent.addInput(chunk(list(44, false, back)));
@@ -148,76 +151,79 @@
     }
 
     @Test
-    void aListWithoutRoomEndsTheAttemptAndTheOneBeforeItStays() {
+    void keepsTheHeldListWhereTheNextDoesNotFitTheMemory() {
         HostWatch watch = watch(ONE, known(ONE, "s-1"), 2);
-        new Agent(watch, "/", false)
-                .addInput(OK + chunk(list(42, true, "s-1 svc-1 Ready", "s-2 svc-1 Ready", "s-3 svc-1 Ready")));
+        InMemoryAgent.watched(watch)
+                .addInput(HEAD + chunk(list(42, true, "s-1 svc-1 Ready", "s-2 svc-1 Ready", "s-3 svc-1 Ready")));
         assertEquals("s-1", hosts());
-        assertEquals(List.of(5000L), waits.ms);
-        assertEquals(List.of(), ends);
-        assertTrue(logged.toString().contains("lists over 2 hosts, which is more than fits the heap; the list before"));
+        assertEquals(List.of(5000L), delaysMs());
+        assertEquals(List.of(), drainCapacityFailures());
+        assertTrue(logText().contains("lists over 2 hosts, which is more than fits the heap; the list before"));
     }
 
     @Test
-    void aListWithoutRoomWhereNoneIsHeldEndsTheService() {
+    void reportsAListThatDoesNotFitTheMemoryWhereNoneIsHeld() {
         HostWatch watch = watch(ServiceScope.ALL, null, 2);
-        new Agent(watch, "/", true)
+        InMemoryAgent.askedForWholeList(watch)
                 .addInput(body(list(42, true, "s-1 svc-1 Ready", "s-2 svc-1 Ready", "s-3 svc-1 Ready")));
-        assertEquals(List.of("discovery lists over 2 hosts, which is more than fits the heap"), ends);
+        assertEquals(
+                List.of("discovery lists over 2 hosts, which is more than fits the heap"), drainCapacityFailures());
     }
 
     @Test
-    void aLongListCountsAsAWordByItsEntriesAndADrippingOneDoesNot() {
+    void countsEntriesOfALongListAsProgressAndSingleBytesNot() {
         HostWatch watch = watch(ONE, known(ONE, "s-1"), Integer.MAX_VALUE);
-        Agent agent = new Agent(watch, "/", false);
-        agent.addInput(OK + chunk("{\"version\":42,\"full\":true,\"servers\":["));
+        InMemoryAgent agent = InMemoryAgent.watched(watch);
+        agent.addInput(HEAD + chunk("{\"version\":42,\"full\":true,\"servers\":["));
         String thousand = (entry("o-1 svc-9 Ready") + ",").repeat(1000);
         for (int i = 0; i < 5; i++) {
-            nanos.addAndGet(5_000_000_000L);
+            advanceNanos(5_000_000_000L);
             agent.addInput(chunk(thousand));
             assertTrue(agent.isOpen());
         }
-        nanos.addAndGet(6_000_000_001L);
+        advanceNanos(6_000_000_001L);
         agent.addInput(chunk(entry("o-1 svc-9 Ready") + ","));
         assertFalse(agent.isOpen());
-        assertTrue(logged.toString().contains("no line has come to its end for 6000 ms"));
+        assertTrue(logText().contains("no line has come to its end for 6000 ms"));
     }
 
-    /** Of two sources the older is taken while the newer one's line is half read: who came by it may leave on that line. */
+    /** Of two sources the older one's list is applied while the newer one's line is half read: a host that came by it may leave on that line. */
     @Test
-    void changesThatWereBegunBeforeAnotherListWasTakenAreAskedForAgain() {
+    void requestsChangesAgainThatBeganBeforeAnotherListWasApplied() {
         for (String leaves : List.of("s-2 svc-9 Ready", "s-2  Gone")) {
             HostWatch watch = watch(ONE, known(ONE, "s-1"), Integer.MAX_VALUE);
-            Agent late = new Agent(watch, "/", false), other = new Agent(watch, "/", false);
+            InMemoryAgent late = InMemoryAgent.watched(watch);
+            InMemoryAgent other = InMemoryAgent.watched(watch);
             String line = list(43, false, leaves);
-            late.addInput(OK + chunk(line.substring(0, line.length() - 3)));
-            other.addInput(OK + chunk(list(42, false, "s-2 svc-1 Ready")));
+            late.addInput(HEAD + chunk(line.substring(0, line.length() - 3)));
+            other.addInput(HEAD + chunk(list(42, false, "s-2 svc-1 Ready")));
             assertEquals("s-1 s-2", hosts());
             late.addInput(chunk(line.substring(line.length() - 3)));
             assertFalse(late.isOpen());
-            assertTrue(logged.toString().contains("another list came while this one was read"));
-            new Agent(watch, "/", false).addInput(OK + chunk(line));
+            assertTrue(logText().contains("another list came while this one was read"));
+            InMemoryAgent.watched(watch).addInput(HEAD + chunk(line));
             assertEquals("s-1", hosts());
         }
     }
 
     @Test
-    void aBodyOfBlanksTellsNothing() {
+    void treatsABodyOfBlanksAsNoList() {
         HostWatch watch = watch(ONE, null, Integer.MAX_VALUE);
-        new Agent(watch, "/", true).addInput(body("\n \r\n\t"));
-        assertEquals(List.of(20L), waits.ms);
-        assertTrue(logged.toString().contains("had answered and ended"));
+        InMemoryAgent.askedForWholeList(watch).addInput(body("\n \r\n\t"));
+        assertEquals(List.of(20L), delaysMs());
+        assertTrue(logText().contains("had answered and ended"));
     }
 
-    /** Such a list takes nobody out: who was held before must be heard of all the same when it drains or goes. */
+    /** Such a list removes nobody: the hosts held before must still be followed when they drain or go. */
     @Test
-    void whoStaysBeyondAWholeListWithASpoiltEntryLeavesByItsOwnChange() {
+    void removesAHostKeptByAnInvalidEntryOnceItsOwnChangeComes() {
         for (ServiceScope before : List.of(ONE, ServiceScope.ALL)) {
             HostWatch watch = watch(ONE, known(before, "s-1", "s-2", "s-3"), Integer.MAX_VALUE);
-            new Agent(watch, "/", true).addInput(body(list(42, true, "s-1 svc-1 Ready", "s-4 svc-1 Asleep")));
+            InMemoryAgent.askedForWholeList(watch)
+                    .addInput(body(list(42, true, "s-1 svc-1 Ready", "s-4 svc-1 Asleep")));
             assertEquals("s-1 s-2 s-3", hosts());
-            Agent agent = new Agent(watch, "/", false);
-            agent.addInput(OK + chunk(list(43, false, "s-2 svc-9 Terminating", "s-3  Gone")));
+            InMemoryAgent agent = InMemoryAgent.watched(watch);
+            agent.addInput(HEAD + chunk(list(43, false, "s-2 svc-9 Terminating", "s-3  Gone")));
             assertEquals("s-1", hosts());
             agent.addInput(chunk(list(44, true, "s-5 svc-1 Ready"))); // and one without takes out the rest
             assertEquals("s-5", hosts());
--- a/src/test/java/linenring/scale/run/CatalogueFaultsTest.java
+++ b/src/test/java/linenring/scale/run/CatalogueFaultsTest.java
@@ -13,6 +13,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.stream.Collectors;
 import linenring.discovery.HostWatch;
+import linenring.discovery.WatchConfig;
 import linenring.event.EventQueue;
 import linenring.log.Log;
 import linenring.protocol.Codec;
@@ -54,10 +55,10 @@
         CatalogueLayout layout = catalogue.layout();
         Names names = new Names(layout.zoneNames(), layout.kindNames(), List.of("lookup"), 1, 4);
         Log log = new Log(new PrintStream(logged, true));
-        watch = new HostWatch(
-                server.address(), ServiceScope.ALL, null, new Codec(names), exchange, log, executor, scheduler, why -> {
-                    throw new AssertionError(why);
-                });
+        WatchConfig config = new WatchConfig(server.address(), ServiceScope.ALL, null, why -> {
+            throw new AssertionError(why);
+        });
+        watch = new HostWatch(config, new Codec(names), exchange, log, executor, scheduler);
         watch.open();
     }
 
