--- a/src/main/java/linenring/cli/Handover.java
+++ b/src/main/java/linenring/cli/Handover.java
@@ -6,31 +6,35 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import linenring.event.EventQueue;
 import linenring.gateway.settings.GatewaySettings;
 import linenring.handover.HandoverSender;
-import linenring.handover.HandoverState;
 import linenring.handover.HostSnapshot;
+import linenring.handover.InheritedListener;
+import linenring.handover.PreparationException;
+import linenring.handover.ServingProcess;
 import linenring.handover.SuccessorProcess;
-import linenring.handover.Upgrades;
-import linenring.handover.wire.Wire;
+import linenring.handover.SuccessorService;
+import linenring.handover.UpgradeCoordinator;
+import linenring.handover.wire.HandoverProtocol.Offer;
 import linenring.protocol.HostList;
 import linenring.stream.ListenException;
 
 /** What an upgrade does to an {@link Instance}, on either side of it. */
-final class Handover implements Upgrades.Served, SuccessorProcess.Serves {
+final class Handover implements ServingProcess, SuccessorService {
     private final Instance instance;
     private final GatewaySettings.Handover plan;
     private final HostSnapshot list = new HostSnapshot();
-    private Upgrades upgrades;
+    private UpgradeCoordinator upgrades;
 
     Handover(Instance instance, EventQueue exchange, HostList known) {
         this.instance = instance;
         plan = instance.plan.handover();
         if (known != null) {
-            list.listed(known);
+            list.apply(known);
         }
-        exchange.addHostListListener(list::listed);
+        exchange.addHostListListener(list::apply);
     }
 
     // ---- the process that serves
@@ -44,13 +48,13 @@
             command.addAll(List.of(info.arguments().orElse(new String[0])));
         }
         try {
-            upgrades = Upgrades.open(
+            upgrades = UpgradeCoordinator.open(
                     plan.dir(),
                     command,
-                    new HandoverSender.Bounds(plan.greetMs(), plan.prepareMs(), plan.takeMs(), plan.probationMs()),
+                    new HandoverSender.Timeouts(plan.greetMs(), plan.prepareMs(), plan.takeMs(), plan.probationMs()),
                     this,
                     instance.log);
-            ProcessSignals.handle(ProcessSignals.UPGRADE, upgrades::ask);
+            ProcessSignals.handle(ProcessSignals.UPGRADE, upgrades::requestUpgrade);
         } catch (IOException e) {
             instance.log.error("upgrade", "is not possible: " + e.getMessage());
         }
@@ -58,7 +62,7 @@
 
     void ending() {
         if (upgrades != null) {
-            upgrades.ending();
+            upgrades.shutdownRequested();
         }
     }
 
@@ -91,11 +95,11 @@
     }
 
     @Override
-    public Wire.Offer offer() {
-        return Wire.Offer.newBuilder()
+    public Offer offer() {
+        return Offer.newBuilder()
                 .setProtocol(HandoverSender.PROTOCOL)
                 .setRelease(Subcommands.release())
-                .setList(list.told())
+                .setList(list.toWire())
                 .build();
     }
 
@@ -110,9 +114,10 @@
         try {
             SuccessorProcess successor = SuccessorProcess.greet(
                     socket,
-                    Subcommands.release(),
-                    instance.told.names().zones().size(),
-                    instance.told.names().kinds().size(),
+                    new SuccessorProcess.Identity(
+                            Subcommands.release(),
+                            instance.told.names().zones().size(),
+                            instance.told.names().kinds().size()),
                     this,
                     instance.log);
             instance.log.warn("upgrade", "ends: " + successor.awaitEnd());
@@ -125,38 +130,49 @@
     }
 
     @Override
-    public String prepare(HostList told) {
+    public void prepare(Optional<HostList> offered) throws PreparationException {
+        ServerSocketChannel listener = requireListener();
         try {
-            ServerSocketChannel listener = HandoverState.listener();
-            if (listener == null) {
-                return "no listener was handed over";
-            }
-            int port = ((InetSocketAddress) listener.getLocalAddress()).getPort();
-            if (instance.plan.listen().getPort() != 0 && instance.plan.listen().getPort() != port) {
-                return "the listener is at port " + port + ", and the settings say "
-                        + instance.plan.listen().getPort();
-            }
             HostList configured = instance.takeKnown();
-            boolean isNewer = told == null || configured != null && configured.version() > told.version();
-            HostList known = isNewer ? configured : told;
+            boolean isNewer = offered.isEmpty()
+                    || configured != null
+                            && configured.version() > offered.get().version();
+            HostList known = isNewer ? configured : offered.get();
             if (known != null) {
-                list.listed(known);
+                list.apply(known);
             }
             instance.begin(known);
             Thread steward = new Thread(instance::decide, "steward");
             steward.start();
             String fault = instance.openFront(listener, false);
-            if (fault == null) {
-                instance.awaitTables();
+            if (fault != null) {
+                throw new PreparationException(fault);
+            }
+            instance.awaitTables();
+        } catch (PreparationException failure) {
+            throw failure;
+        } catch (Exception failure) { // Jetty's start() may throw any
+            throw new PreparationException("it cannot start: " + failure, failure);
+        }
+    }
+
+    private ServerSocketChannel requireListener() throws PreparationException {
+        try {
+            ServerSocketChannel listener =
+                    InheritedListener.find().orElseThrow(() -> new PreparationException("no listener was handed over"));
+            int port = ((InetSocketAddress) listener.getLocalAddress()).getPort();
+            int wanted = instance.plan.listen().getPort();
+            if (wanted != 0 && wanted != port) {
+                throw new PreparationException("the listener is at port " + port + ", and the settings say " + wanted);
             }
-            return fault;
-        } catch (Exception e) { // Jetty's start() may throw any
-            return "it cannot start: " + e;
+            return listener;
+        } catch (IOException failure) {
+            throw new PreparationException("it cannot start: " + failure, failure);
         }
     }
 
     @Override
-    public void alone() {
+    public void becameSoleOwner() {
         open();
     }
 }
--- a/src/main/java/linenring/cli/UpgradeCommand.java
+++ b/src/main/java/linenring/cli/UpgradeCommand.java
@@ -2,9 +2,10 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
+import java.util.Optional;
 import java.util.concurrent.Callable;
-import linenring.handover.Upgrades;
-import linenring.handover.wire.Wire;
+import linenring.handover.UpgradeClient;
+import linenring.handover.wire.HandoverProtocol.UpgradeOutcome;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -34,18 +35,20 @@
     @Override
     public Integer call() throws InterruptedException {
         Durations.check(spec, "--wait", wait, "2min");
-        Wire.Ended outcome;
+        Optional<UpgradeOutcome> outcome;
         try {
-            outcome = Upgrades.ask(directory, Durations.milliseconds(wait));
+            outcome = UpgradeClient.request(directory, Durations.milliseconds(wait));
         } catch (IOException e) {
             System.err.println("linenring: nobody can be upgraded at " + directory + ": " + e.getMessage());
             return ServeCommand.CANNOT_START;
         }
-        if (outcome == null) {
+        if (outcome.isEmpty()) {
             System.out.println("nothing was heard of it; the log of the old process tells");
             return Subcommands.NOT_UPGRADED;
         }
-        System.out.println((outcome.getWell() ? "upgraded: " : "not upgraded: ") + outcome.getWords());
-        return outcome.getWell() ? 0 : Subcommands.NOT_UPGRADED;
+        boolean succeeded = outcome.get().getSucceeded();
+        System.out.println(
+                (succeeded ? "upgraded: " : "not upgraded: ") + outcome.get().getMessage());
+        return succeeded ? 0 : Subcommands.NOT_UPGRADED;
     }
 }
--- a/src/main/java/linenring/handover/HandoverReceiver.java
+++ b/src/main/java/linenring/handover/HandoverReceiver.java
@@ -2,23 +2,27 @@
 
 import java.util.List;
 
-/** The process that is to take over: each event's effects, in order. No I/O; times are ms on the caller's clock. */
+/**
+ * What the new process does at each event of a handover: the effects, in order. Without I/O; times are ms on the caller's
+ * clock. Not thread-safe.
+ */
 public final class HandoverReceiver {
-    /** Where it stands. */
+    /** How far the handover has come, as this process sees it. */
     public enum State {
         GREETED,
         PREPARING,
         READY,
         OWNING,
-        ALONE,
+        SOLE_OWNER,
         ENDED
     }
 
     /** What is to be done. */
-    public enum Idempotence {
+    public enum Effect {
         SEND_HELLO,
         PREPARE,
-        PREPARE_FROM_LIST,
+        /** Without what the old process offers: from the list in the configuration. */
+        PREPARE_FROM_CONFIGURATION,
         SEND_READY,
         ACCEPT,
         SEND_OWNED,
@@ -26,102 +30,114 @@
         END
     }
 
-    private final double waitMost;
+    private final double silenceTimeoutMs;
     private State state = State.GREETED;
-    private double since;
-    private boolean oldIsDead;
-    private String why = "";
+    private double stateSinceMs;
+    private boolean isOldProcessDead;
+    private String endReason = "";
 
-    /** {@code waitMost}: ms that it waits for the old side's next word before the port is its own. */
-    public HandoverReceiver(double waitMost) {
-        this.waitMost = waitMost;
+    /** {@code silenceTimeoutMs}: how long it waits for the old process's next message before it ends itself. */
+    public HandoverReceiver(double silenceTimeoutMs) {
+        this.silenceTimeoutMs = silenceTimeoutMs;
     }
 
+    /** How far it has come. */
     public State state() {
         return state;
     }
 
-    public String why() {
-        return why;
+    /** Why it ends; empty while it does not. */
+    public String endReason() {
+        return endReason;
     }
 
+    /** Whether this process accepts connections. */
     public boolean isAccepting() {
-        return state == State.OWNING || state == State.ALONE;
+        return state == State.OWNING || state == State.SOLE_OWNER;
     }
 
-    private List<Idempotence> to(State next, double now, Idempotence... effects) {
+    private List<Effect> enter(State next, double nowMs, Effect... effects) {
         state = next;
-        since = now;
+        stateSinceMs = nowMs;
         return List.of(effects);
     }
 
-    public List<Idempotence> connected(double now) {
-        return to(State.GREETED, now, Idempotence.SEND_HELLO);
+    /** The connection to the old process is there. */
+    public List<Effect> connected(double nowMs) {
+        return enter(State.GREETED, nowMs, Effect.SEND_HELLO);
     }
 
-    public List<Idempotence> offered(int protocol, double now) {
+    /** The old process, which speaks this protocol, offers what it has. */
+    public List<Effect> offered(int protocol, double nowMs) {
         if (state != State.GREETED) {
             return List.of();
         }
-        return to(
-                State.PREPARING,
-                now,
-                protocol == HandoverSender.PROTOCOL ? Idempotence.PREPARE : Idempotence.PREPARE_FROM_LIST);
+        boolean isUnderstood = protocol == HandoverSender.PROTOCOL;
+        return enter(State.PREPARING, nowMs, isUnderstood ? Effect.PREPARE : Effect.PREPARE_FROM_CONFIGURATION);
     }
 
-    /** It could serve now, or not. */
-    public List<Idempotence> prepared(String fault, double now) {
+    /** It could serve now. */
+    public List<Effect> prepared(double nowMs) {
         if (state != State.PREPARING) {
             return List.of();
         }
-        if (fault != null) {
-            return ends(fault, now, !oldIsDead);
-        }
-        return oldIsDead ? to(State.ALONE, now, Idempotence.ACCEPT) : to(State.READY, now, Idempotence.SEND_READY);
+        return isOldProcessDead
+                ? enter(State.SOLE_OWNER, nowMs, Effect.ACCEPT)
+                : enter(State.READY, nowMs, Effect.SEND_READY);
+    }
+
+    /** It cannot serve. */
+    public List<Effect> preparationFailed(String reason, double nowMs) {
+        return state == State.PREPARING ? end(reason, nowMs, !isOldProcessDead) : List.of();
     }
 
-    public List<Idempotence> committed(double now) {
-        return state == State.READY ? to(State.OWNING, now, Idempotence.ACCEPT, Idempotence.SEND_OWNED) : List.of();
+    /** The old process has given up the port. */
+    public List<Effect> committed(double nowMs) {
+        return state == State.READY ? enter(State.OWNING, nowMs, Effect.ACCEPT, Effect.SEND_OWNED) : List.of();
     }
 
-    public List<Idempotence> retired(double now) {
-        return state == State.OWNING ? to(State.ALONE, now) : List.of();
+    /** The old process will not take the port back any more. */
+    public List<Effect> retired(double nowMs) {
+        return state == State.OWNING ? enter(State.SOLE_OWNER, nowMs) : List.of();
     }
 
-    /** The old side has called it off: it lives and serves, so this one ends, whatever it has. */
-    public List<Idempotence> aborted(String reason, double now) {
-        return state == State.ALONE || state == State.ENDED ? List.of() : ends(reason, now, false);
+    /** The old process has aborted the handover: it lives and serves, so this one ends, whatever it has. */
+    public List<Effect> aborted(String reason, double nowMs) {
+        return isOver() ? List.of() : end(reason, nowMs, false);
     }
 
     /** The old process is dead, for certain: nobody else can own the port. */
-    public List<Idempotence> oldDied(double now) {
-        oldIsDead = true;
+    public List<Effect> oldProcessDied(double nowMs) {
+        isOldProcessDead = true;
         return switch (state) {
-            case GREETED -> to(State.PREPARING, now, Idempotence.PREPARE_FROM_LIST);
-            case READY -> to(State.ALONE, now, Idempotence.ACCEPT);
-            case OWNING -> to(State.ALONE, now);
-            default -> List.of(); // preparing: accepts once it is prepared
+            case GREETED -> enter(State.PREPARING, nowMs, Effect.PREPARE_FROM_CONFIGURATION);
+            case READY -> enter(State.SOLE_OWNER, nowMs, Effect.ACCEPT);
+            case OWNING -> enter(State.SOLE_OWNER, nowMs);
+            case PREPARING, SOLE_OWNER, ENDED -> List.of(); // preparing: it accepts once it is prepared
         };
     }
 
-    /** The old process lives, but its connection is gone: it will kill this one or has forgotten it. */
-    public List<Idempotence> cutOff(double now) {
-        return state == State.ALONE || state == State.ENDED
-                ? List.of()
-                : ends("the connection to the old process is gone, which lives", now, false);
+    /** The old process lives, but the connection to it is gone: it will kill this one or does not know it any more. */
+    public List<Effect> disconnected(double nowMs) {
+        return isOver() ? List.of() : end("the connection to the old process is gone, which lives", nowMs, false);
     }
 
-    /** To be called often: what has taken too long. */
-    public List<Idempotence> tick(double now) {
-        return (state == State.GREETED || state == State.READY) && !oldIsDead && now - since >= waitMost
-                ? ends("the old process says nothing", now, true)
+    /** To be called often: ends what has taken too long. */
+    public List<Effect> tick(double nowMs) {
+        boolean isWaiting = (state == State.GREETED || state == State.READY) && !isOldProcessDead;
+        return isWaiting && nowMs - stateSinceMs >= silenceTimeoutMs
+                ? end("the old process says nothing", nowMs, true)
                 : List.of();
     }
 
-    private List<Idempotence> ends(String reason, double now, boolean tell) {
-        why = reason;
-        return tell
-                ? to(State.ENDED, now, Idempotence.SEND_ABORT, Idempotence.END)
-                : to(State.ENDED, now, Idempotence.END);
+    private boolean isOver() {
+        return state == State.SOLE_OWNER || state == State.ENDED;
+    }
+
+    private List<Effect> end(String reason, double nowMs, boolean isToBeSent) {
+        endReason = reason;
+        return isToBeSent
+                ? enter(State.ENDED, nowMs, Effect.SEND_ABORT, Effect.END)
+                : enter(State.ENDED, nowMs, Effect.END);
     }
 }
--- a/src/main/java/linenring/handover/HandoverSender.java
+++ b/src/main/java/linenring/handover/HandoverSender.java
@@ -4,27 +4,32 @@
 import java.util.List;
 
 /**
- * The process that serves, at an upgrade: each event's effects, in order. No I/O; times are ms on the caller's clock.
+ * What the serving process does at each event of an upgrade: the effects, in order. Without I/O; times are ms on the caller's
+ * clock. Not thread-safe.
  *
- * <p>It owns the port until it is told that the new one does, and gets it back if the new one dies before it was retired.
- * Between giving up the port and taking it back stands the new process's certain death: it is killed and waited for. So
- * no two processes accept at a time, and there is always one that does or will within a bound.
+ * <p>It owns the port until the new process says that it does, and gets it back if the new one dies before this one retires.
+ * Between giving up the port and taking it back stands the new process's certain death: it is killed and waited for. So no
+ * two processes accept at a time, and there is always one that does or will within the timeouts.
  */
 public final class HandoverSender {
-    /** Where it stands. */
+    /** How far the upgrade has come. */
     public enum State {
+        /** No upgrade is under way. */
         SERVING,
         SPAWNED,
         OFFERED,
+        /** The port is given up, and the new process has not said that it accepts. */
         COMMITTING,
         PROBATION,
-        TAKING_BACK,
-        GIVING_UP,
+        /** The new process is being killed, and had the port or may have had it. */
+        RECLAIMING,
+        /** The new process is being killed, and never had the port. */
+        ABORTING,
         RETIRED
     }
 
     /** What is to be done. */
-    public enum Idempotence {
+    public enum Effect {
         SPAWN,
         SEND_OFFER,
         STOP_ACCEPTING,
@@ -34,150 +39,143 @@
         END_WHEN_DRAINED,
         KILL,
         ACCEPT,
-        TELL_FAILED,
-        TELL_DONE
+        REPORT_FAILURE,
+        REPORT_SUCCESS
     }
 
-    /** How long each step may take, in ms: start and greet, prepare, take the port; and how long it must then live. */
-    public record Bounds(double greet, double prepare, double take, double probation) {}
+    /** How long the new process may take to start and greet, to prepare, to take the port; how long it must then live. */
+    public record Timeouts(double greetMs, double prepareMs, double takeMs, double probationMs) {}
 
     /** What this release speaks. */
     public static final int PROTOCOL = 1;
 
-    private final Bounds bounds;
+    private final Timeouts timeouts;
     private State state = State.SERVING;
-    private double since;
-    private String why = "";
-    private boolean ending;
+    private double stateSinceMs;
+    private String failure = "";
+    private boolean isEnding;
 
-    public HandoverSender(Bounds bounds) {
-        this.bounds = bounds;
+    /** With no upgrade under way. */
+    public HandoverSender(Timeouts timeouts) {
+        this.timeouts = timeouts;
     }
 
+    /** How far the upgrade has come. */
     public State state() {
         return state;
     }
 
-    /** Why the last attempt failed. */
-    public String why() {
-        return why;
+    /** Why the last upgrade failed. */
+    public String failure() {
+        return failure;
     }
 
-    /** Whether this process accepts, or will again without anybody's doing but the bounds'. */
+    /** Whether this process accepts connections. */
     public boolean isAccepting() {
-        return state.compareTo(State.COMMITTING) < 0 || state == State.GIVING_UP;
+        return switch (state) {
+            case SERVING, SPAWNED, OFFERED, ABORTING -> true;
+            case COMMITTING, PROBATION, RECLAIMING, RETIRED -> false;
+        };
     }
 
-    private List<Idempotence> to(State next, double now, Idempotence... effects) {
+    private List<Effect> enter(State next, double nowMs, Effect... effects) {
         state = next;
-        since = now;
+        stateSinceMs = nowMs;
         return List.of(effects);
     }
 
-    /** Somebody asks for an upgrade; nothing where one is under way. */
-    public List<Idempotence> ask(double now) {
-        return state == State.SERVING && !ending ? to(State.SPAWNED, now, Idempotence.SPAWN) : List.of();
+    /** An upgrade is requested; nothing happens where one is under way. */
+    public List<Effect> upgradeRequested(double nowMs) {
+        boolean isPossible = state == State.SERVING && !isEnding;
+        return isPossible ? enter(State.SPAWNED, nowMs, Effect.SPAWN) : List.of();
     }
 
-    /** This process is told to end: an upgrade that has not changed hands is called off, and none begins any more. */
-    public List<Idempotence> ending(double now) {
-        ending = true;
+    /** This process shuts down: an upgrade that has not given up the port is aborted, and none begins any more. */
+    public List<Effect> shutdownRequested(double nowMs) {
+        isEnding = true;
         return state == State.SPAWNED || state == State.OFFERED
-                ? fails("this process was told to end", now)
+                ? fail("this process was told to end", nowMs)
                 : List.of();
     }
 
-    public List<Idempotence> hello(int protocol, double now) {
+    /** The new process greets, and speaks this protocol. */
+    public List<Effect> greeted(int protocol, double nowMs) {
         if (state != State.SPAWNED) {
             return List.of();
         }
         return protocol == PROTOCOL
-                ? to(State.OFFERED, now, Idempotence.SEND_OFFER)
-                : fails("the new release speaks protocol " + protocol + ", this one " + PROTOCOL, now);
+                ? enter(State.OFFERED, nowMs, Effect.SEND_OFFER)
+                : fail("the new release speaks protocol " + protocol + ", this one " + PROTOCOL, nowMs);
     }
 
-    public List<Idempotence> ready(double now) {
+    /** The new process could serve now. */
+    public List<Effect> ready(double nowMs) {
         return state == State.OFFERED
-                ? to(State.COMMITTING, now, Idempotence.STOP_ACCEPTING, Idempotence.SEND_COMMIT)
+                ? enter(State.COMMITTING, nowMs, Effect.STOP_ACCEPTING, Effect.SEND_COMMIT)
                 : List.of();
     }
 
-    public List<Idempotence> owned(double now) {
-        return state == State.COMMITTING ? to(State.PROBATION, now, Idempotence.DRAIN) : List.of();
+    /** The new process accepts connections. */
+    public List<Effect> owned(double nowMs) {
+        return state == State.COMMITTING ? enter(State.PROBATION, nowMs, Effect.DRAIN) : List.of();
     }
 
-    /** The new process says that it can't, or what it says can't be understood. */
-    public List<Idempotence> aborted(String reason, double now) {
-        return isUnderWay() ? fails(reason, now) : List.of();
+    /** The new process cannot go on, or what it sends cannot be understood. */
+    public List<Effect> aborted(String reason, double nowMs) {
+        return switch (state) {
+            case SPAWNED, OFFERED, COMMITTING, PROBATION -> fail(reason, nowMs);
+            case SERVING, RECLAIMING, ABORTING, RETIRED -> List.of();
+        };
     }
 
     /**
      * An effect could not be carried out: what is done instead of those after it, or nothing where they go on. No commit
      * follows a port that was not given up, as two processes would accept at it.
      */
-    public List<Idempotence> failed(Idempotence what, String how, double now) {
-        return switch (what) {
-            case SPAWN -> died("it could not be started: " + how, now);
-            case STOP_ACCEPTING -> aborted("this process could not stop accepting: " + how, now);
+    public List<Effect> effectFailed(Effect effect, String how, double nowMs) {
+        return switch (effect) {
+            case SPAWN -> newProcessDied("it could not be started: " + how, nowMs);
+            case STOP_ACCEPTING -> aborted("this process could not stop accepting: " + how, nowMs);
             default -> List.of();
         };
     }
 
     /** The new process is dead, for certain. */
-    public List<Idempotence> died(String how, double now) {
-        switch (state) {
-            case SPAWNED, OFFERED -> {
-                why = how;
-                return to(State.SERVING, now, Idempotence.TELL_FAILED);
-            }
-            case GIVING_UP -> {
-                return to(State.SERVING, now, Idempotence.TELL_FAILED);
-            }
-            case COMMITTING, PROBATION -> {
-                why = how;
-                return to(State.SERVING, now, Idempotence.ACCEPT, Idempotence.TELL_FAILED);
-            }
-            case TAKING_BACK -> {
-                return to(State.SERVING, now, Idempotence.ACCEPT, Idempotence.TELL_FAILED);
-            }
-            default -> {
-                return List.of(); // retired: the port is not ours any more
-            }
+    public List<Effect> newProcessDied(String how, double nowMs) {
+        if (state == State.SERVING || state == State.RETIRED) {
+            return List.of(); // retired: the port is not ours any more
+        }
+        if (state != State.ABORTING && state != State.RECLAIMING) { // else the reason why it was killed stays
+            failure = how;
         }
+        return isAccepting()
+                ? enter(State.SERVING, nowMs, Effect.REPORT_FAILURE)
+                : enter(State.SERVING, nowMs, Effect.ACCEPT, Effect.REPORT_FAILURE);
     }
 
-    /** To be called often: what has taken too long, and the end of the probation. */
-    public List<Idempotence> tick(double now) {
-        double waited = now - since;
+    /** To be called often: ends what has taken too long, and the probation. */
+    public List<Effect> tick(double nowMs) {
+        double waitedMs = nowMs - stateSinceMs;
         return switch (state) {
-            case SPAWNED -> waited < bounds.greet() ? List.of() : fails("the new process did not greet in time", now);
-            case OFFERED -> waited < bounds.prepare() ? List.of() : fails("the new process was not ready in time", now);
+            case SPAWNED ->
+                waitedMs < timeouts.greetMs() ? List.of() : fail("the new process did not greet in time", nowMs);
+            case OFFERED ->
+                waitedMs < timeouts.prepareMs() ? List.of() : fail("the new process was not ready in time", nowMs);
             case COMMITTING ->
-                waited < bounds.take() ? List.of() : fails("the new process did not take the port in time", now);
-            case PROBATION ->
-                waited < bounds.probation()
-                        ? List.of()
-                        : to(
-                                State.RETIRED,
-                                now,
-                                Idempotence.SEND_RETIRE,
-                                Idempotence.TELL_DONE,
-                                Idempotence.END_WHEN_DRAINED);
-            default -> List.of();
+                waitedMs < timeouts.takeMs() ? List.of() : fail("the new process did not take the port in time", nowMs);
+            case PROBATION -> waitedMs < timeouts.probationMs() ? List.of() : retire(nowMs);
+            case SERVING, RECLAIMING, ABORTING, RETIRED -> List.of();
         };
     }
 
-    private boolean isUnderWay() {
-        return state == State.SPAWNED
-                || state == State.OFFERED
-                || state == State.COMMITTING
-                || state == State.PROBATION;
+    private List<Effect> retire(double nowMs) {
+        return enter(State.RETIRED, nowMs, Effect.SEND_RETIRE, Effect.REPORT_SUCCESS, Effect.END_WHEN_DRAINED);
     }
 
-    private List<Idempotence> fails(String reason, double now) {
-        why = reason;
-        List<Idempotence> effects = new ArrayList<>(List.of(Idempotence.KILL));
-        effects.addAll(to(isAccepting() ? State.GIVING_UP : State.TAKING_BACK, now));
+    private List<Effect> fail(String reason, double nowMs) {
+        failure = reason;
+        List<Effect> effects = new ArrayList<>(List.of(Effect.KILL));
+        effects.addAll(enter(isAccepting() ? State.ABORTING : State.RECLAIMING, nowMs));
         return effects;
     }
 }
--- a/src/main/java/linenring/handover/HostSnapshot.java
+++ b/src/main/java/linenring/handover/HostSnapshot.java
@@ -3,77 +3,95 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
-import linenring.handover.wire.Wire;
+import linenring.handover.wire.HandoverProtocol;
 import linenring.protocol.HostList;
 import linenring.protocol.InvalidEntries;
 import linenring.protocol.ServiceScope;
 
-/** The list of hosts as it was told, changes and all: what the new process begins with. */
+/** The host list with all changes to it so far: what the new process begins with. Thread-safe. */
 public final class HostSnapshot {
-    private final TreeMap<String, HostList.Entry> entries = new TreeMap<>();
-    private ServiceScope scope = ServiceScope.ALL;
-    private long version;
+    /** The number of each on the wire is its place here, which stays. */
+    private static final List<HostList.State> WIRE_STATES =
+            List.of(HostList.State.READY, HostList.State.TERMINATING, HostList.State.GONE);
 
-    public synchronized void listed(HostList list) {
+    private final TreeMap<String, HostList.Entry> entries = new TreeMap<>(); // @GuardedBy("this")
+    private ServiceScope scope = ServiceScope.ALL; // @GuardedBy("this")
+    private long version; // @GuardedBy("this")
+
+    /** Applies a list, or changes. */
+    public synchronized void apply(HostList list) {
         if (list.isComplete()) {
             entries.clear();
             scope = list.scope();
         }
-        for (HostList.Entry e : list.entries()) {
-            if (e.state() == HostList.State.GONE) {
-                entries.remove(e.host());
+        for (HostList.Entry entry : list.entries()) {
+            if (entry.state() == HostList.State.GONE) {
+                entries.remove(entry.host());
             } else {
-                entries.put(e.host(), e);
+                entries.put(entry.host(), entry);
             }
         }
         version = list.version();
     }
 
     /** As it goes to the new process. */
-    public synchronized Wire.HostList told() {
-        Wire.HostList.Builder list = Wire.HostList.newBuilder()
+    public synchronized HandoverProtocol.HostList toWire() {
+        HandoverProtocol.HostList.Builder list = HandoverProtocol.HostList.newBuilder()
                 .setVersion(version)
                 .setScoped(!scope.isAll())
                 .addAllServices(scope.services());
-        entries.values().forEach(e -> {
-            Wire.Host.Builder host = Wire.Host.newBuilder()
-                    .setId(e.host())
-                    .setZone(e.zone())
-                    .setKind(e.kind())
-                    .setState(e.state().ordinal())
-                    .setWeight(e.weight())
-                    .setStartedMs(Double.isInfinite(e.startedMs()) ? 0 : e.startedMs())
-                    .setCell(e.cell());
-            list.addHosts(e.address() == null ? host : host.setAddress(e.address()));
-        });
+        entries.values().forEach(entry -> list.addHosts(toWire(entry)));
         return list.build();
     }
 
-    /** As it came from the old one; a host that can't be understood is left out, as one that was never listed. */
-    static HostList heard(Wire.HostList told, int zones, int kinds) {
+    private static HandoverProtocol.Host.Builder toWire(HostList.Entry entry) {
+        HandoverProtocol.Host.Builder host = HandoverProtocol.Host.newBuilder()
+                .setId(entry.host())
+                .setZone(entry.zone())
+                .setKind(entry.kind())
+                .setState(WIRE_STATES.indexOf(entry.state()))
+                .setWeight(entry.weight())
+                .setStartedMs(Double.isInfinite(entry.startedMs()) ? 0 : entry.startedMs())
+                .setCell(entry.cell());
+        return entry.address() == null ? host : host.setAddress(entry.address());
+    }
+
+    /**
+     * As it came from the old process, which may be of another release: a host that cannot be understood here is left out, as
+     * if it had never been listed.
+     */
+    static HostList fromWire(HandoverProtocol.HostList list, int zoneCount, int kindCount) {
         List<HostList.Entry> entries = new ArrayList<>();
-        for (Wire.Host h : told.getHostsList()) {
-            boolean understood = !h.getId().isEmpty()
-                    && h.getState() < HostList.State.values().length
-                    && h.getZone() < zones
-                    && h.getKind() < kinds
-                    && h.getZone() >= 0
-                    && h.getKind() >= 0
-                    && h.getState() >= 0
-                    && h.getWeight() >= 0;
-            if (understood) {
-                entries.add(new HostList.Entry(
-                        h.getId(),
-                        h.getZone(),
-                        h.getKind(),
-                        HostList.State.values()[h.getState()],
-                        h.getWeight(),
-                        h.getStartedMs() == 0 ? Double.NEGATIVE_INFINITY : h.getStartedMs(),
-                        h.getAddress().isEmpty() ? null : h.getAddress(),
-                        h.hasCell() ? h.getCell() : -1));
+        for (HandoverProtocol.Host host : list.getHostsList()) {
+            if (isUnderstood(host, zoneCount, kindCount)) {
+                entries.add(fromWire(host));
             }
         }
-        ServiceScope scope = told.getScoped() ? ServiceScope.of(told.getServicesList()) : ServiceScope.ALL;
-        return new HostList(told.getVersion(), true, entries, InvalidEntries.NONE, scope, 0);
+        ServiceScope scope = list.getScoped() ? ServiceScope.of(list.getServicesList()) : ServiceScope.ALL;
+        return new HostList(list.getVersion(), true, entries, InvalidEntries.NONE, scope, 0);
+    }
+
+    private static boolean isUnderstood(HandoverProtocol.Host host, int zoneCount, int kindCount) {
+        return !host.getId().isEmpty()
+                && isIndex(host.getState(), WIRE_STATES.size())
+                && isIndex(host.getZone(), zoneCount)
+                && isIndex(host.getKind(), kindCount)
+                && host.getWeight() >= 0;
+    }
+
+    private static boolean isIndex(int value, int count) {
+        return value >= 0 && value < count;
+    }
+
+    private static HostList.Entry fromWire(HandoverProtocol.Host host) {
+        return new HostList.Entry(
+                host.getId(),
+                host.getZone(),
+                host.getKind(),
+                WIRE_STATES.get(host.getState()),
+                host.getWeight(),
+                host.getStartedMs() == 0 ? Double.NEGATIVE_INFINITY : host.getStartedMs(),
+                host.getAddress().isEmpty() ? null : host.getAddress(),
+                host.hasCell() ? host.getCell() : -1);
     }
 }
--- a/src/main/java/linenring/handover/SuccessorProcess.java
+++ b/src/main/java/linenring/handover/SuccessorProcess.java
@@ -3,156 +3,168 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.Executors;
+import java.util.concurrent.ExecutionException;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import linenring.handover.wire.Wire;
+import java.util.concurrent.TimeoutException;
+import linenring.handover.wire.HandoverProtocol.HandoverMessage;
+import linenring.handover.wire.HandoverProtocol.Offer;
 import linenring.log.Log;
 import linenring.protocol.HostList;
 
-/** The new process's side: the way to the old one, and the effects of {@link HandoverReceiver}. */
+/**
+ * The new process's side of a handover: the connection to the old one, and the effects of {@link HandoverReceiver}. One thread
+ * of its own ("handover-events") handles all events.
+ */
 public final class SuccessorProcess {
-    /** What takes over. */
-    public interface Serves {
-        /** Gets ready with this list, or with what the configuration knows where it is null; a fault, or null. */
-        String prepare(HostList list);
+    /** What of the settings the old process's list must fit, and this release's name. */
+    public record Identity(String release, int zoneCount, int kindCount) {}
 
-        void accept();
+    /** Longer than all timeouts of the old process together: it decides. */
+    private static final double SILENCE_TIMEOUT_MS = 60_000;
 
-        /** The port is its own: from here on it may be upgraded itself. */
-        void alone();
-    }
+    /** A dying process's connections end some ms before the process can be seen to be dead. */
+    private static final long DEATH_WAIT_MS = 2000;
 
-    private static final double WAIT_MS = 60_000; // past all the old side's own bounds: it decides
-    private static final long DEATH_MS = 2000; // its connection ends some ms before it is seen to be dead
     private static final long TICK_MS = 100;
+    private static final double NANOS_PER_MS = 1e6;
 
-    private final HandoverChannel talk;
+    private final HandoverChannel channel;
     private final long oldPid;
-    private final String release;
-    private final int zones, kinds;
-    private final Serves serves;
+    private final Identity identity;
+    private final SuccessorService service;
     private final Log log;
-    private final HandoverReceiver side = new HandoverReceiver(WAIT_MS);
+    private final HandoverReceiver receiver = new HandoverReceiver(SILENCE_TIMEOUT_MS);
     private final CountDownLatch ended = new CountDownLatch(1);
-    private final ScheduledExecutorService events = Executors.newSingleThreadScheduledExecutor(r -> {
-        Thread t = new Thread(r, "handover-events");
-        t.setDaemon(true);
-        return t;
-    });
-    private HostList list;
-    private boolean alone; // and said so
+    private final ScheduledExecutorService events = DaemonThreads.singleThread("handover-events");
+    private Optional<HostList> offeredList = Optional.empty(); // of the events' thread
+    private boolean isSoleOwner; // and the service knows; of the events' thread
 
     private SuccessorProcess(
-            HandoverChannel talk, long oldPid, String release, int zones, int kinds, Serves serves, Log log) {
-        this.talk = talk;
+            HandoverChannel channel, long oldPid, Identity identity, SuccessorService service, Log log) {
+        this.channel = channel;
         this.oldPid = oldPid;
-        this.release = release;
-        this.zones = zones;
-        this.kinds = kinds;
-        this.serves = serves;
+        this.identity = identity;
+        this.service = service;
         this.log = log;
     }
 
     /** Greets the old process; what follows happens on threads of its own. */
-    public static SuccessorProcess greet(Path socket, String release, int zones, int kinds, Serves serves, Log log)
+    public static SuccessorProcess greet(Path socket, Identity identity, SuccessorService service, Log log)
             throws IOException {
         long parent = ProcessHandle.current().parent().map(ProcessHandle::pid).orElse(-1L);
-        SuccessorProcess s =
-                new SuccessorProcess(HandoverChannel.to(socket), parent, release, zones, kinds, serves, log);
-        if (!s.talk.isOurs()) {
+        SuccessorProcess successor =
+                new SuccessorProcess(HandoverChannel.connect(socket), parent, identity, service, log);
+        if (!successor.channel.isOfSameUser()) {
             throw new IOException("the process at " + socket + " is another user's");
         }
-        s.talk.hear(said -> s.events.execute(() -> s.heard(said)), why -> s.events.execute(s::cut));
-        s.events.execute(() -> s.does(s.side.connected(now())));
-        s.events.scheduleAtFixedRate(() -> s.does(s.side.tick(now())), TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
-        return s;
+        successor.start();
+        return successor;
+    }
+
+    @SuppressWarnings("FutureReturnValueIgnored") // nothing waits for the ticks, which end with the process
+    private void start() {
+        channel.listen(new HandoverChannel.Listener() {
+            @Override
+            public void onMessage(HandoverMessage message) {
+                events.execute(() -> handle(message));
+            }
+
+            @Override
+            public void onEnd(Optional<String> fault) {
+                events.execute(SuccessorProcess.this::connectionEnded);
+            }
+        });
+        events.execute(() -> perform(receiver.connected(nowMs())));
+        events.scheduleAtFixedRate(() -> perform(receiver.tick(nowMs())), TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
     }
 
-    private static double now() {
-        return System.nanoTime() / 1e6;
+    private static double nowMs() {
+        return System.nanoTime() / NANOS_PER_MS;
     }
 
-    /** Waits until it is called off; tells why. */
+    /** Waits until the handover is aborted; returns the reason. */
     public String awaitEnd() throws InterruptedException {
         ended.await();
-        return side.why();
+        return receiver.endReason();
     }
 
-    private void heard(Wire.Said said) {
-        switch (said.getWhatCase()) {
-            case OFFER -> {
-                Wire.Offer offer = said.getOffer();
-                boolean understood = offer.getProtocol() == HandoverSender.PROTOCOL && offer.hasList();
-                list = understood ? HostSnapshot.heard(offer.getList(), zones, kinds) : null;
-                if (!understood) {
-                    log.warn(
-                            "upgrade",
-                            "what release " + offer.getRelease() + " hands over can't be used; starts from"
-                                    + " the list that the configuration knows");
-                }
-                does(side.offered(offer.getProtocol(), now()));
-            }
-            case COMMIT -> does(side.committed(now()));
-            case RETIRE -> does(side.retired(now()));
-            case ABORT -> does(side.aborted(said.getAbort().getWhy(), now()));
-            default -> {}
+    private void handle(HandoverMessage message) {
+        switch (message.getKindCase()) {
+            case OFFER -> handle(message.getOffer());
+            case COMMIT -> perform(receiver.committed(nowMs()));
+            case RETIRE -> perform(receiver.retired(nowMs()));
+            case ABORT -> perform(receiver.aborted(message.getAbort().getReason(), nowMs()));
+            default -> {} // of a later release, or not for this side
         }
     }
 
-    private void cut() {
-        boolean dead = oldPid <= 1
-                || ProcessHandle.of(oldPid)
-                        .map(p -> {
-                            try {
-                                p.onExit().get(DEATH_MS, TimeUnit.MILLISECONDS);
-                                return true;
-                            } catch (java.util.concurrent.TimeoutException
-                                    | java.util.concurrent.ExecutionException e) {
-                                return !p.isAlive();
-                            } catch (InterruptedException e) {
-                                return false;
-                            }
-                        })
-                        .orElse(true);
-        does(dead ? side.oldDied(now()) : side.cutOff(now()));
+    private void handle(Offer offer) {
+        if (offer.getProtocol() == HandoverSender.PROTOCOL && offer.hasList()) {
+            offeredList =
+                    Optional.of(HostSnapshot.fromWire(offer.getList(), identity.zoneCount(), identity.kindCount()));
+        } else {
+            offeredList = Optional.empty();
+            log.warn(
+                    "upgrade",
+                    "what release " + offer.getRelease()
+                            + " hands over cannot be used; starts from the list in the configuration");
+        }
+        perform(receiver.offered(offer.getProtocol(), nowMs()));
     }
 
-    private void does(List<HandoverReceiver.Idempotence> effects) {
-        for (HandoverReceiver.Idempotence e : effects) {
-            switch (e) {
-                case SEND_HELLO ->
-                    talk.say(Wire.Said.newBuilder()
-                            .setHello(Wire.Hello.newBuilder()
-                                    .setProtocol(HandoverSender.PROTOCOL)
-                                    .setRelease(release)
-                                    .setPid(ProcessHandle.current().pid()))
-                            .build());
-                case PREPARE, PREPARE_FROM_LIST -> {
-                    String fault = serves.prepare(e == HandoverReceiver.Idempotence.PREPARE ? list : null);
-                    does(side.prepared(fault, now()));
-                }
-                case SEND_READY ->
-                    talk.say(Wire.Said.newBuilder()
-                            .setReady(Wire.Ready.getDefaultInstance())
-                            .build());
-                case ACCEPT -> serves.accept();
-                case SEND_OWNED ->
-                    talk.say(Wire.Said.newBuilder()
-                            .setOwned(Wire.Owned.getDefaultInstance())
-                            .build());
-                case SEND_ABORT ->
-                    talk.say(Wire.Said.newBuilder()
-                            .setAbort(Wire.Abort.newBuilder().setWhy(side.why()))
-                            .build());
-                case END -> ended.countDown();
-            }
+    private void connectionEnded() {
+        perform(isOldProcessDead() ? receiver.oldProcessDied(nowMs()) : receiver.disconnected(nowMs()));
+    }
+
+    private boolean isOldProcessDead() {
+        return oldPid <= 1
+                || ProcessHandle.of(oldPid).map(SuccessorProcess::diesSoon).orElse(true);
+    }
+
+    private static boolean diesSoon(ProcessHandle process) {
+        try {
+            process.onExit().get(DEATH_WAIT_MS, TimeUnit.MILLISECONDS);
+            return true;
+        } catch (TimeoutException | ExecutionException failure) {
+            return !process.isAlive();
+        } catch (InterruptedException interrupted) {
+            return false;
         }
-        if (side.state() == HandoverReceiver.State.ALONE && !alone) {
-            alone = true;
+    }
+
+    private void perform(List<HandoverReceiver.Effect> effects) {
+        effects.forEach(this::perform);
+        if (receiver.state() == HandoverReceiver.State.SOLE_OWNER && !isSoleOwner) {
+            isSoleOwner = true;
             log.info("upgrade", "the port is this process's alone");
-            serves.alone();
+            service.becameSoleOwner();
+        }
+    }
+
+    private void perform(HandoverReceiver.Effect effect) {
+        switch (effect) {
+            case SEND_HELLO -> channel.send(HandoverMessages.hello(identity.release()));
+            case PREPARE -> prepare(offeredList);
+            case PREPARE_FROM_CONFIGURATION -> prepare(Optional.empty());
+            case SEND_READY -> channel.send(HandoverMessages.ready());
+            case ACCEPT -> service.accept();
+            case SEND_OWNED -> channel.send(HandoverMessages.owned());
+            case SEND_ABORT -> channel.send(HandoverMessages.abort(receiver.endReason()));
+            case END -> ended.countDown();
+        }
+    }
+
+    private void prepare(Optional<HostList> list) {
+        List<HandoverReceiver.Effect> next;
+        try {
+            service.prepare(list);
+            next = receiver.prepared(nowMs());
+        } catch (PreparationException failure) {
+            next = receiver.preparationFailed(failure.getMessage(), nowMs());
         }
+        perform(next);
     }
 }
