--- a/src/main/java/linenring/cli/Instance.java
+++ b/src/main/java/linenring/cli/Instance.java
@@ -3,6 +3,7 @@
 import java.lang.management.ManagementFactory;
 import java.nio.channels.ServerSocketChannel;
 import java.nio.file.Path;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import linenring.configuration.ControllerConfiguration;
 import linenring.configuration.ControllerConfigurationReader;
@@ -44,8 +45,8 @@
     private final Shutdown ending = new Shutdown();
 
     Instance(ControllerConfiguration told, GatewaySettings plan, ReloadSignals hangUps, Log log) {
-        this.told = told.withKnown(null, told.leftOut());
-        known = told.known();
+        this.told = told.withKnownHosts(Optional.empty(), told.knownHostsFault());
+        known = told.knownHosts().orElse(null);
         this.plan = plan;
         this.hangUps = hangUps;
         this.log = log;
@@ -114,10 +115,8 @@
 
     /** The steward with this list, or null, and its watch. */
     void begin(HostList known) throws Exception {
-        if (told.leftOut() != null) {
-            log.warn("spoilt", told.leftOut());
-        }
-        steward = new ControlLoop(told.figures(), told.names(), known, exchange, log);
+        told.knownHostsFault().ifPresent(fault -> log.warn("invalid", fault));
+        steward = new ControlLoop(told.plannerSettings(), told.names(), known, exchange, log);
         if (plan != null) { // the front has all that the steward decides by, before the steward does
             if (known != null) {
                 hosts.apply(known);
@@ -131,7 +130,8 @@
         HostWatch watch = new HostWatch(config, codec, exchange, log, threads, scheduler);
         watch.open();
         hangUps.then(
-                () -> ServeCommand.reload(told, ControllerConfigurationReader.readAgain(System.getenv()), watch, log),
+                () -> ServeCommand.reload(
+                        told, () -> ControllerConfigurationReader.readAgain(System.getenv()), watch, log),
                 log); // before the first PONG
     }
 
@@ -148,7 +148,7 @@
 
     /** Listens for proxies and collectors, again or for the first time. */
     void openStreams() throws ListenException {
-        streams = StreamServer.open(told.listen(), told.sockets(), codec, exchange, log, threads, scheduler);
+        streams = StreamServer.open(told.listen(), told.maxSockets(), codec, exchange, log, threads, scheduler);
     }
 
     void closeStreams() {
@@ -159,7 +159,7 @@
     String openFront(ServerSocketChannel listener, boolean accepts) {
         try {
             front = Http2Gateway.start(
-                    plan, told.figures().measure(), hosts, exchange, new ListenOptions(listener, accepts), log);
+                    plan, told.plannerSettings().measure(), hosts, exchange, new ListenOptions(listener, accepts), log);
             return null;
         } catch (GatewayStartException e) {
             return "the front cannot listen at " + plan.listen().getAddress().getHostAddress() + ":"
--- a/src/main/java/linenring/cli/ServeCommand.java
+++ b/src/main/java/linenring/cli/ServeCommand.java
@@ -5,6 +5,7 @@
 import java.io.PrintStream;
 import java.nio.file.Path;
 import java.util.List;
+import linenring.configuration.ConfigurationException;
 import linenring.configuration.ControllerConfiguration;
 import linenring.configuration.ControllerConfigurationReader;
 import linenring.discovery.HostWatch;
@@ -40,11 +41,11 @@
         boolean[] ignored = {false};
         ReloadSignals hangUps =
                 ReloadSignals.caught(() -> ignored[0] = true); // before all else: till then one ends the process
-        ControllerConfiguration.Outcome read = ControllerConfigurationReader.read(System.getenv());
-        ControllerConfiguration told = read.assignment();
-        if (told == null) {
-            System.err.println("linenring: " + read.fault());
-            return new Prepared(null, read.exceedsMemory() ? EXCEEDS_MEMORY : CONFIGURATION);
+        ControllerConfiguration told;
+        try {
+            told = ControllerConfigurationReader.read(System.getenv());
+        } catch (ConfigurationException failure) {
+            return new Prepared(null, reportFault(failure));
         }
         GatewaySettings plan = null;
         if (frontFile != null) {
@@ -63,19 +64,33 @@
         return new Prepared(new Instance(told, plan, hangUps, log), 0);
     }
 
+    /** Reports why the configuration cannot be used; returns the exit code. */
+    static int reportFault(ConfigurationException failure) {
+        System.err.println("linenring: " + failure.getMessage());
+        return failure.kind() == ConfigurationException.Kind.EXCEEDS_MEMORY ? EXCEEDS_MEMORY : CONFIGURATION;
+    }
+
+    /** Reads the configuration again. */
+    interface ConfigurationSource {
+        ControllerConfiguration read() throws ConfigurationException;
+    }
+
     /** Goes on with what is new in the configuration, or with the old one where it is at fault. */
-    static void reload(ControllerConfiguration held, ControllerConfiguration.Outcome read, HostWatch watch, Log log) {
-        if (read.assignment() == null) {
-            log.warn("reload", "goes on as before: " + read.fault());
+    static void reload(ControllerConfiguration held, ConfigurationSource source, HostWatch watch, Log log) {
+        ControllerConfiguration read;
+        try {
+            read = source.read();
+        } catch (ConfigurationException failure) {
+            log.warn("reload", "goes on as before: " + failure.getMessage());
             return;
         }
-        List<String> fixed = held.fixedKeysThatDiffer(read.assignment());
+        List<String> fixed = held.fixedKeysThatDiffer(read);
         log.info(
                 "reload",
                 "the configuration is read again"
                         + (fixed.isEmpty()
                                 ? ""
                                 : "; what can't change while it runs stays: " + String.join(", ", fixed)));
-        watch.moveTo(read.assignment().discovery(), read.assignment().scope());
+        watch.moveTo(read.discovery(), read.scope());
     }
 }
--- a/src/main/java/linenring/cli/Subcommands.java
+++ b/src/main/java/linenring/cli/Subcommands.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import linenring.configuration.ControllerConfiguration;
+import linenring.configuration.ConfigurationException;
 import linenring.configuration.ControllerConfigurationReader;
 import linenring.gateway.settings.GatewaySettingsReader;
 import linenring.settings.Names;
@@ -102,12 +102,11 @@
     static int check(Path file, Map<String, String> environment) {
         Names names = null;
         if (environment.containsKey("GW_CONFIG")) {
-            ControllerConfiguration.Outcome told = ControllerConfigurationReader.read(environment);
-            if (told.assignment() == null) {
-                System.err.println("linenring: " + told.fault());
-                return told.exceedsMemory() ? ServeCommand.EXCEEDS_MEMORY : ServeCommand.CONFIGURATION;
+            try {
+                names = ControllerConfigurationReader.read(environment).names();
+            } catch (ConfigurationException failure) {
+                return ServeCommand.reportFault(failure);
             }
-            names = told.assignment().names();
         }
         GatewaySettingsReader.Outcome read = GatewaySettingsReader.read(file, names);
         read.faults().forEach(System.err::println);
--- a/src/main/java/linenring/configuration/ControllerConfiguration.java
+++ b/src/main/java/linenring/configuration/ControllerConfiguration.java
@@ -3,53 +3,54 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import linenring.planner.PlannerSettings;
 import linenring.protocol.HostList;
 import linenring.protocol.ServiceScope;
 import linenring.settings.Names;
 
 /**
- * What one steward is told at its start. {@code scope}: whose hosts it serves; {@code known}: the list as it last had it, or null; {@code leftOut}:
- * what of that list can't be used, with its key, or null.
+ * What one controller is started with.
+ *
+ * @param listen where proxies and collectors connect
+ * @param discovery where discovery's agent is
+ * @param maxSockets limit of the process
+ * @param plannerSettings what the decisions depend on
+ * @param names zones, machine kinds and operations, by index
+ * @param scope the services whose hosts it serves
+ * @param knownHosts the host list to begin with, if there is one that can be used
+ * @param knownHostsFault what of the configured host list cannot be used, with its key, if anything
  */
 public record ControllerConfiguration(
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
-        int sockets,
-        PlannerSettings figures,
+        int maxSockets,
+        PlannerSettings plannerSettings,
         Names names,
         ServiceScope scope,
-        HostList known,
-        String leftOut) {
-    /** The same with this list and what of it can't be used, or null. */
-    public ControllerConfiguration withKnown(HostList list, String unusable) {
-        return new ControllerConfiguration(name, listen, discovery, sockets, figures, names, scope, list, unusable);
+        Optional<HostList> knownHosts,
+        Optional<String> knownHostsFault) {
+
+    /** The same with this host list and this fault of it. */
+    public ControllerConfiguration withKnownHosts(Optional<HostList> list, Optional<String> fault) {
+        return new ControllerConfiguration(
+                name, listen, discovery, maxSockets, plannerSettings, names, scope, list, fault);
     }
 
-    /** The keys under which the other tells something that can't change while the steward runs. */
+    /** The keys under which the other has something else that cannot change while the controller runs. */
     public List<String> fixedKeysThatDiffer(ControllerConfiguration other) {
         List<String> keys = new ArrayList<>();
-        differs(keys, "name", name, other.name);
-        differs(keys, "listen", listen, other.listen);
-        differs(keys, "limits.sockets", sockets, other.sockets);
-        differs(keys, "settings", List.of(figures, names), List.of(other.figures, other.names));
+        addIfDifferent(keys, "name", name, other.name);
+        addIfDifferent(keys, "listen", listen, other.listen);
+        addIfDifferent(keys, "limits.sockets", maxSockets, other.maxSockets);
+        addIfDifferent(keys, "settings", List.of(plannerSettings, names), List.of(other.plannerSettings, other.names));
         return keys;
     }
 
-    private static void differs(List<String> keys, String key, Object mine, Object others) {
-        if (!mine.equals(others)) {
+    private static void addIfDifferent(List<String> keys, String key, Object own, Object others) {
+        if (!own.equals(others)) {
             keys.add(key);
         }
     }
-
-    /**
-     * Reading came to this: an assignment, or the key at fault and what is wrong with it; {@code exceedsMemory}: nothing but
-     * that the list of hosts has no room in the heap.
-     */
-    public record Outcome(ControllerConfiguration assignment, String fault, boolean exceedsMemory) {
-        static Outcome fault(String key, String what) {
-            return new Outcome(null, key + " " + what, false);
-        }
-    }
 }
--- a/src/main/java/linenring/configuration/ControllerConfigurationReader.java
+++ b/src/main/java/linenring/configuration/ControllerConfigurationReader.java
@@ -3,14 +3,18 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
+import java.io.InputStream;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.net.UnknownHostException;
 import java.nio.channels.Channels;
 import java.nio.channels.SeekableByteChannel;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import linenring.configuration.ControllerConfiguration.Outcome;
+import java.util.Optional;
+import java.util.regex.Pattern;
+import linenring.configuration.ConfigurationException.Kind;
 import linenring.protocol.Codec;
 import linenring.protocol.DecodeError;
 import linenring.protocol.DecodeResult;
@@ -21,131 +25,154 @@
 import linenring.settings.SettingsReader;
 
 /**
- * The one place where configuration is read, checked and given defaults. The file that {@code GW_CONFIG} names
- * has all of it; {@code GW_NAME} and {@code GW_LISTEN} go before what the file says. {@code GW_DISCOVERY} only counts
- * where the file names none: the environment stays as it was at the start, and the file is replaced while we run.
+ * The one place where configuration is read, checked and given defaults. The file that {@code GW_CONFIG} names has all of it;
+ * {@code GW_NAME} and {@code GW_LISTEN} take precedence over the file. {@code GW_DISCOVERY} only counts where the file names
+ * none: the environment stays as it was at the start, and the file is replaced while the process runs.
  */
 public final class ControllerConfigurationReader {
-    private static final int SOCKETS = 1024; // where no limit is told: the usual limit of a process
-    private static final int SOCKETS_LEAST = 48; // the process itself needs about 20
+    /** Where the file names no limit: the usual limit of a process. */
+    private static final int DEFAULT_MAX_SOCKETS = 1024;
+
+    /** The process itself needs about 20. */
+    private static final int LEAST_MAX_SOCKETS = 48;
+
+    private static final int MAX_PORT = 65535;
+
+    /** An address in digits: nothing is looked up. */
+    private static final Pattern NUMERIC_HOST = Pattern.compile("[0-9.]+|\\[[0-9a-fA-F:.]+]");
 
     private ControllerConfigurationReader() {}
 
-    public static Outcome read(Map<String, String> environment) {
+    /** Reads all of it, for a start. */
+    public static ControllerConfiguration read(Map<String, String> environment) throws ConfigurationException {
         return read(environment, true);
     }
 
-    /** As {@link #read}, without the list of hosts that is known: only a start has a use for it. */
-    public static Outcome readAgain(Map<String, String> environment) {
+    /** As {@link #read}, without the known host list: only a start has a use for it. */
+    public static ControllerConfiguration readAgain(Map<String, String> environment) throws ConfigurationException {
         return read(environment, false);
     }
 
-    private static Outcome read(Map<String, String> environment, boolean withKnown) {
+    private static ControllerConfiguration read(Map<String, String> environment, boolean withKnownHosts)
+            throws ConfigurationException {
         String file = environment.get("GW_CONFIG");
         if (file == null || file.isEmpty()) {
-            return Outcome.fault("GW_CONFIG", "is missing");
+            throw new ConfigurationException(Kind.INVALID, "GW_CONFIG is missing");
         }
-        try (SeekableByteChannel channel =
-                Files.newByteChannel(Path.of(file))) { // one file, be its name another's meanwhile
-            boolean[] begun = {false};
-            return read(
-                    environment,
-                    () -> {
-                        if (begun[0]) { // what can be read only once, as a pipe, will do where there is no list
-                            channel.position(0);
-                        }
-                        begun[0] = true;
-                        return Channels.newInputStream(channel);
-                    },
-                    withKnown);
-        } catch (IOException | RuntimeException e) {
-            return Outcome.fault("GW_CONFIG:", "cannot read " + file);
+        // one file throughout, even where another takes its name meanwhile
+        try (SeekableByteChannel channel = Files.newByteChannel(Path.of(file))) {
+            return read(environment, new ChannelSource(channel), withKnownHosts, HostCapacity.ofThisProcess());
+        } catch (IOException | RuntimeException failure) {
+            throw new ConfigurationException("GW_CONFIG: cannot read " + file, failure);
         }
     }
 
-    static Outcome read(Map<String, String> environment, byte[] text) {
-        return read(environment, () -> new ByteArrayInputStream(text), true);
+    /** A file that is open. One that can be read only once, such as a pipe, will do where it has no host list. */
+    private static final class ChannelSource implements ConfigurationText.Source {
+        private final SeekableByteChannel channel;
+        private boolean isBegun;
+
+        ChannelSource(SeekableByteChannel channel) {
+            this.channel = channel;
+        }
+
+        @Override
+        public InputStream fromStart() throws IOException {
+            if (isBegun) {
+                channel.position(0);
+            }
+            isBegun = true;
+            return Channels.newInputStream(channel);
+        }
     }
 
-    private static Outcome read(Map<String, String> environment, ConfigurationText.Source source, boolean withKnown) {
-        return read(environment, source, withKnown, HostCapacity.ofThisProcess());
+    static ControllerConfiguration read(Map<String, String> environment, byte[] text) throws ConfigurationException {
+        return read(environment, () -> new ByteArrayInputStream(text), true, HostCapacity.ofThisProcess());
     }
 
-    static Outcome read(
-            Map<String, String> environment, ConfigurationText.Source source, boolean withKnown, int hostsMost) {
+    static ControllerConfiguration read(
+            Map<String, String> environment, ConfigurationText.Source source, boolean withKnownHosts, int maxHosts)
+            throws ConfigurationException {
         try {
             ConfigurationText text = ConfigurationText.read(source);
-            ControllerConfiguration assignment = check(environment, text);
-            return withKnown ? withKnown(assignment, text, hostsMost) : new Outcome(assignment, null, false);
-        } catch (InvalidSettingException e) {
-            return new Outcome(null, e.getMessage(), false);
-        } catch (JsonProcessingException e) {
-            return Outcome.fault("GW_CONFIG:", "the file is not JSON");
-        } catch (IOException e) {
-            return Outcome.fault("GW_CONFIG:", "cannot be read: " + e.getMessage());
+            ControllerConfiguration configuration = check(environment, text);
+            return withKnownHosts ? withKnownHosts(configuration, text, maxHosts) : configuration;
+        } catch (InvalidSettingException failure) {
+            throw new ConfigurationException(failure.getMessage(), failure);
+        } catch (JsonProcessingException failure) {
+            throw new ConfigurationException("GW_CONFIG: the file is not JSON", failure);
+        } catch (IOException failure) {
+            throw new ConfigurationException("GW_CONFIG: cannot be read: " + failure.getMessage(), failure);
         }
     }
 
-    /** Discovery tells the list all the same: what is wrong with this one stops no start, unless it can't be borne. */
-    private static Outcome withKnown(ControllerConfiguration assignment, ConfigurationText text, int hostsMost)
-            throws IOException {
-        HostListFilter filter = new HostListFilter(assignment.scope(), id -> false, hostsMost);
-        DecodeResult<HostList> known = text.known(new Codec(assignment.names()), filter);
-        if (known == null) {
-            return new Outcome(assignment, null, false);
+    /** Discovery sends the list in any case: a fault of this one prevents no start, unless it does not fit the memory. */
+    private static ControllerConfiguration withKnownHosts(
+            ControllerConfiguration configuration, ConfigurationText text, int maxHosts)
+            throws IOException, ConfigurationException {
+        HostListFilter filter = new HostListFilter(configuration.scope(), id -> false, maxHosts);
+        Optional<DecodeResult<HostList>> known = text.readKnownHosts(new Codec(configuration.names()), filter);
+        if (known.isEmpty()) {
+            return configuration;
         }
-        if (known instanceof DecodeResult.Failed<HostList> failed) {
-            String reason = failed.error().reason();
-            return failed.error().stage() == DecodeError.Stage.SIZE
-                    ? new Outcome(null, "known lists " + reason, true)
-                    : new Outcome(assignment.withKnown(null, "known: " + reason + "; begins without it"), null, false);
+        if (known.get() instanceof DecodeResult.Failed<HostList> failed) {
+            return withoutKnownHosts(configuration, failed.error());
         }
-        HostList list = known.orElseThrow();
+        HostList list = known.get().orElseThrow();
         if (list.hasNoneInScope()) {
-            String leftOut = "known lists " + list.outsideScopeCount()
+            String fault = "known lists " + list.outsideScopeCount()
                     + " hosts and scope names none of them; begins without it";
-            return new Outcome(assignment.withKnown(null, leftOut), null, false);
+            return configuration.withKnownHosts(Optional.empty(), Optional.of(fault));
+        }
+        return configuration.withKnownHosts(
+                Optional.of(list), list.invalidEntriesSummary().map(summary -> "known lists " + summary));
+    }
+
+    private static ControllerConfiguration withoutKnownHosts(ControllerConfiguration configuration, DecodeError error)
+            throws ConfigurationException {
+        if (error.stage() == DecodeError.Stage.SIZE) {
+            throw new ConfigurationException(Kind.EXCEEDS_MEMORY, "known lists " + error.reason());
         }
-        String leftOut = list.invalidEntriesSummary()
-                .map(summary -> "known lists " + summary)
-                .orElse(null);
-        return new Outcome(assignment.withKnown(list, leftOut), null, false);
+        String fault = "known: " + error.reason() + "; begins without it";
+        return configuration.withKnownHosts(Optional.empty(), Optional.of(fault));
     }
 
     private static ControllerConfiguration check(Map<String, String> environment, ConfigurationText text) {
-        FlatJson all = text.all, settings = text.settings;
-        preferred(environment, "GW_NAME", all, "name");
-        String listen = preferred(environment, "GW_LISTEN", all, "listen");
-        String discovery =
-                all.find("discovery") != null ? "discovery" : preferred(environment, "GW_DISCOVERY", all, "discovery");
-        if (settings.values.isEmpty()) {
+        FlattenedJson values = text.values();
+        overrideOrRequire(environment, "GW_NAME", values, "name");
+        String listenKey = overrideOrRequire(environment, "GW_LISTEN", values, "listen");
+        String discoveryKey = values.find("discovery") != null
+                ? "discovery"
+                : overrideOrRequire(environment, "GW_DISCOVERY", values, "discovery");
+        if (text.settings().isEmpty()) {
             throw new InvalidSettingException("settings", "is missing");
         }
-        Names names = SettingsReader.names(settings);
-        int sockets = all.index("limits.sockets", SOCKETS);
-        if (sockets < SOCKETS_LEAST) {
-            throw new InvalidSettingException("limits.sockets", ": " + sockets + " is under " + SOCKETS_LEAST);
+        Names names = SettingsReader.names(text.settings());
+        int maxSockets = values.index("limits.sockets", DEFAULT_MAX_SOCKETS);
+        if (maxSockets < LEAST_MAX_SOCKETS) {
+            throw new InvalidSettingException("limits.sockets", ": " + maxSockets + " is under " + LEAST_MAX_SOCKETS);
         }
         return new ControllerConfiguration(
-                all.find("name"),
-                address(listen, all.find("listen")),
-                address(discovery, all.find("discovery")),
-                sockets,
-                SettingsReader.read(settings),
+                values.find("name"),
+                address(listenKey, values.find("listen")),
+                address(discoveryKey, values.find("discovery")),
+                maxSockets,
+                SettingsReader.read(text.settings()),
                 names,
                 text.scope(),
-                null,
-                null);
+                Optional.empty(),
+                Optional.empty());
     }
 
-    /** Lets the environment's value go before the file's; tells the key that it came from. */
-    private static String preferred(Map<String, String> environment, String variable, FlatJson all, String key) {
+    /** Puts the environment's value in the place of the file's; returns the key that the value came from. */
+    private static String overrideOrRequire(
+            Map<String, String> environment, String variable, FlattenedJson values, String key) {
         String value = environment.get(variable);
         if (value != null && !value.isEmpty()) {
-            all.values.put(key, value);
+            values.override(key, value);
             return variable;
         }
-        all.text(key);
+        values.text(key); // throws where it is missing
         return key;
     }
 
@@ -154,11 +181,11 @@
         try {
             int port = Integer.parseInt(value.substring(colon + 1));
             String host = value.substring(0, Math.max(0, colon));
-            if (host.matches("[0-9.]+|\\[[0-9a-fA-F:.]+]") && port > 0 && port < 65536) {
-                return new InetSocketAddress(InetAddress.getByName(host), port); // figures: nothing is looked up
+            if (NUMERIC_HOST.matcher(host).matches() && port > 0 && port <= MAX_PORT) {
+                return new InetSocketAddress(InetAddress.getByName(host), port);
             }
-        } catch (NumberFormatException | java.net.UnknownHostException e) {
-            // told below, as for what is no address
+        } catch (NumberFormatException | UnknownHostException failure) {
+            // reported below, like any other text that is no address
         }
         throw new InvalidSettingException(key, ": '" + value + "' is no ADDRESS:PORT");
     }
--- a/src/main/java/linenring/scale/fleet/InProcessController.java
+++ b/src/main/java/linenring/scale/fleet/InProcessController.java
@@ -71,7 +71,7 @@
         WatchConfig config = new WatchConfig(
                 configuration.discovery(),
                 configuration.scope(),
-                configuration.known(),
+                configuration.knownHosts().orElse(null),
                 reason -> log.error("steward", "would end: " + reason)); // it shares its process with others
         watch = new HostWatch(config, codec, events, log, executor, scheduler);
         watch.open();
@@ -79,7 +79,13 @@
 
     private void decide(Log log) {
         try {
-            new ControlLoop(configuration.figures(), configuration.names(), configuration.known(), events, log).run();
+            new ControlLoop(
+                            configuration.plannerSettings(),
+                            configuration.names(),
+                            configuration.knownHosts().orElse(null),
+                            events,
+                            log)
+                    .run();
         } catch (Throwable fatal) { // above all OutOfMemoryError, which must fail this point of the run and not hang it
             failure.compareAndSet(null, fatal.toString());
         }
--- a/src/main/java/linenring/scale/run/Testbed.java
+++ b/src/main/java/linenring/scale/run/Testbed.java
@@ -14,6 +14,7 @@
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
+import linenring.configuration.ConfigurationException;
 import linenring.configuration.ControllerConfiguration;
 import linenring.configuration.ControllerConfigurationReader;
 import linenring.routing.HostRegistry;
@@ -132,11 +133,11 @@
     private ControllerConfiguration assignment(int number) throws IOException {
         Path file = folder.resolve("hollow-" + number + ".json");
         Files.write(file, settings().json("hollow-" + number, RealMember.nowhere(), hollowCatalogue.address()));
-        ControllerConfiguration.Outcome read = ControllerConfigurationReader.read(Map.of("GW_CONFIG", file.toString()));
-        if (read.assignment() == null) {
-            throw new IllegalStateException("the configuration that was generated is at fault: " + read.fault());
+        try {
+            return ControllerConfigurationReader.read(Map.of("GW_CONFIG", file.toString()));
+        } catch (ConfigurationException failure) {
+            throw new IllegalStateException("the configuration that was generated is at fault", failure);
         }
-        return read.assignment();
     }
 
     // ---- what happens
--- a/src/test/java/linenring/cli/ServeCommandTest.java
+++ b/src/test/java/linenring/cli/ServeCommandTest.java
@@ -19,7 +19,7 @@
         ByteArrayOutputStream logged = new ByteArrayOutputStream();
         ServeCommand.reload(
                 null,
-                ControllerConfigurationReader.read(Map.of("GW_CONFIG", "/nowhere/at/all")),
+                () -> ControllerConfigurationReader.read(Map.of("GW_CONFIG", "/nowhere/at/all")),
                 null, // neither is touched
                 new Log(new PrintStream(logged, true)));
         assertEquals(1, logged.toString().lines().count());
--- a/src/test/java/linenring/configuration/ControllerConfigurationReaderTest.java
+++ b/src/test/java/linenring/configuration/ControllerConfigurationReaderTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.ByteArrayInputStream;
@@ -10,8 +11,10 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import linenring.protocol.ServiceScope;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.function.Executable;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -26,71 +29,64 @@
               "Specifics":{"ProxyCount":6,"PushRate":1200.0,"MostWaiting":1800.0,"UpdateCap":30,"HomeOnly":[false,true],
                "ThrottleBy":"fraction"}}}""";
 
-    private static ControllerConfiguration.Outcome read(String text) {
-        return ControllerConfigurationReader.read(Map.of(), text.getBytes(StandardCharsets.UTF_8));
+    private static ControllerConfiguration read(String text) throws ConfigurationException {
+        return read(Map.of(), text);
+    }
+
+    private static ControllerConfiguration read(Map<String, String> environment, String text)
+            throws ConfigurationException {
+        return ControllerConfigurationReader.read(environment, text.getBytes(StandardCharsets.UTF_8));
+    }
+
+    private static String fault(Executable reads) {
+        return assertThrows(ConfigurationException.class, reads).getMessage();
     }
 
     @Test
-    void nestedSettingsBecomeTheSameFiguresInMilliseconds() {
-        ControllerConfiguration c = read(GOOD).assignment();
-        assertEquals(750, c.figures().operations().get(0).objectiveMs());
-        assertEquals(2, c.figures().operations().get(0).zones()); // the second zone alone
-        assertEquals(-1, c.figures().operations().get(1).zones());
-        assertTrue(c.figures().operations().get(1).homeZoneOnly());
-        assertEquals(18_000, c.figures().coldStart().warmAfterMs());
-        assertEquals(2500, c.figures().channel().drainGraceMs());
-        assertEquals(4, c.names().quantum());
-        assertEquals(1, c.known().entries().get(0).zone());
-        assertEquals("/127.0.0.4:3000", c.listen().toString());
+    void readsNestedSettingsInMilliseconds() throws Exception {
+        ControllerConfiguration configuration = read(GOOD);
+        assertEquals(750, configuration.plannerSettings().operations().get(0).objectiveMs());
+        assertEquals(2, configuration.plannerSettings().operations().get(0).zones()); // the second zone alone
+        assertEquals(-1, configuration.plannerSettings().operations().get(1).zones());
+        assertTrue(configuration.plannerSettings().operations().get(1).homeZoneOnly());
+        assertEquals(18_000, configuration.plannerSettings().coldStart().warmAfterMs());
+        assertEquals(2500, configuration.plannerSettings().channel().drainGraceMs());
+        assertEquals(4, configuration.names().quantum());
+        assertEquals(
+                1, configuration.knownHosts().orElseThrow().entries().get(0).zone());
+        assertEquals("/127.0.0.4:3000", configuration.listen().toString());
     }
 
     @Test
-    void theFilesDiscoveryGoesBeforeTheEnvironmentsWhichIsThatOfTheStart() {
+    void prefersDiscoveryOfTheFileToThatOfTheEnvironment() throws Exception {
         Map<String, String> stale = Map.of("GW_DISCOVERY", "127.0.0.1:8600");
-        assertEquals(
-                8500,
-                ControllerConfigurationReader.read(stale, GOOD.getBytes(StandardCharsets.UTF_8))
-                        .assignment()
-                        .discovery()
-                        .getPort());
+        assertEquals(8500, read(stale, GOOD).discovery().getPort());
         String none = GOOD.replace("\"discovery\"", "\"was\"");
-        assertEquals(
-                8600,
-                ControllerConfigurationReader.read(stale, none.getBytes(StandardCharsets.UTF_8))
-                        .assignment()
-                        .discovery()
-                        .getPort());
+        assertEquals(8600, read(stale, none).discovery().getPort());
     }
 
     @Test
-    void keysThatCannotChangeWhileItRunsAreNamed() {
-        ControllerConfiguration held = read(GOOD).assignment();
+    void namesKeysThatCannotChangeWhileItRuns() throws Exception {
+        ControllerConfiguration held = read(GOOD);
         assertEquals(
                 List.of(),
                 held.fixedKeysThatDiffer(read(GOOD.replace("127.0.0.1:8500", "127.0.0.1:9")
-                                .replace("\"seed\":\"8c1f\"", "\"seed\":\"9\"")
-                                .replace("\"version\":41", "\"version\":50"))
-                        .assignment()));
+                        .replace("\"seed\":\"8c1f\"", "\"seed\":\"9\"")
+                        .replace("\"version\":41", "\"version\":50"))));
         assertEquals(
                 List.of("name", "listen", "limits.sockets", "settings"),
                 held.fixedKeysThatDiffer(read(GOOD.replace("n3", "n4")
-                                .replace(":3000", ":3001")
-                                .replace("1024", "512")
-                                .replace("1800.0", "900"))
-                        .assignment()));
+                        .replace(":3000", ":3001")
+                        .replace("1024", "512")
+                        .replace("1800.0", "900"))));
     }
 
     @Test
-    void theEnvironmentGoesBeforeTheFile() {
-        ControllerConfiguration c = ControllerConfigurationReader.read(
-                        Map.of("GW_LISTEN", "127.0.0.9:4000"), GOOD.getBytes(StandardCharsets.UTF_8))
-                .assignment();
-        assertEquals(4000, c.listen().getPort());
-        assertEquals(8500, c.discovery().getPort());
-        assertTrue(
-                ControllerConfigurationReader.read(Map.of("GW_LISTEN", "here"), GOOD.getBytes(StandardCharsets.UTF_8))
-                        .fault()
-                        .startsWith("GW_LISTEN:"));
+    void prefersTheEnvironmentToTheFile() throws Exception {
+        ControllerConfiguration configuration = read(Map.of("GW_LISTEN", "127.0.0.9:4000"), GOOD);
+        assertEquals(4000, configuration.listen().getPort());
+        assertEquals(8500, configuration.discovery().getPort());
+        assertTrue(fault(() -> read(Map.of("GW_LISTEN", "here"), GOOD)).startsWith("GW_LISTEN:"));
     }
 
     @ParameterizedTest
@@ -111,42 +107,37 @@
                 "\"ProxyCount\":6 | \"ProxyCount\":0 | settings.Specifics.ProxyCount: 0 is out of range",
                 "\"Azs\":[\"a\",\"b\"] | \"Azs\":[] | settings.Azs is missing"
             })
-    void aFaultNamesTheKey(String good, String bad, String fault) {
+    void namesTheKeyAtFault(String good, String bad, String fault) throws Exception {
         assertTrue(GOOD.contains(good));
-        assertEquals(fault, read(GOOD.replace(good, bad)).fault());
+        assertEquals(fault, fault(() -> read(GOOD.replace(good, bad))));
     }
 
     @Test
-    void aFileThatIsMissingOrNoJsonIsToldInOneLine() {
-        assertEquals(
-                "GW_CONFIG is missing",
-                ControllerConfigurationReader.read(Map.of()).fault());
+    void reportsAFileThatIsMissingOrNotJson() throws Exception {
+        assertEquals("GW_CONFIG is missing", fault(() -> ControllerConfigurationReader.read(Map.of())));
         assertEquals(
                 "GW_CONFIG: cannot read /nowhere/at/all",
-                ControllerConfigurationReader.read(Map.of("GW_CONFIG", "/nowhere/at/all"))
-                        .fault());
-        assertEquals("GW_CONFIG: the file is not JSON", read("{\"name\":").fault());
-        assertEquals("GW_CONFIG: the file holds no JSON object", read("[]").fault());
+                fault(() -> ControllerConfigurationReader.read(Map.of("GW_CONFIG", "/nowhere/at/all"))));
+        assertEquals("GW_CONFIG: the file is not JSON", fault(() -> read("{\"name\":")));
+        assertEquals("GW_CONFIG: the file holds no JSON object", fault(() -> read("[]")));
     }
 
     @Test
-    void aKnownListThatCannotBeUsedStopsNoStartAndIsTold() {
-        ControllerConfiguration none =
-                read(GOOD.replace("\"version\":41", "\"version\":\"x\"")).assignment();
-        assertEquals(null, none.known());
-        assertEquals("known: field version is not a number; begins without it", none.leftOut());
-        ControllerConfiguration some =
-                read(GOOD.replace("\"servers\":[", "\"servers\":[{\"id\":7},")).assignment();
-        assertEquals(1, some.known().entries().size());
-        assertTrue(some.leftOut().startsWith("known lists 1 hosts that are left out, the first: "), some.leftOut());
-        assertEquals(null, read(GOOD).assignment().leftOut());
+    void startsWithoutAKnownListThatCannotBeUsedAndSaysWhy() throws Exception {
+        ControllerConfiguration none = read(GOOD.replace("\"version\":41", "\"version\":\"x\""));
+        assertEquals(Optional.empty(), none.knownHosts());
+        assertEquals(Optional.of("known: field version is not a number; begins without it"), none.knownHostsFault());
+        ControllerConfiguration some = read(GOOD.replace("\"servers\":[", "\"servers\":[{\"id\":7},"));
+        assertEquals(1, some.knownHosts().orElseThrow().entries().size());
+        String fault = some.knownHostsFault().orElseThrow();
+        assertTrue(fault.startsWith("known lists 1 hosts that are left out, the first: "), fault);
+        assertEquals(Optional.empty(), read(GOOD).knownHostsFault());
     }
 
     @Test
-    void withoutAKnownListNoneIsHeld() {
+    void startsWithoutAKnownListWhereThereIsNone() throws Exception {
         assertEquals(
-                null,
-                read(GOOD.replace("\"known\"", "\"unknown\"")).assignment().known());
+                Optional.empty(), read(GOOD.replace("\"known\"", "\"unknown\"")).knownHosts());
     }
 
     private static String scoped(String scope) {
@@ -154,21 +145,17 @@
     }
 
     @Test
-    void aScopeNamesServicesAndWithoutOneAllAreServed() {
-        assertEquals(ServiceScope.ALL, read(GOOD).assignment().scope());
-        assertEquals(ServiceScope.ALL, read(scoped("null")).assignment().scope());
+    void readsTheScopeAndServesAllServicesWithoutOne() throws Exception {
+        assertEquals(ServiceScope.ALL, read(GOOD).scope());
+        assertEquals(ServiceScope.ALL, read(scoped("null")).scope());
         assertEquals(
                 ServiceScope.of(List.of("a,b", "c")),
-                read(scoped("[\"a,b\",\"c\",\"c\"]")).assignment().scope());
-        ServiceScope none = read(scoped("[]")).assignment().scope();
+                read(scoped("[\"a,b\",\"c\",\"c\"]")).scope());
+        ServiceScope none = read(scoped("[]")).scope();
         assertFalse(none.isAll());
         assertTrue(none.includes(null));
         assertFalse(none.includes("a"));
-        assertEquals(
-                List.of(),
-                read(GOOD)
-                        .assignment()
-                        .fixedKeysThatDiffer(read(scoped("[\"a\"]")).assignment()));
+        assertEquals(List.of(), read(GOOD).fixedKeysThatDiffer(read(scoped("[\"a\"]"))));
     }
 
     @ParameterizedTest
@@ -183,12 +170,12 @@
                 "[null] | scope: item 1 is not text",
                 "[[\"svc-1\"]] | scope: item 1 is not text"
             })
-    void aScopeThatIsNoneIsAFaultOfItsKey(String scope, String fault) {
-        assertEquals(fault, read(scoped(scope)).fault());
+    void refusesAScopeThatIsNotAListOfNames(String scope, String fault) throws Exception {
+        assertEquals(fault, fault(() -> read(scoped(scope))));
     }
 
     @Test
-    void theKnownListIsReadUnderTheScopeWhereverTheTwoStand() {
+    void readsTheKnownListUnderTheScopeInEitherOrder() throws Exception {
         String two = GOOD.replace(
                 "\"state\":\"Ready\"}",
                 "\"state\":\"Ready\",\"service\":\"svc-1\"},"
@@ -196,60 +183,67 @@
         String first = two.replaceFirst("\\{", "{\"scope\":[\"svc-1\"],");
         String last = two.substring(0, two.length() - 1) + ",\"scope\":[\"svc-1\"]}";
         for (String text : List.of(first, last)) {
-            ControllerConfiguration c = read(text).assignment();
-            assertEquals("s-1", c.known().entries().get(0).host());
-            assertEquals(1, c.known().entries().size());
-            assertEquals(c.scope(), c.known().scope());
-            assertEquals(List.of("a", "b"), c.names().zones());
+            ControllerConfiguration configuration = read(text);
+            assertEquals(
+                    "s-1",
+                    configuration.knownHosts().orElseThrow().entries().get(0).host());
+            assertEquals(1, configuration.knownHosts().orElseThrow().entries().size());
+            assertEquals(
+                    configuration.scope(),
+                    configuration.knownHosts().orElseThrow().scope());
+            assertEquals(List.of("a", "b"), configuration.names().zones());
         }
-        assertEquals(2, read(two).assignment().known().entries().size());
-        ControllerConfiguration none =
-                read(first.replace("[\"svc-1\"]", "[\"svc-9\"]")).assignment();
-        assertEquals(null, none.known());
-        assertEquals("known lists 2 hosts and scope names none of them; begins without it", none.leftOut());
+        assertEquals(2, read(two).knownHosts().orElseThrow().entries().size());
+        ControllerConfiguration none = read(first.replace("[\"svc-1\"]", "[\"svc-9\"]"));
+        assertEquals(Optional.empty(), none.knownHosts());
+        assertEquals(
+                Optional.of("known lists 2 hosts and scope names none of them; begins without it"),
+                none.knownHostsFault());
     }
 
     @Test
-    void aKnownListWithoutRoomIsAFaultOfItsOwnKind() {
+    void refusesAKnownListThatDoesNotFitTheMemory() throws Exception {
         ConfigurationText.Source text = () -> new ByteArrayInputStream(GOOD.getBytes(StandardCharsets.UTF_8));
-        ControllerConfiguration.Outcome none = ControllerConfigurationReader.read(Map.of(), text, true, 0);
-        assertEquals("known lists over 0 hosts, which is more than fits the heap", none.fault());
-        assertTrue(none.exceedsMemory());
-        assertFalse(read(GOOD.replace("1024", "10")).exceedsMemory());
+        ConfigurationException none = assertThrows(
+                ConfigurationException.class, () -> ControllerConfigurationReader.read(Map.of(), text, true, 0));
+        assertEquals("known lists over 0 hosts, which is more than fits the heap", none.getMessage());
+        assertEquals(ConfigurationException.Kind.EXCEEDS_MEMORY, none.kind());
+        ConfigurationException other =
+                assertThrows(ConfigurationException.class, () -> read(GOOD.replace("1024", "10")));
+        assertEquals(ConfigurationException.Kind.INVALID, other.kind());
         assertEquals(
                 1,
                 ControllerConfigurationReader.read(Map.of(), text, true, 1)
-                        .assignment()
-                        .known()
+                        .knownHosts()
+                        .orElseThrow()
                         .entries()
                         .size());
     }
 
     @Test
-    void readAgainTheKnownListIsPassedOver() throws Exception {
+    void ignoresTheKnownListAtAReload() throws Exception {
         Path file = Files.createTempFile("configuration", ".json");
         try {
             Files.writeString(file, GOOD.replace("\"version\":41", "\"version\":\"x\""));
             Map<String, String> environment = Map.of("GW_CONFIG", file.toString());
-            ControllerConfiguration again =
-                    ControllerConfigurationReader.readAgain(environment).assignment();
-            assertEquals(null, again.known());
-            assertEquals(null, again.leftOut());
+            ControllerConfiguration again = ControllerConfigurationReader.readAgain(environment);
+            assertEquals(Optional.empty(), again.knownHosts());
+            assertEquals(Optional.empty(), again.knownHostsFault());
             assertEquals(
-                    "known: field version is not a number; begins without it",
-                    ControllerConfigurationReader.read(environment).assignment().leftOut());
+                    Optional.of("known: field version is not a number; begins without it"),
+                    ControllerConfigurationReader.read(environment).knownHostsFault());
             Files.writeString(file, GOOD);
             assertEquals(
                     1,
                     ControllerConfigurationReader.read(environment)
-                            .assignment()
-                            .known()
+                            .knownHosts()
+                            .orElseThrow()
                             .entries()
                             .size());
             Files.writeString(file, GOOD.substring(0, GOOD.indexOf("s-1")));
             assertEquals(
                     "GW_CONFIG: the file is not JSON",
-                    ControllerConfigurationReader.readAgain(environment).fault());
+                    fault(() -> ControllerConfigurationReader.readAgain(environment)));
         } finally {
             Files.delete(file);
         }
