--- a/src/main/java/linenring/settings/Names.java
+++ b/src/main/java/linenring/settings/Names.java
@@ -4,31 +4,34 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * What stands behind the indices: zones, machine kinds and operations by name, and how many proxies there are;
- * and how close together inputs are acted on, in milliseconds. Zones and kinds grow, on any thread, as hosts are
- * listed in such as the settings did not name.
+ * What stands behind the indices: zones, machine kinds and operations by name, and how many proxies there are. Zones and kinds
+ * grow, on any thread, as hosts are listed in such as the settings did not name.
+ *
+ * @param quantum inputs that are as close together are acted on together, in ms
  */
 public record Names(List<String> zones, List<String> kinds, List<String> operations, int proxies, double quantum) {
-    private static final int PLACES_MOST = 4096; // more are noise
+    /** More zones or kinds are a fault of the list, and must not fill the memory. */
+    private static final int MAX_NAMES = 4096;
 
+    /** Copies the zones and kinds, which grow. */
     public Names {
         zones = new CopyOnWriteArrayList<>(zones);
         kinds = new CopyOnWriteArrayList<>(kinds);
     }
 
-    /** The place of a word among zones or kinds; one that is new gets the next. -1 if there are too many. */
-    public static int place(List<String> among, String word) {
-        int at = among.indexOf(word);
-        if (at >= 0) {
-            return at;
+    /** The index of a name among zones or kinds; a new one gets the next. -1 where there are too many. */
+    public static int place(List<String> known, String name) {
+        int index = known.indexOf(name);
+        if (index >= 0) {
+            return index;
         }
-        synchronized (among) {
-            at = among.indexOf(word);
-            if (at < 0 && among.size() < PLACES_MOST) {
-                at = among.size();
-                among.add(word);
+        synchronized (known) {
+            index = known.indexOf(name);
+            if (index < 0 && known.size() < MAX_NAMES) {
+                index = known.size();
+                known.add(name);
             }
-            return at;
+            return index;
         }
     }
 }
