--- a/src/main/java/linenring/scale/fleet/InProcessController.java
+++ b/src/main/java/linenring/scale/fleet/InProcessController.java
@@ -14,6 +14,7 @@
 import linenring.configuration.ControllerConfiguration;
 import linenring.controller.ControlLoop;
 import linenring.discovery.HostWatch;
+import linenring.discovery.WatchConfig;
 import linenring.event.EventQueue;
 import linenring.log.Level;
 import linenring.log.Log;
@@ -67,22 +68,24 @@
         Log log = new Log(this::logged);
         thread = named(() -> decide(log), name);
         thread.start();
-        watch = new HostWatch(
+        WatchConfig config = new WatchConfig(
                 configuration.discovery(),
                 configuration.scope(),
-                configuration.known(),
-                codec,
-                events,
-                log,
-                executor,
-                scheduler,
+                configuration.knownHosts().orElse(null),
                 reason -> log.error("controller", "would end: " + reason)); // it shares its process with others
+        watch = new HostWatch(config, codec, events, log, executor, scheduler);
         watch.open();
     }
 
     private void decide(Log log) {
         try {
-            new ControlLoop(configuration.figures(), configuration.names(), configuration.known(), events, log).run();
+            new ControlLoop(
+                            configuration.plannerSettings(),
+                            configuration.names(),
+                            configuration.knownHosts().orElse(null),
+                            events,
+                            log)
+                    .run();
         } catch (Throwable fatal) { // above all OutOfMemoryError, which must fail this point of the run and not hang it
             failure.compareAndSet(null, fatal.toString());
         }
--- a/src/main/java/linenring/scale/run/Testbed.java
+++ b/src/main/java/linenring/scale/run/Testbed.java
@@ -14,6 +14,7 @@
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
+import linenring.configuration.ConfigurationException;
 import linenring.configuration.ControllerConfiguration;
 import linenring.configuration.ControllerConfigurationReader;
 import linenring.routing.HostRegistry;
@@ -140,11 +141,11 @@
                 file,
                 measuredConfiguration()
                         .json("simulated-" + number, RealMember.unusedAddress(), simulatedCatalogue.address()));
-        ControllerConfiguration.Outcome read = ControllerConfigurationReader.read(Map.of("GW_CONFIG", file.toString()));
-        if (read.assignment() == null) {
-            throw new IllegalStateException("the generated configuration is invalid: " + read.fault());
+        try {
+            return ControllerConfigurationReader.read(Map.of("GW_CONFIG", file.toString()));
+        } catch (ConfigurationException failure) {
+            throw new IllegalStateException("the generated configuration is invalid", failure);
         }
-        return read.assignment();
     }
 
     // ---- events
