--- a/src/test/java/linenring/scale/run/CatalogueFaultsTest.java
+++ b/src/test/java/linenring/scale/run/CatalogueFaultsTest.java
@@ -10,8 +10,6 @@
 import java.util.Set;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
-import java.util.concurrent.TimeUnit;
-import java.util.function.BooleanSupplier;
 import java.util.stream.Collectors;
 import linenring.discovery.HostWatch;
 import linenring.event.EventQueue;
@@ -32,7 +30,7 @@
 
 /** The real host watch against the simulated discovery agent, over loopback, when the agent fails. */
 class CatalogueFaultsTest {
-    private static final long TIMEOUT_S = 30; // no assertion on time: it only ends a test that hangs
+    private static final Await AWAIT = new Await(30);
 
     private final Catalogue catalogue = new Catalogue(new CatalogueLayout(40, 2, 2, 4, 5));
     private final ExecutorService executor = Executors.newCachedThreadPool();
@@ -78,20 +76,12 @@
         executor.shutdownNow();
     }
 
-    private static boolean await(BooleanSupplier condition) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
-        while (!condition.getAsBoolean() && System.nanoTime() < end) {
-            TimeUnit.MILLISECONDS.sleep(20);
-        }
-        return condition.getAsBoolean();
-    }
-
     private List<CatalogueHost> zone(int zone) {
         return catalogue.hosts(host -> host.zone() == zone);
     }
 
     private void assertLedgerMatchesCatalogue() throws InterruptedException {
-        assertTrue(await(() -> ledger.version() == catalogue.version()), logged.toString(StandardCharsets.UTF_8));
+        assertTrue(AWAIT.until(() -> ledger.version() == catalogue.version()), logged.toString(StandardCharsets.UTF_8));
         assertEquals(catalogue.readyIds(), ledger.readyIds());
         assertEquals(List.of(), ledger.faults());
     }
@@ -112,7 +102,7 @@
     void leavesInvalidEntriesOutUntilTheyChange() throws Exception {
         server.corruptNextLists(1, 3);
         watch();
-        assertTrue(await(() -> ledger.version() == catalogue.version()));
+        assertTrue(AWAIT.until(() -> ledger.version() == catalogue.version()));
         Set<String> invalid = catalogue.hosts(host -> true).subList(0, 3).stream()
                 .map(CatalogueHost::id)
                 .collect(Collectors.toSet());
@@ -127,13 +117,13 @@
     void catchesUpWithASilenceInOneDelta() throws Exception {
         watch();
         assertLedgerMatchesCatalogue();
-        assertTrue(await(() -> server.watchersAt(catalogue.version()) == 1));
+        assertTrue(AWAIT.until(() -> server.watchersAt(catalogue.version()) == 1));
         server.setSilent(true);
         for (CatalogueHost host : zone(0)) {
             publish(catalogue.replace(List.of(host), 7));
         }
         publish(catalogue.terminate(zone(1)));
-        assertTrue(await(() -> logged.toString(StandardCharsets.UTF_8)
+        assertTrue(AWAIT.until(() -> logged.toString(StandardCharsets.UTF_8)
                 .contains("nothing came for"))); // it reconnects, and gets nothing
         server.setSilent(false);
         assertLedgerMatchesCatalogue();
--- a/src/test/java/linenring/scale/run/ScaleTest.java
+++ b/src/test/java/linenring/scale/run/ScaleTest.java
@@ -7,7 +7,6 @@
 
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import java.util.function.BooleanSupplier;
 import linenring.scale.catalogue.CatalogueEvents;
 import linenring.scale.catalogue.CatalogueHost;
 import linenring.scale.fleet.ListLedger;
@@ -17,6 +16,8 @@
 
 /** A small scale run, on correctness alone: one real and two simulated controllers under churn, replacements and a lost zone. */
 class ScaleTest {
+    private static final Await AWAIT = new Await(40);
+
     private static final Workload SMALL = new Workload(48, 48, 6, 4, 3, 3, 20, 60, 2);
     /** The same with two services of four in scope. */
     private static final Workload SCOPED = new Workload(48, 24, 6, 4, 3, 3, 20, 60, 2);
@@ -24,19 +25,6 @@
     private static final long CHURN_MS = 4000;
     private static final long ZONE_LOST_MS = 1500;
     private static final int FAILING = 5;
-    private static final long TIMEOUT_S = 40; // no assertion on time: it only ends a test that hangs
-
-    private static boolean await(BooleanSupplier condition) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
-        while (!condition.getAsBoolean() && System.nanoTime() < end) {
-            TimeUnit.MILLISECONDS.sleep(50);
-        }
-        return condition.getAsBoolean();
-    }
-
-    private static long deadline() {
-        return System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
-    }
 
     @Test
     void convergesAllControllersAndProxiesToTheCatalogue() throws Exception {
@@ -52,8 +40,8 @@
         try (Testbed testbed = new Testbed(workload, 5, true)) {
             testbed.open(1, 2);
             RealMember real = testbed.real().get(0);
-            assertNull(testbed.awaitSettled(real, deadline()));
-            assertNull(testbed.awaitSimulatedSettled(deadline()));
+            assertNull(testbed.awaitSettled(real, AWAIT.deadlineNanos()));
+            assertNull(testbed.awaitSimulatedSettled(AWAIT.deadlineNanos()));
 
             testbed.startSteadyRates();
             TimeUnit.MILLISECONDS.sleep(CHURN_MS);
@@ -65,7 +53,7 @@
                         events.replaceAll(now, failing.subList(0, FAILING));
                         events.loseZone(now, 1, ZONE_LOST_MS);
                     });
-            assertTrue(await(() -> !testbed.driver().isBusy()));
+            assertTrue(AWAIT.until(() -> !testbed.driver().isBusy()));
 
             assertConverges(testbed, real.fleet().fleet());
             assertTrue(real.process().isAlive(), real.process().ending());
@@ -86,7 +74,7 @@
 
     /** The tables of all proxies hold the hosts that are ready, all of them and no other, and no proxy was ever without a host. */
     private static void assertConverges(Testbed testbed, SimulatedFleet fleet) throws InterruptedException {
-        await(() -> testbed.agreement(fleet, true).isComplete());
+        AWAIT.until(() -> testbed.agreement(fleet, true).isComplete());
         assertEquals(new Agreement(0, 0, 0, 0), testbed.agreement(fleet, true));
         assertEquals(List.of(), fleet.faults());
         assertEquals(0, fleet.timesWithoutHost());
@@ -96,7 +84,7 @@
     private static void assertEachVersionCameOnceAndInOrder(Testbed testbed, ListLedger ledger)
             throws InterruptedException {
         long version = testbed.catalogue().version();
-        await(() -> ledger.version() == version);
+        AWAIT.until(() -> ledger.version() == version);
         assertEquals(version, ledger.version());
         assertEquals(List.of(), ledger.faults());
         assertEquals(1, ledger.completeLists());
@@ -110,9 +98,9 @@
         try (Testbed testbed = new Testbed(SMALL, 5)) {
             testbed.open(1, 1);
             RealMember real = testbed.real().get(0);
-            assertNull(testbed.awaitSettled(real, deadline()));
+            assertNull(testbed.awaitSettled(real, AWAIT.deadlineNanos()));
             real.process().kill();
-            String missing = testbed.awaitSettled(real, deadline());
+            String missing = testbed.awaitSettled(real, AWAIT.deadlineNanos());
             assertTrue(missing.startsWith("ended with exit code 137; last log line: "), missing);
             assertFalse(real.process().isAlive());
         }
