--- a/src/test/java/linenring/gateway/GatewayDrainTest.java
+++ b/src/test/java/linenring/gateway/GatewayDrainTest.java
@@ -14,6 +14,10 @@
 /** Graceful shutdown of the gateway (RFC 9113, 6.8). */
 @Timeout(60)
 class GatewayDrainTest {
+    /**
+     * SIGTERM comes while 200 requests are active: all of them are answered, and a stream above the named last one is
+     * not.
+     */
     @Test
     void finishesActiveRequestsAndRefusesLaterOnes() throws Exception {
         try (GatewayFixture fixture = new GatewayFixture(2)) {
@@ -72,6 +76,7 @@
         }
     }
 
+    /** A host never answers: the drain does not wait for it past its limit, and the log says what was broken off. */
     @Test
     void endsAtLimitAndLogsWhatBrokeOff() throws Exception {
         try (GatewayFixture fixture = new GatewayFixture(1, "drain \"1s\"")) {
--- a/src/test/java/linenring/gateway/GatewayRetryTest.java
+++ b/src/test/java/linenring/gateway/GatewayRetryTest.java
@@ -18,6 +18,10 @@
 class GatewayRetryTest {
     private static final int CANCEL = 8;
 
+    /**
+     * The client gives up and never learns whether its request was executed. Whenever that is, the gateway must not
+     * send it a second time.
+     */
     @Test
     void executesSideEffectingRequestAtMostOnceWhenClientResets() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(3)) {
@@ -45,6 +49,10 @@
         }
     }
 
+    /**
+     * The host dies with the request: nobody knows whether it was executed. The client gets 502 at once, and no other
+     * host gets the request.
+     */
     @Test
     void answersAtOnceAndNeverRepeatsSideEffectingRequestWhenHostDies() throws IOException {
         for (Behaviour behaviour : List.of(Behaviour.DIE, Behaviour.RESET, Behaviour.CLOSE)) {
@@ -63,6 +71,10 @@
         }
     }
 
+    /**
+     * The host refuses the stream, or leaves it out by a GOAWAY: that proves that nothing was executed, so another host
+     * may.
+     */
     @Test
     void retriesSideEffectingRequestOnceOnProofThatItWasNotExecuted() throws IOException {
         for (Behaviour behaviour : List.of(Behaviour.REFUSE, Behaviour.GO_AWAY_BELOW)) {
@@ -84,6 +96,10 @@
         }
     }
 
+    /**
+     * The process of a host is gone and nothing listens at its address: nothing was sent, so any request may go
+     * elsewhere.
+     */
     @Test
     void retriesElsewhereWhenHostIsUnreachable() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(2)) {
@@ -98,6 +114,10 @@
         }
     }
 
+    /**
+     * A host fails in each way that it can. An idempotent request goes to another one, body included, and its client
+     * notices nothing.
+     */
     @Test
     void retriesIdempotentRequestElsewhereAndAnswersOnce() throws IOException {
         for (Behaviour behaviour :
@@ -123,6 +143,7 @@
         }
     }
 
+    /** Under the default policy a host that may have executed the request is not followed by another. */
     @Test
     void answersFailureAtOnceWithoutRetryPolicy() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(2)) {
@@ -133,6 +154,10 @@
         }
     }
 
+    /**
+     * The host dies with a booking. Hosts of its zone recognise the repeat by its key; hosts of the other zone would
+     * book twice.
+     */
     @Test
     void repeatsRequestWithIdempotencyKeyInItsZoneAlone() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(4)) {
@@ -158,6 +183,7 @@
         }
     }
 
+    /** A body longer than what is retained cannot be sent again, so its first attempt is the only one. */
     @Test
     void doesNotRetryWhenBodyIsLongerThanRetained() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(2, "body kept=\"1KiB\"")) {
@@ -173,6 +199,10 @@
         }
     }
 
+    /**
+     * The host fails behind the head of its answer, which the client has: another answer would be joined to the first
+     * part.
+     */
     @Test
     void resetsAnswerThatBreaksOffAndNeverJoinsTwo() throws IOException {
         for (Behaviour behaviour :
@@ -189,6 +219,10 @@
         }
     }
 
+    /**
+     * All hosts fail all requests. Retries stay within their budget, or they would double the load under which the
+     * hosts fail.
+     */
     @Test
     void keepsRetryStormWithinBudget() throws IOException {
         try (GatewayFixture fixture =
--- a/src/test/java/linenring/gateway/Http2GatewayTest.java
+++ b/src/test/java/linenring/gateway/Http2GatewayTest.java
@@ -88,6 +88,7 @@
         }
     }
 
+    /** A client sends a longer body than it announced (RFC 9113, 8.1.1): its stream alone is ended. */
     @Test
     void resetsStreamOfWrongContentLengthAndServesOthers() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(1)) {
@@ -100,6 +101,10 @@
         }
     }
 
+    /**
+     * One host stops in the middle of its answer: it is ended, or it would hold its place for ever. Another one sends a
+     * byte at a time and takes longer in all: it is served.
+     */
     @Test
     void endsStalledAnswerAtLimitButNotSlowOne() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(1, "clients stall=\"800ms\"")) {
@@ -117,6 +122,10 @@
         }
     }
 
+    /**
+     * A host takes a request and never answers: the client gets 504 at the operation's timeout, not before and not much
+     * later.
+     */
     @Test
     void answersForHangingHostAtTimeout() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(1)) {
@@ -130,6 +139,7 @@
         }
     }
 
+    /** All hosts are ejected, or the table is empty: waiting would not help the client, so it gets 503 at once. */
     @Test
     void answersAtOnceWhenNoHostCanBePicked() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(2)) {
@@ -154,6 +164,9 @@
         }
     }
 
+    /**
+     * A host drains while it has requests: they finish, nothing new comes, and its connections are closed afterwards.
+     */
     @Test
     void sendsNothingNewToEjectedHostAndLetsItFinish() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(2)) {
--- a/src/test/java/linenring/gateway/MisbehavingClientsTest.java
+++ b/src/test/java/linenring/gateway/MisbehavingClientsTest.java
@@ -57,6 +57,10 @@
         fixture.awaitIdle();
     }
 
+    /**
+     * Clients ask for large answers and never take them: the gateway holds a bounded part of each, others are not
+     * delayed, and the stalled ones are ended.
+     */
     @Test
     void endsClientsThatNeverOpenWindowsWithoutDelayingOthers() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(2, "clients stall=\"1500ms\"")) {
@@ -91,6 +95,7 @@
         }
     }
 
+    /** A client allows any amount of data and reads nothing from its socket: it is ended at the limits for stalls. */
     @Test
     void endsClientThatNeverReads() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(1, "clients stall=\"500ms\" idle=\"1s\"")) {
@@ -114,6 +119,7 @@
         }
     }
 
+    /** A host takes no body: its client has to wait, others on the same connection do not. */
     @Test
     void slowHostDelaysOnlyItsOwnClient() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(1)) {
@@ -130,6 +136,7 @@
         }
     }
 
+    /** A client opens streams and resets them at once, which costs it nothing and its hosts much (CVE-2023-44487). */
     @Test
     void endsRapidReset() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(1, "clients frames-per-second=100")) {
@@ -288,6 +295,7 @@
         }
     }
 
+    /** More connections than allowed are opened and send nothing: the oldest silent one makes room for each new one. */
     @Test
     void leavesRoomForOthersWhenConnectionsAreSilent() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(1, "clients connections=200")) {
@@ -306,6 +314,7 @@
         }
     }
 
+    /** As many requests hang as may be active: one more is answered 503 at once, so that memory stays bounded. */
     @Test
     void answersAtOnceWithoutCapacity() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(1, "clients running=5")) {
--- a/src/test/java/linenring/gateway/UnansweredRequestsTest.java
+++ b/src/test/java/linenring/gateway/UnansweredRequestsTest.java
@@ -74,7 +74,7 @@
         }
     }
 
-    /** The process idles: its connections to hosts and clients are closed for it meanwhile, and a request after that is answered. */
+    /** The process idles: its connections to hosts and clients are closed meanwhile, and a later request is answered. */
     @Test
     void answersRequestsAfterIdlingPastAllLimits() throws Exception {
         try (GatewayFixture fixture = new GatewayFixture(2, "hosts idle=\"200ms\"\nclients idle=\"300ms\"")) {
@@ -115,7 +115,10 @@
         }
     }
 
-    /** Clients connect and send while the drain begins: accepted or not, each gets an answer or an end well before the drain's limit. */
+    /**
+     * Clients connect and send while the drain begins: accepted or not, each gets an answer or an end well before the
+     * drain's limit.
+     */
     @Test
     void answersOrEndsConnectionsThatMeetBeginOfDrain() throws Exception {
         try (GatewayFixture fixture = new GatewayFixture(2, "drain \"10s\"")) {
