--- a/src/test/java/linenring/planner/PlannerHistory.java
+++ b/src/test/java/linenring/planner/PlannerHistory.java
@@ -1,9 +1,7 @@
 package linenring.planner;
 
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.List;
-import java.util.PriorityQueue;
 import java.util.function.Consumer;
 
 /**
@@ -11,7 +9,6 @@
  * something arrives, and either at every tick or only when it asked to be.
  */
 final class PlannerHistory implements Commands {
-    private static final double START_MS = 1_000_000;
     private static final double TICK_MS = 100;
     private static final double ROUNDING_MS = 1;
     private static final double ACKNOWLEDGEMENT_MS = 200;
@@ -19,19 +16,11 @@
     /** The proxy that acknowledges nothing, where there is one. */
     private static final int SILENT = 5;
 
-    private record Event(double timeMs, long number, Consumer<Planner> input) {}
-
     private final boolean everyTick;
     private final boolean oneIsSilent;
-    private final Planner planner = new Planner(FakeProxies.settings(0), this);
-    private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingDouble(Event::timeMs).thenComparingLong(Event::number));
-    private final PriorityQueue<Double> calls = new PriorityQueue<>();
+    private final PlannerPlayer player = new PlannerPlayer(FakeProxies.settings(0), this, this::requestTick);
     private final List<String> decisions = new ArrayList<>();
-    private double now = START_MS;
-    private double tickAt = START_MS;
-    private long arrivals;
-    private int callCount;
+    private double nextTickMs = PlannerPlayer.START_MS;
 
     PlannerHistory(boolean everyTick, boolean oneIsSilent) {
         this.everyTick = everyTick;
@@ -39,11 +28,11 @@
     }
 
     double now() {
-        return now;
+        return player.nowMs();
     }
 
     int calls() {
-        return callCount;
+        return player.callCount();
     }
 
     /** All commands in order, each with its time. */
@@ -53,47 +42,22 @@
 
     /** Has something arrive so many milliseconds after the start. */
     void at(double elapsedMs, Consumer<Planner> input) {
-        arrive(START_MS + elapsedMs, input);
-    }
-
-    private void arrive(double timeMs, Consumer<Planner> input) {
-        events.add(new Event(timeMs, arrivals++, input));
+        player.at(elapsedMs, input);
     }
 
     void passTo(double elapsedMs) {
-        double end = START_MS + elapsedMs;
-        while (nextCall() <= end) {
-            call(nextCall());
-        }
-        now = end;
+        player.playTo(elapsedMs);
     }
 
-    private double nextCall() {
-        double next =
-                events.isEmpty() ? Double.POSITIVE_INFINITY : events.peek().timeMs();
-        double timer = calls.isEmpty() ? Double.POSITIVE_INFINITY : calls.peek();
-        return Math.min(next, timer);
-    }
-
-    private void call(double time) {
-        now = time;
-        callCount++;
-        while (!calls.isEmpty() && calls.peek() <= now) {
-            calls.poll();
-        }
-        if (everyTick && tickAt <= now + ROUNDING_MS) {
-            tickAt = now + TICK_MS;
-            calls.add(tickAt);
-        }
-        planner.advanceClock(now);
-        while (!events.isEmpty() && events.peek().timeMs() <= now) {
-            events.poll().input().accept(planner);
+    private void requestTick() {
+        if (everyTick && nextTickMs <= now() + ROUNDING_MS) {
+            nextTickMs = now() + TICK_MS;
+            player.requestCall(nextTickMs);
         }
-        planner.reconcile();
     }
 
     private void decided(String command) {
-        decisions.add(now + " " + command);
+        decisions.add(now() + " " + command);
     }
 
     @Override
@@ -137,8 +101,8 @@
         for (int proxy = 0; proxy < PROXIES; proxy++) {
             int acknowledging = proxy;
             if (!oneIsSilent || proxy != SILENT) {
-                arrive(
-                        now + ACKNOWLEDGEMENT_MS,
+                player.atTime(
+                        now() + ACKNOWLEDGEMENT_MS,
                         target -> target.messageAcknowledged(acknowledging, nonce, ACKNOWLEDGEMENT_MS));
             }
         }
@@ -152,7 +116,7 @@
     @Override
     public void requestCall(double atMs) {
         if (!everyTick) {
-            calls.add(atMs);
+            player.requestCall(atMs);
         }
     }
 
--- a/src/test/java/linenring/planner/RecordedHistory.java
+++ b/src/test/java/linenring/planner/RecordedHistory.java
@@ -3,10 +3,8 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.BitSet;
-import java.util.Comparator;
 import java.util.List;
 import java.util.Locale;
-import java.util.PriorityQueue;
 import java.util.function.Consumer;
 import java.util.function.IntPredicate;
 
@@ -15,39 +13,31 @@
  * is called when something arrives and when it asked to be; a proxy acknowledges once its message has left the channel.
  */
 final class RecordedHistory implements Commands {
-    static final double START_MS = 1_000_000;
     private static final double SILENCE_CYCLE_MS = 20_000;
     private static final double SPEAKING_SHARE = 0.6;
     private static final int MESSAGE_HEAD_ENTRIES = 5;
     private static final int MOST_HOSTS = 1024;
 
-    private record Event(double timeMs, long number, Consumer<Planner> input) {}
-
     private final PlannerSettings settings;
     private final IntPredicate isSometimesSilent;
-    private final Planner planner;
-    private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingDouble(Event::timeMs).thenComparingLong(Event::number));
-    private final PriorityQueue<Double> calls = new PriorityQueue<>();
+    private final PlannerPlayer player;
     private final List<String> commands = new ArrayList<>();
     private final BitSet ejected = new BitSet();
     private final double[] lastWeight = new double[MOST_HOSTS];
     private final ArrayDeque<Runnable> afterReconcile = new ArrayDeque<>();
-    private double now = START_MS;
-    private double channelFreeAt = START_MS;
+    private double channelFreeAtMs = PlannerPlayer.START_MS;
     private double channelSlowdown = 1;
-    private long arrivals;
     private int nonce;
 
     /** Proxies for which the condition holds acknowledge nothing in the last two fifths of every {@link #SILENCE_CYCLE_MS}. */
     RecordedHistory(PlannerSettings settings, IntPredicate isSometimesSilent) {
         this.settings = settings;
         this.isSometimesSilent = isSometimesSilent;
-        planner = new Planner(settings, this);
+        player = new PlannerPlayer(settings, this, this::deliverMessages);
     }
 
     double now() {
-        return now;
+        return player.nowMs();
     }
 
     /** All commands in order, each with its time. */
@@ -66,43 +56,20 @@
     }
 
     /** Has something arrive so many milliseconds after the start. */
-    void at(double elapsedMs, Consumer<Planner> what) {
-        arrive(START_MS + elapsedMs, what);
+    void at(double elapsedMs, Consumer<Planner> input) {
+        player.at(elapsedMs, input);
     }
 
-    /** Records what the planner answered to a question, like a command. */
-    void record(String what) {
-        commands.add(String.format(Locale.ROOT, "%.3f %s", now - START_MS, what));
+    /** Records what the planner returned, like a command. */
+    void record(String command) {
+        commands.add(String.format(Locale.ROOT, "%.3f %s", now() - PlannerPlayer.START_MS, command));
     }
 
     void playTo(double elapsedMs) {
-        double end = START_MS + elapsedMs;
-        for (double next = nextCall(); next <= end; next = nextCall()) {
-            callAt(next);
-        }
-    }
-
-    private void arrive(double time, Consumer<Planner> what) {
-        events.add(new Event(time, arrivals++, what));
+        player.playTo(elapsedMs);
     }
 
-    private double nextCall() {
-        double arrival =
-                events.isEmpty() ? Double.POSITIVE_INFINITY : events.peek().timeMs();
-        double call = calls.isEmpty() ? Double.POSITIVE_INFINITY : calls.peek();
-        return Math.min(arrival, call);
-    }
-
-    private void callAt(double time) {
-        now = time;
-        while (!calls.isEmpty() && calls.peek() <= now) {
-            calls.poll();
-        }
-        planner.advanceClock(now);
-        while (!events.isEmpty() && events.peek().timeMs() <= now) {
-            events.poll().input().accept(planner);
-        }
-        planner.reconcile();
+    private void deliverMessages() {
         afterReconcile.forEach(Runnable::run);
         afterReconcile.clear();
     }
@@ -157,16 +124,16 @@
 
     @Override
     public double entriesInMessage(int proxy, double expected) {
-        double sentAt = now;
+        double sentAtMs = now();
         int requested = nonce;
         double entries = expected + MESSAGE_HEAD_ENTRIES;
-        channelFreeAt = Math.max(now, channelFreeAt)
+        channelFreeAtMs = Math.max(now(), channelFreeAtMs)
                 + entries * channelSlowdown / settings.channel().entriesPerMs();
-        double answeredAt = channelFreeAt + 2 * settings.channel().transitMs();
-        if (!isSilent(proxy, answeredAt)) {
-            double tookMs = Math.round(answeredAt - sentAt);
-            afterReconcile.add(
-                    () -> arrive(answeredAt, target -> target.messageAcknowledged(proxy, requested, tookMs)));
+        double acknowledgedAtMs = channelFreeAtMs + 2 * settings.channel().transitMs();
+        if (!isSilent(proxy, acknowledgedAtMs)) {
+            double tookMs = Math.round(acknowledgedAtMs - sentAtMs);
+            afterReconcile.add(() ->
+                    player.atTime(acknowledgedAtMs, target -> target.messageAcknowledged(proxy, requested, tookMs)));
         }
         return expected;
     }
@@ -181,14 +148,15 @@
     }
 
     private boolean isSilent(int proxy, double atMs) {
-        boolean isInLastFifths = (atMs - START_MS) % SILENCE_CYCLE_MS >= SPEAKING_SHARE * SILENCE_CYCLE_MS;
+        boolean isInLastFifths =
+                (atMs - PlannerPlayer.START_MS) % SILENCE_CYCLE_MS >= SPEAKING_SHARE * SILENCE_CYCLE_MS;
         return isInLastFifths && isSometimesSilent.test(proxy);
     }
 
     @Override
     public void requestCall(double atMs) {
-        calls.add(atMs);
-        record(String.format(Locale.ROOT, "call at=%.3f", atMs - START_MS));
+        player.requestCall(atMs);
+        record(String.format(Locale.ROOT, "call at=%.3f", atMs - PlannerPlayer.START_MS));
     }
 
     @Override
