--- a/src/main/java/linenring/Main.java
+++ b/src/main/java/linenring/Main.java
@@ -1,8 +1,8 @@
 package linenring;
 
 import java.io.IOException;
-import linenring.cli.ServeCommand;
-import linenring.cli.Subcommands;
+import linenring.cli.ControllerLauncher;
+import linenring.cli.RootCommand;
 import linenring.simulator.SimulatorAdapter;
 
 /**
@@ -23,8 +23,8 @@
         System.setProperty("slf4j.internal.verbosity", "WARN"); // else it reports which provider it chose
         switch (onlyArgument) {
             case "wirehost" -> System.exit(SimulatorAdapter.run(System.in, System.out, System.err));
-            case "serve" -> System.exit(ServeCommand.run(null, false));
-            default -> System.exit(Subcommands.run(args));
+            case "serve" -> System.exit(ControllerLauncher.run(null, false));
+            default -> System.exit(RootCommand.run(args));
         }
     }
 }
--- a/src/main/java/linenring/cli/LoadCommand.java
+++ b/src/main/java/linenring/cli/LoadCommand.java
@@ -12,14 +12,17 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code load}: calls an HTTP/2 port on loopback and tells latencies. */
+/** {@code load}: calls an HTTP/2 port on loopback and reports latencies. */
 @Command(
         name = "load",
         mixinStandardHelpOptions = true,
         description =
-                "Call an HTTP/2 port on loopback at a steady rate, or so many calls at a time, and tell latencies.")
+                "Call an HTTP/2 port on loopback at a steady rate, or so many calls at a time, and report latencies.")
 final class LoadCommand implements Callable<Integer> {
-    private static final long ANSWER_WAIT_MS = 5000; // past any integration timeout in use
+    /** Longer than any integration timeout in use. */
+    private static final long ANSWER_WAIT_MS = 5000;
+
+    private static final double MILLIS_PER_SECOND = 1000;
     private static final String LOOPBACK_PORT = "127[0-9.]+:[0-9]+";
 
     @Spec
@@ -30,9 +33,9 @@
 
     @Option(
             names = "--call",
-            paramLabel = "NAME=METHOD:PATH[:PART]",
+            paramLabel = "NAME=METHOD:PATH[:WEIGHT]",
             required = true,
-            description = "a sort of call and its part of all (1)")
+            description = "a kind of call and its weight among all (1)")
     private Map<String, String> calls;
 
     @Option(
@@ -40,18 +43,18 @@
             split = ",",
             paramLabel = "NAME",
             defaultValue = "",
-            description = "calls that carry a mark of their own in x-mark")
-    private List<String> marked;
+            description = "calls that carry an idempotency key of their own in x-mark")
+    private List<String> keyedCalls;
 
     @Option(names = "--rate", paramLabel = "N", defaultValue = "0", description = "calls a second")
-    private double rate;
+    private double callsPerSecond;
 
     @Option(
             names = "--at-a-time",
             paramLabel = "N",
             defaultValue = "1",
             description = "without a rate: how many calls run at a time (${DEFAULT-VALUE})")
-    private int atATime;
+    private int concurrency;
 
     @Option(
             names = "--connections",
@@ -61,31 +64,31 @@
     private int connections;
 
     @Option(names = "--for", paramLabel = "DURATION", defaultValue = "10s", description = "how long (${DEFAULT-VALUE})")
-    private String length;
+    private String duration;
 
     @Option(
             names = "--warm",
             paramLabel = "DURATION",
             defaultValue = "2s",
             description = "how long before that, uncounted (${DEFAULT-VALUE})")
-    private String warm;
+    private String warmUp;
 
     @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "of the mix")
     private long seed;
 
     @Override
     public Integer call() throws InterruptedException {
-        if (!length.matches(Units.DURATION) || !warm.matches(Units.DURATION) || !address.matches(LOOPBACK_PORT)) {
+        if (!Durations.isDuration(duration) || !Durations.isDuration(warmUp) || !address.matches(LOOPBACK_PORT)) {
             throw new CommandLine.ParameterException(
                     spec.commandLine(),
                     "a duration has its unit, such as 10s, and the port is on loopback: 127.0.0.1:PORT");
         }
         try {
             System.out.print(LoadGenerator.table(LoadGenerator.run(plan())));
-            return 0;
-        } catch (IOException e) {
-            System.err.println("linenring: " + address + ": " + e.getMessage());
-            return ServeCommand.CANNOT_START;
+            return ExitCode.SUCCESS;
+        } catch (IOException failure) {
+            ProgramOutput.error(address + ": " + failure.getMessage());
+            return ExitCode.CANNOT_START;
         }
     }
 
@@ -95,21 +98,21 @@
                 address.substring(0, colon),
                 Integer.parseInt(address.substring(colon + 1)),
                 calls.entrySet().stream()
-                        .map(call -> sort(call.getKey(), call.getValue()))
+                        .map(call -> parse(call.getKey(), call.getValue()))
                         .toList(),
-                rate,
-                atATime,
+                callsPerSecond,
+                concurrency,
                 connections,
-                Units.millis(length) / 1000,
-                Units.millis(warm) / 1000,
+                Units.millis(duration) / MILLIS_PER_SECOND,
+                Units.millis(warmUp) / MILLIS_PER_SECOND,
                 ANSWER_WAIT_MS,
                 seed);
     }
 
-    private LoadGenerator.Call sort(String name, String described) {
-        String[] parts = described.split(":");
+    private LoadGenerator.Call parse(String name, String described) {
+        String[] parts = described.split(":", 0);
         String path = parts.length > 1 ? parts[1] : "/";
-        double share = parts.length > 2 ? Double.parseDouble(parts[2]) : 1;
-        return new LoadGenerator.Call(name, parts[0], path, share, marked.contains(name));
+        double weight = parts.length > 2 ? Double.parseDouble(parts[2]) : 1;
+        return new LoadGenerator.Call(name, parts[0], path, weight, keyedCalls.contains(name));
     }
 }
--- a/src/main/java/linenring/cli/ProcessSignals.java
+++ b/src/main/java/linenring/cli/ProcessSignals.java
@@ -31,8 +31,8 @@
         try {
             Object before = SIGNAL.getMethod("handle", SIGNAL, HANDLER).invoke(null, signal(signalName), handler);
             return before == HANDLER.getField("SIG_IGN").get(null);
-        } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("no handler can be installed for SIG" + signalName, e);
+        } catch (ReflectiveOperationException failure) {
+            throw new IllegalStateException("no handler can be installed for SIG" + signalName, failure);
         }
     }
 
@@ -40,8 +40,8 @@
     static void raise(String signalName) {
         try {
             SIGNAL.getMethod("raise", SIGNAL).invoke(null, signal(signalName));
-        } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("SIG" + signalName + " cannot be raised", e);
+        } catch (ReflectiveOperationException failure) {
+            throw new IllegalStateException("SIG" + signalName + " cannot be raised", failure);
         }
     }
 
@@ -52,8 +52,8 @@
     private static Class<?> find(String className) {
         try {
             return MethodHandles.lookup().findClass(className);
-        } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException(className + " is missing from this JDK", e);
+        } catch (ReflectiveOperationException failure) {
+            throw new IllegalStateException(className + " is missing from this JDK", failure);
         }
     }
 }
--- a/src/main/java/linenring/cli/ReloadSignals.java
+++ b/src/main/java/linenring/cli/ReloadSignals.java
@@ -3,43 +3,43 @@
 import linenring.log.Log;
 
 /**
- * SIGHUP, from the first moment on: without a handler it ends the process. What comes before there is anything to do is
- * done once, as soon as there is; then each does it, one at a time.
+ * SIGHUP, from the first moment on: without a handler it ends the process. A signal that comes before there is anything to
+ * reload is acted on once, as soon as there is; then each is, one at a time. Thread-safe: guarded by its own monitor.
  */
 final class ReloadSignals {
-    private Runnable what;
-    private boolean came;
+    private Runnable action; // null before there is anything to reload; @GuardedBy("this")
+    private boolean isPending; // @GuardedBy("this")
 
     private ReloadSignals() {}
 
-    /** Catches them from now on. Where whoever started the process had them ignored, the JVM leaves it so: {@code ignored}. */
-    static ReloadSignals caught(Runnable ignored) {
-        ReloadSignals hangUps = new ReloadSignals();
-        if (ProcessSignals.handle(ProcessSignals.HANG_UP, hangUps::comes)) {
-            ignored.run();
+    /** Handles them from now on. Where the parent process had them ignored, the JVM leaves it so: {@code ifIgnored} is run. */
+    static ReloadSignals install(Runnable ifIgnored) {
+        ReloadSignals signals = new ReloadSignals();
+        if (ProcessSignals.handle(ProcessSignals.HANG_UP, signals::onSignal)) {
+            ifIgnored.run();
         }
-        return hangUps;
+        return signals;
     }
 
-    private synchronized void comes() {
-        if (what == null) {
-            came = true;
+    private synchronized void onSignal() {
+        if (action == null) {
+            isPending = true;
         } else {
-            what.run();
+            action.run();
         }
     }
 
-    /** Does this at each from now on, and at once if one has come already; its faults are told and end nothing. */
-    synchronized void then(Runnable does, Log log) {
-        what = () -> {
+    /** Runs the reload at each signal from now on, and at once if one has come already; its faults are logged and end nothing. */
+    synchronized void onEach(Runnable reload, Log log) {
+        action = () -> {
             try {
-                does.run();
-            } catch (RuntimeException e) {
-                log.error("fault", "a reload failed: " + e);
+                reload.run();
+            } catch (RuntimeException failure) {
+                log.error("fault", "a reload failed: " + failure);
             }
         };
-        if (came) {
-            what.run();
+        if (isPending) {
+            action.run();
         }
     }
 }
--- a/src/main/java/linenring/cli/ScaleSubcommand.java
+++ b/src/main/java/linenring/cli/ScaleSubcommand.java
@@ -15,10 +15,10 @@
         name = "scale",
         mixinStandardHelpOptions = true,
         description = {
-            "Measure what a steward uses as its surroundings grow: sweeps and scenarios, on loopback.",
-            "A real steward runs in a process of its own, with the flags of deploy/balancer.toml; hollow ones run beside it.",
-            "It ends by itself within the bounds of its settings. docs/capacity/README.md tells the settings' keys.",
-            "Exit codes: 0 measured, 2 usage, 3 settings at fault, 4 the record can't be written."
+            "Measure what a controller uses as its surroundings grow: sweeps and scenarios, on loopback.",
+            "A real controller runs in a process of its own, with the flags of deploy/balancer.toml; simulated ones run beside it.",
+            "It ends by itself within the bounds of its settings. docs/capacity/README.md lists the settings' keys.",
+            "Exit codes: 0 measured, 2 usage, 3 settings at fault, 4 the record cannot be written."
         })
 final class ScaleSubcommand implements Callable<Integer> {
     private static final String SETTINGS_SUFFIX = "\\.kdl$";
@@ -38,7 +38,7 @@
             description = "measure nothing; write the tables, fits and plots of this record.json again")
     private Path record;
 
-    @Option(names = "--seed", paramLabel = "N", description = "goes before the settings' seed")
+    @Option(names = "--seed", paramLabel = "N", description = "takes precedence over the settings' seed")
     private Long seed;
 
     @Option(
@@ -60,7 +60,7 @@
             description = "what is measured, such as a commit, for the record (the release)")
     private String build;
 
-    @Option(names = "--progress", description = "tell on standard error how far it has come")
+    @Option(names = "--progress", description = "report progress on standard error")
     private boolean progress;
 
     @Override
@@ -72,9 +72,9 @@
         ScaleCommand.Result result =
                 record != null ? ScaleCommand.rewriteTables(record) : new ScaleCommand(arguments()).run();
         return switch (result) {
-            case MEASURED -> 0;
-            case INVALID_SETTINGS -> ServeCommand.CONFIGURATION;
-            case RECORD_NOT_WRITTEN -> ServeCommand.CANNOT_START;
+            case MEASURED -> ExitCode.SUCCESS;
+            case INVALID_SETTINGS -> ExitCode.INVALID_CONFIGURATION;
+            case RECORD_NOT_WRITTEN -> ExitCode.CANNOT_START;
         };
     }
 
@@ -84,7 +84,7 @@
                 seed == null ? OptionalLong.empty() : OptionalLong.of(seed),
                 directory,
                 name == null ? file.getFileName().toString().replaceFirst(SETTINGS_SUFFIX, "") : name,
-                build == null ? Subcommands.release() : build,
+                build == null ? Release.name() : build,
                 progress);
     }
 }
--- a/src/main/java/linenring/cli/Shutdown.java
+++ b/src/main/java/linenring/cli/Shutdown.java
@@ -1,26 +1,26 @@
 package linenring.cli;
 
 /**
- * Whether the process has been told to end. Accepting and the beginning of the end come one after the other, in either order:
- * what accepts after it would call off the drain, and the process would neither serve nor end.
+ * Whether the process shuts down. Accepting and the beginning of a shutdown come one after the other, in either order: accepting
+ * after it would cancel the drain, and the process would neither serve nor end. Thread-safe: guarded by its own monitor.
  */
 final class Shutdown {
-    private boolean told;
+    private boolean hasBegun; // @GuardedBy("this")
 
-    /** It is told to end; begins to, at the first time alone. False where it had been told before. */
-    synchronized boolean begins(Runnable end) {
-        boolean first = !told;
-        told = true;
-        if (first) {
-            end.run();
+    /** Begins the shutdown; false, and nothing is run, where it has begun before. */
+    synchronized boolean begin(Runnable action) {
+        if (hasBegun) {
+            return false;
         }
-        return first;
+        hasBegun = true;
+        action.run();
+        return true;
     }
 
-    /** Does this unless the process has been told to end. */
-    synchronized void unlessBegun(Runnable accepts) {
-        if (!told) {
-            accepts.run();
+    /** Runs the action unless the shutdown has begun. */
+    synchronized void runUnlessBegun(Runnable action) {
+        if (!hasBegun) {
+            action.run();
         }
     }
 }
--- /dev/null
+++ b/src/main/java/linenring/cli/StartException.java
@@ -0,0 +1,31 @@
+package linenring.cli;
+
+import java.util.List;
+
+/** The process cannot start. Says so in one or more lines, and by its exit code. */
+final class StartException extends Exception {
+    private static final long serialVersionUID = 1L;
+
+    private final transient List<String> lines;
+    private final int exitCode;
+
+    StartException(int exitCode, List<String> lines, Throwable cause) {
+        super(String.join("; ", lines), cause);
+        this.exitCode = exitCode;
+        this.lines = List.copyOf(lines);
+    }
+
+    StartException(int exitCode, String line, Throwable cause) {
+        this(exitCode, List.of(line), cause);
+    }
+
+    int exitCode() {
+        return exitCode;
+    }
+
+    /** Prints the lines for whoever started the process; returns the exit code. */
+    int report() {
+        lines.forEach(ProgramOutput::error);
+        return exitCode;
+    }
+}
--- a/src/main/java/linenring/cli/TestBackendCommand.java
+++ b/src/main/java/linenring/cli/TestBackendCommand.java
@@ -16,13 +16,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** {@code node}: stand-in hosts that answer, fail or hang as the options say, until the process is ended. */
+/** {@code node}: test backends that answer, fail or hang as the options say, until the process is ended. */
 @Command(
         name = "node",
         mixinStandardHelpOptions = true,
-        description = "Be a stand-in for a host, to try a front by hand: HTTP/2 with prior knowledge on loopback.")
+        description = "Run test backends, to try a gateway by hand: HTTP/2 with prior knowledge on loopback.")
 final class TestBackendCommand implements Callable<Integer> {
-    private static final int STREAMS_PER_NODE = 1000;
+    private static final int MAX_STREAMS_PER_BACKEND = 1000;
 
     @Spec
     private CommandLine.Model.CommandSpec spec;
@@ -32,15 +32,15 @@
             paramLabel = "PORT",
             required = true,
             split = ",",
-            description = "where it listens; one node for each of several")
+            description = "where it listens; one backend for each of several")
     private List<Integer> ports;
 
     @Option(
             names = "--fault",
-            paramLabel = "DEED",
+            paramLabel = "BEHAVIOUR",
             defaultValue = "ANSWER",
-            description = "what it does with each invocation: ${COMPLETION-CANDIDATES} (${DEFAULT-VALUE})")
-    private Behaviour fault;
+            description = "what it does with each request: ${COMPLETION-CANDIDATES} (${DEFAULT-VALUE})")
+    private Behaviour behaviour;
 
     @Option(
             names = "--path",
@@ -54,47 +54,50 @@
             paramLabel = "DURATION",
             defaultValue = "0ms",
             description = "after how long, such as 150ms (${DEFAULT-VALUE})")
-    private String after;
+    private String delay;
 
     @Option(
             names = "--bytes",
             paramLabel = "COUNT",
             defaultValue = "2",
             description = "of an answer's body (${DEFAULT-VALUE})")
-    private int bytes;
+    private int answerBytes;
 
     @Override
     public Integer call() throws InterruptedException {
-        Durations.check(spec, "--after", after, "150ms");
-        List<TestBackend> nodes = new ArrayList<>();
+        Durations.check(spec, "--after", delay, "150ms");
+        List<TestBackend> backends = new ArrayList<>();
         for (int port : ports) {
             try {
-                nodes.add(open(port));
-            } catch (IOException e) {
-                System.err.println("linenring: cannot listen at 127.0.0.1:" + port + ": " + e.getMessage());
-                return ServeCommand.CANNOT_START;
+                backends.add(open(port));
+            } catch (IOException failure) {
+                ProgramOutput.error("cannot listen at 127.0.0.1:" + port + ": " + failure.getMessage());
+                return ExitCode.CANNOT_START;
             }
         }
-        Map<TestBackend, Integer> arrivedBefore = new HashMap<>();
+        Map<TestBackend, Integer> requestsBefore = new HashMap<>();
         while (true) { // until it is ended
             TimeUnit.SECONDS.sleep(1);
-            nodes.forEach(node -> report(node, arrivedBefore));
+            backends.forEach(backend -> report(backend, requestsBefore));
         }
     }
 
     private TestBackend open(int port) throws IOException {
-        TestBackend node = new TestBackend(port).withMaxStreams(STREAMS_PER_NODE);
-        node.onPath(
-                path, Reaction.of(fault).after(Durations.milliseconds(after)).withBytes(bytes));
-        System.out.println("node at 127.0.0.1:" + port + ": " + fault.name().toLowerCase(Locale.ROOT));
-        return node;
+        TestBackend backend = new TestBackend(port).withMaxStreams(MAX_STREAMS_PER_BACKEND);
+        backend.onPath(
+                path,
+                Reaction.of(behaviour).after(Durations.milliseconds(delay)).withBytes(answerBytes));
+        System.out.println(
+                "test backend at 127.0.0.1:" + port + ": " + behaviour.name().toLowerCase(Locale.ROOT));
+        return backend;
     }
 
-    private static void report(TestBackend node, Map<TestBackend, Integer> arrivedBefore) {
-        int arrived = node.requests();
-        Integer before = arrivedBefore.put(node, arrived);
-        if (arrived > (before == null ? 0 : before)) {
-            System.out.println(node.address() + " ran " + node.executionsByPath() + " of " + arrived + " that came");
+    private static void report(TestBackend backend, Map<TestBackend, Integer> requestsBefore) {
+        int requests = backend.requests();
+        Integer before = requestsBefore.put(backend, requests);
+        if (requests > (before == null ? 0 : before)) {
+            System.out.println(
+                    backend.address() + " ran " + backend.executionsByPath() + " of " + requests + " requests");
         }
     }
 }
--- a/src/test/java/linenring/cli/LargeCatalogueTest.java
+++ b/src/test/java/linenring/cli/LargeCatalogueTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.BufferedOutputStream;
 import java.io.BufferedReader;
 import java.io.BufferedWriter;
 import java.io.IOException;
@@ -15,21 +16,28 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import java.util.stream.IntStream;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Real processes with the heap of the deploy file before a catalogue of 73,000 hosts in 1,300 services. */
+/**
+ * A catalogue of 73,000 hosts in 1,300 services meets processes with the heap of the deploy file or less: they must hold what is
+ * in scope, and end with a clear line where that does not fit, and not by an OutOfMemoryError. Real processes.
+ */
 class LargeCatalogueTest {
-    private static final int HOSTS = 73_000, SERVICES = 1300, IN_SCOPE = 20;
-    private static final long PATIENCE_NS = TimeUnit.SECONDS.toNanos(120); // ends the test, and is no measure
+    private static final int HOSTS = 73_000;
+    private static final int SERVICES = 1300;
+    private static final int SERVICES_IN_SCOPE = 20;
+    private static final long MAX_WAIT_NANOS = TimeUnit.SECONDS.toNanos(120); // ends the test, and is no measure
 
     @TempDir
-    Path dir;
+    private Path directory;
 
     private ServerSocket agent;
     private int port;
@@ -37,9 +45,9 @@
 
     @BeforeEach
     void listen() throws Exception {
-        agent = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        agent.setSoTimeout((int) TimeUnit.NANOSECONDS.toMillis(PATIENCE_NS));
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+        agent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        agent.setSoTimeout((int) TimeUnit.NANOSECONDS.toMillis(MAX_WAIT_NANOS));
+        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
     }
@@ -66,22 +74,22 @@
 
     private static void catalogue(Out out, long version) throws IOException {
         out.write("{\"version\":" + version + ",\"full\":true,\"servers\":[");
-        for (int h = 0; h < HOSTS; h++) {
-            out.write((h > 0 ? "," : "") + entry(h));
+        for (int i = 0; i < HOSTS; i++) {
+            out.write((i > 0 ? "," : "") + entry(i));
         }
         out.write("]}");
     }
 
     private static String scope(int first) {
         List<String> services = new ArrayList<>();
-        for (int s = first; s < first + IN_SCOPE; s++) {
-            services.add("\"svc-" + s + "\"");
+        for (int i = first; i < first + SERVICES_IN_SCOPE; i++) {
+            services.add("\"svc-" + i + "\"");
         }
         return "\"scope\":[" + String.join(",", services) + "],";
     }
 
     private void configure(String scope, boolean withKnown) throws IOException {
-        Path file = dir.resolve("next.json");
+        Path file = directory.resolve("next.json");
         try (BufferedWriter out = Files.newBufferedWriter(file)) {
             out.write("{" + scope);
             if (withKnown) {
@@ -95,7 +103,7 @@
                             + "\",\"settings\":{\"Azs\":[\"a\",\"b\"],\"Kinds\":[\"m1\"],\"Quantum\":4000,"
                             + "\"Classes\":[{\"Name\":\"lookup\",\"Aim\":750000,\"Points\":2.0}],\"Specifics\":{\"ProxyCount\":6}}}");
         }
-        Files.move(file, dir.resolve("configuration.json"), java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+        Files.move(file, directory.resolve("configuration.json"), StandardCopyOption.REPLACE_EXISTING);
     }
 
     private void start(String heap) throws IOException {
@@ -116,18 +124,19 @@
                 System.getProperty("java.class.path"),
                 "linenring.Main",
                 "serve");
-        builder.environment().put("GW_CONFIG", dir.resolve("configuration.json").toString());
+        builder.environment()
+                .put("GW_CONFIG", directory.resolve("configuration.json").toString());
         process = builder.redirectErrorStream(true)
-                .redirectOutput(dir.resolve("log").toFile())
+                .redirectOutput(directory.resolve("log").toFile())
                 .start();
     }
 
     private String log() throws IOException {
-        return Files.readString(dir.resolve("log"));
+        return Files.readString(directory.resolve("log"));
     }
 
     private void awaitPong() throws Exception {
-        long end = System.nanoTime() + PATIENCE_NS;
+        long end = System.nanoTime() + MAX_WAIT_NANOS;
         while (!answersPing()) {
             assertTrue(process.isAlive() && System.nanoTime() < end, log());
             TimeUnit.MILLISECONDS.sleep(50);
@@ -135,18 +144,20 @@
     }
 
     private boolean answersPing() {
-        try (Socket socket = new Socket("127.0.0.1", port)) {
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(2000);
             socket.getOutputStream().write("{\"@type\":\"PING\"}\n".getBytes(StandardCharsets.US_ASCII));
             return "{\"@type\":\"PONG\"}"
-                    .equals(new BufferedReader(new InputStreamReader(socket.getInputStream())).readLine());
-        } catch (IOException e) {
+                    .equals(new BufferedReader(
+                                    new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII))
+                            .readLine());
+        } catch (IOException failure) {
             return false;
         }
     }
 
     private void awaitLog(String words) throws Exception {
-        long end = System.nanoTime() + PATIENCE_NS;
+        long end = System.nanoTime() + MAX_WAIT_NANOS;
         while (!log().contains(words)) {
             assertTrue(process.isAlive() && System.nanoTime() < end, words + " in\n" + log());
             TimeUnit.MILLISECONDS.sleep(20);
@@ -156,16 +167,17 @@
     private Socket asked(String request) throws Exception {
         Socket socket = agent.accept();
         socket.setSoTimeout(agent.getSoTimeout());
-        BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream()));
-        assertEquals(request, in.readLine());
-        while (!in.readLine().isEmpty()) {
+        BufferedReader reader =
+                new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+        assertEquals(request, reader.readLine());
+        while (!reader.readLine().isEmpty()) {
             // headers
         }
         return socket;
     }
 
     private static void answerWhole(Socket socket, long version) throws IOException {
-        OutputStream out = new java.io.BufferedOutputStream(socket.getOutputStream(), 64 * 1024);
+        OutputStream out = new BufferedOutputStream(socket.getOutputStream(), 64 * 1024);
         out.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
         catalogue(text -> out.write(text.getBytes(StandardCharsets.US_ASCII)), version);
         out.flush();
@@ -173,21 +185,25 @@
     }
 
     private static long count(int firstService) {
-        return java.util.stream.IntStream.range(0, HOSTS)
-                .filter(h -> h % SERVICES >= firstService && h % SERVICES < firstService + IN_SCOPE)
+        return IntStream.range(0, HOSTS)
+                .map(host -> host % SERVICES)
+                .filter(service -> service >= firstService && service < firstService + SERVICES_IN_SCOPE)
                 .count();
     }
 
     @Test
-    void aScopeOfAKnownCatalogueStartsInASmallHeapAndChangesAtAReload() throws Exception {
+    void startsWithAScopeOfAKnownCatalogueInASmallHeapAndReloadsAnother() throws Exception {
         configure(scope(0), true);
         start("32m");
         awaitPong();
         try (Socket watch = asked("GET /catalog/members?watch=1&from=41 HTTP/1.1")) {
             watch.getOutputStream()
-                    .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n".getBytes());
+                    .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"
+                            .getBytes(StandardCharsets.US_ASCII));
             configure(scope(100), true);
-            new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor();
+            new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
+                    .start()
+                    .waitFor();
             answerWhole(asked("GET /catalog/members HTTP/1.1"), 42);
             awaitLog("lists " + count(100) + " hosts in scope and " + (HOSTS - count(100)) + " outside");
             assertEquals(-1, watch.getInputStream().read());
@@ -198,7 +214,7 @@
     }
 
     @Test
-    void aScopeOfACatalogueThatDiscoveryTellsIsReadInASmallHeap() throws Exception {
+    void readsAScopeOfACatalogueFromDiscoveryInASmallHeap() throws Exception {
         configure(scope(0), false);
         start("32m");
         answerWhole(asked("GET /catalog/members HTTP/1.1"), 41);
@@ -208,14 +224,14 @@
     }
 
     @Test
-    void theWholeCatalogueFitsTheDeployedHeapWhenItIsKnownAndToldAgain() throws Exception {
+    void holdsTheWholeCatalogueInTheDeployedHeapWhenItComesTwice() throws Exception {
         configure("", true);
         start("64m");
         awaitPong();
         try (Socket watch = asked("GET /catalog/members?watch=1&from=41 HTTP/1.1")) {
             OutputStream out = watch.getOutputStream();
             out.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            OutputStream buffered = new java.io.BufferedOutputStream(out, 64 * 1024);
+            OutputStream buffered = new BufferedOutputStream(out, 64 * 1024);
             catalogue(text -> buffered.write(text.getBytes(StandardCharsets.US_ASCII)), 42);
             buffered.write('\n');
             buffered.flush();
@@ -226,27 +242,27 @@
     }
 
     @Test
-    void aKnownCatalogueWithoutRoomEndsTheStartWithOneLineAndItsExitCode() throws Exception {
+    void refusesAKnownCatalogueThatDoesNotFitTheHeap() throws Exception {
         configure("", true);
         start("40m");
-        assertTrue(process.waitFor(PATIENCE_NS, TimeUnit.NANOSECONDS), log());
-        assertEquals(ServeCommand.EXCEEDS_MEMORY, process.exitValue(), log());
+        assertTrue(process.waitFor(MAX_WAIT_NANOS, TimeUnit.NANOSECONDS), log());
+        assertEquals(ExitCode.EXCEEDS_MEMORY, process.exitValue(), log());
         assertTrue(log().matches("linenring: known lists over \\d+ hosts, which is more than fits the heap\n"), log());
     }
 
     @Test
-    void aToldCatalogueWithoutRoomEndsTheProcessWithOneLineAndItsExitCode() throws Exception {
+    void endsWhereACatalogueFromDiscoveryDoesNotFitTheHeap() throws Exception {
         configure("", false);
         start("40m");
         try {
             answerWhole(asked("GET /catalog/members HTTP/1.1"), 41);
-        } catch (IOException e) {
+        } catch (IOException failure) {
             // it reads no further
         }
-        assertTrue(process.waitFor(PATIENCE_NS, TimeUnit.NANOSECONDS), log());
-        assertEquals(ServeCommand.EXCEEDS_MEMORY, process.exitValue(), log());
+        assertTrue(process.waitFor(MAX_WAIT_NANOS, TimeUnit.NANOSECONDS), log());
+        assertEquals(ExitCode.EXCEEDS_MEMORY, process.exitValue(), log());
         assertEquals(1, log().split("ERROR", -1).length - 1, log());
-        assertTrue(log().contains("ERROR steward ends: discovery lists over "), log());
+        assertTrue(log().contains("ERROR controller ends: discovery lists over "), log());
         assertFalse(log().contains("\tat "), log());
     }
 }
--- a/src/test/java/linenring/cli/ScaleSubcommandTest.java
+++ b/src/test/java/linenring/cli/ScaleSubcommandTest.java
@@ -17,27 +17,25 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class ScaleSubcommandTest {
-    private static final int USAGE = 2, CONFIGURATION = 3;
-
     @TempDir
-    Path directory;
+    private Path directory;
 
     @Test
     void needsEitherSettingsOrARecord() throws IOException {
-        assertEquals(USAGE, Subcommands.run("scale"));
+        assertEquals(ExitCode.USAGE, RootCommand.run("scale"));
         Path file = Files.writeString(directory.resolve("a"), "");
-        assertEquals(USAGE, Subcommands.run("scale", file.toString(), "--from", file.toString()));
+        assertEquals(ExitCode.USAGE, RootCommand.run("scale", file.toString(), "--from", file.toString()));
     }
 
     @Test
     void refusesSettingsAndRecordsAtFault() throws IOException {
         Path settings = Files.writeString(directory.resolve("a.kdl"), "scale {\n    seed \"one\"\n}\n");
-        assertEquals(CONFIGURATION, Subcommands.run("scale", settings.toString()));
+        assertEquals(ExitCode.INVALID_CONFIGURATION, RootCommand.run("scale", settings.toString()));
         assertEquals(
-                CONFIGURATION,
-                Subcommands.run("scale", directory.resolve("none.kdl").toString()));
+                ExitCode.INVALID_CONFIGURATION,
+                RootCommand.run("scale", directory.resolve("none.kdl").toString()));
         Path record = Files.writeString(directory.resolve("a.json"), "{}");
-        assertEquals(CONFIGURATION, Subcommands.run("scale", "--from", record.toString()));
+        assertEquals(ExitCode.INVALID_CONFIGURATION, RootCommand.run("scale", "--from", record.toString()));
     }
 
     @Test
@@ -48,7 +46,7 @@
         ScaleRun run = new ScaleRun("b1", "2026-12-02T05:00:00Z", 1, 8, "m", 3, 5, List.of(sweep), List.of());
         new RunReport(directory).writeRecord(run, "old");
         Path record = directory.resolve("old.json");
-        assertEquals(0, Subcommands.run("scale", "--from", record.toString()));
+        assertEquals(ExitCode.SUCCESS, RootCommand.run("scale", "--from", record.toString()));
         assertTrue(Files.readString(directory.resolve("old.md")).contains("ended with exit code 3"));
     }
 }
--- a/src/test/java/linenring/cli/ShutdownTest.java
+++ b/src/test/java/linenring/cli/ShutdownTest.java
@@ -10,22 +10,22 @@
 
 class ShutdownTest {
     private final List<String> done = new ArrayList<>();
-    private final Shutdown ending = new Shutdown();
+    private final Shutdown shutdown = new Shutdown();
 
-    /** SIGTERM comes between the handler's setting and the accepting, at a start or as a hand-over falls back. */
+    /** SIGTERM comes after the handler is installed and before accepting, at a start or as a handover falls back. */
     @Test
-    void whoIsToldToEndBeforeItAcceptsAcceptsNobody() {
-        assertTrue(ending.begins(() -> done.add("drains")));
-        ending.unlessBegun(() -> done.add("accepts"));
-        assertFalse(ending.begins(() -> done.add("drains again")));
+    void acceptsNobodyAfterShutdownHasBegun() {
+        assertTrue(shutdown.begin(() -> done.add("drains")));
+        shutdown.runUnlessBegun(() -> done.add("accepts"));
+        assertFalse(shutdown.begin(() -> done.add("drains again")));
         assertEquals(List.of("drains"), done);
     }
 
     /** SIGTERM comes while it begins to accept, on the signal's own thread. */
     @Test
-    void whoBeginsToAcceptHasDoneSoBeforeItDrains() throws Exception {
-        Thread signal = new Thread(() -> ending.begins(() -> done.add("drains")));
-        ending.unlessBegun(() -> {
+    void finishesToAcceptBeforeItDrains() throws Exception {
+        Thread signal = new Thread(() -> shutdown.begin(() -> done.add("drains")));
+        shutdown.runUnlessBegun(() -> {
             signal.start();
             while (signal.getState() != Thread.State.BLOCKED) {
                 Thread.onSpinWait();
--- a/src/test/java/linenring/cli/TerminationTest.java
+++ b/src/test/java/linenring/cli/TerminationTest.java
@@ -20,15 +20,20 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** SIGTERM to a steward's process whose kernel has accepted connections that it has not taken in; on loopback. */
+/**
+ * SIGTERM comes while connections wait that the kernel has accepted and the process has not. Their peers must notice at once and
+ * connect elsewhere, and not wait for a process that is gone. On loopback.
+ */
 @Timeout(60)
 class TerminationTest {
-    private static final int CLIENTS = 20, WAIT_MS = 10_000;
-    private static final String JOIN = "{\"@type\":\"SUBSCRIBE\",\"id\":%d,\"site\":\"a\",\"rps\":1,\"new\":true}\n";
+    private static final int CLIENTS = 20;
+    private static final int WAIT_MS = 10_000;
+    private static final String SUBSCRIBE =
+            "{\"@type\":\"SUBSCRIBE\",\"id\":%d,\"site\":\"a\",\"rps\":1,\"new\":true}\n";
     private static final int TERMINATED = 128 + 15;
 
     @TempDir
-    Path directory;
+    private Path directory;
 
     private Process process;
     private int port;
@@ -77,7 +82,7 @@
         try (Socket socket = connect()) {
             write(socket, "{\"@type\":\"PING\"}\n");
             return socket.getInputStream().read() == '{';
-        } catch (IOException e) {
+        } catch (IOException failure) {
             return false;
         }
     }
@@ -100,19 +105,19 @@
                         .waitFor());
     }
 
-    /** The process stands while they dial, so that none of them is taken in before the signal. */
+    /** The process is stopped while they connect, so that it accepts none of them before the signal. */
     @Test
     void endsConnectionsThatTheKernelAloneHasAcceptedAndThoseThatAreServed() throws Exception {
         List<Socket> clients = new ArrayList<>();
         Socket served = connect();
-        write(served, JOIN.formatted(0));
+        write(served, SUBSCRIBE.formatted(0));
         assertEquals('{', served.getInputStream().read(), "it gets its table");
         clients.add(served);
         signal("STOP");
         for (int id = 1; id < CLIENTS; id++) {
             Socket socket = connect();
             if (id % 2 == 0) { // the others have said nothing yet
-                write(socket, JOIN.formatted(id));
+                write(socket, SUBSCRIBE.formatted(id));
             }
             clients.add(socket);
         }
@@ -129,11 +134,11 @@
     private static void assertEnds(Socket client) throws IOException {
         try (client) {
             while (client.getInputStream().read() >= 0) {
-                // an order that was on its way
+                // an update that was on its way
             }
-        } catch (SocketTimeoutException e) {
-            throw new AssertionError("a client hears nothing of the end", e);
-        } catch (IOException e) {
+        } catch (SocketTimeoutException failure) {
+            throw new AssertionError("a client does not notice the end", failure);
+        } catch (IOException failure) {
             // reset, which is an end as well
         }
     }
--- a/src/test/java/linenring/controller/ReloadDuringDrainsTest.java
+++ b/src/test/java/linenring/controller/ReloadDuringDrainsTest.java
@@ -38,7 +38,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * SIGHUP moves discovery (as {@code ServeCommand.reload} does, by {@link HostWatch#moveTo}) while drains are being sent: lists come over
+ * SIGHUP moves discovery (as {@code ControllerLauncher.reload} does, by {@link HostWatch#moveTo}) while drains are being sent: lists come over
  * loopback from two agents, the control loop's clock is the test's.
  */
 class ReloadDuringDrainsTest {
