--- a/src/main/java/linenring/scale/process/ControllerProcess.java
+++ b/src/main/java/linenring/scale/process/ControllerChildProcess.java
@@ -16,7 +16,7 @@
 import java.util.regex.Pattern;
 
 /** A real controller in a process of its own. It is killed at the latest when this process ends. */
-public final class ControllerProcess implements AutoCloseable {
+public final class ControllerChildProcess implements AutoCloseable {
     private static final byte[] PING = "{\"@type\":\"PING\"}\n".getBytes(StandardCharsets.US_ASCII);
     private static final long PONG_TIMEOUT_MS = 20_000;
     private static final int PING_TIMEOUT_MS = 500;
@@ -33,7 +33,7 @@
     private Thread killer;
 
     /** A controller that is not started yet, with a free port; its files go to {@code directory}. */
-    public ControllerProcess(String name, Path directory) throws IOException {
+    public ControllerChildProcess(String name, Path directory) throws IOException {
         this.name = name;
         this.directory = directory;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
--- a/src/main/java/linenring/scale/run/RealMember.java
+++ b/src/main/java/linenring/scale/run/RealMember.java
@@ -8,12 +8,12 @@
 import linenring.scale.fleet.SimulatedFleet;
 import linenring.scale.fleet.SocketFleet;
 import linenring.scale.fleet.Traffic;
-import linenring.scale.process.ControllerProcess;
+import linenring.scale.process.ControllerChildProcess;
 import linenring.scale.process.MeasuredConfiguration;
 
 /** A real controller with a discovery agent and a fleet of its own, so that all its bytes are counted. */
 final class RealMember implements AutoCloseable {
-    private final ControllerProcess process;
+    private final ControllerChildProcess process;
     private final MeasuredConfiguration configuration;
     private final CatalogueServer server;
     private final SocketFleet fleet;
@@ -23,7 +23,7 @@
             throws IOException {
         this.configuration = configuration;
         this.server = server;
-        process = new ControllerProcess(name, folder);
+        process = new ControllerChildProcess(name, folder);
         this.fleet = new SocketFleet(fleet, process.listen(), "fleet-" + name);
     }
 
@@ -46,7 +46,7 @@
         process.start(configuration, server.address());
     }
 
-    ControllerProcess process() {
+    ControllerChildProcess process() {
         return process;
     }
 
