--- a/src/test/java/linenring/planner/RandomFleet.java
+++ b/src/test/java/linenring/planner/RandomFleet.java
@@ -31,7 +31,8 @@
             double joinChance,
             double cutShare,
             int silentEvery,
-            double seconds) {}
+            double seconds,
+            double ratesFromMs) {}
 
     private final Shape shape;
     private final Random random;
@@ -247,7 +248,8 @@
 
     private void reportRates(Planner planner, int proxy) {
         int operations = shape.settings().operations().size();
-        for (int operation = 0; isJoined[proxy] && operation < operations; operation++) {
+        boolean sendsRates = isJoined[proxy] && history.now() >= PlannerPlayer.START_MS + shape.ratesFromMs();
+        for (int operation = 0; sendsRates && operation < operations; operation++) {
             double expected = shape.requestsPerSecond() / operations * (0.7 + 0.6 * random.nextDouble());
             planner.requestRate(proxy, operation, REPORT_MS, (int) (expected + random.nextDouble()));
         }
--- /dev/null
+++ b/src/test/java/linenring/planner/RandomShape.java
@@ -0,0 +1,102 @@
+package linenring.planner;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+import linenring.planner.PlannerSettings.Channel;
+import linenring.planner.PlannerSettings.ColdStart;
+import linenring.planner.PlannerSettings.Measure;
+import linenring.planner.PlannerSettings.Operation;
+import linenring.planner.PlannerSettings.Shards;
+import linenring.planner.RandomFleet.Shape;
+
+/** Draws the settings and the fleet of a history from wide ranges, so that rare combinations of them come up for some seed. */
+final class RandomShape {
+    private static final List<Measure> MEASURES = List.of(Measure.SHARE, Measure.PER_SECOND, Measure.NONE);
+
+    private final Random random;
+
+    private RandomShape(long seed) {
+        random = new Random(seed);
+    }
+
+    static Shape draw(long seed) {
+        return new RandomShape(seed).draw();
+    }
+
+    private Shape draw() {
+        int zones = 1 + random.nextInt(3);
+        PlannerSettings settings = settings(zones);
+        double pressureLow = uniform(0.05, 0.4);
+        return new Shape(
+                settings,
+                3 + random.nextInt(30),
+                2 + random.nextInt(40),
+                zones,
+                1 + random.nextInt(3),
+                logarithmic(0.15, 30),
+                pressureLow,
+                pressureLow + uniform(0, 1.2),
+                rarely(0.001, 0.1),
+                rarely(0.001, 0.05),
+                uniform(0, 0.8),
+                uniform(0, 0.8),
+                zones > 1 && random.nextBoolean() ? uniform(0.1, 0.3) : 0,
+                random.nextBoolean() ? 0 : 2 + random.nextInt(4),
+                40 + random.nextInt(60),
+                random.nextInt(3) == 0 ? uniform(0, 30_000) : 0);
+    }
+
+    private PlannerSettings settings(int zones) {
+        return new PlannerSettings(
+                operations(zones),
+                new ColdStart(uniform(0.02, 0.5), uniform(1000, 15_000)),
+                channel(),
+                new Shards(0, false, 0, 0),
+                MEASURES.get(random.nextInt(MEASURES.size())),
+                false,
+                0,
+                random.nextBoolean(),
+                1 + random.nextInt(8));
+    }
+
+    private List<Operation> operations(int zones) {
+        List<Operation> operations = new ArrayList<>();
+        boolean homeZoneOnly = random.nextInt(5) == 0;
+        for (int i = 0; i <= random.nextInt(3); i++) {
+            operations.add(
+                    new Operation(logarithmic(300, 3000), uniform(1, 5), zoneMask(zones), -1, homeZoneOnly, zones));
+        }
+        return operations;
+    }
+
+    private long zoneMask(int zones) {
+        return zones > 1 && random.nextInt(3) == 0 ? 1L << random.nextInt(zones) : -1;
+    }
+
+    private Channel channel() {
+        double entriesPerSecond = logarithmic(80, 5000);
+        double transitMs = uniform(20, 400);
+        return new Channel(
+                entriesPerSecond,
+                1 + random.nextInt(5),
+                entriesPerSecond * uniform(0.5, 12),
+                random.nextBoolean() ? 0 : 4 + random.nextInt(30),
+                uniform(2000, 10_000),
+                transitMs,
+                transitMs * logarithmic(1.2, 15),
+                uniform(1000, 6000));
+    }
+
+    private double uniform(double low, double high) {
+        return low + (high - low) * random.nextDouble();
+    }
+
+    private double logarithmic(double low, double high) {
+        return low * Math.pow(high / low, random.nextDouble());
+    }
+
+    private double rarely(double low, double high) {
+        return random.nextBoolean() ? 0 : logarithmic(low, high);
+    }
+}
--- a/src/test/java/linenring/planner/RecordedHistories.java
+++ b/src/test/java/linenring/planner/RecordedHistories.java
@@ -14,6 +14,11 @@
 /** The histories whose commands are compared with a reference; each is known by its name and seed. */
 final class RecordedHistories {
     private static final int SEEDS = 3;
+    /** Each made a difference of some constant by 2% visible that the named shapes don't show, or was the first to. */
+    private static final List<Long> RANDOM_SHAPE_SEEDS = List.of(
+            6L, 7L, 9L, 11L, 12L, 15L, 17L, 19L, 20L, 22L, 34L, 35L, 37L, 50L, 55L, 73L, 129L, 183L, 282L, 366L, 489L,
+            560L);
+
     private static final Shards WITHOUT_SHARDS = new Shards(0, false, 0, 0);
 
     /** One history. */
@@ -39,6 +44,9 @@
                 histories.add(new History(name, seed, shape));
             }
         });
+        for (long seed : RANDOM_SHAPE_SEEDS) {
+            histories.add(new History("random-shape", seed, RandomShape.draw(seed)));
+        }
         return histories;
     }
 
@@ -172,7 +180,7 @@
     }
 
     private static Shape silent(PlannerSettings settings, int hosts, int proxies) {
-        return new Shape(settings, hosts, proxies, 2, 2, 8, 0.1, 0.6, 0.004, 0.002, 0.4, 0.4, 0, 4, 180);
+        return new Shape(settings, hosts, proxies, 2, 2, 8, 0.1, 0.6, 0.004, 0.002, 0.4, 0.4, 0, 4, 180, 0);
     }
 
     private static Shape shape(
@@ -198,16 +206,18 @@
                 chances.join(),
                 0,
                 0,
-                120);
+                120,
+                0);
     }
 
     private static Shape kinds(PlannerSettings settings, int hosts, int proxies, double requestsPerSecond) {
-        return new Shape(settings, hosts, proxies, 2, 3, requestsPerSecond, 0.1, 0.45, 0.001, 0, 0.05, 0.02, 0, 0, 240);
+        return new Shape(
+                settings, hosts, proxies, 2, 3, requestsPerSecond, 0.1, 0.45, 0.001, 0, 0.05, 0.02, 0, 0, 240, 0);
     }
 
     private static Shape cut(PlannerSettings settings, int hosts, int proxies, double requestsPerSecond) {
         return new Shape(
-                settings, hosts, proxies, 3, 1, requestsPerSecond, 0.1, 0.4, 0.001, 0, 0.05, 0.05, 0.15, 0, 160);
+                settings, hosts, proxies, 3, 1, requestsPerSecond, 0.1, 0.4, 0.001, 0, 0.05, 0.05, 0.15, 0, 160, 0);
     }
 
     private static Operation operation(double objectiveMs, double value, boolean homeZoneOnly) {
