--- a/src/main/java/linenring/controller/ControlLoop.java
+++ b/src/main/java/linenring/controller/ControlLoop.java
@@ -52,8 +52,8 @@
         this.eventQueue = eventQueue;
         this.log = log;
         this.clock = clock;
-        quantumMs = names.quantum();
-        fleetState = new FleetState(names.operations(), names.proxies(), log);
+        quantumMs = names.quantumMs();
+        fleetState = new FleetState(names.operations(), names.proxyCount(), log);
         planner = new Planner(settings, fleetState);
         planner.advanceClock(clock.nowMs());
         if (knownHosts != null) {
--- a/src/main/java/linenring/discovery/Backoff.java
+++ b/src/main/java/linenring/discovery/Backoff.java
@@ -7,7 +7,7 @@
 final class Backoff {
     private static final long INITIAL_MS = 20;
 
-    /** Discovery counts what it has to deliver as known after 6 s, whether it is asked or not: we must not be idle long. */
+    /** Discovery counts what it has to deliver as known after 6 s, whether it is polled or not: we must not be idle long. */
     private static final long MAX_MS = 500;
 
     /** Reading a whole list that cannot be used costs more than all else here, so it is not read again at once. */
--- a/src/main/java/linenring/gateway/settings/GatewaySettingsReader.java
+++ b/src/main/java/linenring/gateway/settings/GatewaySettingsReader.java
@@ -106,10 +106,10 @@
     }
 
     private void checkProxy(JsonNode proxy) {
-        if (names != null && proxy.get("id").asInt() >= names.proxies()) {
+        if (names != null && proxy.get("id").asInt() >= names.proxyCount()) {
             fault(
                     "/front/proxy/id",
-                    "front.proxy.id: " + proxy.get("id") + " is not under the controller's " + names.proxies()
+                    "front.proxy.id: " + proxy.get("id") + " is not under the controller's " + names.proxyCount()
                             + " proxies");
         }
     }
--- a/src/main/java/linenring/handover/HandoverSender.java
+++ b/src/main/java/linenring/handover/HandoverSender.java
@@ -93,9 +93,7 @@
     /** This process shuts down: an upgrade that has not given up the port is aborted, and none begins any more. */
     public List<Effect> shutdownRequested(double nowMs) {
         isEnding = true;
-        return state == State.SPAWNED || state == State.OFFERED
-                ? fail("this process was told to end", nowMs)
-                : List.of();
+        return state == State.SPAWNED || state == State.OFFERED ? fail("this process shuts down", nowMs) : List.of();
     }
 
     /** The new process greets, and speaks this protocol. */
--- a/src/main/java/linenring/protocol/FieldValues.java
+++ b/src/main/java/linenring/protocol/FieldValues.java
@@ -76,7 +76,7 @@
 
     /** The index of a name; a name that is new gets the next one. */
     static int indexOrNext(String field, List<String> known, String name) throws InvalidFieldException {
-        int index = Names.place(known, required(field, name));
+        int index = Names.indexOrAdd(known, required(field, name));
         if (index < 0) {
             throw InvalidFieldException.ofValue(field, "one name too many, '" + abbreviated(name) + "'");
         }
--- a/src/main/java/linenring/protocol/InboundMessageFields.java
+++ b/src/main/java/linenring/protocol/InboundMessageFields.java
@@ -78,7 +78,7 @@
 
     /** A proxy that is not configured would take the place of another. */
     int proxy() throws InvalidFieldException {
-        return integer("id", proxy, names.proxies() - 1);
+        return integer("id", proxy, names.proxyCount() - 1);
     }
 
     int zone() throws InvalidFieldException {
--- a/src/main/java/linenring/stream/OpenConnections.java
+++ b/src/main/java/linenring/stream/OpenConnections.java
@@ -38,7 +38,7 @@
 
     /** Reserves a place for an accepted socket; false where it must be closed: nobody could make room, or all is closed. */
     synchronized boolean reserve(SelectableChannel channel) {
-        accepting.removeIf(reserved -> !reserved.isOpen()); // no callback tells of a socket that died on its way
+        accepting.removeIf(reserved -> !reserved.isOpen()); // no callback reports a socket that died on its way
         if (closed || connections.size() + accepting.size() >= maxConnections + SPARE_SOCKETS) {
             return false;
         }
--- a/src/test/java/linenring/cli/LargeCatalogueTest.java
+++ b/src/test/java/linenring/cli/LargeCatalogueTest.java
@@ -156,15 +156,15 @@
         }
     }
 
-    private void awaitLog(String words) throws Exception {
+    private void awaitLog(String part) throws Exception {
         long end = System.nanoTime() + MAX_WAIT_NANOS;
-        while (!log().contains(words)) {
-            assertTrue(process.isAlive() && System.nanoTime() < end, words + " in\n" + log());
+        while (!log().contains(part)) {
+            assertTrue(process.isAlive() && System.nanoTime() < end, part + " in\n" + log());
             TimeUnit.MILLISECONDS.sleep(20);
         }
     }
 
-    private Socket asked(String request) throws Exception {
+    private Socket acceptRequest(String request) throws Exception {
         Socket socket = agent.accept();
         socket.setSoTimeout(agent.getSoTimeout());
         BufferedReader reader =
@@ -196,7 +196,7 @@
         configure(scope(0), true);
         start("32m");
         awaitPong();
-        try (Socket watch = asked("GET /catalog/members?watch=1&from=41 HTTP/1.1")) {
+        try (Socket watch = acceptRequest("GET /catalog/members?watch=1&from=41 HTTP/1.1")) {
             watch.getOutputStream()
                     .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"
                             .getBytes(StandardCharsets.US_ASCII));
@@ -204,11 +204,11 @@
             new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
                     .start()
                     .waitFor();
-            answerWhole(asked("GET /catalog/members HTTP/1.1"), 42);
+            answerWhole(acceptRequest("GET /catalog/members HTTP/1.1"), 42);
             awaitLog("lists " + count(100) + " hosts in scope and " + (HOSTS - count(100)) + " outside");
             assertEquals(-1, watch.getInputStream().read());
         }
-        asked("GET /catalog/members?watch=1&from=42 HTTP/1.1").close();
+        acceptRequest("GET /catalog/members?watch=1&from=42 HTTP/1.1").close();
         assertTrue(answersPing());
         assertFalse(log().contains("ERROR"), log());
     }
@@ -217,9 +217,9 @@
     void readsAScopeOfACatalogueFromDiscoveryInASmallHeap() throws Exception {
         configure(scope(0), false);
         start("32m");
-        answerWhole(asked("GET /catalog/members HTTP/1.1"), 41);
+        answerWhole(acceptRequest("GET /catalog/members HTTP/1.1"), 41);
         awaitLog("lists " + count(0) + " hosts in scope and " + (HOSTS - count(0)) + " outside");
-        asked("GET /catalog/members?watch=1&from=41 HTTP/1.1").close();
+        acceptRequest("GET /catalog/members?watch=1&from=41 HTTP/1.1").close();
         awaitPong();
     }
 
@@ -228,7 +228,7 @@
         configure("", true);
         start("64m");
         awaitPong();
-        try (Socket watch = asked("GET /catalog/members?watch=1&from=41 HTTP/1.1")) {
+        try (Socket watch = acceptRequest("GET /catalog/members?watch=1&from=41 HTTP/1.1")) {
             OutputStream out = watch.getOutputStream();
             out.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             OutputStream buffered = new BufferedOutputStream(out, 64 * 1024);
@@ -236,7 +236,7 @@
             buffered.write('\n');
             buffered.flush();
         }
-        asked("GET /catalog/members?watch=1&from=42 HTTP/1.1").close();
+        acceptRequest("GET /catalog/members?watch=1&from=42 HTTP/1.1").close();
         assertTrue(answersPing(), log());
         assertFalse(log().contains("ERROR"), log());
     }
@@ -255,7 +255,7 @@
         configure("", false);
         start("40m");
         try {
-            answerWhole(asked("GET /catalog/members HTTP/1.1"), 41);
+            answerWhole(acceptRequest("GET /catalog/members HTTP/1.1"), 41);
         } catch (IOException failure) {
             // it reads no further
         }
--- a/src/test/java/linenring/discovery/DiscoverySilenceTest.java
+++ b/src/test/java/linenring/discovery/DiscoverySilenceTest.java
@@ -91,10 +91,10 @@
             InMemoryAgent.watched(watch).expireIdle();
         }
         assertEquals(List.of(20L, 40L, 80L, 160L, 320L, 500L, 500L, 500L, 500L, 500L, 500L), delaysMs());
-        InMemoryAgent speaks = InMemoryAgent.watched(watch);
-        speaks.addInput(HEAD + chunk(change(900)));
+        InMemoryAgent delivering = InMemoryAgent.watched(watch);
+        delivering.addInput(HEAD + chunk(change(900)));
         assertEquals(List.of(900L), versions());
-        speaks.expireIdle();
+        delivering.expireIdle();
         assertEquals(20L, delaysMs().get(delaysMs().size() - 1));
     }
 
--- a/src/test/java/linenring/handover/UpgradeUnderLoadTest.java
+++ b/src/test/java/linenring/handover/UpgradeUnderLoadTest.java
@@ -93,12 +93,12 @@
         port = freePort();
         Path configuration =
                 Files.writeString(temp.resolve("configuration.json"), """
-                {"name": "story", "listen": "127.0.0.1:%d", "discovery": "127.0.0.1:%d",
+                {"name": "n0", "listen": "127.0.0.1:%d", "discovery": "127.0.0.1:%d",
                  "known": {"version": 1, "full": true, "servers": [%s]},
                  "settings": {"Azs": ["a"], "Kinds": ["std"], "Classes": [{"Name": "quote", "Aim": 500000},
                    {"Name": "assign", "Aim": 500000}], "Specifics": {"ProxyCount": 1}}}
                 """.formatted(freePort(), freePort(), hosts()));
-        Path front = Files.writeString(temp.resolve("front.kdl"), """
+        Path gateway = Files.writeString(temp.resolve("front.kdl"), """
                 front {
                     listen "127.0.0.1:%d"
                     proxy id=0 zone="a"
@@ -110,12 +110,12 @@
                     handover dir="%s" %s
                 }
                 """.formatted(port, directory, settings));
-        start(configuration, front);
+        start(configuration, gateway);
         awaitLog("accepts requests at");
         LoadClient.await(this, () -> Files.exists(directory.resolve(UpgradeCoordinator.SOCKET)), "it may be upgraded");
     }
 
-    private void start(Path configuration, Path front) throws IOException {
+    private void start(Path configuration, Path gateway) throws IOException {
         List<String> command = List.of(
                 ProcessHandle.current().info().command().orElse("java"),
                 "-Xmx128m",
@@ -125,7 +125,7 @@
                 "linenring.Main",
                 "serve",
                 "--front",
-                front.toString());
+                gateway.toString());
         ProcessBuilder builder =
                 new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile());
         builder.environment().put("GW_CONFIG", configuration.toString());
