--- a/src/test/java/linenring/planner/RandomShape.java
+++ b/src/test/java/linenring/planner/RandomShape.java
@@ -24,6 +24,54 @@
         return new RandomShape(seed).draw();
     }
 
+    /**
+     * A fleet whose proxies rejoin often under a small cap of messages, so that binds wait beside large sub-updates: there the depth
+     * rule decides.
+     */
+    static Shape drawWaitingBinds(long seed) {
+        return new RandomShape(seed).drawWaitingBinds();
+    }
+
+    private Shape drawWaitingBinds() {
+        double entriesPerSecond = 300 + random.nextInt(3000);
+        Channel channel = new Channel(
+                entriesPerSecond,
+                1 + random.nextInt(4),
+                entriesPerSecond * (2 + random.nextInt(10)),
+                4 + random.nextInt(6),
+                4000 + random.nextInt(6000),
+                10 + random.nextInt(60),
+                250,
+                5000);
+        PlannerSettings settings = new PlannerSettings(
+                List.of(new Operation(1000, 1, -1, -1, false, 3)),
+                new ColdStart(0.2, 8000),
+                channel,
+                new Shards(0, false, 0, 0),
+                Measure.SHARE,
+                false,
+                0,
+                false,
+                2 + random.nextInt(6));
+        return new Shape(
+                settings,
+                10 + random.nextInt(30),
+                10 + random.nextInt(40),
+                2,
+                1 + random.nextInt(2),
+                6,
+                0.1,
+                0.5 + random.nextDouble(),
+                0.01 * random.nextDouble(),
+                0.01 * random.nextDouble(),
+                0.9,
+                0.9,
+                0,
+                0,
+                100,
+                0);
+    }
+
     private Shape draw() {
         int zones = 1 + random.nextInt(3);
         PlannerSettings settings = settings(zones);
--- a/src/test/java/linenring/planner/RecordedHistories.java
+++ b/src/test/java/linenring/planner/RecordedHistories.java
@@ -19,6 +19,7 @@
             6L, 7L, 9L, 11L, 12L, 15L, 17L, 19L, 20L, 22L, 34L, 35L, 37L, 50L, 55L, 73L, 129L, 183L, 282L, 366L, 489L,
             560L);
 
+    private static final List<Long> WAITING_BINDS_SEEDS = List.of(1086L, 2517L);
     private static final Shards WITHOUT_SHARDS = new Shards(0, false, 0, 0);
 
     /** One history. */
@@ -47,6 +48,9 @@
         for (long seed : RANDOM_SHAPE_SEEDS) {
             histories.add(new History("random-shape", seed, RandomShape.draw(seed)));
         }
+        for (long seed : WAITING_BINDS_SEEDS) {
+            histories.add(new History("waiting-binds", seed, RandomShape.drawWaitingBinds(seed)));
+        }
         return histories;
     }
 
