--- a/src/test/java/linenring/controller/SimulatedFleet.java
+++ b/src/test/java/linenring/controller/SimulatedProxies.java
@@ -9,7 +9,7 @@
 import linenring.protocol.ConfigurationUpdate.AdmissionPolicy;
 
 /** The fleet that a reply on the simulator's wire configures, as its page defines the commands. */
-final class SimulatedFleet {
+final class SimulatedProxies {
     private final Map<String, TreeMap<String, Double>> tables = new HashMap<>();
     private final Map<String, TreeMap<String, AdmissionPolicy>> policies = new HashMap<>();
     private final Map<Integer, String> tableByProxy = new TreeMap<>();
--- a/src/test/java/linenring/controller/SimulatorParityTest.java
+++ b/src/test/java/linenring/controller/SimulatorParityTest.java
@@ -63,7 +63,7 @@
                 listHosts(offsetMs + 50, false, host(0, State.GONE));
             }
         }
-        SimulatedFleet fleet = assertSameConfigurations();
+        SimulatedProxies fleet = assertSameConfigurations();
         assertTrue(fleet.hasReducedAdmission(), "the events did reduce admission");
         assertFalse(
                 logged.toString(StandardCharsets.UTF_8).matches("(?s).*(WARN|ERROR).*"),
@@ -168,13 +168,13 @@
         return proxies.get(0).summary() + "\n" + proxies.get(1).summary();
     }
 
-    private SimulatedFleet assertSameConfigurations() throws IOException {
+    private SimulatedProxies assertSameConfigurations() throws IOException {
         ByteArrayOutputStream replies = new ByteArrayOutputStream();
         SimulatorAdapter.run(
                 new ByteArrayInputStream(wire.toString().getBytes(StandardCharsets.UTF_8)),
                 new PrintStream(replies),
                 System.err);
-        SimulatedFleet fleet = new SimulatedFleet();
+        SimulatedProxies fleet = new SimulatedProxies();
         int batch = 0;
         for (String line : replies.toString(StandardCharsets.UTF_8).lines().toList()) {
             if (line.equals("next")) {
