--- a/src/main/java/linenring/routing/ConnectionPool.java
+++ b/src/main/java/linenring/routing/ConnectionPool.java
@@ -23,8 +23,8 @@
         /** The caller waits in the queue; {@code openConnection}: one more is to be opened. */
         record Queued<C>(boolean openConnection) implements StreamGrant<C> {}
 
-        /** No stream, and nothing was sent. */
-        record Rejected<C>(String reason) implements StreamGrant<C> {}
+        /** No stream, and nothing was sent: the queue is full, or the host could not be reached just now. */
+        record Rejected<C>() implements StreamGrant<C> {}
     }
 
     /** One who waited and now has a stream of a connection. */
@@ -98,11 +98,11 @@
             return new StreamGrant.Granted<>(fullest.connection);
         }
         if (waiters.size() >= limits.maxWaiters()) {
-            return new StreamGrant.Rejected<>("too many requests wait for a connection");
+            return new StreamGrant.Rejected<>();
         }
         boolean open = mayOpen(nowMs);
         if (!open && dialing == 0 && allGoingAway()) {
-            return new StreamGrant.Rejected<>("the host could not be reached just now");
+            return new StreamGrant.Rejected<>();
         }
         waiters.add(waiter);
         dialing += open ? 1 : 0;
@@ -114,7 +114,7 @@
         return waiters.remove(waiter);
     }
 
-    /** A dial succeeded, and the connection takes so many streams. */
+    /** A dial succeeded, and the connection takes {@code maxStreams} streams. */
     public Actions<C, W> connectionOpened(C connection, int maxStreams, double nowMs) {
         dialing--;
         redialBackoffMs = 0;
--- a/src/main/java/linenring/routing/DuplicateGuard.java
+++ b/src/main/java/linenring/routing/DuplicateGuard.java
@@ -10,7 +10,7 @@
  * though another host could have served it. Not thread-safe: its {@link RetryDecision} holds the lock.
  */
 final class DuplicateGuard {
-    /** Part of the window left to a repeat's way: it travels longer than the first attempt by less than this. */
+    /** Share of the deduplication window reserved for the repeat's transit, which exceeds the first attempt's by less. */
     private static final double WINDOW_MARGIN = 0.2;
 
     private static final int NOWHERE = -1;
--- a/src/main/java/linenring/routing/FailureReason.java
+++ b/src/main/java/linenring/routing/FailureReason.java
@@ -4,7 +4,7 @@
 public enum FailureReason {
     /** The operation's admission control rejected it. */
     RATE_LIMITED,
-    /** Its table has no host. */
+    /** No host may be picked: the table is empty or all its hosts are ejected. */
     NO_HOST,
     /** Its attempts failed. */
     ERRORED,
--- a/src/main/java/linenring/routing/OutlierEjection.java
+++ b/src/main/java/linenring/routing/OutlierEjection.java
@@ -9,12 +9,15 @@
  * failures at one proxy. Own attempts alone count, as with any proxy, so nothing has to be waited for. It does harm
  * where failures come from the requests and not from the host: then all hosts are ejected in turn, and {@link Tables}
  * picks among all of them again.
+ *
+ * <p>It ejects for this proxy alone. The controller ejects for all proxies, by the load reports of all of them
+ * ({@code planner.OutlierDetector}); {@link Tables} picks no host that either has ejected.
  */
 final class OutlierEjection {
     /** As the number of failures: no host is ever ejected. */
     static final int NEVER = 0;
 
-    /** Arrays grow by so many hosts at a time, so that a fleet's first failures do not copy them each time. */
+    /** The number of hosts by which arrays grow, so that a fleet's first failures do not copy them each time. */
     private static final int GROWTH_HOSTS = 16;
 
     private final int failuresInARow;
--- a/src/main/java/linenring/routing/RetryDecision.java
+++ b/src/main/java/linenring/routing/RetryDecision.java
@@ -20,6 +20,10 @@
  *
  * <p>Retries guard against single hosts that fail while others do not; what they could harm is what these rules exclude:
  * an effect twice, and load on hosts that fail by overload.
+ *
+ * <p>The gateway classifies results: {@code gateway.Responses} says which answers of a host are failures, and
+ * {@link AttemptFailure} what the end of an attempt proves about execution. The planner commands only NONE and
+ * ONE_IF_NOT_EXECUTED, so that under this controller no answer of a host is followed by a retry.
  */
 public final class RetryDecision {
     private static final int UNASSIGNED = -1;
--- a/src/main/java/linenring/routing/RollingStatistics.java
+++ b/src/main/java/linenring/routing/RollingStatistics.java
@@ -45,7 +45,7 @@
         requestsByOperation[operation]++;
     }
 
-    /** Records that an attempt at a host ended after so many ms. */
+    /** Records that an attempt at a host ended after {@code latencyMs}. */
     public synchronized void recordAttempt(int host, boolean success, double latencyMs) {
         totalsByHost.computeIfAbsent(host, index -> new HostTotals()).add(success, latencyMs);
     }
