--- a/src/main/java/linenring/cli/ControllerProcess.java
+++ b/src/main/java/linenring/cli/ControllerProcess.java
@@ -119,8 +119,8 @@
     private void logServing() {
         log.info(
                 LOG_SUBJECT,
-                configuration.name() + " serves at " + address() + ", "
-                        + ManagementFactory.getRuntimeMXBean().getUptime() + " ms after its start");
+                configuration.name() + " serves proxies at " + address() + ", "
+                        + ManagementFactory.getRuntimeMXBean().getUptime() + " ms after the process start");
     }
 
     private String address() {
--- a/src/main/java/linenring/controller/ControlLoop.java
+++ b/src/main/java/linenring/controller/ControlLoop.java
@@ -69,7 +69,7 @@
                 awaitAndRunRound();
             }
         } catch (InterruptedException interrupt) {
-            log.info("controller", "stops");
+            log.info("controller", "control loop stopped");
         }
     }
 
@@ -94,7 +94,10 @@
         guard(() -> planner.advanceClock(nowMs));
         long dropped = eventQueue.drainTo(this);
         if (dropped > 0) {
-            log.warn("controller", dropped + " reports were dropped, as they came faster than they could be taken");
+            log.warn(
+                    "controller",
+                    "the " + dropped + " oldest load and request rate reports were dropped, as over "
+                            + EventQueue.MAX_QUEUED_REPORTS + " were queued");
         }
         reconcileAndSend();
         guard(this::releaseRemovedHosts);
@@ -149,7 +152,7 @@
         boolean isHandled = guard(() -> handle(stream, message));
         if (!isHandled && message instanceof InboundMessage.Subscribe) {
             // The proxy would wait for a configuration in vain; closed, it dials again, here or elsewhere.
-            guard(() -> stream.close("can't be taken in"));
+            guard(() -> stream.close("its subscription failed"));
         }
     }
 
@@ -168,11 +171,11 @@
     private void subscribe(ProxyStream stream, InboundMessage.Subscribe subscribe) {
         int proxy = subscribe.proxy();
         if (fleetState.hasNewer(proxy, stream)) { // both were read in one round, in either order
-            log.info("proxy", proxy + " joins on an older stream than it has");
+            log.info("proxy", proxy + " subscribed on an older stream, which is closed; the newer one stays");
             stream.close("has been replaced before it was read");
             return;
         }
-        log.info("proxy", proxy + " joins" + (subscribe.isNew() ? "" : " with a table"));
+        log.info("proxy", proxy + " subscribed" + (subscribe.isNew() ? "" : ", holding a configuration"));
         fleetState.connect(proxy, stream, subscribe.isNew());
         planner.proxyJoined(proxy, subscribe.zone(), subscribe.usualRequestsPerSecond());
     }
@@ -201,7 +204,7 @@
     @Override
     public void onStreamClosed(ProxyStream stream) {
         guard(() -> fleetState.proxyOf(stream).ifPresent(proxy -> {
-            log.info("proxy", proxy + " leaves");
+            log.info("proxy", proxy + " disconnected");
             fleetState.disconnect(proxy);
             planner.proxyDisconnected(proxy);
         }));
--- a/src/main/java/linenring/controller/EjectionRecord.java
+++ b/src/main/java/linenring/controller/EjectionRecord.java
@@ -5,7 +5,7 @@
 
 /**
  * Which hosts one proxy has ejected, as far as is known. A proxy keeps ejections when its stream ends and when its tables are
- * replaced, so that a host which it was told to eject must be restored by name before traffic returns to it.
+ * replaced, so that a host whose ejection it was sent must be restored by name before traffic returns to it.
  *
  * <p>One byte for each host: a thousand proxies with some thousand hosts each need a few megabytes. Owned by the control loop's
  * thread.
@@ -13,7 +13,7 @@
 final class EjectionRecord {
     private static final int SPARE_HOSTS = 16;
 
-    /** Hosts that this controller ever told the proxy to eject. */
+    /** Hosts whose ejection this controller ever sent to the proxy. */
     private final BitSet everEjected = new BitSet();
     /** Others may have ejected hosts there: those without a status of their own are {@link EjectionStatus#UNKNOWN}. */
     private boolean othersMayHaveEjected;
--- a/src/main/java/linenring/controller/EjectionStatus.java
+++ b/src/main/java/linenring/controller/EjectionStatus.java
@@ -4,11 +4,11 @@
 enum EjectionStatus {
     /** It has not. */
     NOT_EJECTED(0),
-    /** This controller has told it to, on its present stream. */
+    /** This controller has sent it an ejection of the host, on its present stream. */
     EJECTED(1),
-    /** This controller told it to on an earlier stream, with which the update may have been lost. */
+    /** This controller sent it an ejection on an earlier stream, with which the update may have been lost. */
     UNCERTAIN(2),
-    /** Another controller, or an earlier process of this one, may have told it to. */
+    /** Another controller, or an earlier process of this one, may have sent it an ejection. */
     UNKNOWN(3);
 
     private static final EjectionStatus[] ALL_BY_CODE = {NOT_EJECTED, EJECTED, UNCERTAIN, UNKNOWN};
--- a/src/main/java/linenring/controller/FleetState.java
+++ b/src/main/java/linenring/controller/FleetState.java
@@ -210,7 +210,10 @@
         try {
             session.send(session.preparedUpdate().orElseGet(() -> updateBuilder.build(session, nonce)));
         } catch (RuntimeException failure) {
-            log.error("fault", "proxy " + session.id() + " can't be written to and is let go: " + failure);
+            log.error(
+                    "fault",
+                    "update for proxy " + session.id() + " failed: " + failure
+                            + "; stream closed, the proxy will reconnect");
             sessions.close(session.stream(), "can't be written to");
         }
     }
--- a/src/main/java/linenring/controller/HostIdAllocator.java
+++ b/src/main/java/linenring/controller/HostIdAllocator.java
@@ -15,7 +15,7 @@
  * that is kept by id, would grow with every host that ever was. Owned by the control loop's thread.
  */
 final class HostIdAllocator {
-    /** So many removed hosts keep their ids in a small fleet too. */
+    /** The number of removed hosts that keep their ids at least, in a small fleet too. */
     private static final int MIN_RETAINED = 1024;
 
     private final Map<String, Integer> ids = new HashMap<>();
--- a/src/main/java/linenring/controller/ProxySession.java
+++ b/src/main/java/linenring/controller/ProxySession.java
@@ -54,7 +54,7 @@
         ejections.restart(isNew, previous == newStream);
     }
 
-    /** Its stream has ended: it is bound to no table of ours, and what was prepared for it is dropped. */
+    /** Its stream has ended: it is bound to none of this controller's tables, and what was prepared for it is dropped. */
     void disconnect() {
         stream = null;
         preparedUpdate = null;
--- a/src/main/java/linenring/discovery/AgentConnection.java
+++ b/src/main/java/linenring/discovery/AgentConnection.java
@@ -23,7 +23,7 @@
 final class AgentConnection extends AbstractConnection {
     private static final int READ_BUFFER_BYTES = 16 * 1024;
 
-    /** Ours has under 200. */
+    /** The watch's own request has under 200 bytes. */
     private static final int MAX_REQUEST_BYTES = 1024;
 
     /** The agent sends a blank line every 2 s at least; half a second more is for its way. */
--- a/src/main/java/linenring/discovery/AgentResponse.java
+++ b/src/main/java/linenring/discovery/AgentResponse.java
@@ -26,11 +26,11 @@
 
     /**
      * Bytes alone are no sign that the agent works, as a line could drip for hours: discovery counts what it has to deliver
-     * as known after so long, so a line has to be complete by then.
+     * as known after this time, so a line has to be complete by then.
      */
     private static final long LINE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(6);
 
-    /** So many entries are progress like a complete line: a long list may take longer than a line may. */
+    /** The number of entries that are progress like a complete line: a long list may take longer than a line may. */
     private static final int ENTRIES_PER_PROGRESS = 1000;
 
     private final EndpointListApplier applier;
@@ -55,7 +55,7 @@
     }
 
     void requested() {
-        stage = AttemptEnd.Stage.REQUESTED;
+        stage = AttemptEnd.Stage.REQUEST_SENT;
     }
 
     /** Takes bytes that have arrived. */
@@ -89,13 +89,13 @@
 
     /** Whether the whole list was requested and has come as it should. */
     boolean hasDeliveredWholeList() {
-        return isWholeList && isComplete && fault == null && stage == AttemptEnd.Stage.DELIVERED;
+        return isWholeList && isComplete && fault == null && stage == AttemptEnd.Stage.DATA_RECEIVED;
     }
 
     @Override
     public void startResponse(HttpVersion version, int responseStatus, String reason) {
         status = responseStatus;
-        stage = AttemptEnd.Stage.ANSWERED;
+        stage = AttemptEnd.Stage.RESPONSE_STARTED;
     }
 
     @Override
@@ -178,7 +178,7 @@
     private void lineComplete() throws AttemptAbortedException {
         lastProgressNanos = applier.nowNanos();
         if (list == null) {
-            stage = AttemptEnd.Stage.DELIVERED; // word that nothing has changed
+            stage = AttemptEnd.Stage.DATA_RECEIVED; // word that nothing has changed
             applier.onUnchanged(source);
         } else {
             listComplete();
@@ -193,7 +193,7 @@
             throw unreadable(failed.error());
         }
         applier.onList(source, read.orElseThrow(), revisionAtBegin);
-        stage = AttemptEnd.Stage.DELIVERED;
+        stage = AttemptEnd.Stage.DATA_RECEIVED;
     }
 
     @Override
--- a/src/main/java/linenring/discovery/AttemptEnd.java
+++ b/src/main/java/linenring/discovery/AttemptEnd.java
@@ -6,16 +6,22 @@
 record AttemptEnd(Stage stage, String reason) {
     /** The steps of an attempt, in their order. */
     enum Stage {
-        DIALLED,
+        /** No connection was made. */
+        CONNECTING,
         CONNECTED,
-        REQUESTED,
-        ANSWERED,
-        /** A list, changes, or word that nothing has changed. */
-        DELIVERED
+        REQUEST_SENT,
+        RESPONSE_STARTED,
+        /** The agent has sent a list, changes, or word that nothing has changed. */
+        DATA_RECEIVED;
+
+        @Override
+        public String toString() {
+            return name().toLowerCase(Locale.ROOT).replace('_', ' ');
+        }
     }
 
     @Override
     public String toString() {
-        return "had " + stage.name().toLowerCase(Locale.ROOT) + " and ended: " + reason;
+        return "failed (" + stage + "): " + reason;
     }
 }
--- a/src/main/java/linenring/discovery/HostWatch.java
+++ b/src/main/java/linenring/discovery/HostWatch.java
@@ -100,13 +100,13 @@
                 return;
             }
             source.disconnected();
-            if (end.stage() == AttemptEnd.Stage.DELIVERED) {
+            if (end.stage() == AttemptEnd.Stage.DATA_RECEIVED) {
                 source.backoff().reset();
             }
             delayMs = source.backoff().nextDelayMs();
             log.warn(
                     "discovery",
-                    "the attempt at " + source + " " + end + "; next in " + delayMs + " ms, from version "
+                    "attempt at " + source + " " + end + "; next in " + delayMs + " ms, from host list version "
                             + applier.version());
         }
         scheduler.schedule(() -> dial(source), delayMs, TimeUnit.MILLISECONDS);
@@ -134,7 +134,7 @@
 
     private void dialFailed(SelectableChannel channel, EndpointSource source, Throwable cause) {
         closeQuietly(channel);
-        attemptEnded(source, new AttemptEnd(AttemptEnd.Stage.DIALLED, String.valueOf(cause.getMessage())));
+        attemptEnded(source, new AttemptEnd(AttemptEnd.Stage.CONNECTING, String.valueOf(cause.getMessage())));
     }
 
     private static void closeQuietly(SelectableChannel channel) {
--- a/src/main/java/linenring/discovery/SourceHistory.java
+++ b/src/main/java/linenring/discovery/SourceHistory.java
@@ -5,7 +5,7 @@
 
 /** What one source has sent so far, as far as it decides what is believed of it. Not thread-safe: guarded by the watch. */
 final class SourceHistory {
-    /** The protocol's: discovery counts what it has to deliver as known after so long, so an agent may not lag further. */
+    /** The protocol's: discovery counts what it has to deliver as known after this time, so an agent may not lag further. */
     private static final long MAX_LAG_NANOS = TimeUnit.SECONDS.toNanos(6);
 
     private final boolean movedTo;
--- a/src/main/java/linenring/discovery/WatchConfig.java
+++ b/src/main/java/linenring/discovery/WatchConfig.java
@@ -8,7 +8,7 @@
 
 /**
  * What a watch begins with. {@code known} is the list that is held, read under the same scope or another, or null; lists of
- * over {@code maxHosts} hosts in scope are not taken in; {@code nanoClock} has no fixed start.
+ * over {@code maxHosts} hosts in scope are rejected; {@code nanoClock} has no fixed start.
  */
 public record WatchConfig(
         InetSocketAddress address,
--- a/src/main/java/linenring/event/EventQueue.java
+++ b/src/main/java/linenring/event/EventQueue.java
@@ -64,7 +64,7 @@
      * Where more reports are queued the oldest are dropped. A loop that is held up would otherwise fill the heap: these are half
      * a minute of a large site's reports, a few MB.
      */
-    private static final int MAX_QUEUED_REPORTS = 20_000;
+    public static final int MAX_QUEUED_REPORTS = 20_000;
 
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition notEmpty = lock.newCondition();
@@ -144,7 +144,7 @@
         notEmpty.signal();
     }
 
-    /** Waits until an event is queued, or for so long at most; false if none is. */
+    /** Waits until an event is queued, for {@code timeoutNanos} at most; false if none is. */
     public boolean await(long timeoutNanos) throws InterruptedException {
         lock.lock();
         try {
--- a/src/main/java/linenring/log/TextSink.java
+++ b/src/main/java/linenring/log/TextSink.java
@@ -22,6 +22,9 @@
     @Override
     public void write(Instant time, Level level, String subject, String message, int suppressedLines) {
         String line = TIME.format(time) + ' ' + level + ' ' + subject + ' ' + message;
-        out.println(suppressedLines == 0 ? line : line + " (" + suppressedLines + " more were not written)");
+        out.println(
+                suppressedLines == 0
+                        ? line
+                        : line + " (" + suppressedLines + " more of this subject were not written)");
     }
 }
--- a/src/main/java/linenring/protocol/HostList.java
+++ b/src/main/java/linenring/protocol/HostList.java
@@ -33,7 +33,7 @@
     public Optional<String> invalidEntriesSummary() {
         return invalidEntries.isEmpty()
                 ? Optional.empty()
-                : Optional.of(invalidEntries.count() + " hosts that are left out, the first: "
+                : Optional.of(invalidEntries.count() + " invalid entries, which are skipped; the first: "
                         + String.join("; ", invalidEntries.firstReasons()));
     }
 
