--- a/src/main/java/linenring/cli/LoadCommand.java
+++ b/src/main/java/linenring/cli/LoadCommand.java
@@ -17,7 +17,7 @@
         name = "load",
         mixinStandardHelpOptions = true,
         description =
-                "Call an HTTP/2 port on loopback at a steady rate, or so many calls at a time, and report latencies.")
+                "Call an HTTP/2 port on loopback at a steady rate, or a fixed number of calls at a time, and report latencies.")
 final class LoadCommand implements Callable<Integer> {
     /** Longer than any integration timeout in use. */
     private static final long ANSWER_WAIT_MS = 5000;
@@ -60,7 +60,7 @@
             names = "--connections",
             paramLabel = "N",
             defaultValue = "1",
-            description = "over so many connections (${DEFAULT-VALUE})")
+            description = "over this number of connections (${DEFAULT-VALUE})")
     private int connections;
 
     @Option(names = "--for", paramLabel = "DURATION", defaultValue = "10s", description = "how long (${DEFAULT-VALUE})")
--- a/src/main/java/linenring/event/ProxyStream.java
+++ b/src/main/java/linenring/event/ProxyStream.java
@@ -2,7 +2,7 @@
 
 import linenring.protocol.ConfigurationUpdate;
 
-/** The way back to one proxy. No call blocks. */
+/** The stream that carries updates to one proxy. No call blocks. */
 public interface ProxyStream {
     /** Sends an update, or queues it to be sent. */
     void write(ConfigurationUpdate update);
--- a/src/main/java/linenring/gateway/BufferBudget.java
+++ b/src/main/java/linenring/gateway/BufferBudget.java
@@ -9,7 +9,7 @@
         this.maxBytes = maxBytes;
     }
 
-    /** False, and nothing is reserved, where so many are not left. */
+    /** False, and nothing is reserved, where fewer bytes are left. */
     synchronized boolean tryReserve(long bytes) {
         if (reservedBytes + bytes > maxBytes) {
             return false;
--- a/src/main/java/linenring/gateway/GracefulShutdown.java
+++ b/src/main/java/linenring/gateway/GracefulShutdown.java
@@ -16,7 +16,7 @@
 
 /** Drains the clients' sessions: does what {@link Drain} decides (RFC 9113, 6.8). Steps run on the scheduler's thread. */
 final class GracefulShutdown {
-    private static final long STEP_MS = 20; // a drain ends so much after its last request, at most
+    private static final long STEP_MS = 20; // a drain ends within this time after its last request
 
     private final Drain<Session> drain;
     private final double maxDrainMs;
--- a/src/main/java/linenring/gateway/RequestCapacity.java
+++ b/src/main/java/linenring/gateway/RequestCapacity.java
@@ -19,7 +19,7 @@
         buffers = new BufferBudget(maxBufferBytes);
     }
 
-    /** Reserves a place and so many bytes, or nothing. */
+    /** Reserves a place and {@code bufferBytes}, or nothing. */
     boolean tryAcquire(long bufferBytes) {
         if (active.incrementAndGet() > maxActive || !buffers.tryReserve(bufferBytes)) {
             active.decrementAndGet();
--- a/src/main/java/linenring/gateway/settings/GatewaySettings.java
+++ b/src/main/java/linenring/gateway/settings/GatewaySettings.java
@@ -57,7 +57,7 @@
      */
     public record Retries(double budgetShare, double budgetWindowMs, int minRetries, double attemptObjectives) {}
 
-    /** After so many consecutive failures of its own attempts at a host the gateway ejects it for so long; 0: never. */
+    /** After {@code consecutiveFailures} of its own attempts at a host the gateway ejects it for {@code ejectionMs}; 0: never. */
     public record OutlierEjection(int consecutiveFailures, double ejectionMs) {}
 
     /**
--- a/src/main/java/linenring/protocol/FieldValues.java
+++ b/src/main/java/linenring/protocol/FieldValues.java
@@ -8,7 +8,7 @@
 
 /** Checks of field values: each returns the value in its type, or throws an exception that names the field. */
 final class FieldValues {
-    /** What peers send goes into the log at most so long. */
+    /** The longest part of a peer's text that goes into the log. */
     private static final int MAX_LOGGED_CHARACTERS = 40;
 
     private FieldValues() {}
--- a/src/main/java/linenring/protocol/HostCapacity.java
+++ b/src/main/java/linenring/protocol/HostCapacity.java
@@ -8,7 +8,7 @@
     /** A host in the list being read, in the list before it, and in the planner's state. Measured, see docs/design/scope.md. */
     static final long BYTES_PER_HOST = 640;
 
-    /** A controller must be able to serve so many, however small its heap. */
+    /** The number of hosts that a controller must be able to serve, however small its heap. */
     static final int MIN_HOSTS = 1024;
 
     private HostCapacity() {}
@@ -18,7 +18,7 @@
         return of(Runtime.getRuntime().maxMemory());
     }
 
-    /** The most hosts for a heap of so many bytes. */
+    /** The most hosts for a heap of this size. */
     static int of(long heapBytes) {
         long hosts = (heapBytes - RESERVED_BYTES) / BYTES_PER_HOST;
         return (int) Math.max(MIN_HOSTS, Math.min(Integer.MAX_VALUE, hosts));
--- a/src/main/java/linenring/protocol/InboundMessageFields.java
+++ b/src/main/java/linenring/protocol/InboundMessageFields.java
@@ -19,9 +19,9 @@
  * asked for. A field that the wire has and this class does not is skipped.
  */
 final class InboundMessageFields {
-    /** No time that a message tells is longer. */
+    /** The longest duration accepted in a message: 1 h. */
     private static final double MAX_TIME_MS = 3_600_000;
-    /** No message counts more of anything. */
+    /** The largest count accepted in a message. */
     private static final int MAX_COUNT = 1_000_000;
 
     private static final int MAX_NONCE = 65_535;
--- a/src/main/java/linenring/protocol/InvalidEntries.java
+++ b/src/main/java/linenring/protocol/InvalidEntries.java
@@ -7,7 +7,7 @@
     /** No entry was invalid. */
     public static final InvalidEntries NONE = new InvalidEntries(0, List.of());
 
-    /** So many reasons are kept: enough to find the cause, and to fit a log line. */
+    /** The number of reasons that are kept: enough to find the cause, and to fit a log line. */
     static final int MAX_REASONS = 3;
 
     /** Copies the reasons. */
--- a/src/test/java/linenring/controller/ChannelModel.java
+++ b/src/test/java/linenring/controller/ChannelModel.java
@@ -228,7 +228,7 @@
 
     // ---- hosts
 
-    /** The complete list of the first so many hosts. */
+    /** The complete list of the hosts from 0 to {@code hosts} - 1. */
     void listAll(int hosts, double startedMs) {
         planner.advanceClock(now);
         planner.beginHostList(true);
@@ -252,7 +252,7 @@
         planner.endHostList();
     }
 
-    /** Of ten requests to the host so many have failed. */
+    /** Of ten requests to the host {@code failed} have failed. */
     void report(int number, int failed, double meanLatencyMs) {
         planner.hostStatistics(number, number % ZONES, 10, failed, meanLatencyMs, 1000);
     }
--- a/src/test/java/linenring/controller/ColdFleetStartTest.java
+++ b/src/test/java/linenring/controller/ColdFleetStartTest.java
@@ -23,7 +23,7 @@
     private static final double WARM_AFTER_MS = 18_000; // as the fixture's settings say
     private static final double PLAYED_MS = WARM_AFTER_MS + 2000;
     private static final double JOIN_LIMIT_MS = 1000;
-    /** Sent more than so many times what it can do for so long, a cold host falls over. */
+    /** A cold host falls over where it is sent more than this multiple of its capacity for {@link #OVERLOAD_MS}. */
     private static final double OVERLOAD = 4;
 
     private static final double OVERLOAD_MS = 3000;
--- a/src/test/java/linenring/controller/ControlLoopFixture.java
+++ b/src/test/java/linenring/controller/ControlLoopFixture.java
@@ -26,7 +26,7 @@
     static final double TRANSIT_MS = 150;
     static final double GRACE_MS = 2000;
     static final double LONG_AGO = Double.NEGATIVE_INFINITY;
-    /** The protocol's: limits of rules are so much longer on sockets. */
+    /** The protocol's: limits of rules are longer by this on sockets. */
     static final double SOCKET_SLACK_MS = 300;
 
     private static final int MAX_MESSAGES = 30;
@@ -42,7 +42,7 @@
         this(known, proxyCount, 22.0 * proxyCount + 1000);
     }
 
-    /** With a channel in which at most so many entries may be queued. */
+    /** With a channel in which at most {@code maxQueuedEntries} may be queued. */
     ControlLoopFixture(HostList known, int proxyCount, double maxQueuedEntries) {
         Names names = new Names(ZONES, List.of("m1"), List.of("lookup"), proxyCount, 4);
         controlLoop = new ControlLoop(
@@ -54,7 +54,7 @@
                 new Clock(Instant.ofEpochMilli((long) START_MS)));
     }
 
-    /** One operation that is open to all hosts, and a channel in which at most so many entries may be queued. */
+    /** One operation that is open to all hosts, and a channel in which at most {@code maxQueuedEntries} may be queued. */
     static PlannerSettings settings(double maxQueuedEntries) {
         return new PlannerSettings(
                 List.of(new PlannerSettings.Operation(1000, 1, -1, -1, false, ZONES.size())),
--- a/src/test/java/linenring/controller/FleetStateTest.java
+++ b/src/test/java/linenring/controller/FleetStateTest.java
@@ -251,7 +251,7 @@
                 List.of("s-0", "s-1"),
                 other.lastParts().get(0).restored()); // two policies are sent as one, which leaves room for one
         fleetState.setWeight(7, 0, 0.5);
-        assertEquals(2, fleetState.entriesInMessage(0, 1)); // the planner is told of it
+        assertEquals(2, fleetState.entriesInMessage(0, 1)); // the planner sees it
         fleetState.send();
         assertEquals(List.of("s-2"), other.lastParts().get(0).restored()); // one with each update
         fleetState.setWeight(7, 0, 0.6);
--- a/src/test/java/linenring/controller/LateSilenceTest.java
+++ b/src/test/java/linenring/controller/LateSilenceTest.java
@@ -32,7 +32,7 @@
     private int next = HOSTS;
     private int oldest;
 
-    /** Hosts are replaced one by one for so long; reports of good service come from these zones. */
+    /** Hosts are replaced one by one for {@code durationMs}; reports of good service come from these zones. */
     private void serve(double durationMs, int... zones) {
         for (double end = fixture.now() + durationMs; fixture.now() < end; ) {
             int leaves = oldest++;
--- a/src/test/java/linenring/controller/ReplacedHostsTest.java
+++ b/src/test/java/linenring/controller/ReplacedHostsTest.java
@@ -28,7 +28,7 @@
     private static final int RETAINED = 1024;
     private static final int PROXIES = 2;
     private static final double TURN_MS = 1200;
-    /** So many turns later a host's id belongs to another. */
+    /** The number of turns after which a host's id belongs to another. */
     private static final int FORGOTTEN_AFTER = 2 * RETAINED / ALIVE;
 
     private long version = 1;
--- a/src/test/java/linenring/gateway/DrainTest.java
+++ b/src/test/java/linenring/gateway/DrainTest.java
@@ -46,7 +46,7 @@
         drain.streamClosed("slow");
         assertEquals(Drain.Stage.NAMING_LAST_STREAMS, drain.advance(2499));
         assertEquals(Drain.NOT_NOW, drain.nameLastStream("mute"));
-        assertEquals(Drain.Stage.OVER, drain.advance(2500)); // a mute client is waited for so long
+        assertEquals(Drain.Stage.OVER, drain.advance(2500)); // a mute client is waited for until here
         assertEquals(0, drain.nameLastStream("mute"));
     }
 
