--- a/src/test/java/linenring/planner/RecordedHistories.java
+++ b/src/test/java/linenring/planner/RecordedHistories.java
@@ -16,8 +16,8 @@
     private static final int SEEDS = 3;
     /** Each made a difference of some constant by 2% visible that the named shapes don't show, or was the first to. */
     private static final List<Long> RANDOM_SHAPE_SEEDS = List.of(
-            6L, 7L, 9L, 11L, 12L, 15L, 17L, 19L, 20L, 22L, 34L, 35L, 37L, 50L, 55L, 73L, 129L, 183L, 282L, 366L, 489L,
-            560L);
+            6L, 7L, 9L, 11L, 12L, 15L, 17L, 19L, 20L, 22L, 26L, 34L, 35L, 37L, 42L, 50L, 55L, 73L, 116L, 129L, 183L,
+            282L, 366L, 489L, 560L);
 
     private static final List<Long> WAITING_BINDS_SEEDS = List.of(1086L, 2517L);
     private static final Shards WITHOUT_SHARDS = new Shards(0, false, 0, 0);
