--- a/src/main/java/linenring/planner/AdmissionController.java
+++ b/src/main/java/linenring/planner/AdmissionController.java
@@ -11,10 +11,10 @@
 
 /**
  * Decides how much of each operation proxies admit, and whether they retry. Inputs: the usual and the high lateness (in
- * objectives), attempts that ended and failed, requests a second and objective (ms) of each operation, its value.
+ * objectives), attempts that ended and failed, requests a second, objective (ms) and priority weight of each operation.
  *
  * <p>Failure guarded against: a fleet too small for what is asked, whatever made it so. It shows as lateness at the best third
- * of the hosts and at the host at 62 in 100 alike; in the end nothing is answered in time, as work is spent on answers that
+ * of the hosts and at the 62nd percentile host alike; in the end nothing is answered in time, as work is spent on answers that
  * come too late. The guard holds because what is admitted follows what ends well: it is cut once, then judged again when reports
  * tell of what was admitted after the cut. What is shed is what earns least for a unit of work. Nothing is cut while the best
  * third is unhurried: then hosts or links are at fault and not load. It could do harm where all hosts are slow for a cause
@@ -24,7 +24,7 @@
  * retry storm under lowered admission, where each full host would forward to the next.
  */
 final class AdmissionController {
-    /** Admission is cut when the host at 62 in 100 takes more than this part of the objective... */
+    /** Admission is cut when the 62nd percentile host takes more than this part of the objective... */
     private static final double OVERLOAD_LATENESS = 0.5;
     /** ... and the best third more than this: below it they are unhurried. */
     private static final double UNHURRIED_LATENESS = 0.35;
@@ -32,22 +32,29 @@
     private static final double CUT_TARGET_LATENESS = 0.55;
     /** A cut aims a little under what ends well. No reason is recorded for the value. */
     private static final double CUT_TARGET_SUCCESS = 0.95;
-    /** One cut takes two fifths at most. No reason is recorded for the value. */
-    private static final double LARGEST_CUT = 0.6;
-    /** So much is always admitted. No reason is recorded for the value. */
+    /** One step keeps at least this part of the admission ratio. No reason is recorded for the value. */
+    private static final double MIN_FACTOR_PER_CUT = 0.6;
+    /** The admission ratio never falls below this. No reason is recorded for the value. */
     private static final double MIN_ADMISSION_RATIO = 0.1;
-    /** Admission rises while the host at 62 in 100 takes less than this part of the objective... */
+    /** Admission rises while the 62nd percentile host takes less than this part of the objective... */
     private static final double RECOVERY_LATENESS = 0.4;
-    /** ... by this less that lateness: the faster, the quicker answers are. No reason is recorded for the value. */
+    /**
+     * ... and each step multiplies the ratio by 1 + (this - lateness): it rises faster the quicker answers are. No reason is
+     * recorded for the value.
+     */
     private static final double RECOVERY_GAIN_AT_ZERO_LATENESS = 0.45;
-    /** After a cut queues empty for so long; then reports of what was admitted before it are dropped. */
+    /** Time in which queues empty after a cut; then reports of what was admitted before it are dropped. */
     private static final double QUEUES_EMPTY_MS = 2000;
-    /** Reports are waited for at least so long after that. */
+    /** Shortest wait for reports after that. */
     private static final double MIN_REPORT_SPAN_MS = 1000;
-    /** Admission is judged again after so long, when new reports have come in. */
+    /** Wait before admission is judged again, in which new reports come in. */
     private static final double JUDGE_AGAIN_MS = 1500;
-    /** Each operation is first cut to 0.4, so that none is given up early, and then to 0.05, for which no reason is recorded. */
-    private static final double[] SHEDDING_FLOORS = {0.4, 0.05};
+    /** Phase 1 sheds each operation down to this ratio, so that none is given up early. */
+    private static final double FIRST_PHASE_FLOOR = 0.4;
+    /** Phase 2 sheds each operation down to this ratio. No reason is recorded for the value. */
+    private static final double SECOND_PHASE_FLOOR = 0.05;
+
+    private static final double[] SHEDDING_FLOORS = {FIRST_PHASE_FLOOR, SECOND_PHASE_FLOOR};
     /** A smaller change of admission is not worth a message. */
     private static final double MIN_CHANGE = 0.02;
     /** No retries in a storm under this admission. No reason is recorded for the value. */
@@ -101,7 +108,7 @@
         double lateness = statistics.highLateness();
         if (lateness > OVERLOAD_LATENESS && statistics.usualLateness() > UNHURRIED_LATENESS) {
             double bySuccess = CUT_TARGET_SUCCESS * statistics.succeeded() / statistics.ended();
-            double cut = Math.max(LARGEST_CUT, Math.min(CUT_TARGET_LATENESS / lateness, bySuccess));
+            double cut = Math.max(MIN_FACTOR_PER_CUT, Math.min(CUT_TARGET_LATENESS / lateness, bySuccess));
             return Math.max(MIN_ADMISSION_RATIO, admissionRatio * cut);
         }
         if (lateness < RECOVERY_LATENESS && admissionRatio < 1) {
@@ -139,7 +146,7 @@
                 : RetryPolicy.ONE_IF_NOT_EXECUTED;
     }
 
-    /** Whether the table must be written the admission of this operation. */
+    /** Whether this operation's admission must be written to the table. */
     boolean isDue(EndpointTable table, int operation) {
         return !context.registry().isSharded()
                 && table.isFor(operation)
@@ -147,7 +154,7 @@
                         || Math.abs(table.admissionRatio(operation) - admissionRatios[operation]) > MIN_CHANGE);
     }
 
-    /** Operations whose admission the table must be written. */
+    /** Operations whose admission must be written to the table. */
     IntStream due(EndpointTable table) {
         return IntStream.range(0, operations.size()).filter(operation -> isDue(table, operation));
     }
--- a/src/main/java/linenring/planner/ChannelLedger.java
+++ b/src/main/java/linenring/planner/ChannelLedger.java
@@ -5,12 +5,21 @@
 
 /**
  * The account of what waits in the channel to the proxies, in entries. It guards against a queue that is fuller than its limit,
- * which the product forbids: the channel carries so many entries a second and reports nothing but acknowledgements.
+ * {@link PlannerSettings.Channel#maxQueuedEntries}: the channel carries its stated rate and reports nothing but acknowledgements.
  *
- * <p>A message waits until its proxy acknowledges it or a later one, and counts until all older ones have left: in the room of
- * lost ones it may overtake them. Where no acknowledgement comes it has left once the channel had time for all ahead of it, as
- * slow as it last was, and its stream ended or a later message was acknowledged. The account could do harm where acknowledgements
- * are lost and the channel is fast: then it counts entries that have left, and writes wait.
+ * <p>A message that was sent counts as waiting until one of these holds:
+ *
+ * <ol>
+ *   <li>It is acknowledged, by itself or by a later message to its proxy, and no older message is still without an
+ *       acknowledgement on a stream that lives. The older one is waited for since a message may overtake others: it moves up
+ *       where messages to broken streams are dropped.
+ *   <li>It is not acknowledged, and its stream has ended or a message sent later has been acknowledged: once the channel had time
+ *       for all ahead of it, at the pace that acknowledgements have shown.
+ *   <li>It is not acknowledged, and nothing else is known: after the longest wait.
+ * </ol>
+ *
+ * <p>The account could do harm where acknowledgements are lost and the channel is fast: then it counts entries that have left, and
+ * writes wait.
  */
 final class ChannelLedger {
     private final double entriesPerMs;
@@ -22,7 +31,7 @@
     private double waitingEntries;
     private double latestAcknowledgedSentAtMs;
 
-    /** The longest wait is that of a message that nothing is heard of. */
+    /** The longest wait is that of a message of which nothing is known. */
     ChannelLedger(PlannerSettings.Channel channel, double longestWaitMs) {
         entriesPerMs = channel.entriesPerMs();
         longestTransitMs = channel.longestTransitMs();
@@ -62,7 +71,7 @@
         }
     }
 
-    /** Takes out what has left by now. */
+    /** Removes what has left by now. */
     void update(double nowMs) {
         messages.removeIf(message ->
                 !message.isAcknowledged() && nowMs > message.sentAtMs() + longestTransitMs + longestWaitMs(message));
@@ -82,6 +91,6 @@
 
     private double longestWaitMs(SentMessage message) {
         boolean mustHaveLeft = message.isLost() || message.sentAtMs() < latestAcknowledgedSentAtMs;
-        return mustHaveLeft ? Math.min(longestWaitMs, message.shownWaitMs()) : longestWaitMs;
+        return mustHaveLeft ? Math.min(longestWaitMs, message.observedWaitMs()) : longestWaitMs;
     }
 }
--- a/src/main/java/linenring/planner/Commands.java
+++ b/src/main/java/linenring/planner/Commands.java
@@ -6,10 +6,10 @@
  * the inputs carry.
  */
 public interface Commands {
-    /** Writes the entry of a host in a table; weight 0 takes it out. */
+    /** Writes the entry of a host in a table; weight 0 removes it. */
     void setWeight(int table, int host, double weight);
 
-    /** Takes all entries and admissions out of a table. */
+    /** Removes all entries and admissions from a table. */
     void clearTable(int table);
 
     /** Ejects a host from every table that joined proxies hold, or restores it. */
@@ -19,13 +19,13 @@
     void bindProxy(int table, int operations, int proxy);
 
     /**
-     * How many entries a bind would take beyond the table's own, its admissions and its ejected hosts; asked before the bind, as
-     * the channel may hold only so many.
+     * Number of entries that a bind would take beyond the table's own, its admissions and its ejected hosts; asked before the bind, as
+     * the channel's queue is limited.
      */
     int extraEntriesOfBind(int table, int proxy);
 
     /**
-     * How many entries one for this host would take at a proxy beyond itself, as the host may have to be restored there, or ejected;
+     * Number of entries that one for this host would take at a proxy beyond itself, as the host may have to be restored there, or ejected;
      * asked before the entry is written.
      */
     int extraEntriesOfWeight(int host, int proxy);
@@ -37,7 +37,7 @@
     void requestAcknowledgement(int nonce);
 
     /**
-     * How many entries the message to a proxy takes beside its head and the nonce, where so many are expected; asked once all
+     * Number of entries that the message to a proxy takes beside its head and the nonce, given the number expected; asked once all
      * commands that it holds are given.
      */
     double entriesInMessage(int proxy, double expected);
--- a/src/main/java/linenring/planner/EndpointTable.java
+++ b/src/main/java/linenring/planner/EndpointTable.java
@@ -11,6 +11,9 @@
 /**
  * A table of endpoints that proxies share, for the operations that are open to the same hosts, as it was last written. It is
  * full (all hosts), of one zone, of some subsets of the fleet, or that of a shard.
+ *
+ * <p>It belongs to the thread of the control loop, as the whole planner does. {@link AdmissionController} sets the admission ratios
+ * and the retry policy, {@link ShardPlacement} the owner, {@link PendingChanges} and {@link TableWriter} the time of the last write.
  */
 final class EndpointTable {
     /** The zone of a table that serves proxies of all zones. */
@@ -71,7 +74,7 @@
         return homeZone;
     }
 
-    /** In how many zones there are tables like this one. */
+    /** Number of zones that have a table like this one. */
     double zoneTables() {
         return homeZone == ALL_ZONES ? 1.0 : operation.zoneCount();
     }
@@ -90,7 +93,7 @@
         return firstSubset;
     }
 
-    /** Of how many subsets it is made. */
+    /** Number of subsets that it is made of. */
     int subsetCount() {
         return subsetCount;
     }
@@ -105,7 +108,7 @@
         members.add(host);
     }
 
-    /** Takes a host out of a table of subsets; the others have a view of all hosts. */
+    /** Removes a host from a table of subsets; the others have a view of all hosts. */
     void removeMember(Host host) {
         members.remove(host);
     }
--- a/src/main/java/linenring/planner/FleetMembership.java
+++ b/src/main/java/linenring/planner/FleetMembership.java
@@ -1,7 +1,7 @@
 package linenring.planner;
 
 /**
- * Takes the host lists: which hosts are ready, drain or are gone. Inputs: entries of lists, whole ones or changes, with the start
+ * Applies the host lists: which hosts are ready, drain or are gone. Inputs: entries of lists, complete ones or changes, with the start
  * times of hosts (ms on the planner's clock).
  *
  * <p>Failure guarded against: a wrong list names hosts that do not exist, and requests to them fail. So a host first met in a
@@ -9,7 +9,7 @@
  * weight. It could do harm where lists are very late: a sound host serves little for some seconds.
  */
 final class FleetMembership {
-    /** Lists are late: a host that started so shortly before the first one may be missing there. */
+    /** Lists are late: a host that started within this time before the first one may be missing there. */
     private static final double LIST_DELAY_MS = 20_000;
 
     private static final double NOT_STARTED = -1;
@@ -17,7 +17,7 @@
     private final PlannerContext context;
     private final OutlierDetector outliers;
     private double startedAtMs = NOT_STARTED;
-    private boolean isWholeList;
+    private boolean isCompleteList;
 
     FleetMembership(PlannerContext context, OutlierDetector outliers) {
         this.context = context;
@@ -31,18 +31,18 @@
         }
     }
 
-    void beginList(boolean whole) {
-        isWholeList = whole;
+    void beginList(boolean isComplete) {
+        isCompleteList = isComplete;
         context.fleet().hosts().forEach(Host::beginList);
     }
 
     void ready(int id, int zone, int kind, double weight, double startedMs) {
-        boolean isFirstMetInChange = !isWholeList && !context.fleet().isKnown(id);
+        boolean isFirstMetInChange = !isCompleteList && !context.fleet().isKnown(id);
         Host host = update(id, zone, kind, weight);
         host.markReady(startedMs);
         boolean shouldHaveBeenListed = context.warmUp().isWarm(host) && startedMs < startedAtMs - LIST_DELAY_MS;
         if (isFirstMetInChange && shouldHaveBeenListed) {
-            outliers.tryDoubtful(host);
+            outliers.startProbationOfUnverified(host);
         }
     }
 
@@ -72,10 +72,10 @@
         context.statistics().markStale();
     }
 
-    /** Hosts that a whole list does not name are gone. */
+    /** Hosts that a complete list does not name are gone. */
     void endList() {
         context.fleet().hosts().stream()
-                .filter(host -> isWholeList && !host.isListed() && !host.isReleased())
+                .filter(host -> isCompleteList && !host.isListed() && !host.isReleased())
                 .forEach(host -> removed(host.id()));
     }
 
--- a/src/main/java/linenring/planner/FleetStatistics.java
+++ b/src/main/java/linenring/planner/FleetStatistics.java
@@ -22,7 +22,7 @@
     /** Fewer attempts than this in the whole fleet say nothing about it. No reason is recorded for the value. */
     static final double MIN_FLEET_ATTEMPTS = 20;
 
-    /** Attempts decay by half in so long, or in the time that a report covers, if that is longer. */
+    /** Time in which attempts decay by half, unless a report covers a longer time, which then counts. */
     private static final double HALF_LIFE_MS = 1500;
 
     private static final double LEFT_AFTER_HALF_LIFE = 0.5;
@@ -36,9 +36,9 @@
     private static final double MIN_HOST_ATTEMPTS = 3;
     /** The best third of the hosts: good even where others are broken or cut off. */
     private static final double USUAL_QUANTILE = 0.33;
-    /** The host at 62 in 100: a third of the hosts broken or cut off does not move it. */
+    /** The 62nd percentile host: a third of the hosts broken or cut off does not move it. */
     private static final double HIGH_QUANTILE = 0.62;
-    /** A proxy that is asked so often a second for each host meets a failing one often enough to avoid it by itself. */
+    /** Requests a second for each host from which on a proxy meets a failing one often enough to avoid it by itself. */
     private static final double REQUESTS_PER_HOST_TO_AVOID_IT = 0.25;
     /** The objective until the first demand is known. */
     private static final double INITIAL_OBJECTIVE_MS = 1000;
@@ -75,15 +75,15 @@
     // ---- inputs
 
     /** Adds a report: attempts at one host by proxies of one zone, and the time that the report covers. */
-    void addReport(Host host, int proxyZone, int total, int bad, double meanMs, double spanMs) {
+    void addReport(Host host, int proxyZone, int attempts, int failedAttempts, double meanSuccessMs, double spanMs) {
         reportSpanMs += REPORT_SPAN_SMOOTHING * (spanMs - reportSpanMs);
         Zone from = fleet.zone(proxyZone);
         boolean isSameZone = proxyZone == host.zone();
         boolean saysSomethingOfHost = isSameZone || !from.isPartitioned(time.nowMs());
-        double spentMs = (total - bad) * meanMs;
-        (isSameZone ? from.sameZone() : from.otherZones()).add(total, bad, spentMs);
+        double spentMs = (attempts - failedAttempts) * meanSuccessMs;
+        (isSameZone ? from.sameZone() : from.otherZones()).add(attempts, failedAttempts, spentMs);
         if (saysSomethingOfHost) {
-            host.outcomes().add(total, bad, spentMs);
+            host.outcomes().add(attempts, failedAttempts, spentMs);
         }
         stale = true;
     }
@@ -239,7 +239,7 @@
         return usualLateness;
     }
 
-    /** Lateness of the host at 62 in 100. */
+    /** Lateness of the 62nd percentile host. */
     double highLateness() {
         return highLateness;
     }
--- a/src/main/java/linenring/planner/FlowControl.java
+++ b/src/main/java/linenring/planner/FlowControl.java
@@ -18,11 +18,11 @@
 final class FlowControl {
     /** Round trips are smoothed over about the last five acknowledgements. */
     private static final double ROUND_TRIP_SMOOTHING = 0.2;
-    /** The paper's window of unacknowledged messages. */
+    /** The window of unacknowledged messages in ESPRES (see docs/design.md). */
     private static final int WINDOW_MESSAGES = 5;
-    /** A proxy's window counts no more once its oldest message is older than so many round trips. No reason is recorded. */
+    /** Age of its oldest message, in round trips, from which on a proxy's window does not count. No reason is recorded. */
     private static final double OVERDUE_ROUND_TRIPS = 3;
-    /** A message to a proxy is overdue after so many of its longest transits, there and back. */
+    /** Age, in longest transits (there and back), from which on a message to a proxy is overdue. */
     private static final double OVERDUE_TRANSITS = 2;
     /** Ordinary entries wait two seconds at most: the queue may hold 15 s of them, and drains come behind. */
     private static final double ORDINARY_WAIT_MS = 2000;
@@ -34,8 +34,11 @@
     private static final double SLOW_ROUND_TRIP_SHARE_OF_GRACE = 0.5;
     /** The channel counts as slow only where more than this share of the queue waits. No reason is recorded for the value. */
     private static final double SLOW_QUEUE_SHARE = 0.25;
-    /** Messages to all of a table may take a quarter of the channel for their heads. */
-    private static final double INVERSE_SHARE_FOR_HEADS = 4;
+    /**
+     * The gap is this multiple of the time in which the channel sends one message head to each proxy: heads take a quarter of
+     * it.
+     */
+    private static final double GAP_PER_HEADS_TIME = 4;
     /** Spaced messages use this share of the message limit; the rest is for what is urgent. No reason is recorded for the value. */
     private static final double SPACED_MESSAGE_SHARE = 0.6;
     /** A sub-update that no queue holds goes in pieces of half of what ordinary entries may fill. */
@@ -93,7 +96,7 @@
         return ledger.waitingEntries();
     }
 
-    /** Whether so much fits into the queue. */
+    /** Whether a write of this cost fits into the queue. */
     boolean fits(double cost) {
         return ledger.waitingEntries() + cost <= channel.maxQueuedEntries();
     }
@@ -105,7 +108,7 @@
         drainsWait = wait;
     }
 
-    /** Whether so many entries may be written to each of the proxies. */
+    /** Whether this number of entries may be written to each of the proxies. */
     boolean mayWrite(Collection<ProxyState> proxies, double entries, WritePriority priority) {
         double cost =
                 proxies.stream().mapToDouble(proxy -> cost(proxy, entries)).sum();
@@ -139,7 +142,7 @@
                         .allMatch(proxy -> proxy.hasMessageBeingWritten() || countedMessages(proxy) + 1 <= limit);
     }
 
-    /** How many messages the limit counts for a proxy now. */
+    /** Number of messages that the limit counts for a proxy now. */
     int countedMessages(ProxyState proxy) {
         return proxy.messagesSentSince(time.nowMs() - channel.messageLimitSpanMs() - ROUNDING_MS);
     }
@@ -151,13 +154,12 @@
     }
 
     /**
-     * Whether so much time has passed since the table was written that its next message does not fill the channel with heads.
+     * Whether enough time has passed since the table was written, so that its next message does not fill the channel with heads.
      * Without the gap each input would be a sub-update of its own and nothing would merge. What goes to all anyway takes
      * along what is due.
      */
     boolean isGapOver(EndpointTable table, double leastGapMs) {
-        double headsMs =
-                INVERSE_SHARE_FOR_HEADS * fleet.joined().size() * channel.messageCost() / channel.entriesPerMs();
+        double headsMs = GAP_PER_HEADS_TIME * fleet.joined().size() * channel.messageCost() / channel.entriesPerMs();
         return time.nowMs() - table.writtenAtMs() >= Math.max(leastGapMs, headsMs)
                 || registry.usersOf(table).stream().allMatch(ProxyState::hasMessageBeingWritten);
     }
@@ -169,7 +171,7 @@
                 : 0;
     }
 
-    /** Whether so many entries fit into the proxy's window: a round trip's worth, at least 5 messages. */
+    /** Whether this number of entries fits into the proxy's window: a round trip's worth, at least 5 messages. */
     boolean hasRoomInWindow(ProxyState proxy, double entries, EndpointTable table) {
         return proxy.unacknowledgedMessages() < WINDOW_MESSAGES
                 || proxy.unacknowledgedEntries() + entries
--- a/src/main/java/linenring/planner/Host.java
+++ b/src/main/java/linenring/planner/Host.java
@@ -75,7 +75,7 @@
         return released;
     }
 
-    /** Ejected at the proxies, for its health or because it leaves. */
+    /** Ejected at the proxies: for its health, because it leaves, or because it is cold in a retry storm. */
     boolean isEjected() {
         return ejected;
     }
@@ -144,6 +144,6 @@
         if (outcomes.ended() > 0 || mustDrain() || isUnsettled || health.isOnProbation()) {
             return nowMs;
         }
-        return running && health.isUnhealthy() ? health.retryAtMs() : Double.POSITIVE_INFINITY;
+        return running && health.isUnhealthy() ? health.probationDueAtMs() : Double.POSITIVE_INFINITY;
     }
 }
--- a/src/main/java/linenring/planner/HostHealth.java
+++ b/src/main/java/linenring/planner/HostHealth.java
@@ -1,15 +1,15 @@
 package linenring.planner;
 
 /**
- * What the planner has concluded about the health of one host: healthy, unhealthy until a retry, or on probation with a share
+ * What the planner has concluded about the health of one host: healthy, unhealthy until its next probation, or on probation with a share
  * of its weight. Times are milliseconds on the planner's clock.
  */
 final class HostHealth {
-    /** The first retry comes after so long. No reason is recorded for the value. */
-    private static final double FIRST_RETRY_MS = 3000;
+    /** Wait from the first ejection to its probation. No reason is recorded for the value. */
+    private static final double FIRST_PROBATION_AFTER_MS = 3000;
     /** Each failed probation in a row lengthens the next wait by this factor. No reason is recorded for the value. */
-    private static final double RETRY_BACKOFF = 1.5;
-    /** Waits grow no further after so many failed probations: up to 15 s for what stays bad. */
+    private static final double PROBATION_BACKOFF = 1.5;
+    /** Failed probations after which the wait grows no further: up to 15 s for what stays bad. */
     private static final int MAX_BACKOFF_STEPS = 4;
     /** A probation that is passed lets the share grow fourfold: two steps at most, so that few messages are spent. */
     private static final double PROBATION_GROWTH = 4;
@@ -19,7 +19,7 @@
     private static final double NOT_ON_PROBATION = -1;
 
     private boolean unhealthy;
-    private double retryAtMs;
+    private double probationDueAtMs;
     private double probationSinceMs = NOT_ON_PROBATION;
     private double restUntilMs;
     private int consecutiveFailures;
@@ -31,9 +31,9 @@
         return unhealthy;
     }
 
-    /** When an unhealthy host is tried again. */
-    double retryAtMs() {
-        return retryAtMs;
+    /** When the probation of an unhealthy host is due. */
+    double probationDueAtMs() {
+        return probationDueAtMs;
     }
 
     boolean isOnProbation() {
@@ -71,7 +71,9 @@
     void markUnhealthy(double nowMs) {
         unhealthy = true;
         probationSinceMs = NOT_ON_PROBATION;
-        retryAtMs = nowMs + FIRST_RETRY_MS * Math.pow(RETRY_BACKOFF, Math.min(MAX_BACKOFF_STEPS, consecutiveFailures));
+        probationDueAtMs = nowMs
+                + FIRST_PROBATION_AFTER_MS
+                        * Math.pow(PROBATION_BACKOFF, Math.min(MAX_BACKOFF_STEPS, consecutiveFailures));
         consecutiveFailures++;
     }
 
@@ -82,7 +84,7 @@
         share = initialShare;
     }
 
-    /** Its next retry waits as long as after so many failed probations. */
+    /** Its next probation waits as after this number of failed ones. */
     void presumeFailures(int failures) {
         consecutiveFailures = failures;
     }
--- a/src/main/java/linenring/planner/OutlierDetector.java
+++ b/src/main/java/linenring/planner/OutlierDetector.java
@@ -3,29 +3,31 @@
 import java.util.stream.Stream;
 
 /**
- * Ejects hosts at which attempts fail, tries them again by a probation with a small share of their weight, and halves the weight
+ * Ejects, for all proxies, hosts at which attempts fail, tries them again by a probation with a small share of their weight, and halves the weight
  * of hosts and kinds of machines that are clearly late. Inputs: each host's outcomes (attempts, lateness in objectives), the usual
  * lateness and failure ratio of the fleet, the capacity of tables (weight).
  *
  * <p>Failure guarded against: the host list knows only of processes. A host that fails, is unreachable or too weak for its
  * weight stays in it; it shows as attempts that fail or are late there and not at the best third of the hosts. The guard holds
  * because it compares with that third: in an overload all are bad and none is ejected. It could do harm where a passing
- * overload of some hosts looks like weakness, and where what ails is the way and not the host: so half of the weight that each
- * table can use stays in, attempts over a cut way do not count ({@link PartitionDetector}), and each verdict is tried again.
+ * overload of some hosts looks like weakness, and where the network path and not the host is at fault: so half of the weight that each
+ * table can use stays in, attempts over a cut path do not count ({@link PartitionDetector}), and each verdict is tried again.
  *
  * <p>A halved weight is a verdict on health: no weight follows a load or a speed.
+ *
+ * <p>Beside it each proxy ejects hosts for itself, by its own consecutive failures: {@code linenring.routing.OutlierEjection}.
  */
 final class OutlierDetector {
-    /** Failed attempts that prove enough. No reason is recorded for the value. */
+    /** Failed attempts that prove enough; like all outcomes they are decaying totals. No reason is recorded for the value. */
     private static final double MIN_FAILURES = 4;
-    /** Failed attempts that prove enough on probation, where few attempts come. */
+    /** Failed attempts (a decaying total) that prove enough on probation, where few attempts come. */
     private static final double MIN_FAILURES_ON_PROBATION = 2;
     /** A host fails where this part of its attempts does; no reason is recorded for the value. */
     private static final double FAILING_RATIO = 0.3;
-    /** A host that is slow besides fails only where nearly all its attempts do; no reason is recorded for the value. */
+    /** A host that is also slow fails only where nearly all its attempts do; no reason is recorded for the value. */
     private static final double FAILING_RATIO_OF_SLOW_HOST = 0.97;
-    /** Slow besides: its answers take so many times the usual lateness. No reason is recorded for the value. */
-    private static final double SLOW_BESIDES_FAILING = 1.3;
+    /** Also slow: its lateness is at least this multiple of the usual one. No reason is recorded for the value. */
+    private static final double SLOW_FACTOR_VS_USUAL = 1.3;
     /** A failing host's ratio is over this and some times the usual failure ratio; no reason is recorded for the values. */
     private static final double FAILING_RATIO_MARGIN = 0.15;
 
@@ -33,13 +35,13 @@
     private static final double FAILING_TIMES_USUAL = 2.2;
     /** Share of the weight on probation: an attempt a second or so, which is enough to judge by. */
     private static final double PROBATION_SHARE = 0.15;
-    /** Reports are up to 1.6 s late: a step of the probation lasts about so long at least... */
+    /** Shortest step of the probation, as reports are up to 1.6 s late... */
     private static final double MIN_PROBATION_MS = 1500;
-    /** ... with so many attempts... */
+    /** ... and the fewest attempts that it takes... */
     private static final double MIN_PROBATION_ATTEMPTS = 2;
-    /** ... or so long if none come: then silence must do. */
+    /** ... but after this time the step passes without attempts. */
     private static final double SILENT_PROBATION_MS = 6000;
-    /** The failures that a host counts as having behind it which may not exist: its retries come after 10 s, then 15 s. */
+    /** Failed probations assumed of a host that may not exist: its first probation after an ejection starts after 10 s. */
     private static final int PRESUMED_FAILURES = 3;
 
     /** A slow host, or kind of machine, and each further verdict, halves the share of the weight. */
@@ -48,18 +50,20 @@
     private static final double MIN_REDUCIBLE_SHARE = 0.3;
     /** A slow host takes more than this part of the objective (no reason is recorded for the value)... */
     private static final double SLOW_LATENESS = 0.55;
-    /** ... and than so many times the best third (likewise)... */
+    /** ... and than this multiple of the best third's lateness (likewise)... */
     private static final double SLOW_TIMES_USUAL = 1.6;
     /** ... whose own lateness is under half: else there is an overload. */
     private static final double MAX_USUAL_LATENESS = 0.5;
-    /** Lateness over so many attempts says all; fewer say as much as they are of these. */
+    /** Lateness has its full weight from this number of attempts; below it in proportion. */
     private static final double FULL_EVIDENCE_ATTEMPTS = 8;
     /** Fewer attempts say nothing of a host's lateness. No reason is recorded for the value. */
     private static final double MIN_ATTEMPTS = 4;
-    /** A reduced weight is kept at least so long after its rest, 48 s in all, and until the host is quicker than usual. */
+    /**
+     * Shortest time that a reduced weight is kept after its rest, 48 s in all; it is kept until the host is quicker than usual.
+     */
     private static final double REDUCTION_LASTS_MS = 40_000;
 
-    /** A kind of machine is judged by so many attempts: at full size a host alone shows two in a report. */
+    /** Fewest attempts by which a kind of machine is judged: at full size a host alone shows two in a report. */
     private static final double MIN_KIND_ATTEMPTS = 50;
     /** A slow kind takes more than half the objective... */
     private static final double SLOW_KIND_LATENESS = 0.5;
@@ -79,14 +83,17 @@
 
     // ---- failing hosts
 
-    /** Whether attempts fail at the host, and not at the best third; a host that is slow besides goes when all fail. */
+    /**
+     * Whether attempts fail at the host, and not at the best third; a host that is also slow is ejected only if at least 97%
+     * fail.
+     */
     boolean isFailing(Host host) {
         FleetStatistics statistics = context.statistics();
         double failed = host.outcomes().failed();
         double succeeded = host.outcomes().ended() - failed;
         statistics.refresh();
         boolean isQuick = host.outcomes().spentMs()
-                < SLOW_BESIDES_FAILING * succeeded * statistics.objectiveMs() * statistics.usualLateness();
+                < SLOW_FACTOR_VS_USUAL * succeeded * statistics.objectiveMs() * statistics.usualLateness();
         double byItself = isQuick ? FAILING_RATIO : FAILING_RATIO_OF_SLOW_HOST;
         double besideOthers = FAILING_RATIO_MARGIN + FAILING_TIMES_USUAL * statistics.usualFailureRatio();
         return host.isRunning()
@@ -135,30 +142,30 @@
 
     /** Gives the host its whole weight at once, on probation. */
     void restoreInFull(Host host) {
-        startProbation(host, 1);
+        startProbationWithShare(host, 1);
     }
 
     // ---- probation
 
-    boolean mayRetry(Host host) {
+    boolean mayStartProbation(Host host) {
         return host.health().isUnhealthy()
                 && host.isRunning()
-                && context.nowMs() >= host.health().retryAtMs();
+                && context.nowMs() >= host.health().probationDueAtMs();
     }
 
-    /** Tries a host again with little, or with the half that it was given for being slow. */
-    void retry(Host host) {
+    /** Tries a host again with a small share of its weight, or with the half that it was given for being slow. */
+    void startProbation(Host host) {
         double limit = host.health().shareLimit();
-        startProbation(host, limit < 1 ? limit : PROBATION_SHARE);
+        startProbationWithShare(host, limit < 1 ? limit : PROBATION_SHARE);
     }
 
-    /** Tries a host that may not exist; if it fails, it is out for long. */
-    void tryDoubtful(Host host) {
-        startProbation(host, PROBATION_SHARE);
+    /** Tries a host that may not exist with a small share; if it fails, it stays ejected 10 s or more. */
+    void startProbationOfUnverified(Host host) {
+        startProbationWithShare(host, PROBATION_SHARE);
         host.health().presumeFailures(PRESUMED_FAILURES);
     }
 
-    private void startProbation(Host host, double share) {
+    private void startProbationWithShare(Host host, double share) {
         host.health().startProbation(context.nowMs(), share);
         context.statistics().forgetOutcomes(host);
     }
@@ -175,7 +182,7 @@
 
     // ---- slow hosts and kinds
 
-    /** Whether the host is clearly too weak for its share; few attempts tell if they are late by as much as many would need. */
+    /** Whether the host is clearly too weak for its share; with fewer than 8 attempts lateness is scaled by n/8. */
     boolean isSlow(Host host) {
         return isSteady(host, MIN_ATTEMPTS)
                 && context.nowMs() > host.health().restUntilMs()
--- a/src/main/java/linenring/planner/PartitionDetector.java
+++ b/src/main/java/linenring/planner/PartitionDetector.java
@@ -4,7 +4,7 @@
  * Detects a network partition between zones, and keeps the proxies of a cut-off zone to hosts of their own. Inputs: outcomes of
  * each zone's proxies at hosts of the zone and of others (lateness in objectives), requests a second in all.
  *
- * <p>Failure guarded against: a way between zones that is cut, slow or lossy. It shows as attempts that fail or are late at hosts
+ * <p>Failure guarded against: a network path between zones that is cut, slow or lossy. It shows as attempts that fail or are late at hosts
  * of other zones and not at those of the own; in a fleet where a proxy meets a host seldom it goes on for the whole cut, as the
  * proxy cannot avoid the hosts by itself. The guard holds because the far attempts are judged together. It could do harm
  * where only hosts elsewhere are lost: then the hosts of the zone carry more than they need to for 10 s.
@@ -18,7 +18,7 @@
     private static final double MIN_LATENESS_DIFFERENCE = 0.5;
     /** ... while near ones take under half: else there is an overload, and no cut. */
     private static final double MAX_NEAR_LATENESS = 0.5;
-    /** Proxies keep to their zone for so long; then the far hosts are tried anew. */
+    /** Time for which proxies keep to their zone; then the far hosts are tried anew. */
     private static final double PARTITION_LASTS_MS = 10_000;
 
     private final PlannerContext context;
@@ -27,11 +27,12 @@
         this.context = context;
     }
 
-    /** Looks for cuts, and sees to it that there are tables for the zones that are cut off. */
+    /** Detects partitions and creates the zone tables of the zones that are cut off. */
     void detect() {
         for (Zone zone : context.fleet().zones()) {
             if (isCutOff(zone)) {
-                if (!zone.isPartitioned(context.nowMs())) { // outcomes so far are those of the way and not of the hosts
+                if (!zone.isPartitioned(context.nowMs())) {
+                    // outcomes so far are those of the path and not of the hosts
                     context.fleet().hosts().forEach(context.statistics()::forgetOutcomes);
                 }
                 zone.partitionUntil(context.nowMs() + PARTITION_LASTS_MS);
--- a/src/main/java/linenring/planner/Planner.java
+++ b/src/main/java/linenring/planner/Planner.java
@@ -15,9 +15,9 @@
  * {@link PlannerContext}.
  */
 public final class Planner {
-    /** No finer than calls by time come: shorter than any report or way of a message here. */
+    /** Shortest interval between timed calls: shorter than any report interval or message transit here. */
     private static final double TICK_MS = 100;
-    /** A message of which nothing is heard has left a channel that is five times slower than stated. */
+    /** An unacknowledged message counts as gone after 5 times the time in which a full queue is sent. */
     private static final double SLOWEST_CHANNEL = 5;
     /** The host list is polled three times within the allowed time: two polls may fail. */
     private static final double POLLS_PER_ALLOWED_TIME = 3;
@@ -96,7 +96,7 @@
                 eachHost(outliers::isOfSlowKind, outliers::halveForKind),
                 eachHost(outliers::hasRecovered, outliers::raiseShare),
                 eachHost(outliers::mustEject, context.writer()::eject),
-                eachHost(outliers::mayRetry, outliers::retry),
+                eachHost(outliers::mayStartProbation, outliers::startProbation),
                 eachHost(outliers::passesProbationStep, outliers::passProbationStep),
                 // after the ejections, which may have left a table without healthy hosts
                 eachHost(outliers::isNeededThoughUnhealthy, outliers::restoreInFull),
@@ -131,9 +131,9 @@
         }
     }
 
-    /** A host list begins: a whole one, or a change. */
-    public void beginHostList(boolean whole) {
-        membership.beginList(whole);
+    /** A host list begins: a complete one, or a change. */
+    public void beginHostList(boolean isComplete) {
+        membership.beginList(isComplete);
     }
 
     /** The list names a host as ready; a weight of 0 or under stands for none given. */
@@ -151,7 +151,7 @@
         membership.removed(id);
     }
 
-    /** The host list ends; hosts that a whole one does not name are gone. */
+    /** The host list ends; hosts that a complete one does not name are gone. */
     public void endHostList() {
         membership.endList();
     }
@@ -161,7 +161,10 @@
         return membership.release(id);
     }
 
-    /** A proxy has a new stream, on which it holds no table of ours; its requests a second are usually so many. */
+    /**
+     * A proxy has a new stream, on which it is bound to none of this controller's tables; its usual requests a second are as it
+     * states them.
+     */
     public void proxyJoined(int id, int zone, double usualRequestsPerSecond) {
         proxyDisconnected(id);
         ProxyState proxy = fleet.proxy(id);
@@ -170,8 +173,10 @@
     }
 
     /**
-     * A proxy's stream has ended. Its windows are free at once, since acknowledgements cannot come; what is on its way to it
-     * is in the channel still.
+     * A proxy's stream has ended. Freed at once: its flow-control window, as no acknowledgement can come ({@link
+     * FlowControl#hasRoomInWindow}). What was on its way to it still counts against the channel queue, until the channel had
+     * time to send it ({@link ChannelLedger}). When the proxy returns, {@link #proxyJoined} makes it a newcomer: {@link
+     * ProxyBinder} binds it anew, which sends the complete table with its admissions and ejections.
      */
     public void proxyDisconnected(int id) {
         fleet.leave(fleet.proxy(id));
@@ -182,9 +187,12 @@
         context.flow().acknowledged(fleet.proxy(id), nonce, tookMs);
     }
 
-    /** Attempts at a host by proxies of one zone in the last span: how many ended, failed, and the mean of the others' time. */
-    public void hostStatistics(int id, int zone, int total, int bad, double meanMs, double spanMs) {
-        context.statistics().addReport(fleet.host(id), zone, total, bad, meanMs, spanMs);
+    /**
+     * Attempts at a host by proxies of one zone in the last span: how many ended, how many of these failed, and the mean time
+     * of those that succeeded.
+     */
+    public void hostStatistics(int id, int zone, int attempts, int failed, double meanSuccessMs, double spanMs) {
+        context.statistics().addReport(fleet.host(id), zone, attempts, failed, meanSuccessMs, spanMs);
     }
 
     /** Requests for an operation at a proxy in the last span. */
--- a/src/main/java/linenring/planner/PlannerSettings.java
+++ b/src/main/java/linenring/planner/PlannerSettings.java
@@ -7,13 +7,13 @@
  *
  * @param operations what proxies request, by index
  * @param coldStart what a host can do before it is warm
- * @param channel the way of messages to proxies
+ * @param channel the channel that carries updates to proxies
  * @param shards the shards of keys, where there are any
- * @param measure what a number of admission means
+ * @param measure unit of an admission value
  * @param listMustBePolled whether the host list comes only when it is asked for
  * @param pollListWithinMs how often it must be asked for then
  * @param removedHostsKeepRunning whether a host that is gone from the list goes on serving
- * @param standingTableEntries entries of the table that a proxy holds when it starts
+ * @param defaultTableEntries entries of the default table, which a proxy holds when it starts
  */
 public record PlannerSettings(
         List<Operation> operations,
@@ -24,7 +24,7 @@
         boolean listMustBePolled,
         double pollListWithinMs,
         boolean removedHostsKeepRunning,
-        int standingTableEntries) {
+        int defaultTableEntries) {
 
     /** Mask of the operations that are open to the same hosts as this one. */
     int operationsOpenToSameHosts(int operation) {
@@ -39,11 +39,11 @@
      * One operation.
      *
      * @param objectiveMs its latency objective
-     * @param value what one answer in time is worth
+     * @param value its priority weight: what an answer in time counts beside those of other operations; relative, no unit
      * @param zones mask of the zones whose hosts may run it; -1 for all
      * @param kinds mask of the kinds of machines that may run it; -1 for all
      * @param homeZoneOnly whether only hosts of the proxy's own zone may run it
-     * @param zoneCount how many zones there are
+     * @param zoneCount number of zones
      */
     public record Operation(
             double objectiveMs, double value, long zones, long kinds, boolean homeZoneOnly, int zoneCount) {
@@ -73,7 +73,7 @@
     public record ColdStart(double initialCapacity, double warmAfterMs) {}
 
     /**
-     * The way of messages to proxies, with its costs and its limits.
+     * The channel that carries updates to proxies, with its costs and its limits.
      *
      * @param entriesPerSecond its rate
      * @param headEntries entries that the head of a message counts as
@@ -108,7 +108,7 @@
     /**
      * Shards of keys, where there are any (count above 0).
      *
-     * @param count how many
+     * @param count number of shards
      * @param singleOwner whether two hosts must never write the same shard
      * @param leaseMs for how long an owner may write after its controller has lost the shard
      * @param lingeringMs for how long writes may go on after the lease
@@ -120,7 +120,7 @@
         }
     }
 
-    /** What a number of admission means. */
+    /** Unit of an admission value. */
     public enum Measure {
         /** The share of requests that is admitted. */
         SHARE,
--- a/src/main/java/linenring/planner/ProxyBinder.java
+++ b/src/main/java/linenring/planner/ProxyBinder.java
@@ -9,7 +9,7 @@
  *
  * <p>A bind replaces all that a proxy held, hosts that drain included, at the cost of one table; ejecting each of those hosts
  * costs more, and the bind comes on top. So newcomers are bound before drains are written, with the priority of drains; moves
- * among our own tables are ordinary writes. Binds go to the most asked proxies first: they are all of one size, so that the
+ * among this controller's tables are ordinary writes. Binds go to the most asked proxies first: they are all of one size, so that the
  * smallest-first order of sub-updates does not tell them apart. It could do harm where many newcomers come at once: drains wait
  * while a newcomer's bind has no room.
  */
@@ -30,7 +30,7 @@
         return newcomersWait;
     }
 
-    /** Binds proxies that hold a table which is not ours; whether there was one. */
+    /** Binds proxies that are bound to none of this controller's tables; whether there was one. */
     boolean bindNewcomers() {
         return bindAll(true);
     }
@@ -53,10 +53,10 @@
     }
 
     private boolean bindAll(EndpointTable full, boolean newcomersOnly) {
-        List<ProxyState> due = unbound(full)
+        List<ProxyState> due = proxiesToBind(full)
                 .filter(proxy -> !newcomersOnly || proxy.boundTo(full.fullTable()) == null)
                 .toList();
-        List<EndpointTable> subsetTables = due.isEmpty() ? List.of() : subsets.tablesFor(full, newcomersOnly);
+        List<EndpointTable> subsetTables = due.isEmpty() ? List.of() : subsets.ensureSubsetTables(full, newcomersOnly);
         boolean any = false;
         for (ProxyState proxy : due) {
             EndpointTable ofZone = partitions.tableFor(proxy, full);
@@ -74,7 +74,7 @@
         return any;
     }
 
-    private Stream<ProxyState> unbound(EndpointTable table) {
+    private Stream<ProxyState> proxiesToBind(EndpointTable table) {
         boolean isReady = context.registry().isFull(table) && !table.isEmpty();
         return context.fleet().joined().stream()
                 .filter(proxy -> isReady && table.servesZone(proxy.zone()) && mustMove(proxy, table));
@@ -88,6 +88,6 @@
 
     /** Entries of the binds of a full table that are not sent yet. */
     double unsentEntries(EndpointTable table) {
-        return unbound(table).count() * (1.0 + table.entryCount());
+        return proxiesToBind(table).count() * (1.0 + table.entryCount());
     }
 }
--- a/src/main/java/linenring/planner/ProxyState.java
+++ b/src/main/java/linenring/planner/ProxyState.java
@@ -45,7 +45,7 @@
         requestsPerSecond[operation] += smoothing * (reportedPerSecond - requestsPerSecond[operation]);
     }
 
-    /** It has a new stream and is bound to none of our tables yet. */
+    /** It has a new stream and is bound to none of this controller's tables yet. */
     void join(int newZone, double usualRate, int fullTables) {
         zone = newZone;
         usualRequestsPerSecond = usualRate;
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Whether a table that it is bound to has an entry for the host; a table that is not ours may have any host. */
+    /** Whether a table that it is bound to has an entry for the host; another controller's table, or its default one, may have any host. */
     boolean mayHold(Host host) {
         return Arrays.stream(bound).anyMatch(table -> table == null || table.holds(host));
     }
--- a/src/main/java/linenring/planner/RetryStormGuard.java
+++ b/src/main/java/linenring/planner/RetryStormGuard.java
@@ -2,24 +2,26 @@
 
 /**
  * Detects a retry storm and keeps cold hosts out of it. Inputs: attempts that ended and failed in the fleet, the lateness of the
- * host at 62 in 100 (in objectives), requests a second, the age of hosts (ms).
+ * 62nd percentile host (in objectives), requests a second, the age of hosts (ms).
  *
  * <p>Failure guarded against: most attempts fail, and proxies avoid the hosts that failed them. The one cold host that has
  * not failed yet is then sent everything, whatever its weight, and fails too; it shows as each new host that answers nothing
  * from its first second on. The guard holds because a cold host that waits outside until the storm is over cannot be chosen.
  * It does harm where no proxy meets a host often enough to avoid it: there cold hosts that were kept out left 48 of 120 to
  * carry all. So it acts only where proxies are asked often enough, and while every table in use has a warm host.
+ *
+ * <p>Retries in a storm are stopped elsewhere, in {@link AdmissionController#retryPolicy}.
  */
 final class RetryStormGuard {
-    /** A storm is assumed at the start, when nothing is known: the first reports come within so long. */
+    /** Time for which a storm is assumed at the start, when nothing is known: the first reports come within it. */
     private static final double ASSUMED_AT_START_MS = 4000;
-    /** A storm lasts until so long after its last sign. */
+    /** Time that a storm lasts after its last sign. */
     private static final double STORM_LASTS_MS = 3000;
     /** A storm is on where a larger part of all attempts failed; a fifth of the hosts dead makes less. */
     private static final double STORM_FAILURE_RATIO = 0.3;
-    /** A storm is on where the host at 62 in 100 takes so many times the fastest usual answer... */
+    /** A storm is on where the lateness of the 62nd percentile host is over this multiple of the unhurried lateness... */
     private static final double STORM_SLOWDOWN = 4;
-    /** ... and so many objectives. No reason is recorded for either. */
+    /** ... and over this many latency objectives. No reason is recorded for either. */
     private static final double STORM_LATENESS = 0.45;
     /** The usual lateness of an unhurried fleet until reports show it. */
     private static final double INITIAL_UNHURRIED_LATENESS = 0.2;
@@ -28,6 +30,7 @@
 
     private final PlannerContext context;
     private double stormUntilMs = NOT_STARTED;
+    /** The lowest usual lateness seen: it only ever falls. */
     private double unhurriedLateness = INITIAL_UNHURRIED_LATENESS;
 
     RetryStormGuard(PlannerContext context) {
--- a/src/main/java/linenring/planner/SentMessage.java
+++ b/src/main/java/linenring/planner/SentMessage.java
@@ -36,7 +36,7 @@
     }
 
     /** How long it waits for the channel at the pace that acknowledgements have shown since. */
-    double shownWaitMs() {
+    double observedWaitMs() {
         return slowdown * (leavesByMs - sentAtMs);
     }
 
--- a/src/main/java/linenring/planner/ShardPlacement.java
+++ b/src/main/java/linenring/planner/ShardPlacement.java
@@ -9,7 +9,7 @@
  *
  * <p>Failure guarded against: two hosts write the same shard. It shows as lost writes. The guard holds because a shard whose
  * owner is lost gets the next one only once no write can be in the hands of the last, the time that another controller's owner may
- * go on included. It costs that the shard has no owner for so long.
+ * go on included. It costs that the shard has no owner during that time.
  */
 final class ShardPlacement {
     /** Where a shard may have several writers the next owner comes at once. */
--- a/src/main/java/linenring/planner/SubsetAssigner.java
+++ b/src/main/java/linenring/planner/SubsetAssigner.java
@@ -6,13 +6,13 @@
 import java.util.stream.IntStream;
 
 /**
- * Deals the hosts to subsets and decides of how many each proxy's table is made. Inputs: the channel's rate (entries a second)
- * and what waits in it, the number of proxies and entries, the size of a standing table (entries), usual requests a second.
+ * Assigns the hosts to subsets and decides how many of these each proxy's table is made of. Inputs: the channel's rate (entries a second)
+ * and what waits in it, the number of proxies and entries, the size of a default table (entries), usual requests a second.
  *
  * <p>Failure guarded against: tables that the channel cannot carry. A full table for each of 160 proxies takes 28 s of 1,200
  * entries a second; until then newcomers hold a few hosts of old tables, which drains and losses empty. Where full tables for all
  * proxies take over a third of the ramp of 10 s, by which tables change anyway, each proxy gets what can be sent in that
- * time; newcomers that would wait over a second for it first get a standing table's size. It could do harm by uneven load, and
+ * time; newcomers that would wait over a second for it first get a default table's size. It could do harm by uneven load, and
  * a proxy whose few hosts are all slow has no others: so new hosts go where least can be done, and an overloaded subset is
  * left by some of its proxies.
  */
@@ -23,13 +23,13 @@
     private static final double MARGIN_BEFORE_SUBSETS = 1.25;
     /** Newcomers that would wait longer for their tables get one subset first. */
     private static final double JOIN_SURGE_MS = 1000;
-    /** A subset has at least so many hosts. No reason is recorded for the value. */
-    private static final int MIN_STANDING_ENTRIES = 2;
+    /** Fewest hosts in a subset. No reason is recorded for the value. */
+    private static final int MIN_HOSTS_PER_SUBSET = 2;
     /** Proxies are shared out among two tables at least, as it may be that one has to be left. */
     private static final int MIN_TABLES = 2;
-    /** The span changes only when it is twice too large or too small, as each change moves proxies. */
-    private static final double SPAN_CHANGE = 2;
-    /** A table is left when so many times the fleet's load is asked of it: it can do two thirds of what others can for it. */
+    /** The number of subsets per table changes only when it is twice too large or too small, as each change moves proxies. */
+    private static final double MIN_CHANGE_FACTOR = 2;
+    /** A table is left when this many times the fleet's load per capacity is asked of it: it can do two thirds of what others can for it. */
     private static final double OVERLOAD = 1.5;
     /** Stands for the load of a table with no users, so that the weight decides among such. */
     private static final double IDLE_LOAD = 1e-6;
@@ -39,10 +39,10 @@
     private final PlannerContext context;
     private final PendingChanges changes;
     private final PartitionDetector partitions;
-    /** How many subsets hosts are dealt to; 0 for none. */
+    /** Number of subsets that hosts are assigned to; 0 for none. */
     private int subsets;
-    /** Of how many subsets a table is made, or 0 for full tables. */
-    private int span;
+    /** Number of subsets that a table is made of, or 0 for full tables. */
+    private int subsetsPerTable;
 
     private boolean joinSurge;
 
@@ -57,28 +57,28 @@
         return joinSurge;
     }
 
-    /** Decides on subsets and their span, deals new hosts, and clears tables that nobody needs any more. */
+    /** Decides on subsets and how many a table has, assigns new hosts, and clears tables that nobody needs any more. */
     void assign() {
         context.statistics().refresh();
-        int standingEntries = Math.max(MIN_STANDING_ENTRIES, context.settings().standingTableEntries());
+        int hostsPerSubset = Math.max(MIN_HOSTS_PER_SUBSET, context.settings().defaultTableEntries());
         double affordable = affordableEntries();
         double entries = context.registry().fullTables().stream()
                 .mapToDouble(table -> table.entryCount() / table.zoneTables())
                 .sum();
-        boolean tooLarge = !isSharded() && entries > (span > 0 ? 1 : MARGIN_BEFORE_SUBSETS) * affordable;
-        joinSurge = isJoinSurge(Math.min(entries, Math.max(standingEntries, affordable)));
+        boolean tooLarge = !isSharded() && entries > (subsetsPerTable > 0 ? 1 : MARGIN_BEFORE_SUBSETS) * affordable;
+        joinSurge = isJoinSurge(Math.min(entries, Math.max(hostsPerSubset, affordable)));
         if ((joinSurge || tooLarge) && subsets == 0) {
-            dealAll(standingEntries);
+            assignAll(hostsPerSubset);
         }
-        updateSpan(tooLarge && subsets > 1 ? subsetsThatFit(affordable / entries) : 0);
-        context.fleet().forEachHost(this::mustBeDealt, this::dealNew);
+        updateSubsetsPerTable(tooLarge && subsets > 1 ? subsetsThatFit(affordable / entries) : 0);
+        context.fleet().forEachHost(this::mustBeAssigned, this::assignNew);
         clearUnusedTables();
         if (!joinSurge && !tooLarge) {
             dissolveUnlessUsed();
         }
     }
 
-    private boolean mustBeDealt(Host host) {
+    private boolean mustBeAssigned(Host host) {
         return subsets > 0 && host.isRunning() && host.subset() == Host.WITHOUT_SUBSET;
     }
 
@@ -114,30 +114,30 @@
                         > JOIN_SURGE_MS * channel().entriesPerMs();
     }
 
-    /** Deals hosts that can serve in turn, by zone and kind, so that each subset has some of all. */
-    private void dealAll(int standingEntries) {
+    /** Assigns hosts that can serve in turn, by zone and kind, so that each subset has some of all. */
+    private void assignAll(int hostsPerSubset) {
         List<Host> serving = context.fleet().hosts().stream()
                 .filter(host -> host.isRunning()
                         && !host.isEjected()
                         && context.warmUp().isWarm(host))
                 .sorted(Comparator.comparingInt(Host::zone).thenComparingInt(Host::kind))
                 .toList();
-        subsets = serving.isEmpty() ? 0 : Math.max(1, serving.size() / standingEntries);
+        subsets = serving.isEmpty() ? 0 : Math.max(1, serving.size() / hostsPerSubset);
         IntStream.range(0, serving.size()).forEach(index -> serving.get(index).assignTo(index % subsets));
     }
 
-    /** How many subsets a table may be made of; 0 where all of them fit. */
+    /** Number of subsets that fit into a table, at least 1; 0 if all fit, as the remainder is 0 only then. */
     private int subsetsThatFit(double affordableShare) {
         return (int) Math.max(1, subsets * Math.min(1, affordableShare)) % subsets;
     }
 
-    private void updateSpan(int fitting) {
-        boolean isFar = fitting > SPAN_CHANGE * span || SPAN_CHANGE * fitting < span;
-        span = fitting == 0 || span == 0 || isFar ? fitting : span;
+    private void updateSubsetsPerTable(int fitting) {
+        boolean isFar = fitting > MIN_CHANGE_FACTOR * subsetsPerTable || MIN_CHANGE_FACTOR * fitting < subsetsPerTable;
+        subsetsPerTable = fitting == 0 || subsetsPerTable == 0 || isFar ? fitting : subsetsPerTable;
     }
 
-    /** Deals a new host to the subset that can do least. */
-    private void dealNew(Host host) {
+    /** Assigns a new host to the subset that can do least. */
+    private void assignNew(Host host) {
         host.assignTo(IntStream.range(0, subsets)
                 .boxed()
                 .min(Comparator.comparing(this::ability))
@@ -167,15 +167,20 @@
     }
 
     private boolean isUnused(EndpointTable table) {
-        boolean isOutdated =
-                !table.isOfSubsets() || (!joinSurge && (span == 0 || Math.abs(table.subsetCount() - span) > 1));
+        boolean isOutdated = !table.isOfSubsets()
+                || (!joinSurge && (subsetsPerTable == 0 || Math.abs(table.subsetCount() - subsetsPerTable) > 1));
         return !context.registry().isInUse(table) && isOutdated && !partitions.isAnyZonePartitioned();
     }
 
-    /** The tables that share out the subsets in place of a full one, written if they are new; none for full tables. */
-    List<EndpointTable> tablesFor(EndpointTable full, boolean isNewcomer) {
-        int subsetsPerTable = isNewcomer && joinSurge ? 1 : span;
-        int count = subsetsPerTable == 0 ? 0 : Math.min(subsets, Math.max(MIN_TABLES, subsets / subsetsPerTable));
+    /**
+     * Creates the tables that share out the subsets in place of a full one, where they are missing, and writes those that are
+     * empty; returns them, or none for full tables.
+     */
+    List<EndpointTable> ensureSubsetTables(EndpointTable full, boolean isNewcomer) {
+        int wantedSubsetsPerTable = isNewcomer && joinSurge ? 1 : subsetsPerTable;
+        int count = wantedSubsetsPerTable == 0
+                ? 0
+                : Math.min(subsets, Math.max(MIN_TABLES, subsets / wantedSubsetsPerTable));
         List<EndpointTable> tables = IntStream.range(0, count)
                 .mapToObj(index -> subsetTable(full, index * subsets / count, (index + 1) * subsets / count))
                 .toList();
@@ -203,11 +208,14 @@
     }
 
     /**
-     * Whether a proxy on this table of subsets must move to another: there are full tables again, the span is twice as large,
+     * Whether a proxy on this table of subsets must move to another: there are full tables again, tables are made of over twice as many subsets,
      * or hosts have left the subsets so that more is asked of them than of others.
      */
     boolean mustLeave(EndpointTable table) {
-        return span == 0 || !table.isOfSubsets() || SPAN_CHANGE * table.subsetCount() < span || isOverloaded(table);
+        return subsetsPerTable == 0
+                || !table.isOfSubsets()
+                || MIN_CHANGE_FACTOR * table.subsetCount() < subsetsPerTable
+                || isOverloaded(table);
     }
 
     private boolean isOverloaded(EndpointTable table) {
--- a/src/main/java/linenring/planner/TableCapacity.java
+++ b/src/main/java/linenring/planner/TableCapacity.java
@@ -1,7 +1,7 @@
 package linenring.planner;
 
 /**
- * What the hosts of one table can bear and what it may be asked, as of the last refresh of the {@link FleetStatistics}.
+ * Capacity and expected demand of one table, as of the last refresh of the {@link FleetStatistics}.
  *
  * @param requestsPerSecond usual requests a second of all proxies that it may serve
  * @param listedWeight weight of its running hosts
--- a/src/main/java/linenring/planner/TableWriter.java
+++ b/src/main/java/linenring/planner/TableWriter.java
@@ -3,7 +3,7 @@
 import linenring.planner.Commands.RetryPolicy;
 
 /**
- * Writes to tables: the only one that gives commands for them. Each write changes the table as last written, accounts for what
+ * Writes to tables: the only class that issues table commands. Each write changes the table as last written, accounts for what
  * it takes of the channel at each proxy that gets it, and marks the statistics stale where it changes who serves.
  */
 final class TableWriter {
@@ -26,7 +26,7 @@
         this.time = time;
     }
 
-    /** Sets the weight of a host in a table if it is another; 0 takes the entry out. */
+    /** Sets the weight of a host in a table if it is another; 0 removes the entry. */
     void writeEntry(Host host, EndpointTable table, double weight) {
         if (weight != table.weight(host)) {
             commands.setWeight(table.number(), host.id(), weight);
--- a/src/main/java/linenring/planner/UpdateScheduler.java
+++ b/src/main/java/linenring/planner/UpdateScheduler.java
@@ -9,11 +9,11 @@
  * once all its proxies have room in their windows of unacknowledged messages. Inputs: pending changes (entries, and entries times
  * proxies), round trip (ms), the windows and queue of {@link FlowControl}.
  *
- * <p>The depth rule: where binds would be the last to finish, a table's other entries wait for them, since proxies without a
- * table of ours hold old ones. A large sub-update goes in pieces, as a whole one would never find room.
+ * <p>The depth rule: where binds would be the last to finish, a table's other entries wait for them, since proxies bound to
+ * none of this controller's tables hold old ones. A large sub-update goes in pieces, as a whole one would never find room.
  */
 final class UpdateScheduler {
-    /** The paper's margin in the comparison of what finishes last. */
+    /** The margin of ESPRES (see docs/design.md) in the comparison of what finishes last. */
     private static final double DEPTH_RULE_MARGIN = 1.05;
     /** A bind has depth 2: another step, the clearing of the old table, comes after it. */
     private static final int BIND_DEPTH = 2;
--- a/src/test/java/linenring/planner/ColdHostsTest.java
+++ b/src/test/java/linenring/planner/ColdHostsTest.java
@@ -90,7 +90,7 @@
     @Test
     void admitsColdHostInRetryStormWhereProxiesAvoidNobody() {
         FakeProxies fleet = startHostInRetryStorm(1);
-        assertTrue(fleet.weight(0, 6) > 0 && fleet.weight(0, 6) < 0.2); // at most what it can surely do
+        assertTrue(fleet.weight(0, 6) > 0 && fleet.weight(0, 6) < 0.2); // at most its guaranteed capacity
     }
 
     /**
--- a/src/test/java/linenring/planner/FakeProxies.java
+++ b/src/test/java/linenring/planner/FakeProxies.java
@@ -128,7 +128,7 @@
         return this;
     }
 
-    /** Reports of one second in which the hosts met these attempts, with so many failed ones at some of them. */
+    /** Reports of one second in which the hosts met these attempts, with this number of failed ones at some of them. */
     FakeProxies passSecond(int hosts, int proxyZone, int total, double meanMs, int bad, Set<Integer> badHosts) {
         for (int host = 0; host < hosts; host++) {
             planner.hostStatistics(host, proxyZone, total, badHosts.contains(host) ? bad : 0, meanMs, reportSpanMs);
@@ -181,7 +181,7 @@
         return acknowledgementRequests;
     }
 
-    /** Acknowledgements state that they took so long. */
+    /** Acknowledgements state this as the time that they took. */
     void setAcknowledgementMs(double tookMs) {
         acknowledgementMs = tookMs;
     }
--- a/src/test/java/linenring/planner/FleetMembershipTest.java
+++ b/src/test/java/linenring/planner/FleetMembershipTest.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Host lists, whole ones and changes, and what is doubtful in them. */
+/** Host lists, complete ones and changes, and what is doubtful in them. */
 class FleetMembershipTest {
     @Test
     void ejectsHostMissingFromWholeList() {
--- a/src/test/java/linenring/planner/PartitionDetectorTest.java
+++ b/src/test/java/linenring/planner/PartitionDetectorTest.java
@@ -14,7 +14,7 @@
     private static final Set<Integer> NONE = Set.of();
 
     /**
-     * The way between two zones is cut. Each proxy meets a host too seldom to avoid it, so attempts at the far hosts
+     * The network path between two zones is cut. Each proxy meets a host too seldom to avoid it, so attempts at the far hosts
      * would go on failing for the whole cut; and the far hosts are sound, so none may be ejected.
      */
     @Test
--- a/src/test/java/linenring/planner/PlannerHistory.java
+++ b/src/test/java/linenring/planner/PlannerHistory.java
@@ -40,7 +40,7 @@
         return decisions;
     }
 
-    /** Has something arrive so many milliseconds after the start. */
+    /** Has something arrive this number of milliseconds after the start. */
     void at(double elapsedMs, Consumer<Planner> input) {
         player.at(elapsedMs, input);
     }
--- a/src/test/java/linenring/planner/PlannerPlayer.java
+++ b/src/test/java/linenring/planner/PlannerPlayer.java
@@ -34,7 +34,7 @@
         return callCount;
     }
 
-    /** Has something arrive so many milliseconds after the start. */
+    /** Has something arrive this number of milliseconds after the start. */
     void at(double elapsedMs, Consumer<Planner> action) {
         atTime(START_MS + elapsedMs, action);
     }
@@ -48,7 +48,7 @@
         callTimesMs.add(timeMs);
     }
 
-    /** Plays until so many milliseconds after the start. */
+    /** Plays until this number of milliseconds after the start. */
     void playTo(double elapsedMs) {
         double endMs = START_MS + elapsedMs;
         for (double nextMs = nextCallMs(); nextMs <= endMs; nextMs = nextCallMs()) {
--- a/src/test/java/linenring/planner/RecordedHistory.java
+++ b/src/test/java/linenring/planner/RecordedHistory.java
@@ -50,12 +50,12 @@
         return ejected.get(host) ? 0 : lastWeight[host];
     }
 
-    /** From now on the channel takes so many times as long for each entry. */
+    /** From now on the channel takes this multiple of the time for each entry. */
     void slowChannel(double slowdown) {
         channelSlowdown = slowdown;
     }
 
-    /** Has something arrive so many milliseconds after the start. */
+    /** Has something arrive this number of milliseconds after the start. */
     void at(double elapsedMs, Consumer<Planner> input) {
         player.at(elapsedMs, input);
     }
