--- a/src/main/java/linenring/stream/ConnectionRejectedException.java
+++ b/src/main/java/linenring/stream/ConnectionRejectedException.java
@@ -1,10 +1,10 @@
 package linenring.stream;
 
-/** The peer broke the protocol in a way that ends its connection. Its message is the reason that is logged. */
+/** Thrown on a protocol violation after which the peer's connection is closed. The exception message is logged as the reason. */
 final class ConnectionRejectedException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Without a stack trace: any peer can cause it as often as it likes, and the reason says all. */
+    /** Creates an exception without a stack trace, since peers can cause it at any rate and the reason is sufficient. */
     ConnectionRejectedException(String reason) {
         super(reason, null, false, false);
     }
--- a/src/main/java/linenring/stream/LineFramer.java
+++ b/src/main/java/linenring/stream/LineFramer.java
@@ -4,17 +4,16 @@
 import java.util.function.LongSupplier;
 
 /**
- * Cuts the bytes of one connection into lines of JSON, wherever the network has split them. What cannot become a line of
- * JSON is rejected at its first byte and not only at the line's end, which might never come. Not thread-safe: guarded by
- * its connection.
+ * Splits the byte stream of one connection into lines of JSON, independent of how the network fragments the bytes. Invalid data is
+ * rejected at its first byte instead of at the line's end, which might never arrive. Not thread-safe: guarded by its connection.
  */
 final class LineFramer {
-    /** Most lines are shorter, so that a fleet's idle connections cost little. */
+    /** Initial size of the line buffer. Most lines fit, and the idle connections of a fleet use little memory. */
     private static final int INITIAL_BUFFER_BYTES = 512;
 
-    /** Takes each line that is complete. */
+    /** Receives each complete line. */
     interface LineHandler {
-        /** The line is valid during the call alone; false where the connection is done with. */
+        /** Handles a line, whose bytes are valid only during the call; returns false once the connection is closed. */
         boolean onLine(byte[] line, int length) throws ConnectionRejectedException;
     }
 
@@ -24,7 +23,7 @@
     private int maxLineBytes;
     private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int length;
-    private long lineStartNanos; // when the unfinished line began
+    private long lineStartNanos; // time of the first byte of the unfinished line
 
     LineFramer(LineMemoryLimit memory, LongSupplier nanoClock, int maxLineBytes, LineHandler handler) {
         this.memory = memory;
@@ -33,12 +32,12 @@
         this.handler = handler;
     }
 
-    /** Counts from the next line on. */
+    /** Sets the limit on the length of a line, starting with the next line. */
     void setMaxLineBytes(int maxLineBytes) {
         this.maxLineBytes = maxLineBytes;
     }
 
-    /** Takes bytes in; false where the handler is done with the connection, and the rest was not looked at. */
+    /** Processes received bytes; returns false if the handler closed the connection, which leaves the remaining bytes unread. */
     boolean feed(byte[] from, int start, int count) throws ConnectionRejectedException {
         int end = start + count;
         int next = start;
@@ -61,12 +60,12 @@
         return true;
     }
 
-    /** Whether a line has begun, and began before this time. */
+    /** Whether there is an unfinished line that started before this time. */
     boolean hasLineStartedBefore(long nanos) {
         return length > 0 && lineStartNanos - nanos < 0;
     }
 
-    /** Gives a grown buffer back; the unfinished line in it is lost. */
+    /** Releases an enlarged buffer; an unfinished line in the buffer is discarded. */
     void releaseBuffer() {
         if (buffer.length > INITIAL_BUFFER_BYTES) {
             memory.release(buffer.length - INITIAL_BUFFER_BYTES);
@@ -75,9 +74,9 @@
     }
 
     private boolean deliverLine() throws ConnectionRejectedException {
-        int complete = length;
+        int lineLength = length;
         length = 0;
-        return handler.onLine(buffer, complete);
+        return handler.onLine(buffer, lineLength);
     }
 
     private static int skipBlanks(byte[] from, int start, int end) {
@@ -88,7 +87,7 @@
         return next;
     }
 
-    /** The first byte that is no text within a line: the line's end, or what may not stand there. */
+    /** Returns the index of the first byte that is not text: the end of the line, or an invalid control character. */
     private static int findTextEnd(byte[] from, int start, int end) {
         int next = start;
         while (next < end && isText(from[next])) {
@@ -98,7 +97,7 @@
     }
 
     private static boolean isText(byte octet) {
-        boolean isControl = octet >= 0 && octet < ' '; // bytes of longer characters are negative
+        boolean isControl = octet >= 0 && octet < ' '; // bytes of multi-byte characters are negative
         return octet != '\n' && (!isControl || isBlank(octet));
     }
 
@@ -110,26 +109,28 @@
         if (start == end) {
             return;
         }
-        boolean beginsWrong = length == 0 && from[start] != '{';
-        boolean continuesWrong = textEnd < end && from[textEnd] != '\n';
-        if (beginsWrong || continuesWrong) {
-            throw new ConnectionRejectedException("sends unreadable data, text: not a line of JSON");
+        boolean hasInvalidStart = length == 0 && from[start] != '{';
+        boolean hasControlCharacter = textEnd < end && from[textEnd] != '\n';
+        if (hasInvalidStart || hasControlCharacter) {
+            throw new ConnectionRejectedException("received unreadable data, text: not a line of JSON");
         }
     }
 
     private void append(byte[] from, int start, int count) throws ConnectionRejectedException {
-        int needed = length + count;
-        if (needed > maxLineBytes) {
-            throw new ConnectionRejectedException("sends a line of over " + maxLineBytes + " bytes");
+        int neededBytes = length + count;
+        if (neededBytes > maxLineBytes) {
+            throw new ConnectionRejectedException(
+                    "received a line longer than the limit of " + maxLineBytes + " bytes");
         }
-        if (needed > buffer.length) {
-            int size = Math.min(maxLineBytes, Math.max(needed, 2 * buffer.length));
+        if (neededBytes > buffer.length) {
+            int size = Math.min(maxLineBytes, Math.max(neededBytes, 2 * buffer.length));
             if (!memory.tryReserve(size - buffer.length)) {
-                throw new ConnectionRejectedException("has begun a long line while too many others have");
+                throw new ConnectionRejectedException(
+                        "no memory left for a long line, since other connections have unfinished long lines");
             }
             buffer = Arrays.copyOf(buffer, size);
         }
         System.arraycopy(from, start, buffer, length, count);
-        length = needed;
+        length = neededBytes;
     }
 }
--- a/src/main/java/linenring/stream/LineMemoryLimit.java
+++ b/src/main/java/linenring/stream/LineMemoryLimit.java
@@ -1,17 +1,17 @@
 package linenring.stream;
 
 /**
- * The bytes that lines in progress occupy beyond each connection's initial buffer, over all connections. Without this
- * limit a few peers that begin long lines and never end them would fill the heap, though each keeps to its own limit.
+ * Limits the memory of unfinished lines over all connections, beyond each connection's initial buffer. Without this limit a few
+ * peers with long unfinished lines would fill the heap, even though each stays within the line limit of its connection.
  * Thread-safe: guarded by its own monitor.
  */
 final class LineMemoryLimit {
-    /** A third of the heap that the documented start command gives. */
+    /** Limit of the reserved memory: a third of the heap size in the documented start command. */
     private static final int MAX_RESERVED_BYTES = 16 << 20;
 
     private int reservedBytes; // @GuardedBy("this")
 
-    /** Reserves so many bytes; false, and nothing is reserved, where the limit would be passed. */
+    /** Reserves memory; returns false without reserving any if the limit would be exceeded. */
     synchronized boolean tryReserve(int bytes) {
         if (reservedBytes + bytes > MAX_RESERVED_BYTES) {
             return false;
@@ -20,7 +20,7 @@
         return true;
     }
 
-    /** Gives back what was reserved. */
+    /** Releases reserved memory. */
     synchronized void release(int bytes) {
         reservedBytes -= bytes;
     }
--- a/src/main/java/linenring/stream/ListenException.java
+++ b/src/main/java/linenring/stream/ListenException.java
@@ -3,9 +3,9 @@
 import java.net.InetSocketAddress;
 import java.util.Locale;
 
-/** The server could not be opened at its address. */
+/** Thrown when the server cannot listen at its address. */
 public final class ListenException extends Exception {
-    /** The last step of opening that succeeded. */
+    /** The last step of opening the server that succeeded. */
     public enum Stage {
         STARTED,
         BOUND
@@ -26,17 +26,17 @@
         return stage.name().toLowerCase(Locale.ROOT);
     }
 
-    /** The address that was to be listened at. */
+    /** Returns the address at which the server could not listen. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** How far opening came. */
+    /** Returns the last step of opening the server that succeeded. */
     public Stage stage() {
         return stage;
     }
 
-    /** What went wrong after {@link #stage}, without the address. */
+    /** Returns the stage and the message of the cause, without the address. */
     public String fault() {
         return lowerCase(stage) + ": " + getCause().getMessage();
     }
--- a/src/main/java/linenring/stream/MessageRejectedException.java
+++ b/src/main/java/linenring/stream/MessageRejectedException.java
@@ -1,10 +1,10 @@
 package linenring.stream;
 
-/** One message is dropped; those around it on the same connection count. Its message is the reason that is logged. */
+/** Thrown when one message is dropped while its connection stays open. The exception message is logged as the reason. */
 final class MessageRejectedException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Without a stack trace: any peer can cause it as often as it likes, and the reason says all. */
+    /** Creates an exception without a stack trace, since peers can cause it at any rate and the reason is sufficient. */
     MessageRejectedException(String reason) {
         super(reason, null, false, false);
     }
--- a/src/main/java/linenring/stream/OpenConnections.java
+++ b/src/main/java/linenring/stream/OpenConnections.java
@@ -9,23 +9,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The connections that are open and the sockets on their way there, under one limit. Where the limit is reached, peers that
- * have not identified themselves make room for the next connection, which may be a proxy's: otherwise whoever opens sockets
- * and says nothing could keep the fleet out. Thread-safe: guarded by its own monitor.
+ * The set of open connections and accepted sockets, under one limit. At the limit an unidentified peer is evicted for each new
+ * connection, which may be a proxy's: otherwise a client that opens connections and sends nothing could lock out the fleet.
+ * Thread-safe: guarded by its own monitor.
  */
 final class OpenConnections {
-    /** Sockets of the process's own reserve that connections may occupy while others are being closed for them. */
+    /** Number of reserved sockets that new connections may use while evicted connections are being closed. */
     private static final int SPARE_SOCKETS = 12;
 
-    /** A peer that is as new may have identified itself already, in bytes that are not read yet: older ones go first. */
+    /** Minimum age for eviction: the identification of a newer peer may have arrived but not been read yet. */
     private static final long MIN_EVICTION_AGE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-    /** Everything that was open when the set was closed. */
+    /** The connections and sockets that were open when the set was closed. */
     record Remaining(List<PeerConnection> connections, List<SelectableChannel> accepting) {}
 
     private final int maxConnections;
     private final Set<PeerConnection> connections = new LinkedHashSet<>(); // oldest first; @GuardedBy("this")
-    private final Set<SelectableChannel> accepting = new HashSet<>(); // accepted, no connection yet; @GuardedBy("this")
+    private final Set<SelectableChannel> accepting =
+            new HashSet<>(); // accepted sockets without a connection object; @GuardedBy("this")
     private boolean isClosed; // @GuardedBy("this")
 
     OpenConnections(int maxConnections) {
@@ -36,9 +37,10 @@
         return maxConnections;
     }
 
-    /** Reserves a place for an accepted socket; false where it must be closed: nobody could make room, or all is closed. */
+    /** Reserves a slot for an accepted socket; returns false if there is no slot or the set is closed, so that the caller closes it. */
     synchronized boolean reserve(SelectableChannel channel) {
-        accepting.removeIf(reserved -> !reserved.isOpen()); // no callback reports a socket that died on its way
+        accepting.removeIf(reserved ->
+                !reserved.isOpen()); // no callback reports a socket that was closed before it became a connection
         if (isClosed || connections.size() + accepting.size() >= maxConnections + SPARE_SOCKETS) {
             return false;
         }
@@ -46,12 +48,12 @@
         return true;
     }
 
-    /** The socket becomes a connection; {@link #add} follows. */
+    /** Releases the slot of a socket that becomes a connection; {@link #add} follows. */
     synchronized void release(SelectableChannel channel) {
         accepting.remove(channel);
     }
 
-    /** Adds a connection; where that makes one too many, the one that has to be closed for it, perhaps itself. */
+    /** Adds a connection; beyond the limit, returns the connection that the caller must close, which may be the new one. */
     synchronized Optional<PeerConnection> add(PeerConnection connection, long nowNanos) {
         connections.add(connection);
         if (connections.size() <= maxConnections) {
@@ -77,7 +79,7 @@
         return isClosed;
     }
 
-    /** From here on nothing is reserved; the caller closes what remains. */
+    /** Closes the set, so that no more slots are reserved; the caller closes the connections and sockets that are returned. */
     synchronized Remaining close() {
         isClosed = true;
         Remaining remaining = new Remaining(List.copyOf(connections), List.copyOf(accepting));
--- a/src/main/java/linenring/stream/OutboundQueue.java
+++ b/src/main/java/linenring/stream/OutboundQueue.java
@@ -6,18 +6,18 @@
 import org.eclipse.jetty.util.IteratingCallback;
 
 /**
- * Writes messages to one peer, in order, without making the sender wait: what the socket does not take stays queued up to
- * a limit. A peer that stops reading would otherwise hold up the control loop, or grow the heap. Thread-safe: the queue is
- * guarded by its own monitor.
+ * A bounded queue of messages to one peer, written in order and without blocking the sender. Messages that the socket does not accept
+ * stay queued up to a limit: a peer that stops reading would otherwise block the control loop or fill the heap. Thread-safe: the
+ * queue is guarded by its own monitor.
  */
 final class OutboundQueue {
-    /** What a peer may leave unread before its connection is closed. */
+    /** Limit of unsent bytes, beyond which the connection of a peer that does not read is closed. */
     private static final int MAX_UNSENT_BYTES = 128 << 10;
 
-    /** What became of a message. */
+    /** The result of offering a message to the queue. */
     enum OfferResult {
         QUEUED,
-        /** The peer reads too little; the message is dropped. */
+        /** The message was dropped, since the peer has not read enough of the messages before it. */
         OVERFLOW,
         CLOSED
     }
@@ -34,13 +34,15 @@
         this.onWriteFailure = onWriteFailure;
     }
 
-    /** Queues a message and writes what the socket takes at once. */
+    /** Queues a message and starts to write, unless a write is already in progress. */
     OfferResult offer(byte[] message) {
         synchronized (unsent) {
             if (isClosed) {
                 return OfferResult.CLOSED;
             }
-            if (unsentBytes > MAX_UNSENT_BYTES) { // judged before adding: one message may have an entry for each host
+            if (unsentBytes
+                    > MAX_UNSENT_BYTES) { // checked before adding, since a single message may have an entry for each
+                // host
                 return OfferResult.OVERFLOW;
             }
             unsent.add(ByteBuffer.wrap(message));
@@ -50,7 +52,7 @@
         return OfferResult.QUEUED;
     }
 
-    /** Takes no further message; false where it was closed before. */
+    /** Closes the queue for further messages; returns false if the queue was already closed. */
     boolean close() {
         synchronized (unsent) {
             if (isClosed) {
@@ -65,7 +67,7 @@
         return isClosed;
     }
 
-    /** One write at a time; iterated again by whoever adds a message. */
+    /** Writes one message at a time; each offered message triggers another iteration. */
     private final class Flusher extends IteratingCallback {
         @Override
         protected Action process() {
--- a/src/main/java/linenring/stream/OutstandingNonces.java
+++ b/src/main/java/linenring/stream/OutstandingNonces.java
@@ -4,12 +4,12 @@
 import java.util.concurrent.TimeUnit;
 import linenring.protocol.InboundMessage;
 
-/** The updates that one proxy has not acknowledged yet, oldest first. Not thread-safe: guarded by its connection. */
+/** The updates that a proxy has not acknowledged yet, oldest first. Not thread-safe: guarded by the proxy's connection. */
 final class OutstandingNonces {
-    /** A proxy is not sent as many in half a minute; of more the oldest are forgotten. */
+    /** Maximum number of outstanding updates, more than a proxy is sent in half a minute; beyond it the oldest are forgotten. */
     private static final int MAX_OUTSTANDING = 1024;
 
-    /** How far a proxy's clock may run apart from ours over the time that it measures. */
+    /** Allowed difference between a duration measured by a proxy's clock and by this process's clock. */
     private static final long CLOCK_TOLERANCE_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private static final double NANOS_PER_MS = 1e6;
@@ -18,7 +18,7 @@
 
     private final ArrayDeque<Outstanding> outstanding = new ArrayDeque<>();
 
-    /** An update with this nonce is sent now. */
+    /** Records that an update with this nonce is being sent. */
     void recordSent(int nonce, long nowNanos) {
         if (outstanding.size() == MAX_OUTSTANDING) {
             outstanding.poll();
@@ -27,22 +27,22 @@
     }
 
     /**
-     * Removes the acknowledged update and those before it, which are applied too. An acknowledgement that names an unknown
-     * nonce or an impossible time is rejected: taken at its word, it would free room in the channel's ledger that is not free.
+     * Removes the acknowledged update and all updates before it, which the proxy has applied too. An acknowledgement with an unknown
+     * nonce or an impossible duration is rejected, since it would release capacity of the update channel that is still in use.
      */
     void acknowledge(InboundMessage.Acknowledgement acknowledgement, long nowNanos) throws MessageRejectedException {
-        Outstanding found = outstanding.stream()
+        Outstanding acknowledgedUpdate = outstanding.stream()
                 .filter(update -> update.nonce() == acknowledgement.nonce())
                 .findFirst()
-                .orElseThrow(() -> new MessageRejectedException("no acknowledgement of nonce " + acknowledgement.nonce()
-                        + " is due from proxy " + acknowledgement.proxy()));
-        long mostNanos = nowNanos - found.sentAtNanos() + CLOCK_TOLERANCE_NANOS;
-        if (acknowledgement.elapsedMs() * NANOS_PER_MS > mostNanos) {
+                .orElseThrow(() -> new MessageRejectedException("unexpected acknowledgement of nonce "
+                        + acknowledgement.nonce() + " from proxy " + acknowledgement.proxy()));
+        long maxElapsedNanos = nowNanos - acknowledgedUpdate.sentAtNanos() + CLOCK_TOLERANCE_NANOS;
+        if (acknowledgement.elapsedMs() * NANOS_PER_MS > maxElapsedNanos) {
             throw new MessageRejectedException(
-                    "field ms: " + acknowledgement.elapsedMs() + " is more than has passed since the update was sent");
+                    "field ms: " + acknowledgement.elapsedMs() + " exceeds the time since the update was sent");
         }
-        while (!outstanding.remove().equals(found)) {
-            // an acknowledgement that was lost is made up for by the next one
+        while (!outstanding.remove().equals(acknowledgedUpdate)) {
+            // the next acknowledgement also covers updates whose acknowledgement was lost
         }
     }
 }
--- a/src/main/java/linenring/stream/PeerConnection.java
+++ b/src/main/java/linenring/stream/PeerConnection.java
@@ -15,24 +15,24 @@
 import org.eclipse.jetty.util.thread.Invocable;
 
 /**
- * One connection of a proxy, a collector, or a peer that has not said which it is. The selector's thread reads; the control
- * loop writes and closes; the server's timer closes what is overdue. What is read is guarded by this connection's monitor.
+ * A connection of a proxy, a collector or an unidentified peer. The selector's thread reads; the control loop writes and closes; the
+ * server's timer closes the connection after a timeout. The state of reading is guarded by this connection's monitor.
  */
 final class PeerConnection extends AbstractConnection implements ProxyStream {
-    /** One buffer for each selector thread, of which there are few, and not for each connection. */
+    /** Read buffer per selector thread instead of per connection, since there are few selector threads. */
     private static final ThreadLocal<ByteBuffer> READ_BUFFER =
             ThreadLocal.withInitial(() -> BufferUtil.allocate(16 * 1024));
 
-    /** After so many reads the other connections have their turn. */
+    /** Number of consecutive reads from one connection before other connections of the selector are served. */
     private static final int MAX_READS_PER_TURN = 16;
 
-    /** The protocol's limit. */
+    /** Line length limit of the protocol. */
     private static final int MAX_LINE_BYTES = 1 << 20;
 
-    /** A first message has about 100 bytes; whoever has not sent it gets no room for more. */
+    /** Line length limit before identification; the identifying message has about 100 bytes. */
     private static final int MAX_UNIDENTIFIED_LINE_BYTES = 16 << 10;
 
-    /** Which side ends the connection: that decides how it is logged. */
+    /** The side that closes the connection, which determines how the end is logged. */
     private enum ClosedBy {
         PEER,
         SERVER
@@ -51,7 +51,7 @@
         this.number = number;
         openedAtNanos = server.nowNanos();
         framer = new LineFramer(server.lineMemory(), server::nowNanos, MAX_UNIDENTIFIED_LINE_BYTES, this::onLine);
-        outbound = new OutboundQueue(endPoint, () -> closeAndLog("could not be written to", ClosedBy.PEER));
+        outbound = new OutboundQueue(endPoint, () -> closeAndLog("writing to the connection failed", ClosedBy.PEER));
     }
 
     @Override
@@ -60,9 +60,10 @@
     }
 
     @Override
-    @SuppressWarnings("deprecation") // the selector still asks for it, and would hand reading to another thread
+    @SuppressWarnings(
+            "deprecation") // the selector still calls this method; without the override it would read on another thread
     public Invocable.InvocationType getInvocationType() {
-        return Invocable.InvocationType.NON_BLOCKING; // reading adds to the event queue and never waits
+        return Invocable.InvocationType.NON_BLOCKING; // reading adds to the event queue and never blocks
     }
 
     @Override
@@ -79,20 +80,21 @@
                 fillInterested();
             }
         } catch (IOException failure) {
-            closeAndLog("was reset", ClosedBy.PEER);
-        } catch (RuntimeException failure) { // a fault in handling one connection must not reach the selector's others
-            closeAndLog("fault: " + failure, ClosedBy.SERVER);
+            closeAndLog("connection was reset", ClosedBy.PEER);
+        } catch (RuntimeException failure) { // a fault in handling one connection must not affect the selector's other
+            // connections
+            closeAndLog("internal error, " + failure, ClosedBy.SERVER);
         }
     }
 
-    /** Reads what is there, up to a turn's worth; false once the connection is done with. */
+    /** Reads the available bytes, with a limit on the number of reads; returns false once the connection is closed. */
     private boolean readTurn() throws IOException {
         ByteBuffer buffer = READ_BUFFER.get();
         for (int i = 0; i < MAX_READS_PER_TURN; i++) {
             BufferUtil.clear(buffer); // filling appends at the buffer's limit
             int count = getEndPoint().fill(buffer);
             if (count < 0) {
-                closeAndLog("has ended", ClosedBy.PEER);
+                closeAndLog("peer closed the connection", ClosedBy.PEER);
                 return false;
             }
             if (count == 0) {
@@ -107,25 +109,25 @@
 
     @Override
     protected void onFillInterestedFailed(Throwable cause) {
-        closeAndLog("was reset", ClosedBy.PEER);
+        closeAndLog("connection was reset", ClosedBy.PEER);
     }
 
     @Override
     public void onClose(Throwable cause) {
         super.onClose(cause);
-        closeAndLog("was reset", ClosedBy.PEER);
+        closeAndLog("connection was reset", ClosedBy.PEER);
         synchronized (this) {
             framer.releaseBuffer();
         }
         server.closed(this);
-        synchronized (this) { // a line that is being handled is queued first: no end overtakes its subscription
+        synchronized (this) { // waits for a line in progress, so that the stream's end is queued after its subscription
             if (session.state() == PeerSession.State.PROXY) {
                 server.eventQueue().enqueueStreamClosed(this);
             }
         }
     }
 
-    /** Takes bytes in; false once the connection is done with: from then on only its end is reported. */
+    /** Processes received bytes; returns false once the connection is closed, after which only the stream's end is reported. */
     private synchronized boolean receive(byte[] bytes, int start, int count) {
         if (outbound.isClosed()) {
             return false;
@@ -138,7 +140,7 @@
         }
     }
 
-    /** False once the connection is done with. */
+    /** Handles one line; returns false once the connection is closed. */
     private boolean onLine(byte[] line, int length) throws ConnectionRejectedException {
         try {
             InboundMessage message = decode(line, length);
@@ -148,12 +150,15 @@
             }
             handle(message);
         } catch (MessageRejectedException failure) {
-            server.log().warn("invalid", describe() + " sends a message that is dropped, " + failure.getMessage());
+            server.log().warn("invalid", describe() + ": message dropped, " + failure.getMessage());
         }
         return true;
     }
 
-    /** Who is known may err in one message; whoever sends what is no message at all is none of our peers. */
+    /**
+     * Decodes a line. An invalid message of an identified peer is dropped; malformed JSON, or an invalid message before
+     * identification, closes the connection.
+     */
     private InboundMessage decode(byte[] line, int length)
             throws ConnectionRejectedException, MessageRejectedException {
         DecodeResult<InboundMessage> decoded = server.codec().decodeInbound(line, length);
@@ -162,14 +167,14 @@
             if (session.isIdentified() && error.stage() != DecodeError.Stage.TEXT) {
                 throw new MessageRejectedException(error.toString());
             }
-            throw new ConnectionRejectedException("sends unreadable data, " + error);
+            throw new ConnectionRejectedException("received unreadable data, " + error);
         }
         return decoded.orElseThrow();
     }
 
     private void handle(InboundMessage message) throws ConnectionRejectedException, MessageRejectedException {
         session.accept(message, server.nowNanos());
-        framer.setMaxLineBytes(MAX_LINE_BYTES); // whoever was accepted is identified
+        framer.setMaxLineBytes(MAX_LINE_BYTES); // the session accepts messages only from identified peers
         if (!(message instanceof InboundMessage.Collector)) {
             server.eventQueue().enqueueMessage(this, message);
         }
@@ -179,7 +184,7 @@
     public void write(ConfigurationUpdate update) {
         int nonce = update.parts().get(update.parts().size() - 1).nonce();
         if (nonce != ConfigurationUpdate.WITHOUT_NONCE) {
-            synchronized (this) { // before it is sent: its acknowledgement may come at once
+            synchronized (this) { // recorded before the update is sent, since the acknowledgement may arrive at once
                 session.recordUpdateSent(nonce, server.nowNanos());
             }
         }
@@ -188,35 +193,37 @@
 
     private void send(byte[] message) {
         if (outbound.offer(message) == OutboundQueue.OfferResult.OVERFLOW) {
-            closeAndLog("reads nothing", ClosedBy.SERVER);
+            closeAndLog("peer does not read its updates", ClosedBy.SERVER);
         }
     }
 
     @Override
-    public void close(String why) {
-        closeAndLog(why, ClosedBy.PEER);
+    public void close(String reason) {
+        closeAndLog(reason, ClosedBy.PEER);
     }
 
     /**
-     * Closes the connection where the peer has not identified itself although it was opened before the one time, or leaves
-     * a line unfinished that began before the other. An overdue acknowledgement is no reason: our own channel lies behind
-     * this stream, and may take longer over the updates of hundreds of proxies than any of them is silent.
+     * Closes a connection of an unidentified peer that was opened before the first time, or a connection with an unfinished line that
+     * was started before the second time. An overdue acknowledgement does not close the connection: this controller's own update
+     * channel is part of the delay, and may need longer for the updates of hundreds of proxies than any timeout of a proxy.
      */
-    synchronized void closeIfOverdue(long identifiedSinceNanos, long lineSinceNanos) {
+    synchronized void closeIfOverdue(long minOpenedAtNanos, long minLineStartNanos) {
         if (!session.isIdentified()) {
-            if (isOpenedBefore(identifiedSinceNanos)) {
-                closeAndLog("does not identify itself in time", ClosedBy.SERVER);
+            if (isOpenedBefore(minOpenedAtNanos)) {
+                closeAndLog("no identification within the timeout", ClosedBy.SERVER);
             }
             return;
         }
-        if (framer.hasLineStartedBefore(lineSinceNanos)) {
-            closeAndLog("leaves a message unfinished", ClosedBy.SERVER);
+        if (framer.hasLineStartedBefore(minLineStartNanos)) {
+            closeAndLog("message not finished within the timeout", ClosedBy.SERVER);
         }
     }
 
-    /** Another connection needs this one's place. */
+    /** Closes this connection to free its slot for a new connection. */
     void evict(int maxConnections) {
-        closeAndLog("makes room, " + maxConnections + " connections are open", ClosedBy.SERVER);
+        closeAndLog(
+                "evicted for a new connection, since the limit of " + maxConnections + " connections is reached",
+                ClosedBy.SERVER);
     }
 
     boolean isIdentified() {
@@ -231,17 +238,22 @@
         return session.describe() + " at " + getEndPoint().getRemoteSocketAddress();
     }
 
-    private void closeAndLog(String why, ClosedBy closedBy) {
+    private void closeAndLog(String reason, ClosedBy closedBy) {
         if (!outbound.close()) {
             return;
         }
-        boolean byServer = closedBy == ClosedBy.SERVER;
-        if (!session.isIdentified()) { // a subject of its own: hundreds of these must not use up the others' lines
-            server.log().info("unidentified", describe() + " " + why + (byServer ? ": closed" : ""));
-        } else if (byServer) {
-            server.log().warn("stream", describe() + " " + why + ": closed");
+        boolean isClosedByServer = closedBy == ClosedBy.SERVER;
+        if (!session
+                .isIdentified()) { // a separate subject, so that hundreds of unidentified peers do not use up the log
+            // quota of identified ones
+            server.log()
+                    .info(
+                            "unidentified",
+                            describe() + ": " + reason + (isClosedByServer ? "; closing the connection" : ""));
+        } else if (isClosedByServer) {
+            server.log().warn("stream", describe() + ": " + reason + "; closing the connection");
         } else {
-            server.log().info("stream", describe() + ": " + why);
+            server.log().info("stream", describe() + ": " + reason);
         }
         getEndPoint().close();
     }
--- a/src/main/java/linenring/stream/PeerSession.java
+++ b/src/main/java/linenring/stream/PeerSession.java
@@ -3,12 +3,12 @@
 import linenring.protocol.InboundMessage;
 
 /**
- * Who is at the other end of a connection, and which messages it may send: the first one that is not a PING says whether it
- * is a proxy or a collector. Guarded by its connection, but for {@link #state} and {@link #describe}, which any thread may
+ * The identity of a connection's peer, and the messages that the peer may send. The first message other than a PING identifies the
+ * peer as a proxy or a collector. Guarded by its connection, except for {@link #state} and {@link #describe}, which any thread may
  * call.
  */
 final class PeerSession {
-    /** What is known of the peer. It never changes back. */
+    /** The type of the peer, which never returns to unidentified. */
     enum State {
         UNIDENTIFIED,
         COLLECTOR,
@@ -16,7 +16,7 @@
     }
 
     private final OutstandingNonces outstandingNonces = new OutstandingNonces();
-    private InboundMessage.Subscribe subscription; // a proxy's first message; written before the state
+    private InboundMessage.Subscribe subscription; // the message that identified a proxy; written before the state
     private volatile State state = State.UNIDENTIFIED;
 
     State state() {
@@ -27,23 +27,24 @@
         return state != State.UNIDENTIFIED;
     }
 
-    /** An update with this nonce is sent to the peer now. */
+    /** Records that an update with this nonce is being sent to the peer. */
     void recordUpdateSent(int nonce, long nowNanos) {
         outstandingNonces.recordSent(nonce, nowNanos);
     }
 
-    /** Accepts a message, or throws where this peer may not send it, or not now. */
+    /** Accepts a message, or throws if the peer may not send it in the current state. */
     void accept(InboundMessage message, long nowNanos) throws ConnectionRejectedException, MessageRejectedException {
-        boolean identifies = message instanceof InboundMessage.Subscribe || message instanceof InboundMessage.Collector;
+        boolean isIdentification =
+                message instanceof InboundMessage.Subscribe || message instanceof InboundMessage.Collector;
         if (isIdentified()) {
-            if (identifies) {
-                throw new MessageRejectedException("it has identified itself before");
+            if (isIdentification) {
+                throw new MessageRejectedException("the peer is already identified");
             }
             requireAllowed(message, nowNanos);
-        } else if (identifies) {
+        } else if (isIdentification) {
             identify(message);
         } else {
-            throw new ConnectionRejectedException("sends reports or acknowledgements before it identifies itself");
+            throw new ConnectionRejectedException("received a report or an acknowledgement before identification");
         }
     }
 
@@ -59,25 +60,27 @@
     private void requireAllowed(InboundMessage message, long nowNanos) throws MessageRejectedException {
         if (state == State.COLLECTOR) {
             if (message instanceof InboundMessage.Acknowledgement) {
-                throw new MessageRejectedException("a collector acknowledges no updates");
+                throw new MessageRejectedException(
+                        "unexpected acknowledgement from a collector, which receives no updates");
             }
         } else if (message instanceof InboundMessage.Acknowledgement acknowledgement) {
             requireOwnProxy(acknowledgement);
             outstandingNonces.acknowledge(acknowledgement, nowNanos);
         } else if (!(message instanceof InboundMessage.RequestRateReport report)
                 || report.proxy() != subscription.proxy()) {
-            throw new MessageRejectedException("proxy " + subscription.proxy() + " may not report it");
+            throw new MessageRejectedException(
+                    "proxy " + subscription.proxy() + " may only send its own request rate reports");
         }
     }
 
     private void requireOwnProxy(InboundMessage.Acknowledgement acknowledgement) throws MessageRejectedException {
         if (acknowledgement.proxy() != subscription.proxy()) {
-            throw new MessageRejectedException("no acknowledgement of nonce " + acknowledgement.nonce()
-                    + " is due from proxy " + acknowledgement.proxy());
+            throw new MessageRejectedException("unexpected acknowledgement of nonce " + acknowledgement.nonce()
+                    + " from proxy " + acknowledgement.proxy());
         }
     }
 
-    /** The peer as the log names it. */
+    /** Returns the name of the peer in log lines. */
     String describe() {
         return switch (state) {
             case PROXY -> "proxy " + subscription.proxy();
--- a/src/main/java/linenring/stream/StreamServer.java
+++ b/src/main/java/linenring/stream/StreamServer.java
@@ -21,19 +21,19 @@
 import org.eclipse.jetty.io.SocketChannelEndPoint;
 import org.eclipse.jetty.util.thread.Scheduler;
 
-/** Listens at the controller's one address and serves the connections of proxies and collectors. */
+/** Listens at the controller's address and serves the connections of proxies and collectors. */
 public final class StreamServer extends SelectorManager {
-    /** What the process opens besides connections: files, selectors, discovery, some 20 in all. */
+    /** Number of file descriptors reserved for purposes other than connections: files, selectors, discovery, about 20 in all. */
     private static final int RESERVED_SOCKETS = 32;
 
-    /** Every peer identifies itself with its first message, which it sends at once. */
+    /** Timeout of identification; peers send the identifying message as soon as they connect. */
     private static final long IDENTIFICATION_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    /** Proxies stand still for 2 s at times; whoever leaves a line unfinished for longer is gone. */
+    /** Timeout of an unfinished line. Proxies may pause for 2 s; a peer that needs longer is considered dead. */
     private static final long UNFINISHED_LINE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(3);
 
     private static final long SWEEP_INTERVAL_MS = 250;
-    private static final String SERVER_CLOSED = "closed by the server, may connect again";
+    private static final String SERVER_CLOSED = "server is closing; the peer may reconnect";
 
     private final EventQueue eventQueue;
     private final Codec codec;
@@ -43,7 +43,7 @@
     private final Scheduler scheduler;
     private final LongSupplier nanoClock;
     private ServerSocketChannel channel; // set before accepting begins
-    private long lastSweepNanos; // touched by the sweep alone, of which one runs at a time
+    private long lastSweepNanos; // accessed only by the sweep, which never runs twice at the same time
 
     StreamServer(
             Executor executor,
@@ -63,7 +63,7 @@
         lastSweepNanos = nowNanos();
     }
 
-    /** Starts to listen; whoever connects is served from then on. {@code maxSockets} is the limit of the process. */
+    /** Starts listening and serving connections. {@code maxSockets} is the socket limit of the process. */
     public static StreamServer open(
             InetSocketAddress address,
             int maxSockets,
@@ -84,8 +84,9 @@
         try {
             start();
             channel = ServerSocketChannel.open();
-            channel.setOption(StandardSocketOptions.SO_REUSEADDR, true); // a restarted process has its address at once
-            channel.bind(address, backlog); // after another controller's end its whole fleet may connect at once
+            channel.setOption(
+                    StandardSocketOptions.SO_REUSEADDR, true); // lets a restarted process bind its address immediately
+            channel.bind(address, backlog); // the whole fleet of a stopped controller may connect at the same time
             stage = ListenException.Stage.BOUND;
             channel.configureBlocking(false);
             acceptor(channel);
@@ -96,7 +97,7 @@
         }
     }
 
-    /** Frees the address and ends all connections; a second call changes nothing. */
+    /** Releases the address and closes all connections; a second call has no effect. */
     public void close() {
         OpenConnections.Remaining remaining = connections.close();
         try {
@@ -109,13 +110,15 @@
             remaining.connections().forEach(connection -> connection.close(SERVER_CLOSED));
             stop();
         } catch (Exception failure) { // stop() declares any
-            log.warn("stream", "does not stop cleanly: " + failure.getMessage());
+            log.warn("stream", "server did not stop cleanly: " + failure.getMessage());
         }
     }
 
     @Override
     protected void accepted(SelectableChannel accepted) throws IOException {
-        long number = eventQueue.nextStreamNumber(); // drawn here, where connections come in the order of their making
+        long number =
+                eventQueue.nextStreamNumber(); // assigned here, since sockets are accepted in the order in which they
+        // connected
         if (!connections.reserve(accepted)) {
             accepted.close();
             return;
@@ -125,7 +128,7 @@
             ((SocketChannel) accepted).setOption(StandardSocketOptions.TCP_NODELAY, true);
             accept(accepted, number);
         } catch (IOException | RuntimeException failure) {
-            accepted.close(); // which frees its place too
+            accepted.close(); // closing the socket also frees its slot
             throw failure;
         }
     }
@@ -134,7 +137,7 @@
     protected EndPoint newEndPoint(SelectableChannel accepted, ManagedSelector selector, SelectionKey key) {
         SocketChannelEndPoint endPoint =
                 new SocketChannelEndPoint((SocketChannel) accepted, selector, key, getScheduler());
-        endPoint.setIdleTimeout(0); // silence is judged in sweep()
+        endPoint.setIdleTimeout(0); // no idle timeout of the end point, since sweep() applies the timeouts
         return endPoint;
     }
 
@@ -146,7 +149,7 @@
 
     void opened(PeerConnection connection) {
         Optional<PeerConnection> evicted = connections.add(connection, nowNanos());
-        if (connections.isClosed()) { // it was on its way past close()
+        if (connections.isClosed()) { // close() may have missed a connection that was added meanwhile
             connection.close(SERVER_CLOSED);
         }
         evicted.ifPresent(other -> other.evict(connections.maxConnections()));
@@ -185,18 +188,19 @@
     }
 
     /**
-     * Closes overdue connections. Where the sweep itself comes late the process stood still, and what peers sent meanwhile
-     * is not read yet: then everybody has twice the time, or a pause of ours would cost us the fleet.
+     * Closes connections whose timeouts have expired. A late sweep means that the process was paused, and that bytes received during
+     * the pause have not been read yet: the timeouts are doubled then, since the pause would otherwise disconnect the fleet.
      */
     private void sweep() {
         try {
             long now = nowNanos();
-            boolean stoodStill = now - lastSweepNanos > TimeUnit.MILLISECONDS.toNanos(2 * SWEEP_INTERVAL_MS);
+            boolean wasPaused = now - lastSweepNanos > TimeUnit.MILLISECONDS.toNanos(2 * SWEEP_INTERVAL_MS);
             lastSweepNanos = now;
-            int factor = stoodStill ? 2 : 1;
+            int timeoutFactor = wasPaused ? 2 : 1;
             for (PeerConnection connection : connections.snapshot()) {
                 connection.closeIfOverdue(
-                        now - factor * IDENTIFICATION_TIMEOUT_NANOS, now - factor * UNFINISHED_LINE_TIMEOUT_NANOS);
+                        now - timeoutFactor * IDENTIFICATION_TIMEOUT_NANOS,
+                        now - timeoutFactor * UNFINISHED_LINE_TIMEOUT_NANOS);
             }
         } finally {
             if (!connections.isClosed()) {
--- a/src/test/java/linenring/stream/ConnectionLossTest.java
+++ b/src/test/java/linenring/stream/ConnectionLossTest.java
@@ -33,18 +33,18 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Peers die at awkward moments: a whole machine is killed right after its proxies connected, or a proxy falls silent after
- * hours. Places and memory that such a peer held have to come back, or the controller is full after some such days.
+ * Tests that the slots and the memory of lost peers are released, for example after a machine is killed right after its proxies
+ * connected, or a proxy stops sending after hours of service. A leak would exhaust the controller's connection limit within days.
  */
 class ConnectionLossTest {
-    /** Far above what may be dead and not read yet at one instant, and far below what dies in a whole test. */
+    /** Connection limit: far above the number of lost but undetected peers at any time, and far below the total of a test. */
     private static final int MAX_CONNECTIONS = 100;
 
     private static final int RESETS_PER_ROUND = 8;
     private static final int ROUNDS = 60;
-    /** More than the spare ones, and within the listener's backlog. */
+    /** Number of simultaneous resets: more than the spare sockets, and within the listener's backlog. */
     private static final int SIMULTANEOUS_RESETS = MAX_CONNECTIONS + 20;
-    /** The process's, which are not the peers'. */
+    /** Sockets that the server reserves for purposes other than peers. */
     private static final int RESERVED_SOCKETS = 32;
 
     private static final int WAIT_MS = 20_000;
@@ -98,7 +98,7 @@
     }
 
     private void assertServed() throws IOException {
-        assertTrue(isServed(), "no answer to a PING");
+        assertTrue(isServed(), "server did not answer a PING");
     }
 
     private boolean isServed() throws IOException {
@@ -106,11 +106,11 @@
             write(peer, PING);
             return PONG.strip().equals(readLine(peer));
         } catch (java.net.SocketException failure) {
-            return false; // reset
+            return false; // the server reset the connection
         }
     }
 
-    /** The kernel has accepted the connections; the peers' processes die before the server has seen one of them. */
+    /** The kernel has accepted the connections, but the peers are killed before the server accepts any of them. */
     @Test
     void freesTheSlotsOfPeersResetBeforeTheyAreAccepted() throws Exception {
         for (int round = 0; round < ROUNDS; round++) {
@@ -124,7 +124,7 @@
         assertEquals(List.of(), receivedEvents());
     }
 
-    /** One after the other, with the selector at work: some die before they are registered, some after. */
+    /** Peers are reset one by one while the selector runs, so that some are reset before their registration and some after. */
     @Test
     void freesTheSlotsOfPeersResetRightAfterTheyAreAccepted() throws Exception {
         for (int round = 0; round < ROUNDS; round++) {
@@ -136,7 +136,7 @@
         assertEquals(List.of(), receivedEvents());
     }
 
-    /** More at one instant than may be open: whoever connects meanwhile may be refused, and is served when it tries again. */
+    /** More resets at once than connections are allowed: a peer that connects meanwhile may be rejected, but is served on a retry. */
     @Test
     void servesReconnectingPeersAfterMoreResetsThanConnectionsAllowed() throws Exception {
         SelectorHold.during(server, hold -> {
@@ -146,30 +146,30 @@
         });
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WAIT_MS);
         while (!isServed()) {
-            assertTrue(System.nanoTime() < end, "nobody is served");
-            TimeUnit.MILLISECONDS.sleep(100); // proxies reconnect within 0.1 to 2 s
+            assertTrue(System.nanoTime() < end, "server still rejects connections after the timeout");
+            TimeUnit.MILLISECONDS.sleep(100); // proxies reconnect after 0.1 s to 2 s
         }
         assertServed();
         assertEquals(List.of(), receivedEvents());
     }
 
-    /** Killed within its subscription, and right after it: the first was never there, the second came and left. */
+    /** One proxy is reset while it sends its subscription, which must not be reported, and one after its subscription. */
     @Test
     void reportsTheStreamEndOnlyOfAProxyWhoseSubscriptionWasComplete() throws Exception {
-        Socket within = connect();
-        write(within, SUBSCRIBE.substring(0, 20));
-        reset(within);
-        assertServed(); // by then the first has been read
+        Socket resetWithinSubscription = connect();
+        write(resetWithinSubscription, SUBSCRIBE.substring(0, 20));
+        reset(resetWithinSubscription);
+        assertServed(); // the server has processed the reset before it answers
         assertEquals(List.of(), receivedEvents());
-        Socket behind = connect();
-        write(behind, SUBSCRIBE);
+        Socket resetAfterSubscription = connect();
+        write(resetAfterSubscription, SUBSCRIBE);
         awaitEvents(1);
-        reset(behind);
+        reset(resetAfterSubscription);
         awaitEvents(2);
         assertEquals(List.of(new InboundMessage.Subscribe(3, 0, 2.5, true), "ended"), handler.events());
     }
 
-    /** The process ends while connections are accepted by the kernel alone: their peers notice and connect elsewhere. */
+    /** The server closes while only the kernel has accepted some connections: their peers must notice, so that they reconnect. */
     @Test
     void closesConnectionsThatAreOnlyQueuedWhenTheServerCloses() throws Exception {
         List<Socket> waiting = new ArrayList<>();
@@ -182,7 +182,7 @@
             }
             closer.start();
             while (closer.getState() != Thread.State.TERMINATED && server.isRunning()) {
-                Thread.onSpinWait(); // until it has closed all and stops the selectors
+                Thread.onSpinWait(); // until the server has closed all connections and stops its selectors
             }
         });
         closer.join();
@@ -196,22 +196,22 @@
         try (socket) {
             assertNull(readLine(socket));
         } catch (java.net.SocketTimeoutException failure) {
-            throw new AssertionError("it does not notice", failure);
+            throw new AssertionError("the peer did not see the end of its connection", failure);
         } catch (IOException failure) {
-            // reset, which is an end as well
+            // a reset also ends the connection
         }
     }
 
-    /** What it had read before does not count as unread. */
+    /** Updates that the peer read earlier must not count toward the limit of unsent bytes. */
     @Test
     void closesAProxyThatStopsReadingAfterLongServiceAsSoonAsANewOne() {
-        int least = updatesUntilClosed(0);
-        int late = updatesUntilClosed(50_000);
-        assertEquals(least, late);
-        assertTrue(least > 500 && least < 5000, least + " updates");
+        int withNewPeer = updatesUntilClosed(0);
+        int withLongServedPeer = updatesUntilClosed(50_000);
+        assertEquals(withNewPeer, withLongServedPeer);
+        assertTrue(withNewPeer > 500 && withNewPeer < 5000, withNewPeer + " updates");
     }
 
-    private int updatesUntilClosed(int readBefore) {
+    private int updatesUntilClosed(int updatesReadBefore) {
         StreamServer inMemory = new StreamServer(
                 Runnable::run,
                 scheduler,
@@ -222,9 +222,9 @@
                 System::nanoTime);
         InMemoryPeer peer = new InMemoryPeer(inMemory, 1024);
         peer.addInput(SUBSCRIBE);
-        for (int nonce = 0; nonce < readBefore; nonce++) {
+        for (int nonce = 0; nonce < updatesReadBefore; nonce++) {
             peer.connection().write(update(nonce));
-            peer.takeOutput(); // it reads at once, and answers
+            peer.takeOutput(); // the peer reads each update at once and acknowledges it
             peer.addInput(acknowledgement(3, nonce, 1));
         }
         int unread = 0;
@@ -235,7 +235,7 @@
         return unread;
     }
 
-    /** An unfinished line is judged by when it began, however long the connection has served. */
+    /** The timeout of an unfinished line starts with the line, not with the connection. */
     @Test
     void closesAProxyThatFallsSilentWithinAMessageAfterLongService() throws Exception {
         try (Socket peer = connect()) {
@@ -243,13 +243,11 @@
             for (int i = 0; i < 2000; i++) {
                 write(peer, RATE);
             }
-            long begun = System.nanoTime();
+            long lineStartNanos = System.nanoTime();
             write(peer, "{\"@type\":\"RATE\",\"id\":3,");
             assertNull(readLine(peer));
-            long closedAfterMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
-            assertTrue(
-                    closedAfterMs >= 2900,
-                    "closed after " + closedAfterMs + " ms"); // proxies stand still for 2 s at times
+            long closedAfterMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - lineStartNanos);
+            assertTrue(closedAfterMs >= 2900, "closed after " + closedAfterMs + " ms"); // proxies may pause for 2 s
         }
         awaitEvents(2002);
         assertEquals("ended", handler.events().get(handler.events().size() - 1));
@@ -260,7 +258,7 @@
         while (receivedEvents().size() < count) {
             assertTrue(
                     System.nanoTime() < end,
-                    count + " arrivals, and not " + handler.events().size());
+                    count + " events expected, but found " + handler.events().size());
             eventQueue.await(TimeUnit.MILLISECONDS.toNanos(100));
         }
     }
--- a/src/test/java/linenring/stream/ConnectionRaceTest.java
+++ b/src/test/java/linenring/stream/ConnectionRaceTest.java
@@ -43,14 +43,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Two things happen at once on real connections, in an order that comes once in thousands of times: here it is forced each
- * time. A proxy would be lost by it, or a place for one.
+ * Tests races on real connections by forcing an event order that otherwise occurs once in thousands of runs. A fault would lose a
+ * proxy, or leak a connection slot.
  */
 class ConnectionRaceTest {
     private static final int MAX_CONNECTIONS = 3;
-    /** Further sockets while connections are being closed for them. */
+    /** Sockets that new connections may use while evicted connections are being closed. */
     private static final int SPARE_SOCKETS = 12;
-    /** The process's, which are not the peers'. */
+    /** Sockets that the server reserves for purposes other than peers. */
     private static final int RESERVED_SOCKETS = 32;
 
     private final QueuedThreadPool threads = new QueuedThreadPool(8, 2);
@@ -79,7 +79,7 @@
                 any, RESERVED_SOCKETS + MAX_CONNECTIONS, new Codec(names), eventQueue, log, threads, scheduler);
     }
 
-    /** A peer over loopback. */
+    /** A peer that connects over loopback. */
     private static final class SocketPeer implements AutoCloseable {
         private final Socket socket = new Socket();
         private final BufferedReader reader;
@@ -94,7 +94,7 @@
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
         }
 
-        /** The next line, or null at the end. */
+        /** Returns the next line, or null at the end of the stream. */
         String receive() throws IOException {
             return reader.readLine();
         }
@@ -102,7 +102,7 @@
         void assertServed() throws IOException {
             send(PING);
             String line = receive();
-            while (line != null && line.contains("CONFIG")) { // updates may come first
+            while (line != null && line.contains("CONFIG")) { // updates may arrive before the PONG
                 line = receive();
             }
             assertEquals(PONG.strip(), line);
@@ -125,17 +125,17 @@
                 0,
                 false,
                 6);
-        HostList known = new HostList(
+        HostList initialHosts = new HostList(
                 1,
                 true,
                 IntStream.range(0, 4)
                         .mapToObj(index -> new HostList.Entry(
                                 "s-" + index, 0, 0, HostList.State.READY, 1, Double.NEGATIVE_INFINITY))
                         .toList());
-        return new ControlLoop(settings, names, known, eventQueue, log);
+        return new ControlLoop(settings, names, initialHosts, eventQueue, log);
     }
 
-    /** A proxy gives up a connection and makes another; what it sent on the first is read after what it sent on the second. */
+    /** A proxy abandons a connection and opens another; its message on the first is read after its message on the second. */
     @Test
     void prefersTheStreamOpenedLaterThoughItWasReadFirst() throws Exception {
         EventQueue eventQueue = new EventQueue();
@@ -145,11 +145,11 @@
         loop.start();
         try (SocketPeer first = new SocketPeer(server.address());
                 SocketPeer second = new SocketPeer(server.address())) {
-            first.send(SUBSCRIBE.substring(0, 10)); // the rest is held back
+            first.send(SUBSCRIBE.substring(0, 10)); // the remaining bytes are sent after the second subscription
             second.send(SUBSCRIBE);
             assertTrue(second.receive().contains("CONFIG"));
             first.send(SUBSCRIBE.substring(10));
-            assertNull(first.receive(), "the abandoned one gets no update");
+            assertNull(first.receive(), "the abandoned stream must be closed without an update");
             second.assertServed();
         } finally {
             loop.interrupt();
@@ -157,7 +157,7 @@
         }
     }
 
-    /** Another thread closes the connection at the very moment at which its subscription is read. */
+    /** Another thread closes the connection while the proxy's subscription is being handled. */
     @Test
     void reportsTheEndOfAStreamAfterItsSubscription() throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
@@ -165,7 +165,7 @@
         open(new EventQueue() {
             @Override
             public void enqueueMessage(ProxyStream from, InboundMessage message) {
-                Thread closer = new Thread(() -> from.close("at the wrong moment"), "closer");
+                Thread closer = new Thread(() -> from.close("closed while its subscription is handled"), "closer");
                 closer.start();
                 while (order.isEmpty()
                         && Thread.getAllStackTraces().entrySet().stream()
@@ -173,7 +173,7 @@
                                         && Arrays.stream(entry.getValue())
                                                 .anyMatch(frame ->
                                                         frame.getMethodName().equals("onClose")))) {
-                    Thread.onSpinWait(); // until the end is reported, or waits for its turn
+                    Thread.onSpinWait(); // until the stream's end is reported, or onClose waits for the lock
                 }
                 order.add("subscribed");
             }
@@ -214,14 +214,14 @@
                 dying.close();
             }
         });
-        for (int i = 0; i < 2; i++) { // the first is read after all of these
+        for (int i = 0; i < 2; i++) { // the first PING is processed after the closed sockets
             try (SocketPeer peer = new SocketPeer(server.address())) {
                 peer.assertServed();
             }
         }
     }
 
-    /** Whoever is accepted and not open yet when the server closes notices at once, and may connect elsewhere. */
+    /** A peer whose socket is accepted but not yet a connection when the server closes must notice at once, so that it reconnects. */
     @Test
     void closesSocketsThatAreAcceptedAndNotOpenYet() throws Exception {
         open(new EventQueue());
@@ -232,19 +232,19 @@
                     server.accepted(listener.accept());
                     Thread closer = new Thread(server::close, "closer");
                     closer.start();
-                    assertNull(peer.receive()); // while the selector still stands
+                    assertNull(peer.receive()); // the selector is still paused
                     SocketChannel late = acceptedSocket();
                     server.accepted(late);
-                    assertFalse(late.isOpen(), "nobody is accepted any more");
+                    assertFalse(late.isOpen(), "socket accepted after close must be closed");
                     hold.release();
                     closer.join();
                 }
             }
         });
-        server.close(); // a second one changes nothing
+        server.close(); // a second close must have no effect
     }
 
-    /** The accepted side of a connection over loopback. */
+    /** Returns the accepted side of a connection over loopback. */
     private static SocketChannel acceptedSocket() throws IOException {
         try (ServerSocketChannel listener = ServerSocketChannel.open()) {
             listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
--- a/src/test/java/linenring/stream/FragmentedMessagesTest.java
+++ b/src/test/java/linenring/stream/FragmentedMessagesTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The network delivers bytes in pieces of any size. A message that was cut in two must mean the same as one that came whole,
- * or a proxy would be lost to a slow network.
+ * Tests that fragmented messages are decoded like messages that arrive in one piece, wherever the network splits them. A fault would
+ * disconnect proxies on a slow network.
  */
 class FragmentedMessagesTest {
     private static final String FROM_PROXY = PING + SUBSCRIBE
@@ -51,23 +51,23 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Sends the pieces on a new connection; returns what has arrived and what was answered, without updates. */
+    /** Sends the pieces on a new connection; returns the received events followed by the answers, without updates. */
     private List<Object> processPieces(byte[]... pieces) {
         InMemoryPeer peer = new InMemoryPeer(server);
-        boolean updated = false;
+        boolean isUpdateSent = false;
         List<Object> outcome = new ArrayList<>();
         for (byte[] piece : pieces) {
             peer.addInput(ByteBuffer.wrap(piece));
-            List<Object> arrived = drainedEvents();
-            outcome.addAll(arrived);
-            if (!updated && arrived.stream().anyMatch(message -> message instanceof InboundMessage.Subscribe)) {
-                updated = true;
+            List<Object> events = drainedEvents();
+            outcome.addAll(events);
+            if (!isUpdateSent && events.stream().anyMatch(message -> message instanceof InboundMessage.Subscribe)) {
+                isUpdateSent = true;
                 peer.connection().write(Messages.update(7));
             }
         }
         assertTrue(peer.isOpen(), logged.toString(StandardCharsets.UTF_8));
         outcome.add(peer.takeOutputString().replace(Messages.updateLine(7), ""));
-        peer.connection().close("the test is over");
+        peer.connection().close("test completed");
         peer.connection().onClose(null);
         drainedEvents();
         return outcome;
@@ -87,20 +87,23 @@
     private static final List<Object> COLLECTOR_OUTCOME =
             List.of(new InboundMessage.LoadReport("s-é", 1, 5, 1, 41.7, 1000), PONG);
 
-    /** The acknowledgement can only follow the update, so that no cut lies before the subscription's end. */
+    /** The subscription and the remaining messages are cut separately, since the acknowledgement must follow the update. */
     @Test
     void readsProxyMessagesCutInTwoAnywhere() {
         byte[] all = bytes(FROM_PROXY);
         byte[] subscription = Arrays.copyOf(all, FROM_PROXY.indexOf("{\"@type\":\"ACK\""));
-        byte[] rest = Arrays.copyOfRange(all, subscription.length, all.length);
+        byte[] remaining = Arrays.copyOfRange(all, subscription.length, all.length);
         for (int cut = 1; cut < subscription.length; cut++) {
             assertEquals(
                     PROXY_OUTCOME,
-                    processPieces(head(subscription, cut), tail(subscription, cut), rest),
+                    processPieces(head(subscription, cut), tail(subscription, cut), remaining),
                     "cut at " + cut);
         }
-        for (int cut = 1; cut < rest.length; cut++) {
-            assertEquals(PROXY_OUTCOME, processPieces(subscription, head(rest, cut), tail(rest, cut)), "cut at " + cut);
+        for (int cut = 1; cut < remaining.length; cut++) {
+            assertEquals(
+                    PROXY_OUTCOME,
+                    processPieces(subscription, head(remaining, cut), tail(remaining, cut)),
+                    "cut at " + cut);
         }
     }
 
@@ -122,7 +125,7 @@
         assertEquals(PROXY_OUTCOME, processPieces(singleBytes(bytes(FROM_PROXY))));
     }
 
-    /** A cut may fall into a character of several bytes, and between CR and LF. */
+    /** A cut may split a multi-byte character, or separate CR from LF. */
     @Test
     void readsCollectorMessagesCutAnywhereAndByteByByte() {
         byte[] all = bytes(FROM_COLLECTOR);
@@ -132,7 +135,7 @@
         assertEquals(COLLECTOR_OUTCOME, processPieces(singleBytes(all)));
     }
 
-    /** The connection ends within its first message: nothing of it is reported. */
+    /** The connection ends within its first message, of which nothing may be reported. */
     @Test
     void ignoresSubscriptionThatEndsBeforeItsLastByte() {
         byte[] all = bytes(SUBSCRIBE);
--- a/src/test/java/linenring/stream/InMemoryPeer.java
+++ b/src/test/java/linenring/stream/InMemoryPeer.java
@@ -4,17 +4,17 @@
 import java.util.Queue;
 import org.eclipse.jetty.io.ByteArrayEndPoint;
 
-/** A peer in memory: everything happens on the test's thread, at once or when the test runs it. */
+/** A peer on an in-memory end point. Tasks run on the test's thread, either immediately or when the test runs them. */
 final class InMemoryPeer extends ByteArrayEndPoint {
     private final PeerConnection connection;
-    private Queue<Runnable> deferred;
+    private Queue<Runnable> deferredTasks;
 
-    /** Reads whatever it is sent. */
+    /** Creates a peer that reads all data sent to it. */
     InMemoryPeer(StreamServer server) {
         this(server, 0);
     }
 
-    /** Reads only when the test does; {@code maxUnreadBytes} more are taken off the connection, 0 for any number. */
+    /** Creates a peer that reads only when the test takes its output, and buffers {@code maxUnreadBytes}; 0 means no limit. */
     InMemoryPeer(StreamServer server, int maxUnreadBytes) {
         super(null, 0, new byte[0], maxUnreadBytes);
         setGrowOutput(maxUnreadBytes == 0);
@@ -27,10 +27,10 @@
         return connection;
     }
 
-    /** From here on what is ready to run waits in the queue that is returned. */
+    /** Returns a queue that receives all further tasks, which the test runs itself. */
     Queue<Runnable> deferTasks() {
-        deferred = new ArrayDeque<>();
-        return deferred;
+        deferredTasks = new ArrayDeque<>();
+        return deferredTasks;
     }
 
     InMemoryPeer send(String text) {
@@ -40,10 +40,10 @@
 
     @Override
     protected void execute(Runnable task) {
-        if (deferred == null) {
+        if (deferredTasks == null) {
             task.run();
         } else {
-            deferred.add(task);
+            deferredTasks.add(task);
         }
     }
 }
--- a/src/test/java/linenring/stream/Messages.java
+++ b/src/test/java/linenring/stream/Messages.java
@@ -5,7 +5,7 @@
 import linenring.protocol.ConfigurationUpdate;
 import linenring.settings.Names;
 
-/** Messages of the protocol that these tests share. */
+/** Protocol messages used by several tests. */
 final class Messages {
     static final String SUBSCRIBE = "{\"@type\":\"SUBSCRIBE\",\"id\":3,\"site\":\"a\",\"rps\":2.5,\"new\":true}\n";
     static final String SOURCE = "{\"@type\":\"SOURCE\",\"site\":\"b\"}\n";
@@ -16,19 +16,19 @@
 
     private Messages() {}
 
-    /** An update that ejects one host. */
+    /** Returns an update that ejects one host. */
     static ConfigurationUpdate update(int nonce) {
         return new ConfigurationUpdate(List.of(
                 new ConfigurationUpdate.Part(List.of(), false, List.of(), null, List.of("s-1"), List.of(), nonce)));
     }
 
-    /** The update as it is written. */
+    /** Returns the encoded form of {@link #update}. */
     static String updateLine(int nonce) {
         return "{\"@type\":\"CONFIG\",\"eject\":[\"s-1\"],\"nonce_out\":" + nonce + "}\n";
     }
 
-    static String acknowledgement(int proxy, int nonce, double tookMs) {
-        return "{\"@type\":\"ACK\",\"id\":" + proxy + ",\"seq\":" + nonce + ",\"ms\":" + tookMs + "}\n";
+    static String acknowledgement(int proxy, int nonce, double elapsedMs) {
+        return "{\"@type\":\"ACK\",\"id\":" + proxy + ",\"seq\":" + nonce + ",\"ms\":" + elapsedMs + "}\n";
     }
 
     static Codec codec() {
--- a/src/test/java/linenring/stream/SelectorHold.java
+++ b/src/test/java/linenring/stream/SelectorHold.java
@@ -4,11 +4,11 @@
 import org.eclipse.jetty.io.ManagedSelector;
 import org.eclipse.jetty.io.SelectorManager;
 
-/** Makes a selector's thread stand still while a test arranges what it will find. */
+/** Pauses a selector's thread while a test prepares the events that the selector will process. */
 public final class SelectorHold {
-    /** What happens while the selector stands. */
+    /** An action that runs while the selector is paused. */
     public interface Action {
-        /** Runs with the selector standing, until it returns or calls {@link SelectorHold#release}. */
+        /** Runs the action; the selector is paused until the action returns or calls {@link SelectorHold#release}. */
         void run(SelectorHold hold) throws Exception;
     }
 
@@ -16,19 +16,19 @@
 
     private SelectorHold() {}
 
-    /** Runs the action with the manager's selector standing still. */
+    /** Runs the action while the manager's selector is paused. */
     public static void during(SelectorManager manager, Action action) throws Exception {
         SelectorHold hold = new SelectorHold();
-        CountDownLatch held = new CountDownLatch(1);
+        CountDownLatch paused = new CountDownLatch(1);
         manager.getBeans(ManagedSelector.class).iterator().next().submit(selector -> {
-            held.countDown();
+            paused.countDown();
             try {
                 hold.resume.await();
             } catch (InterruptedException failure) {
                 Thread.currentThread().interrupt();
             }
         });
-        held.await();
+        paused.await();
         try {
             action.run(hold);
         } finally {
@@ -36,7 +36,7 @@
         }
     }
 
-    /** The selector goes on; a second call changes nothing. */
+    /** Resumes the selector; a second call has no effect. */
     public void release() {
         resume.countDown();
     }
--- a/src/test/java/linenring/stream/StreamServerTest.java
+++ b/src/test/java/linenring/stream/StreamServerTest.java
@@ -41,7 +41,8 @@
     private final EventQueue eventQueue = new EventQueue();
     private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
     private final Log log = new Log(new PrintStream(logged, true, StandardCharsets.UTF_8));
-    private final AtomicLong clockNanos = new AtomicLong(Long.MAX_VALUE - 1000); // it wraps in the middle of a test
+    private final AtomicLong clockNanos =
+            new AtomicLong(Long.MAX_VALUE - 1000); // the clock value overflows during each test
     private final StreamServer server = server(1024);
     private final List<Object> receivedEvents = new ArrayList<>();
     private ProxyStream lastStream;
@@ -61,7 +62,7 @@
         return new InMemoryPeer(server);
     }
 
-    /** What has arrived since the last call. */
+    /** Returns the events received since the previous call. */
     private List<Object> receivedEvents() {
         receivedEvents.clear();
         eventQueue.drainTo(new EventQueue.EventHandler() {
@@ -92,12 +93,12 @@
         return logText().lines().filter(line -> line.contains(part)).count();
     }
 
-    private void advanceMs(long passed) {
-        clockNanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(passed));
+    private void advanceMs(long elapsedMs) {
+        clockNanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(elapsedMs));
     }
 
-    private static void closeIfOverdue(InMemoryPeer peer, long identifiedSinceNanos, long lineSinceNanos) {
-        peer.connection().closeIfOverdue(identifiedSinceNanos, lineSinceNanos);
+    private static void closeIfOverdue(InMemoryPeer peer, long minOpenedAtNanos, long minLineStartNanos) {
+        peer.connection().closeIfOverdue(minOpenedAtNanos, minLineStartNanos);
     }
 
     @Test
@@ -109,9 +110,9 @@
         for (int nonce : List.of(7, 8)) {
             peer.connection().write(update(nonce));
         }
-        String answers =
+        String acknowledgements =
                 "{\"@type\":\"ACK\",\"id\":3,\"seq\":7,\"ms\":1}\n{\"@type\":\"ACK\",\"id\":3,\"seq\":8,\"ms\":2}\n";
-        peer.send(answers);
+        peer.send(acknowledgements);
         assertEquals(
                 List.of(
                         new InboundMessage.Subscribe(3, 0, 2.5, true),
@@ -129,12 +130,12 @@
 
     @Test
     void closesOnlyTheConnectionThatSendsUnreadableDataAndLogsItOnce() {
-        InMemoryPeer good = peer().send(SUBSCRIBE);
-        for (String bad : List.of(
+        InMemoryPeer validPeer = peer().send(SUBSCRIBE);
+        for (String unreadable : List.of(
                 "GET / HTTP/1.1\r\n",
                 "\u0016\u0003\u0001",
                 "{\"@type\":\u0000",
-                " [", // no end of a line is waited for
+                " [", // rejected before the end of the line
                 "{\"@type\":\"LOAD\",\"site\":\"a\",\"target\":\"s\",\"count\":1}\n",
                 RATE,
                 updateLine(7),
@@ -144,14 +145,14 @@
                 SUBSCRIBE + "{\"@type\":\"RATE\"\n",
                 SUBSCRIBE + "{]\n")) {
             logged.reset();
-            InMemoryPeer peer = peer().send(bad);
-            assertFalse(peer.isOpen(), bad);
+            InMemoryPeer peer = peer().send(unreadable);
+            assertFalse(peer.isOpen(), unreadable);
             peer.send(PING);
-            assertEquals("", peer.takeOutputString()); // nothing after it is looked at
-            assertEquals(1, logText().lines().count(), bad);
+            assertEquals("", peer.takeOutputString()); // data after the unreadable message is ignored
+            assertEquals(1, logText().lines().count(), unreadable);
         }
         receivedEvents();
-        good.send(RATE);
+        validPeer.send(RATE);
         assertEquals(List.of(RATE_REPORT), receivedEvents());
     }
 
@@ -181,7 +182,7 @@
         collector.send(acknowledgement(3, 5, 1) + "{\"@type\":\"LOAD\",\"site\":\"b\",\"target\":7}\n" + RATE);
         assertEquals(List.of(RATE_REPORT), collector.isOpen() ? receivedEvents() : null);
         assertEquals(13, logLinesWith(" WARN invalid "));
-        proxy.send(acknowledgement(3, 5, 1)); // none of these was taken for it
+        proxy.send(acknowledgement(3, 5, 1)); // the invalid acknowledgements had no effect on the update
         assertEquals(List.of(new InboundMessage.Acknowledgement(3, 5, 1)), receivedEvents());
     }
 
@@ -190,27 +191,28 @@
         InMemoryPeer proxy = peer().send(SUBSCRIBE);
         List.of(5, 6, 7).forEach(nonce -> proxy.connection().write(update(nonce)));
         receivedEvents();
-        proxy.send(acknowledgement(3, 6, 1) + acknowledgement(3, 5, 1)); // that of 5 is stale by now
+        proxy.send(acknowledgement(3, 6, 1)
+                + acknowledgement(3, 5, 1)); // the acknowledgement of nonce 5 arrives after that of nonce 6
         assertEquals(List.of(new InboundMessage.Acknowledgement(3, 6, 1)), receivedEvents());
         proxy.send(acknowledgement(3, 7, 1));
         assertEquals(List.of(new InboundMessage.Acknowledgement(3, 7, 1)), receivedEvents());
         long future = clockNanos.get() + 1_000_000_000L;
-        closeIfOverdue(proxy, future, future); // it has nothing to say
+        closeIfOverdue(proxy, future, future); // an idle proxy has no timeout
         assertTrue(proxy.isOpen() && receivedEvents().isEmpty());
     }
 
     @Test
     void closesUnidentifiedPeersAndProxiesWithAnUnfinishedLineAfterTheirTimeouts() {
-        InMemoryPeer asks = peer().send(PING);
-        InMemoryPeer half = peer().send("{\"@type\":\"SUBSCR");
+        InMemoryPeer pingingPeer = peer().send(PING);
+        InMemoryPeer incompletePeer = peer().send("{\"@type\":\"SUBSCR");
         InMemoryPeer proxy = peer().send(SUBSCRIBE + "{\"@ty");
         long past = clockNanos.get() - 1_000_000_000L;
         long future = past + 2_000_000_000L;
-        List.of(asks, half, proxy).forEach(peer -> closeIfOverdue(peer, past, past));
-        assertTrue(asks.isOpen() && half.isOpen() && proxy.isOpen());
-        asks.send(PING); // further PINGs do not help
-        List.of(asks, half, proxy).forEach(peer -> closeIfOverdue(peer, future, past));
-        assertTrue(!asks.isOpen() && !half.isOpen() && proxy.isOpen());
+        List.of(pingingPeer, incompletePeer, proxy).forEach(peer -> closeIfOverdue(peer, past, past));
+        assertTrue(pingingPeer.isOpen() && incompletePeer.isOpen() && proxy.isOpen());
+        pingingPeer.send(PING); // PINGs do not extend the timeout
+        List.of(pingingPeer, incompletePeer, proxy).forEach(peer -> closeIfOverdue(peer, future, past));
+        assertTrue(!pingingPeer.isOpen() && !incompletePeer.isOpen() && proxy.isOpen());
         closeIfOverdue(proxy, future, future);
         assertFalse(proxy.isOpen());
         assertEquals(2, logLinesWith(" INFO unidentified "));
@@ -224,7 +226,7 @@
         assertEquals(PONG, peer.takeOutputString());
         peer.send("{" + "z".repeat(1 << 20));
         assertFalse(peer.isOpen());
-        assertFalse(peer().send("{" + "z".repeat(20_000)).isOpen()); // others get no such room
+        assertFalse(peer().send("{" + "z".repeat(20_000)).isOpen()); // unidentified peers have a lower limit
     }
 
     @Test
@@ -233,14 +235,14 @@
         receivedEvents();
         Queue<Runnable> tasks = peer.deferTasks();
         peer.send(RATE.repeat(18_000));
-        int all = 0;
+        int totalLines = 0;
         while (!tasks.isEmpty()) {
             tasks.poll().run();
-            int read = receivedEvents().size();
-            assertTrue(read < 9000, read + " lines in one turn");
-            all += read;
+            int linesInTurn = receivedEvents().size();
+            assertTrue(linesInTurn < 9000, linesInTurn + " lines in one turn");
+            totalLines += linesInTurn;
         }
-        assertEquals(18_000, all);
+        assertEquals(18_000, totalLines);
     }
 
     @Test
@@ -258,26 +260,26 @@
     @Test
     void closesAPeerThatDoesNotReadOnceTheOutboundQueueIsFull() {
         InMemoryPeer peer = new InMemoryPeer(server, 1024).send(SUBSCRIBE);
-        int written = 0;
-        while (peer.isOpen() && written < 1_000_000) {
+        int writtenBytes = 0;
+        while (peer.isOpen() && writtenBytes < 1_000_000) {
             peer.connection().write(update(7));
-            written += updateLine(7).length();
+            writtenBytes += updateLine(7).length();
         }
-        assertTrue(written > 64_000 && written < 200_000, written + " bytes");
-        assertTrue(logText().contains("proxy 3") && logText().contains("reads nothing"));
+        assertTrue(writtenBytes > 64_000 && writtenBytes < 200_000, writtenBytes + " bytes");
+        assertTrue(logText().contains("proxy 3") && logText().contains("does not read its updates"));
     }
 
     @Test
     void writesUpdatesInOrderAsThePeerReads() {
         InMemoryPeer peer = new InMemoryPeer(server, 70).send(SUBSCRIBE);
-        StringBuilder read = new StringBuilder();
+        StringBuilder output = new StringBuilder();
         for (int i = 0; i < 5; i++) {
             peer.connection().write(update(7));
         }
         for (int i = 0; i < 20; i++) {
-            read.append(peer.takeOutputString());
+            output.append(peer.takeOutputString());
         }
-        assertEquals(updateLine(7).repeat(5), read.toString());
+        assertEquals(updateLine(7).repeat(5), output.toString());
     }
 
     @Test
@@ -301,37 +303,37 @@
         long past = clockNanos.get() - 1_000_000_000L;
         long future = past + 100_000_000_000L;
         receivedEvents();
-        for (InMemoryPeer peer : List.of(proxy, collector)) { // they may have nothing to say
+        for (InMemoryPeer peer : List.of(proxy, collector)) { // idle peers have no timeout
             closeIfOverdue(peer, future, future);
         }
         closeIfOverdue(unidentified, past, future);
         assertTrue(unidentified.isOpen() && proxy.isOpen() && collector.isOpen());
         closeIfOverdue(unidentified, future, past);
         assertFalse(unidentified.isOpen());
-        proxy.connection().write(update(7)); // on a channel that takes a minute over hundreds of tables
+        proxy.connection().write(update(7)); // the update channel may need a minute for hundreds of tables
         closeIfOverdue(proxy, past, future);
         assertTrue(proxy.isOpen());
         proxy.send("{\"@type\":\"ACK\",\"id\":3,\"seq\":7,\"ms\":1}\n");
         assertEquals(
                 List.of(new InboundMessage.Acknowledgement(3, 7, 1)),
-                receivedEvents()); // and it does not subscribe anew
+                receivedEvents()); // the proxy keeps its subscription
     }
 
     @Test
     void evictsOlderUnidentifiedPeersForANewConnection() throws Exception {
-        StreamServer small = server(35); // three connections
+        StreamServer small = server(35); // 32 sockets are reserved, so that 3 connections are allowed
         InMemoryPeer unidentified = new InMemoryPeer(small);
         InMemoryPeer proxy = new InMemoryPeer(small).send(SUBSCRIBE);
-        advanceMs(150); // enough for the first to identify itself
-        InMemoryPeer next = new InMemoryPeer(small);
+        advanceMs(150); // above the minimum age for eviction
+        InMemoryPeer secondToLast = new InMemoryPeer(small);
         InMemoryPeer last = new InMemoryPeer(small);
         InMemoryPeer tooMany = new InMemoryPeer(small);
         assertFalse(unidentified.isOpen() || tooMany.isOpen());
-        assertTrue(proxy.isOpen() && next.isOpen() && last.isOpen());
+        assertTrue(proxy.isOpen() && secondToLast.isOpen() && last.isOpen());
     }
 
     @Test
-    @SuppressWarnings("try") // the socket is closed early, and on purpose
+    @SuppressWarnings("try") // the test closes the socket before the end of the try block
     void servesAProxyOverSocketsFromSubscriptionToReset() throws Exception {
         QueuedThreadPool threads = new QueuedThreadPool(8, 2);
         ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
@@ -348,7 +350,7 @@
             assertEquals(List.of(new InboundMessage.Subscribe(3, 0, 2.5, true)), receivedEvents());
             lastStream.write(update(7));
             assertEquals(updateLine(7), readLine(socket));
-            socket.setSoLinger(true, 0); // a reset
+            socket.setSoLinger(true, 0); // resets the connection on close
             socket.close();
             assertTrue(eventQueue.await(20_000_000_000L));
             assertEquals(List.of("ended"), receivedEvents());
