--- a/src/main/java/linenring/event/EventQueue.java
+++ b/src/main/java/linenring/event/EventQueue.java
@@ -38,7 +38,7 @@
             handler.onMessage(stream, message);
         }
 
-        /** Whether this is a report. Reports are periodic, so that one may be dropped; other messages are not sent again. */
+        /** Whether the message is a report. Reports are periodic, so that one may be dropped; other messages are not sent again. */
         boolean isReport() {
             return message instanceof InboundMessage.LoadReport || message instanceof InboundMessage.RequestRateReport;
         }
@@ -61,8 +61,8 @@
     private record QueuedEvent(long sequenceNumber, Event event) {}
 
     /**
-     * Maximum number of queued reports; beyond it the oldest reports are dropped, since they would otherwise fill the heap while the
-     * control loop is blocked. The limit holds about half a minute of a large site's reports, a few MB.
+     * Maximum number of queued reports: about half a minute of a large site's reports, a few MB. Beyond the limit the oldest
+     * reports are dropped, since reports would otherwise fill the heap while the control loop is blocked.
      */
     public static final int MAX_QUEUED_REPORTS = 20_000;
 
@@ -121,9 +121,8 @@
     private void enqueueReport(Event report) {
         lock.lock();
         try {
-            if (reports.size()
-                    == MAX_QUEUED_REPORTS) { // the oldest report is dropped, since newer ones describe the current load
-                // better
+            // the oldest report is dropped, since newer reports describe the current load better
+            if (reports.size() == MAX_QUEUED_REPORTS) {
                 reports.poll();
                 droppedReports++;
             }
@@ -182,8 +181,8 @@
         } finally {
             lock.unlock();
         }
-        events.forEach(event ->
-                event.deliverTo(handler)); // the lock is not held, so that a slow handler does not block the streams
+        // the lock is not held during delivery, so that a slow handler does not block the streams
+        events.forEach(event -> event.deliverTo(handler));
         return dropped;
     }
 
--- a/src/main/java/linenring/protocol/HostListReader.java
+++ b/src/main/java/linenring/protocol/HostListReader.java
@@ -242,7 +242,7 @@
         }
     }
 
-    /** Whether this may be a list of changes within a scope; the field that tells may follow after the entries. */
+    /** Whether this may be a list of changes within a scope; the field {@code full} that tells may follow after the entries. */
     private boolean mayBeIncremental() {
         return !filter.scope().isAll() && !Boolean.TRUE.equals(isComplete);
     }
@@ -258,12 +258,12 @@
         position = Position.AFTER_LIST;
         long versionNumber = (long) FieldValues.nonNegative("version", version, Long.MAX_VALUE);
         boolean isCompleteList = FieldValues.required("full", isComplete);
-        List<HostList.Entry> kept = FieldValues.required("servers", entries);
+        List<HostList.Entry> keptEntries = FieldValues.required("servers", entries);
         if (isCompleteList && !filter.scope().isAll()) { // the field "full" may follow after the entries
-            kept.removeIf(entry -> entry.state() == HostList.State.GONE);
+            keptEntries.removeIf(entry -> entry.state() == HostList.State.GONE);
         }
         InvalidEntries invalidEntries = new InvalidEntries(invalidCount, invalidReasons);
-        finish(new DecodeResult.Decoded<>(
-                new HostList(versionNumber, isCompleteList, kept, invalidEntries, filter.scope(), outsideScopeCount)));
+        finish(new DecodeResult.Decoded<>(new HostList(
+                versionNumber, isCompleteList, keptEntries, invalidEntries, filter.scope(), outsideScopeCount)));
     }
 }
--- a/src/main/java/linenring/protocol/InboundMessageDecoder.java
+++ b/src/main/java/linenring/protocol/InboundMessageDecoder.java
@@ -95,7 +95,7 @@
 
     private static InboundMessage loadReport(InboundMessageFields fields) throws InvalidFieldException {
         int requests = fields.requests();
-        int failed = fields.failedOf(requests);
+        int failed = fields.failedOfPeriod(requests);
         return new InboundMessage.LoadReport(
                 fields.host(),
                 fields.zone(),
--- a/src/main/java/linenring/protocol/InboundMessageFields.java
+++ b/src/main/java/linenring/protocol/InboundMessageFields.java
@@ -22,7 +22,7 @@
     /** Maximum duration in a message: 1 h. */
     private static final double MAX_DURATION_MS = 3_600_000;
     /** Maximum request count or request rate in a message. */
-    private static final int MAX_COUNT = 1_000_000;
+    private static final int MAX_REQUESTS = 1_000_000;
 
     private static final int MAX_NONCE = 65_535;
 
@@ -94,17 +94,17 @@
     }
 
     int requests() throws InvalidFieldException {
-        return integer("count", requests, MAX_COUNT);
+        return integer("count", requests, MAX_REQUESTS);
     }
 
     /** Returns the number of failed requests, at most {@code allRequests}. */
-    int failedOf(int allRequests) throws InvalidFieldException {
+    int failedOfPeriod(int allRequests) throws InvalidFieldException {
         return integer("fail", failed, allRequests);
     }
 
     /** Returns the number of failed requests, which may include requests of earlier periods. */
     int failed() throws InvalidFieldException {
-        return integer("fail", failed, MAX_COUNT);
+        return integer("fail", failed, MAX_REQUESTS);
     }
 
     /** Returns the mean latency of successful requests; the field is optional if no request succeeded. */
@@ -122,7 +122,7 @@
     }
 
     double requestsPerSecond() throws InvalidFieldException {
-        return nonNegative("rps", requestsPerSecond, MAX_COUNT);
+        return nonNegative("rps", requestsPerSecond, MAX_REQUESTS);
     }
 
     int nonce() throws InvalidFieldException {
--- a/src/main/java/linenring/stream/OpenConnections.java
+++ b/src/main/java/linenring/stream/OpenConnections.java
@@ -26,7 +26,7 @@
     private final int maxConnections;
     private final Set<PeerConnection> connections = new LinkedHashSet<>(); // oldest first; @GuardedBy("this")
     private final Set<SelectableChannel> accepting =
-            new HashSet<>(); // accepted sockets without a connection object; @GuardedBy("this")
+            new HashSet<>(); // accepted sockets that are not yet connections; @GuardedBy("this")
     private boolean isClosed; // @GuardedBy("this")
 
     OpenConnections(int maxConnections) {
@@ -37,7 +37,7 @@
         return maxConnections;
     }
 
-    /** Reserves a slot for an accepted socket; returns false if there is no slot or the set is closed, so that the caller closes it. */
+    /** Reserves a slot for an accepted socket; returns false if the caller must close it, at the limit or after {@link #close}. */
     synchronized boolean reserve(SelectableChannel channel) {
         accepting.removeIf(reserved ->
                 !reserved.isOpen()); // no callback reports a socket that was closed before it became a connection
@@ -79,7 +79,7 @@
         return isClosed;
     }
 
-    /** Closes the set, so that no more slots are reserved; the caller closes the connections and sockets that are returned. */
+    /** Closes the set, so that no more slots are reserved; the caller must close the returned connections and sockets. */
     synchronized Remaining close() {
         isClosed = true;
         Remaining remaining = new Remaining(List.copyOf(connections), List.copyOf(accepting));
--- a/src/main/java/linenring/stream/OutboundQueue.java
+++ b/src/main/java/linenring/stream/OutboundQueue.java
@@ -6,9 +6,9 @@
 import org.eclipse.jetty.util.IteratingCallback;
 
 /**
- * A bounded queue of messages to one peer, written in order and without blocking the sender. Messages that the socket does not accept
- * stay queued up to a limit: a peer that stops reading would otherwise block the control loop or fill the heap. Thread-safe: the
- * queue is guarded by its own monitor.
+ * A bounded queue of messages to one peer, written in order and without blocking the sender. Messages that the socket does not
+ * accept stay queued up to a limit: a peer that stops reading would otherwise block the control loop or fill the heap.
+ * Thread-safe: the queue is guarded by its own monitor.
  */
 final class OutboundQueue {
     /** Limit of unsent bytes, beyond which the connection of a peer that does not read is closed. */
@@ -27,7 +27,7 @@
     private final Flusher flusher = new Flusher();
     private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>(); // @GuardedBy("unsent")
     private int unsentBytes; // @GuardedBy("unsent")
-    private volatile boolean isClosed; // written under "unsent"
+    private volatile boolean isClosed; // written with the lock on unsent held
 
     OutboundQueue(EndPoint endPoint, Runnable onWriteFailure) {
         this.endPoint = endPoint;
@@ -40,9 +40,8 @@
             if (isClosed) {
                 return OfferResult.CLOSED;
             }
-            if (unsentBytes
-                    > MAX_UNSENT_BYTES) { // checked before adding, since a single message may have an entry for each
-                // host
+            // the limit is checked before the message is added, since a single message may have an entry for each host
+            if (unsentBytes > MAX_UNSENT_BYTES) {
                 return OfferResult.OVERFLOW;
             }
             unsent.add(ByteBuffer.wrap(message));
--- a/src/main/java/linenring/stream/OutstandingNonces.java
+++ b/src/main/java/linenring/stream/OutstandingNonces.java
@@ -14,24 +14,25 @@
 
     private static final double NANOS_PER_MS = 1e6;
 
-    private record Outstanding(int nonce, long sentAtNanos) {}
+    private record OutstandingUpdate(int nonce, long sentAtNanos) {}
 
-    private final ArrayDeque<Outstanding> outstanding = new ArrayDeque<>();
+    private final ArrayDeque<OutstandingUpdate> unacknowledgedUpdates = new ArrayDeque<>();
 
     /** Records that an update with this nonce is being sent. */
     void recordSent(int nonce, long nowNanos) {
-        if (outstanding.size() == MAX_OUTSTANDING) {
-            outstanding.poll();
+        if (unacknowledgedUpdates.size() == MAX_OUTSTANDING) {
+            unacknowledgedUpdates.poll();
         }
-        outstanding.add(new Outstanding(nonce, nowNanos));
+        unacknowledgedUpdates.add(new OutstandingUpdate(nonce, nowNanos));
     }
 
     /**
-     * Removes the acknowledged update and all updates before it, which the proxy has applied too. An acknowledgement with an unknown
-     * nonce or an impossible duration is rejected, since it would release capacity of the update channel that is still in use.
+     * Removes the acknowledged update and all updates before it, which the proxy has applied too. An acknowledgement with an
+     * unknown nonce or an impossible duration is rejected, since it would release capacity of the update channel that is still
+     * in use.
      */
     void acknowledge(InboundMessage.Acknowledgement acknowledgement, long nowNanos) throws MessageRejectedException {
-        Outstanding acknowledgedUpdate = outstanding.stream()
+        OutstandingUpdate acknowledgedUpdate = unacknowledgedUpdates.stream()
                 .filter(update -> update.nonce() == acknowledgement.nonce())
                 .findFirst()
                 .orElseThrow(() -> new MessageRejectedException("unexpected acknowledgement of nonce "
@@ -41,7 +42,7 @@
             throw new MessageRejectedException(
                     "field ms: " + acknowledgement.elapsedMs() + " exceeds the time since the update was sent");
         }
-        while (!outstanding.remove().equals(acknowledgedUpdate)) {
+        while (!unacknowledgedUpdates.remove().equals(acknowledgedUpdate)) {
             // the next acknowledgement also covers updates whose acknowledgement was lost
         }
     }
--- a/src/main/java/linenring/stream/PeerConnection.java
+++ b/src/main/java/linenring/stream/PeerConnection.java
@@ -15,8 +15,8 @@
 import org.eclipse.jetty.util.thread.Invocable;
 
 /**
- * A connection of a proxy, a collector or an unidentified peer. The selector's thread reads; the control loop writes and closes; the
- * server's timer closes the connection after a timeout. The state of reading is guarded by this connection's monitor.
+ * A connection of a proxy, a collector or an unidentified peer. The selector's thread reads, the control loop writes and closes,
+ * and the server's timer closes the connection after a timeout. The state of reading is guarded by this connection's monitor.
  */
 final class PeerConnection extends AbstractConnection implements ProxyStream {
     /** Read buffer per selector thread instead of per connection, since there are few selector threads. */
@@ -41,7 +41,7 @@
     private final StreamServer server;
     private final long number;
     private final long openedAtNanos;
-    private final PeerSession session = new PeerSession(); // changed under "this"
+    private final PeerSession session = new PeerSession(); // modified with the lock on "this" held
     private final LineFramer framer; // @GuardedBy("this")
     private final OutboundQueue outbound;
 
@@ -76,19 +76,19 @@
     @Override
     public void onFillable() {
         try {
-            if (readTurn()) {
+            if (readAvailable()) {
                 fillInterested();
             }
         } catch (IOException failure) {
             closeAndLog("connection was reset", ClosedBy.PEER);
-        } catch (RuntimeException failure) { // a fault in handling one connection must not affect the selector's other
-            // connections
+        } catch (RuntimeException failure) {
+            // a fault in handling one connection must not affect the other connections of the selector
             closeAndLog("internal error, " + failure, ClosedBy.SERVER);
         }
     }
 
     /** Reads the available bytes, with a limit on the number of reads; returns false once the connection is closed. */
-    private boolean readTurn() throws IOException {
+    private boolean readAvailable() throws IOException {
         ByteBuffer buffer = READ_BUFFER.get();
         for (int i = 0; i < MAX_READS_PER_TURN; i++) {
             BufferUtil.clear(buffer); // filling appends at the buffer's limit
@@ -120,7 +120,8 @@
             framer.releaseBuffer();
         }
         server.closed(this);
-        synchronized (this) { // waits for a line in progress, so that the stream's end is queued after its subscription
+        // waits for a line in progress, so that the end of the stream is queued after its subscription
+        synchronized (this) {
             if (session.state() == PeerSession.State.PROXY) {
                 server.eventQueue().enqueueStreamClosed(this);
             }
@@ -184,7 +185,8 @@
     public void write(ConfigurationUpdate update) {
         int nonce = update.parts().get(update.parts().size() - 1).nonce();
         if (nonce != ConfigurationUpdate.WITHOUT_NONCE) {
-            synchronized (this) { // recorded before the update is sent, since the acknowledgement may arrive at once
+            // the nonce is recorded before the update is sent, since the acknowledgement may arrive at once
+            synchronized (this) {
                 session.recordUpdateSent(nonce, server.nowNanos());
             }
         }
@@ -203,9 +205,10 @@
     }
 
     /**
-     * Closes a connection of an unidentified peer that was opened before the first time, or a connection with an unfinished line that
-     * was started before the second time. An overdue acknowledgement does not close the connection: this controller's own update
-     * channel is part of the delay, and may need longer for the updates of hundreds of proxies than any timeout of a proxy.
+     * Closes the connection if the peer is unidentified and connected before {@code minOpenedAtNanos}, or if it has an unfinished
+     * line that started before {@code minLineStartNanos}. An overdue acknowledgement does not close the connection: this
+     * controller's own update channel is part of the delay, and may need longer for the updates of hundreds of proxies than any
+     * of the proxies is silent.
      */
     synchronized void closeIfOverdue(long minOpenedAtNanos, long minLineStartNanos) {
         if (!session.isIdentified()) {
@@ -243,9 +246,9 @@
             return;
         }
         boolean isClosedByServer = closedBy == ClosedBy.SERVER;
-        if (!session
-                .isIdentified()) { // a separate subject, so that hundreds of unidentified peers do not use up the log
-            // quota of identified ones
+        // unidentified peers have a log subject of their own, so that hundreds of them do not use up the log quota of
+        // proxies
+        if (!session.isIdentified()) {
             server.log()
                     .info(
                             "unidentified",
--- a/src/main/java/linenring/stream/StreamServer.java
+++ b/src/main/java/linenring/stream/StreamServer.java
@@ -33,7 +33,7 @@
     private static final long UNFINISHED_LINE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(3);
 
     private static final long SWEEP_INTERVAL_MS = 250;
-    private static final String SERVER_CLOSED = "server is closing; the peer may reconnect";
+    private static final String SERVER_CLOSING = "server is closing; the peer may reconnect";
 
     private final EventQueue eventQueue;
     private final Codec codec;
@@ -85,13 +85,14 @@
             start();
             channel = ServerSocketChannel.open();
             channel.setOption(
-                    StandardSocketOptions.SO_REUSEADDR, true); // lets a restarted process bind its address immediately
+                    StandardSocketOptions.SO_REUSEADDR,
+                    true); // SO_REUSEADDR lets a restarted process bind its address immediately
             channel.bind(address, backlog); // the whole fleet of a stopped controller may connect at the same time
             stage = ListenException.Stage.BOUND;
             channel.configureBlocking(false);
             acceptor(channel);
             scheduleSweep();
-        } catch (Exception failure) { // start() declares any
+        } catch (Exception failure) { // start() declares Exception
             close();
             throw new ListenException(address, stage, failure);
         }
@@ -107,18 +108,17 @@
             for (SelectableChannel accepting : remaining.accepting()) {
                 accepting.close();
             }
-            remaining.connections().forEach(connection -> connection.close(SERVER_CLOSED));
+            remaining.connections().forEach(connection -> connection.close(SERVER_CLOSING));
             stop();
-        } catch (Exception failure) { // stop() declares any
+        } catch (Exception failure) { // stop() declares Exception
             log.warn("stream", "server did not stop cleanly: " + failure.getMessage());
         }
     }
 
     @Override
     protected void accepted(SelectableChannel accepted) throws IOException {
-        long number =
-                eventQueue.nextStreamNumber(); // assigned here, since sockets are accepted in the order in which they
-        // connected
+        // the stream number is assigned here, since sockets are accepted in the order in which they connected
+        long number = eventQueue.nextStreamNumber();
         if (!connections.reserve(accepted)) {
             accepted.close();
             return;
@@ -137,7 +137,7 @@
     protected EndPoint newEndPoint(SelectableChannel accepted, ManagedSelector selector, SelectionKey key) {
         SocketChannelEndPoint endPoint =
                 new SocketChannelEndPoint((SocketChannel) accepted, selector, key, getScheduler());
-        endPoint.setIdleTimeout(0); // no idle timeout of the end point, since sweep() applies the timeouts
+        endPoint.setIdleTimeout(0); // the idle timeout is disabled, since sweep() applies the timeouts
         return endPoint;
     }
 
@@ -150,7 +150,7 @@
     void opened(PeerConnection connection) {
         Optional<PeerConnection> evicted = connections.add(connection, nowNanos());
         if (connections.isClosed()) { // close() may have missed a connection that was added meanwhile
-            connection.close(SERVER_CLOSED);
+            connection.close(SERVER_CLOSING);
         }
         evicted.ifPresent(other -> other.evict(connections.maxConnections()));
     }
@@ -188,8 +188,9 @@
     }
 
     /**
-     * Closes connections whose timeouts have expired. A late sweep means that the process was paused, and that bytes received during
-     * the pause have not been read yet: the timeouts are doubled then, since the pause would otherwise disconnect the fleet.
+     * Closes connections whose timeouts have expired. A late sweep means that the process was paused, and that bytes received
+     * during the pause have not been read yet: the timeouts are doubled then, since the pause would otherwise disconnect the
+     * fleet.
      */
     private void sweep() {
         try {
--- a/src/test/java/linenring/event/EventQueueTest.java
+++ b/src/test/java/linenring/event/EventQueueTest.java
@@ -34,7 +34,7 @@
         assertFalse(queue.await(0));
     }
 
-    /** The control loop is blocked while reports arrive: reports beyond the limit are dropped and counted, other events are kept. */
+    /** The control loop is blocked: reports beyond the limit are dropped and counted, while other events are kept. */
     @Test
     void dropsAndCountsOnlyReportsWhenFlooded() {
         for (int i = 0; i < 30_000; i++) {
--- a/src/test/java/linenring/stream/ConnectionLossTest.java
+++ b/src/test/java/linenring/stream/ConnectionLossTest.java
@@ -110,7 +110,7 @@
         }
     }
 
-    /** The kernel has accepted the connections, but the peers are killed before the server accepts any of them. */
+    /** The kernel has accepted connections, but the peers are killed before the server accepts any of them. */
     @Test
     void freesTheSlotsOfPeersResetBeforeTheyAreAccepted() throws Exception {
         for (int round = 0; round < ROUNDS; round++) {
@@ -136,7 +136,7 @@
         assertEquals(List.of(), receivedEvents());
     }
 
-    /** More resets at once than connections are allowed: a peer that connects meanwhile may be rejected, but is served on a retry. */
+    /** More resets than allowed connections at once: a peer that connects meanwhile may be rejected, but is served on a retry. */
     @Test
     void servesReconnectingPeersAfterMoreResetsThanConnectionsAllowed() throws Exception {
         SelectorHold.during(server, hold -> {
@@ -144,9 +144,9 @@
                 reset(connect());
             }
         });
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WAIT_MS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WAIT_MS);
         while (!isServed()) {
-            assertTrue(System.nanoTime() < end, "server still rejects connections after the timeout");
+            assertTrue(System.nanoTime() < deadlineNanos, "server still rejects connections after the timeout");
             TimeUnit.MILLISECONDS.sleep(100); // proxies reconnect after 0.1 s to 2 s
         }
         assertServed();
@@ -159,7 +159,7 @@
         Socket resetWithinSubscription = connect();
         write(resetWithinSubscription, SUBSCRIBE.substring(0, 20));
         reset(resetWithinSubscription);
-        assertServed(); // the server has processed the reset before it answers
+        assertServed(); // the answer shows that the server has processed the reset
         assertEquals(List.of(), receivedEvents());
         Socket resetAfterSubscription = connect();
         write(resetAfterSubscription, SUBSCRIBE);
@@ -172,21 +172,21 @@
     /** The server closes while only the kernel has accepted some connections: their peers must notice, so that they reconnect. */
     @Test
     void closesConnectionsThatAreOnlyQueuedWhenTheServerCloses() throws Exception {
-        List<Socket> waiting = new ArrayList<>();
+        List<Socket> queuedSockets = new ArrayList<>();
         Thread closer = new Thread(server::close, "closer");
         SelectorHold.during(server, hold -> {
             for (int i = 0; i < 8; i++) {
                 Socket socket = connect();
                 write(socket, SUBSCRIBE);
-                waiting.add(socket);
+                queuedSockets.add(socket);
             }
             closer.start();
             while (closer.getState() != Thread.State.TERMINATED && server.isRunning()) {
-                Thread.onSpinWait(); // until the server has closed all connections and stops its selectors
+                Thread.onSpinWait(); // waits until the server has closed all connections and stops its selectors
             }
         });
         closer.join();
-        for (Socket socket : waiting) {
+        for (Socket socket : queuedSockets) {
             assertClosed(socket);
         }
         assertEquals(List.of(), receivedEvents());
@@ -227,12 +227,12 @@
             peer.takeOutput(); // the peer reads each update at once and acknowledges it
             peer.addInput(acknowledgement(3, nonce, 1));
         }
-        int unread = 0;
-        while (peer.isOpen() && unread < 100_000) {
-            peer.connection().write(update(unread % 10));
-            unread++;
+        int unreadUpdates = 0;
+        while (peer.isOpen() && unreadUpdates < 100_000) {
+            peer.connection().write(update(unreadUpdates % 10));
+            unreadUpdates++;
         }
-        return unread;
+        return unreadUpdates;
     }
 
     /** The timeout of an unfinished line starts with the line, not with the connection. */
@@ -254,10 +254,10 @@
     }
 
     private void awaitEvents(int count) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WAIT_MS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WAIT_MS);
         while (receivedEvents().size() < count) {
             assertTrue(
-                    System.nanoTime() < end,
+                    System.nanoTime() < deadlineNanos,
                     count + " events expected, but found " + handler.events().size());
             eventQueue.await(TimeUnit.MILLISECONDS.toNanos(100));
         }
--- a/src/test/java/linenring/stream/ConnectionRaceTest.java
+++ b/src/test/java/linenring/stream/ConnectionRaceTest.java
@@ -43,8 +43,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests races on real connections by forcing an event order that otherwise occurs once in thousands of runs. A fault would lose a
- * proxy, or leak a connection slot.
+ * Tests races on real connections by forcing an order of events that otherwise occurs once in thousands of runs. A fault would
+ * lose a proxy, or leak a connection slot.
  */
 class ConnectionRaceTest {
     private static final int MAX_CONNECTIONS = 3;
@@ -141,8 +141,8 @@
         EventQueue eventQueue = new EventQueue();
         open(eventQueue);
         ControlLoop controlLoop = controlLoop(eventQueue);
-        Thread loop = new Thread(controlLoop::run, "control-loop");
-        loop.start();
+        Thread loopThread = new Thread(controlLoop::run, "control-loop");
+        loopThread.start();
         try (SocketPeer first = new SocketPeer(server.address());
                 SocketPeer second = new SocketPeer(server.address())) {
             first.send(SUBSCRIBE.substring(0, 10)); // the remaining bytes are sent after the second subscription
@@ -152,8 +152,8 @@
             assertNull(first.receive(), "the abandoned stream must be closed without an update");
             second.assertServed();
         } finally {
-            loop.interrupt();
-            loop.join();
+            loopThread.interrupt();
+            loopThread.join();
         }
     }
 
@@ -161,26 +161,26 @@
     @Test
     void reportsTheEndOfAStreamAfterItsSubscription() throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
-        List<String> order = Collections.synchronizedList(new ArrayList<>());
+        List<String> eventOrder = Collections.synchronizedList(new ArrayList<>());
         open(new EventQueue() {
             @Override
             public void enqueueMessage(ProxyStream from, InboundMessage message) {
                 Thread closer = new Thread(() -> from.close("closed while its subscription is handled"), "closer");
                 closer.start();
-                while (order.isEmpty()
+                while (eventOrder.isEmpty()
                         && Thread.getAllStackTraces().entrySet().stream()
                                 .noneMatch(entry -> entry.getKey().getState() == Thread.State.BLOCKED
                                         && Arrays.stream(entry.getValue())
                                                 .anyMatch(frame ->
                                                         frame.getMethodName().equals("onClose")))) {
-                    Thread.onSpinWait(); // until the stream's end is reported, or onClose waits for the lock
+                    Thread.onSpinWait(); // waits until the stream's end is reported, or onClose waits for the lock
                 }
-                order.add("subscribed");
+                eventOrder.add("subscribed");
             }
 
             @Override
             public void enqueueStreamClosed(ProxyStream stream) {
-                order.add("ended");
+                eventOrder.add("ended");
                 ended.countDown();
             }
         });
@@ -188,16 +188,16 @@
             peer.send(SUBSCRIBE);
             assertTrue(ended.await(20, TimeUnit.SECONDS));
         }
-        assertEquals(List.of("subscribed", "ended"), order);
+        assertEquals(List.of("subscribed", "ended"), eventOrder);
     }
 
     @Test
     void freesTheSlotsOfSocketsClosedBeforeTheirOptionsAreSet() throws Exception {
         open(new EventQueue());
         for (int i = 0; i < MAX_CONNECTIONS + SPARE_SOCKETS + 5; i++) {
-            SocketChannel dying = acceptedSocket();
-            dying.close();
-            assertThrows(IOException.class, () -> server.accepted(dying));
+            SocketChannel closedSocket = acceptedSocket();
+            closedSocket.close();
+            assertThrows(IOException.class, () -> server.accepted(closedSocket));
         }
         try (SocketPeer peer = new SocketPeer(server.address())) {
             peer.assertServed();
@@ -209,9 +209,9 @@
         open(new EventQueue());
         SelectorHold.during(server, hold -> {
             for (int i = 0; i < MAX_CONNECTIONS + SPARE_SOCKETS; i++) {
-                SocketChannel dying = acceptedSocket();
-                server.accepted(dying);
-                dying.close();
+                SocketChannel closedSocket = acceptedSocket();
+                server.accepted(closedSocket);
+                closedSocket.close();
             }
         });
         for (int i = 0; i < 2; i++) { // the first PING is processed after the closed sockets
@@ -221,7 +221,7 @@
         }
     }
 
-    /** A peer whose socket is accepted but not yet a connection when the server closes must notice at once, so that it reconnects. */
+    /** When the server closes, the peers of accepted sockets without a connection must notice at once, so that they reconnect. */
     @Test
     void closesSocketsThatAreAcceptedAndNotOpenYet() throws Exception {
         open(new EventQueue());
@@ -233,9 +233,9 @@
                     Thread closer = new Thread(server::close, "closer");
                     closer.start();
                     assertNull(peer.receive()); // the selector is still paused
-                    SocketChannel late = acceptedSocket();
-                    server.accepted(late);
-                    assertFalse(late.isOpen(), "socket accepted after close must be closed");
+                    SocketChannel socketAfterClose = acceptedSocket();
+                    server.accepted(socketAfterClose);
+                    assertFalse(socketAfterClose.isOpen(), "socket accepted after close must be closed");
                     hold.release();
                     closer.join();
                 }
--- a/src/test/java/linenring/stream/FragmentedMessagesTest.java
+++ b/src/test/java/linenring/stream/FragmentedMessagesTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests that fragmented messages are decoded like messages that arrive in one piece, wherever the network splits them. A fault would
- * disconnect proxies on a slow network.
+ * Tests that fragmented messages are decoded like messages that arrive in one piece, wherever the network splits them. A fault
+ * would disconnect proxies on a slow network.
  */
 class FragmentedMessagesTest {
     private static final String FROM_PROXY = PING + SUBSCRIBE
@@ -58,7 +58,7 @@
         List<Object> outcome = new ArrayList<>();
         for (byte[] piece : pieces) {
             peer.addInput(ByteBuffer.wrap(piece));
-            List<Object> events = drainedEvents();
+            List<Object> events = drainEvents();
             outcome.addAll(events);
             if (!isUpdateSent && events.stream().anyMatch(message -> message instanceof InboundMessage.Subscribe)) {
                 isUpdateSent = true;
@@ -69,11 +69,11 @@
         outcome.add(peer.takeOutputString().replace(Messages.updateLine(7), ""));
         peer.connection().close("test completed");
         peer.connection().onClose(null);
-        drainedEvents();
+        drainEvents();
         return outcome;
     }
 
-    private List<Object> drainedEvents() {
+    private List<Object> drainEvents() {
         RecordingEventHandler handler = new RecordingEventHandler();
         eventQueue.drainTo(handler);
         return handler.events();
@@ -110,12 +110,15 @@
     @Test
     void readsSubscriptionCutInThreeAnywhere() {
         byte[] all = bytes(SUBSCRIBE);
-        for (int first = 1; first < all.length - 1; first++) {
-            for (int second = first + 1; second < all.length; second++) {
+        for (int firstCut = 1; firstCut < all.length - 1; firstCut++) {
+            for (int secondCut = firstCut + 1; secondCut < all.length; secondCut++) {
                 assertEquals(
                         List.of(new InboundMessage.Subscribe(3, 0, 2.5, true), ""),
-                        processPieces(head(all, first), Arrays.copyOfRange(all, first, second), tail(all, second)),
-                        "cut at " + first + " and " + second);
+                        processPieces(
+                                head(all, firstCut),
+                                Arrays.copyOfRange(all, firstCut, secondCut),
+                                tail(all, secondCut)),
+                        "cut at " + firstCut + " and " + secondCut);
             }
         }
     }
@@ -145,7 +148,7 @@
             peer.addInputEOF();
             peer.connection().onClose(null);
             assertFalse(peer.isOpen());
-            assertEquals(List.of(), drainedEvents(), "cut at " + cut);
+            assertEquals(List.of(), drainEvents(), "cut at " + cut);
         }
     }
 
--- a/src/test/java/linenring/stream/StreamServerTest.java
+++ b/src/test/java/linenring/stream/StreamServerTest.java
@@ -247,14 +247,14 @@
 
     @Test
     void boundsMemoryOfUnfinishedLinesOverAllConnections() {
-        String half = "{" + "x".repeat(1_000_000);
+        String unfinishedLine = "{" + "x".repeat(1_000_000);
         List<InMemoryPeer> peers = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            peers.add(peer().send(SUBSCRIBE + half));
+            peers.add(peer().send(SUBSCRIBE + unfinishedLine));
         }
         assertEquals(16, peers.stream().filter(InMemoryPeer::isOpen).count());
         peers.forEach(peer -> peer.connection().onClose(null));
-        assertTrue(peer().send(SUBSCRIBE + half).isOpen());
+        assertTrue(peer().send(SUBSCRIBE + unfinishedLine).isOpen());
     }
 
     @Test
@@ -321,14 +321,14 @@
 
     @Test
     void evictsOlderUnidentifiedPeersForANewConnection() throws Exception {
-        StreamServer small = server(35); // 32 sockets are reserved, so that 3 connections are allowed
-        InMemoryPeer unidentified = new InMemoryPeer(small);
-        InMemoryPeer proxy = new InMemoryPeer(small).send(SUBSCRIBE);
+        StreamServer smallServer = server(35); // 32 sockets are reserved, so that 3 connections are allowed
+        InMemoryPeer unidentified = new InMemoryPeer(smallServer);
+        InMemoryPeer proxy = new InMemoryPeer(smallServer).send(SUBSCRIBE);
         advanceMs(150); // above the minimum age for eviction
-        InMemoryPeer secondToLast = new InMemoryPeer(small);
-        InMemoryPeer last = new InMemoryPeer(small);
-        InMemoryPeer tooMany = new InMemoryPeer(small);
-        assertFalse(unidentified.isOpen() || tooMany.isOpen());
+        InMemoryPeer secondToLast = new InMemoryPeer(smallServer);
+        InMemoryPeer last = new InMemoryPeer(smallServer);
+        InMemoryPeer rejectedPeer = new InMemoryPeer(smallServer);
+        assertFalse(unidentified.isOpen() || rejectedPeer.isOpen());
         assertTrue(proxy.isOpen() && secondToLast.isOpen() && last.isOpen());
     }
 
