--- a/src/main/java/linenring/event/EventQueue.java
+++ b/src/main/java/linenring/event/EventQueue.java
@@ -84,8 +84,8 @@
     }
 
     /**
-     * Returns the number of a new stream. Of two streams of a proxy the one with the higher number is used,
-     * regardless of which is read first.
+     * Returns the number of a new stream. Of two streams of a proxy the one with the higher number is used, regardless of which is
+     * read first.
      */
     public long nextStreamNumber() {
         return lastStreamNumber.incrementAndGet();
--- a/src/main/java/linenring/stream/OpenConnections.java
+++ b/src/main/java/linenring/stream/OpenConnections.java
@@ -25,8 +25,9 @@
 
     private final int maxConnections;
     private final Set<PeerConnection> connections = new LinkedHashSet<>(); // oldest first; @GuardedBy("this")
-    private final Set<SelectableChannel> accepting =
-            new HashSet<>(); // accepted sockets that are not yet connections; @GuardedBy("this")
+    /** Accepted sockets that are not yet connections. @GuardedBy("this") */
+    private final Set<SelectableChannel> acceptedSockets = new HashSet<>();
+
     private boolean isClosed; // @GuardedBy("this")
 
     OpenConnections(int maxConnections) {
@@ -39,18 +40,18 @@
 
     /** Reserves a slot for an accepted socket; returns false if the caller must close it, at the limit or after {@link #close}. */
     synchronized boolean reserve(SelectableChannel channel) {
-        accepting.removeIf(reserved ->
-                !reserved.isOpen()); // no callback reports a socket that was closed before it became a connection
-        if (isClosed || connections.size() + accepting.size() >= maxConnections + SPARE_SOCKETS) {
+        // no callback reports a socket that was closed before it became a connection
+        acceptedSockets.removeIf(reserved -> !reserved.isOpen());
+        if (isClosed || connections.size() + acceptedSockets.size() >= maxConnections + SPARE_SOCKETS) {
             return false;
         }
-        accepting.add(channel);
+        acceptedSockets.add(channel);
         return true;
     }
 
-    /** Releases the slot of a socket that becomes a connection; {@link #add} follows. */
+    /** Releases the slot of an accepted socket that becomes a connection; the caller then calls {@link #add}. */
     synchronized void release(SelectableChannel channel) {
-        accepting.remove(channel);
+        acceptedSockets.remove(channel);
     }
 
     /** Adds a connection; beyond the limit, returns the connection that the caller must close, which may be the new one. */
@@ -82,8 +83,8 @@
     /** Closes the set, so that no more slots are reserved; the caller must close the returned connections and sockets. */
     synchronized Remaining close() {
         isClosed = true;
-        Remaining remaining = new Remaining(List.copyOf(connections), List.copyOf(accepting));
-        accepting.clear();
+        Remaining remaining = new Remaining(List.copyOf(connections), List.copyOf(acceptedSockets));
+        acceptedSockets.clear();
         return remaining;
     }
 }
--- a/src/main/java/linenring/stream/PeerConnection.java
+++ b/src/main/java/linenring/stream/PeerConnection.java
@@ -59,9 +59,9 @@
         return number;
     }
 
+    /** The selector still calls this deprecated method; without the override it would read on another thread. */
     @Override
-    @SuppressWarnings(
-            "deprecation") // the selector still calls this method; without the override it would read on another thread
+    @SuppressWarnings("deprecation")
     public Invocable.InvocationType getInvocationType() {
         return Invocable.InvocationType.NON_BLOCKING; // reading adds to the event queue and never blocks
     }
--- a/src/test/java/linenring/protocol/CodecTest.java
+++ b/src/test/java/linenring/protocol/CodecTest.java
@@ -51,8 +51,8 @@
                                 "{\"@type\":\"RATE\",\"id\":17,\"lane\":\"order\",\"count\":19,\"fail\":0,\"over\":1000.0}")
                         .orElseThrow());
         assertEquals(
-                new InboundMessage.RequestRateReport(
-                        17, 1, 0, 500), // a request may fail in a later period than the one in which it arrived
+                // a request may fail in a later period than the one in which it arrived
+                new InboundMessage.RequestRateReport(17, 1, 0, 500),
                 decodeInbound("{\"@type\":\"RATE\",\"id\":17,\"lane\":\"order\",\"count\":0,\"fail\":1,\"over\":500}")
                         .orElseThrow());
         assertEquals(
--- a/src/test/java/linenring/stream/StreamServerTest.java
+++ b/src/test/java/linenring/stream/StreamServerTest.java
@@ -41,8 +41,9 @@
     private final EventQueue eventQueue = new EventQueue();
     private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
     private final Log log = new Log(new PrintStream(logged, true, StandardCharsets.UTF_8));
-    private final AtomicLong clockNanos =
-            new AtomicLong(Long.MAX_VALUE - 1000); // the clock value overflows during each test
+    /** The clock starts just below the maximum of a long, so that later times overflow. */
+    private final AtomicLong clockNanos = new AtomicLong(Long.MAX_VALUE - 1000);
+
     private final StreamServer server = server(1024);
     private final List<Object> receivedEvents = new ArrayList<>();
     private ProxyStream lastStream;
