--- a/src/main/java/linenring/stream/PeerConnection.java
+++ b/src/main/java/linenring/stream/PeerConnection.java
@@ -15,24 +15,24 @@
 import org.eclipse.jetty.util.thread.Invocable;
 
 /**
- * One connection of a proxy, a collector, or a peer that has not said which it is. The selector's thread reads; the control
- * loop writes and closes; the server's timer closes what is overdue. What is read is guarded by this connection's monitor.
+ * A connection of a proxy, a collector or an unidentified peer. The selector's thread reads, the control loop writes and closes,
+ * and the server's timer closes the connection after a timeout. The state of reading is guarded by this connection's monitor.
  */
 final class PeerConnection extends AbstractConnection implements ProxyStream {
-    /** One buffer for each selector thread, of which there are few, and not for each connection. */
+    /** Read buffer per selector thread instead of per connection, since there are few selector threads. */
     private static final ThreadLocal<ByteBuffer> READ_BUFFER =
             ThreadLocal.withInitial(() -> BufferUtil.allocate(16 * 1024));
 
-    /** After so many reads the other connections have their turn. */
-    private static final int READS_PER_TURN = 16;
+    /** Number of consecutive reads from one connection before other connections of the selector are served. */
+    private static final int MAX_READS_PER_TURN = 16;
 
-    /** The protocol's limit. */
+    /** Line length limit of the protocol. */
     private static final int MAX_LINE_BYTES = 1 << 20;
 
-    /** A first message has about 100 bytes; whoever has not sent it gets no room for more. */
+    /** Line length limit before identification; the identifying message has about 100 bytes. */
     private static final int MAX_UNIDENTIFIED_LINE_BYTES = 16 << 10;
 
-    /** Which side ends the connection: that decides how it is logged. */
+    /** The side that closes the connection, which determines how the end is logged. */
     private enum ClosedBy {
         PEER,
         SERVER
@@ -41,7 +41,7 @@
     private final StreamServer server;
     private final long number;
     private final long openedAtNanos;
-    private final PeerSession session = new PeerSession(); // changed under "this"
+    private final PeerSession session = new PeerSession(); // modified with the lock on "this" held
     private final LineFramer framer; // @GuardedBy("this")
     private final OutboundQueue outbound;
 
@@ -51,7 +51,7 @@
         this.number = number;
         openedAtNanos = server.nowNanos();
         framer = new LineFramer(server.lineMemory(), server::nowNanos, MAX_UNIDENTIFIED_LINE_BYTES, this::onLine);
-        outbound = new OutboundQueue(endPoint, () -> end("could not be written to", ClosedBy.PEER));
+        outbound = new OutboundQueue(endPoint, () -> closeAndLog("writing to the connection failed", ClosedBy.PEER));
     }
 
     @Override
@@ -59,10 +59,11 @@
         return number;
     }
 
+    /** The selector still calls this deprecated method; without the override it would read on another thread. */
     @Override
-    @SuppressWarnings("deprecation") // the selector still asks for it, and would hand reading to another thread
+    @SuppressWarnings("deprecation")
     public Invocable.InvocationType getInvocationType() {
-        return Invocable.InvocationType.NON_BLOCKING; // reading adds to the event queue and never waits
+        return Invocable.InvocationType.NON_BLOCKING; // reading adds to the event queue and never blocks
     }
 
     @Override
@@ -75,24 +76,25 @@
     @Override
     public void onFillable() {
         try {
-            if (readTurn()) {
+            if (readAvailable()) {
                 fillInterested();
             }
         } catch (IOException failure) {
-            end("was reset", ClosedBy.PEER);
-        } catch (RuntimeException failure) { // a fault in handling one connection must not reach the selector's others
-            end("fault: " + failure, ClosedBy.SERVER);
+            closeAndLog("connection was reset", ClosedBy.PEER);
+        } catch (RuntimeException failure) {
+            // a fault in handling one connection must not affect the other connections of the selector
+            closeAndLog("internal error, " + failure, ClosedBy.SERVER);
         }
     }
 
-    /** Reads what is there, up to a turn's worth; false once the connection is done with. */
-    private boolean readTurn() throws IOException {
+    /** Reads the available bytes, with a limit on the number of reads; returns false once the connection is closed. */
+    private boolean readAvailable() throws IOException {
         ByteBuffer buffer = READ_BUFFER.get();
-        for (int i = 0; i < READS_PER_TURN; i++) {
+        for (int i = 0; i < MAX_READS_PER_TURN; i++) {
             BufferUtil.clear(buffer); // filling appends at the buffer's limit
             int count = getEndPoint().fill(buffer);
             if (count < 0) {
-                end("has ended", ClosedBy.PEER);
+                closeAndLog("peer closed the connection", ClosedBy.PEER);
                 return false;
             }
             if (count == 0) {
@@ -107,25 +109,26 @@
 
     @Override
     protected void onFillInterestedFailed(Throwable cause) {
-        end("was reset", ClosedBy.PEER);
+        closeAndLog("connection was reset", ClosedBy.PEER);
     }
 
     @Override
     public void onClose(Throwable cause) {
         super.onClose(cause);
-        end("was reset", ClosedBy.PEER);
+        closeAndLog("connection was reset", ClosedBy.PEER);
         synchronized (this) {
-            framer.release();
+            framer.releaseBuffer();
         }
         server.closed(this);
-        synchronized (this) { // a line that is being handled is queued first: no end overtakes its subscription
+        // waits for a line in progress, so that the end of the stream is queued after its subscription
+        synchronized (this) {
             if (session.state() == PeerSession.State.PROXY) {
                 server.eventQueue().enqueueStreamClosed(this);
             }
         }
     }
 
-    /** Takes bytes in; false once the connection is done with: from then on only its end is reported. */
+    /** Processes received bytes; returns false once the connection is closed, after which only the stream's end is reported. */
     private synchronized boolean receive(byte[] bytes, int start, int count) {
         if (outbound.isClosed()) {
             return false;
@@ -133,12 +136,12 @@
         try {
             return framer.feed(bytes, start, count);
         } catch (ConnectionRejectedException failure) {
-            end(failure.getMessage(), ClosedBy.SERVER);
+            closeAndLog(failure.getMessage(), ClosedBy.SERVER);
             return false;
         }
     }
 
-    /** False once the connection is done with. */
+    /** Handles one line; returns false once the connection is closed. */
     private boolean onLine(byte[] line, int length) throws ConnectionRejectedException {
         try {
             InboundMessage message = decode(line, length);
@@ -148,12 +151,15 @@
             }
             handle(message);
         } catch (MessageRejectedException failure) {
-            server.log().warn("invalid", describe() + " sends a message that is dropped, " + failure.getMessage());
+            server.log().warn("invalid", describe() + ": message dropped, " + failure.getMessage());
         }
         return true;
     }
 
-    /** Who is known may err in one message; whoever sends what is no message at all is none of our peers. */
+    /**
+     * Decodes a line. An invalid message of an identified peer is dropped; malformed JSON, or an invalid message before
+     * identification, closes the connection.
+     */
     private InboundMessage decode(byte[] line, int length)
             throws ConnectionRejectedException, MessageRejectedException {
         DecodeResult<InboundMessage> decoded = server.codec().decodeInbound(line, length);
@@ -162,14 +168,14 @@
             if (session.isIdentified() && error.stage() != DecodeError.Stage.TEXT) {
                 throw new MessageRejectedException(error.toString());
             }
-            throw new ConnectionRejectedException("sends unreadable data, " + error);
+            throw new ConnectionRejectedException("received unreadable data, " + error);
         }
         return decoded.orElseThrow();
     }
 
     private void handle(InboundMessage message) throws ConnectionRejectedException, MessageRejectedException {
         session.accept(message, server.nowNanos());
-        framer.setMaxLineBytes(MAX_LINE_BYTES); // whoever was accepted is identified
+        framer.setMaxLineBytes(MAX_LINE_BYTES); // the session accepts messages only from identified peers
         if (!(message instanceof InboundMessage.Collector)) {
             server.eventQueue().enqueueMessage(this, message);
         }
@@ -179,44 +185,48 @@
     public void write(ConfigurationUpdate update) {
         int nonce = update.parts().get(update.parts().size() - 1).nonce();
         if (nonce != ConfigurationUpdate.WITHOUT_NONCE) {
-            synchronized (this) { // before it is sent: its acknowledgement may come at once
-                session.updateSent(nonce, server.nowNanos());
+            // the nonce is recorded before the update is sent, since the acknowledgement may arrive at once
+            synchronized (this) {
+                session.recordUpdateSent(nonce, server.nowNanos());
             }
         }
         send(server.codec().encode(update));
     }
 
     private void send(byte[] message) {
-        if (outbound.offer(message) == OutboundQueue.Offer.OVERFLOW) {
-            end("reads nothing", ClosedBy.SERVER);
+        if (outbound.offer(message) == OutboundQueue.OfferResult.OVERFLOW) {
+            closeAndLog("peer does not read its updates", ClosedBy.SERVER);
         }
     }
 
     @Override
-    public void close(String why) {
-        end(why, ClosedBy.PEER);
+    public void close(String reason) {
+        closeAndLog(reason, ClosedBy.PEER);
     }
 
     /**
-     * Closes the connection where the peer has not identified itself although it was opened before the one time, or leaves
-     * a line unfinished that began before the other. An overdue acknowledgement is no reason: our own channel lies behind
-     * this stream, and may take longer over the updates of hundreds of proxies than any of them is silent.
+     * Closes the connection if the peer is unidentified and connected before {@code minOpenedAtNanos}, or if it has an unfinished
+     * line that started before {@code minLineStartNanos}. An overdue acknowledgement does not close the connection: this
+     * controller's own update channel is part of the delay, and may need longer for the updates of hundreds of proxies than any
+     * of the proxies is silent.
      */
-    synchronized void closeIfOverdue(long identifiedSinceNanos, long lineSinceNanos) {
+    synchronized void closeIfOverdue(long minOpenedAtNanos, long minLineStartNanos) {
         if (!session.isIdentified()) {
-            if (isOpenedBefore(identifiedSinceNanos)) {
-                end("does not identify itself in time", ClosedBy.SERVER);
+            if (isOpenedBefore(minOpenedAtNanos)) {
+                closeAndLog("no identification within the timeout", ClosedBy.SERVER);
             }
             return;
         }
-        if (framer.hasLineBegunBefore(lineSinceNanos)) {
-            end("leaves a message unfinished", ClosedBy.SERVER);
+        if (framer.hasLineStartedBefore(minLineStartNanos)) {
+            closeAndLog("message not finished within the timeout", ClosedBy.SERVER);
         }
     }
 
-    /** Another connection needs this one's place. */
+    /** Closes this connection to free its slot for a new connection. */
     void evict(int maxConnections) {
-        end("makes room, " + maxConnections + " connections are open", ClosedBy.SERVER);
+        closeAndLog(
+                "evicted for a new connection, since the limit of " + maxConnections + " connections is reached",
+                ClosedBy.SERVER);
     }
 
     boolean isIdentified() {
@@ -231,17 +241,22 @@
         return session.describe() + " at " + getEndPoint().getRemoteSocketAddress();
     }
 
-    private void end(String why, ClosedBy closedBy) {
+    private void closeAndLog(String reason, ClosedBy closedBy) {
         if (!outbound.close()) {
             return;
         }
-        boolean byServer = closedBy == ClosedBy.SERVER;
-        if (!session.isIdentified()) { // a subject of its own: hundreds of these must not use up the others' lines
-            server.log().info("unidentified", describe() + " " + why + (byServer ? ": closed" : ""));
-        } else if (byServer) {
-            server.log().warn("stream", describe() + " " + why + ": closed");
+        boolean isClosedByServer = closedBy == ClosedBy.SERVER;
+        // unidentified peers have a log subject of their own, so that hundreds of them do not use up the log quota of
+        // proxies
+        if (!session.isIdentified()) {
+            server.log()
+                    .info(
+                            "unidentified",
+                            describe() + ": " + reason + (isClosedByServer ? "; closing the connection" : ""));
+        } else if (isClosedByServer) {
+            server.log().warn("stream", describe() + ": " + reason + "; closing the connection");
         } else {
-            server.log().info("stream", describe() + ": " + why);
+            server.log().info("stream", describe() + ": " + reason);
         }
         getEndPoint().close();
     }
--- a/src/test/java/linenring/stream/ConnectionRaceTest.java
+++ b/src/test/java/linenring/stream/ConnectionRaceTest.java
@@ -43,15 +43,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Two things happen at once on real connections, in an order that comes once in thousands of times: here it is forced each
- * time. A proxy would be lost by it, or a place for one.
+ * Tests races on real connections by forcing an order of events that otherwise occurs once in thousands of runs. A fault would
+ * lose a proxy, or leak a connection slot.
  */
 class ConnectionRaceTest {
     private static final int MAX_CONNECTIONS = 3;
-    /** Further sockets while connections are being closed for them. */
+    /** Sockets that new connections may use while evicted connections are being closed. */
     private static final int SPARE_SOCKETS = 12;
-    /** The process's, which are not the peers'. */
-    private static final int OWN_SOCKETS = 32;
+    /** Sockets that the server reserves for purposes other than peers. */
+    private static final int RESERVED_SOCKETS = 32;
 
     private final QueuedThreadPool threads = new QueuedThreadPool(8, 2);
     private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
@@ -76,10 +76,10 @@
     private void open(EventQueue eventQueue) throws ListenException {
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         server = StreamServer.open(
-                any, OWN_SOCKETS + MAX_CONNECTIONS, new Codec(names), eventQueue, log, threads, scheduler);
+                any, RESERVED_SOCKETS + MAX_CONNECTIONS, new Codec(names), eventQueue, log, threads, scheduler);
     }
 
-    /** A peer over loopback. */
+    /** A peer that connects over loopback. */
     private static final class SocketPeer implements AutoCloseable {
         private final Socket socket = new Socket();
         private final BufferedReader reader;
@@ -94,7 +94,7 @@
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
         }
 
-        /** The next line, or null at the end. */
+        /** Returns the next line, or null at the end of the stream. */
         String receive() throws IOException {
             return reader.readLine();
         }
@@ -102,7 +102,7 @@
         void assertServed() throws IOException {
             send(PING);
             String line = receive();
-            while (line != null && line.contains("CONFIG")) { // updates may come first
+            while (line != null && line.contains("CONFIG")) { // updates may arrive before the PONG
                 line = receive();
             }
             assertEquals(PONG.strip(), line);
@@ -125,62 +125,62 @@
                 0,
                 false,
                 6);
-        HostList known = new HostList(
+        HostList initialHosts = new HostList(
                 1,
                 true,
                 IntStream.range(0, 4)
                         .mapToObj(index -> new HostList.Entry(
                                 "s-" + index, 0, 0, HostList.State.READY, 1, Double.NEGATIVE_INFINITY))
                         .toList());
-        return new ControlLoop(settings, names, known, eventQueue, log);
+        return new ControlLoop(settings, names, initialHosts, eventQueue, log);
     }
 
-    /** A proxy gives up a connection and makes another; what it sent on the first is read after what it sent on the second. */
+    /** A proxy abandons a connection and opens another; its message on the first is read after its message on the second. */
     @Test
     void prefersTheStreamOpenedLaterThoughItWasReadFirst() throws Exception {
         EventQueue eventQueue = new EventQueue();
         open(eventQueue);
         ControlLoop controlLoop = controlLoop(eventQueue);
-        Thread loop = new Thread(controlLoop::run, "control-loop");
-        loop.start();
+        Thread loopThread = new Thread(controlLoop::run, "control-loop");
+        loopThread.start();
         try (SocketPeer first = new SocketPeer(server.address());
                 SocketPeer second = new SocketPeer(server.address())) {
-            first.send(SUBSCRIBE.substring(0, 10)); // the rest is held back
+            first.send(SUBSCRIBE.substring(0, 10)); // the remaining bytes are sent after the second subscription
             second.send(SUBSCRIBE);
             assertTrue(second.receive().contains("CONFIG"));
             first.send(SUBSCRIBE.substring(10));
-            assertNull(first.receive(), "the abandoned one gets no update");
+            assertNull(first.receive(), "the abandoned stream must be closed without an update");
             second.assertServed();
         } finally {
-            loop.interrupt();
-            loop.join();
+            loopThread.interrupt();
+            loopThread.join();
         }
     }
 
-    /** Another thread closes the connection at the very moment at which its subscription is read. */
+    /** Another thread closes the connection while the proxy's subscription is being handled. */
     @Test
     void reportsTheEndOfAStreamAfterItsSubscription() throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
-        List<String> order = Collections.synchronizedList(new ArrayList<>());
+        List<String> eventOrder = Collections.synchronizedList(new ArrayList<>());
         open(new EventQueue() {
             @Override
             public void enqueueMessage(ProxyStream from, InboundMessage message) {
-                Thread closer = new Thread(() -> from.close("at the wrong moment"), "closer");
+                Thread closer = new Thread(() -> from.close("closed while its subscription is handled"), "closer");
                 closer.start();
-                while (order.isEmpty()
+                while (eventOrder.isEmpty()
                         && Thread.getAllStackTraces().entrySet().stream()
                                 .noneMatch(entry -> entry.getKey().getState() == Thread.State.BLOCKED
                                         && Arrays.stream(entry.getValue())
                                                 .anyMatch(frame ->
                                                         frame.getMethodName().equals("onClose")))) {
-                    Thread.onSpinWait(); // until the end is reported, or waits for its turn
+                    Thread.onSpinWait(); // waits until the stream's end is reported, or onClose waits for the lock
                 }
-                order.add("subscribed");
+                eventOrder.add("subscribed");
             }
 
             @Override
             public void enqueueStreamClosed(ProxyStream stream) {
-                order.add("ended");
+                eventOrder.add("ended");
                 ended.countDown();
             }
         });
@@ -188,16 +188,16 @@
             peer.send(SUBSCRIBE);
             assertTrue(ended.await(20, TimeUnit.SECONDS));
         }
-        assertEquals(List.of("subscribed", "ended"), order);
+        assertEquals(List.of("subscribed", "ended"), eventOrder);
     }
 
     @Test
-    void freesThePlacesOfSocketsThatDieBeforeTheirOptionsAreSet() throws Exception {
+    void freesTheSlotsOfSocketsClosedBeforeTheirOptionsAreSet() throws Exception {
         open(new EventQueue());
         for (int i = 0; i < MAX_CONNECTIONS + SPARE_SOCKETS + 5; i++) {
-            SocketChannel dying = accepted();
-            dying.close();
-            assertThrows(IOException.class, () -> server.accepted(dying));
+            SocketChannel closedSocket = acceptedSocket();
+            closedSocket.close();
+            assertThrows(IOException.class, () -> server.accepted(closedSocket));
         }
         try (SocketPeer peer = new SocketPeer(server.address())) {
             peer.assertServed();
@@ -205,23 +205,23 @@
     }
 
     @Test
-    void freesThePlacesOfSocketsThatDieBeforeTheyAreRegistered() throws Exception {
+    void freesTheSlotsOfSocketsClosedBeforeTheyAreRegistered() throws Exception {
         open(new EventQueue());
         SelectorHold.during(server, hold -> {
             for (int i = 0; i < MAX_CONNECTIONS + SPARE_SOCKETS; i++) {
-                SocketChannel dying = accepted();
-                server.accepted(dying);
-                dying.close();
+                SocketChannel closedSocket = acceptedSocket();
+                server.accepted(closedSocket);
+                closedSocket.close();
             }
         });
-        for (int i = 0; i < 2; i++) { // the first is read after all of these
+        for (int i = 0; i < 2; i++) { // the first PING is processed after the closed sockets
             try (SocketPeer peer = new SocketPeer(server.address())) {
                 peer.assertServed();
             }
         }
     }
 
-    /** Whoever is accepted and not open yet when the server closes notices at once, and may connect elsewhere. */
+    /** When the server closes, the peers of accepted sockets without a connection must notice at once, so that they reconnect. */
     @Test
     void closesSocketsThatAreAcceptedAndNotOpenYet() throws Exception {
         open(new EventQueue());
@@ -232,20 +232,20 @@
                     server.accepted(listener.accept());
                     Thread closer = new Thread(server::close, "closer");
                     closer.start();
-                    assertNull(peer.receive()); // while the selector still stands
-                    SocketChannel late = accepted();
-                    server.accepted(late);
-                    assertFalse(late.isOpen(), "nobody is accepted any more");
+                    assertNull(peer.receive()); // the selector is still paused
+                    SocketChannel socketAfterClose = acceptedSocket();
+                    server.accepted(socketAfterClose);
+                    assertFalse(socketAfterClose.isOpen(), "socket accepted after close must be closed");
                     hold.release();
                     closer.join();
                 }
             }
         });
-        server.close(); // a second one changes nothing
+        server.close(); // a second close must have no effect
     }
 
-    /** The accepted side of a connection over loopback. */
-    private static SocketChannel accepted() throws IOException {
+    /** Returns the accepted side of a connection over loopback. */
+    private static SocketChannel acceptedSocket() throws IOException {
         try (ServerSocketChannel listener = ServerSocketChannel.open()) {
             listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             SocketChannel.open(listener.getLocalAddress());
--- a/src/test/java/linenring/stream/StreamServerTest.java
+++ b/src/test/java/linenring/stream/StreamServerTest.java
@@ -41,9 +41,11 @@
     private final EventQueue eventQueue = new EventQueue();
     private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
     private final Log log = new Log(new PrintStream(logged, true, StandardCharsets.UTF_8));
-    private final AtomicLong clockNanos = new AtomicLong(Long.MAX_VALUE - 1000); // it wraps in the middle of a test
+    /** The clock starts just below the maximum of a long, so that later times overflow. */
+    private final AtomicLong clockNanos = new AtomicLong(Long.MAX_VALUE - 1000);
+
     private final StreamServer server = server(1024);
-    private final List<Object> arrivals = new ArrayList<>();
+    private final List<Object> receivedEvents = new ArrayList<>();
     private ProxyStream lastStream;
 
     private StreamServer server(int maxSockets) {
@@ -61,27 +63,27 @@
         return new InMemoryPeer(server);
     }
 
-    /** What has arrived since the last call. */
-    private List<Object> arrivals() {
-        arrivals.clear();
+    /** Returns the events received since the previous call. */
+    private List<Object> receivedEvents() {
+        receivedEvents.clear();
         eventQueue.drainTo(new EventQueue.EventHandler() {
             @Override
             public void onMessage(ProxyStream from, InboundMessage message) {
                 lastStream = from;
-                arrivals.add(message);
+                receivedEvents.add(message);
             }
 
             @Override
             public void onStreamClosed(ProxyStream stream) {
-                arrivals.add("ended");
+                receivedEvents.add("ended");
             }
 
             @Override
             public void onHostList(HostList list) {
-                arrivals.add(list);
+                receivedEvents.add(list);
             }
         });
-        return arrivals;
+        return receivedEvents;
     }
 
     private String logText() {
@@ -92,16 +94,16 @@
         return logText().lines().filter(line -> line.contains(part)).count();
     }
 
-    private void advanceMs(long passed) {
-        clockNanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(passed));
+    private void advanceMs(long elapsedMs) {
+        clockNanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(elapsedMs));
     }
 
-    private static void closeIfOverdue(InMemoryPeer peer, long identifiedSinceNanos, long lineSinceNanos) {
-        peer.connection().closeIfOverdue(identifiedSinceNanos, lineSinceNanos);
+    private static void closeIfOverdue(InMemoryPeer peer, long minOpenedAtNanos, long minLineStartNanos) {
+        peer.connection().closeIfOverdue(minOpenedAtNanos, minLineStartNanos);
     }
 
     @Test
-    void readsLinesAlikeInPiecesOrTogether() {
+    void readsTheSameMessagesFromFragmentsAndWholeLines() {
         InMemoryPeer peer = peer();
         for (int i = 0; i < SUBSCRIBE.length(); i++) {
             peer.send(SUBSCRIBE.substring(i, i + 1));
@@ -109,32 +111,32 @@
         for (int nonce : List.of(7, 8)) {
             peer.connection().write(update(nonce));
         }
-        String answers =
+        String acknowledgements =
                 "{\"@type\":\"ACK\",\"id\":3,\"seq\":7,\"ms\":1}\n{\"@type\":\"ACK\",\"id\":3,\"seq\":8,\"ms\":2}\n";
-        peer.send(answers);
+        peer.send(acknowledgements);
         assertEquals(
                 List.of(
                         new InboundMessage.Subscribe(3, 0, 2.5, true),
                         new InboundMessage.Acknowledgement(3, 7, 1),
                         new InboundMessage.Acknowledgement(3, 8, 2)),
-                arrivals());
+                receivedEvents());
     }
 
     @Test
     void answersPingBeforeAndAfterThePeerIdentifiesItself() {
         InMemoryPeer peer = peer().send(PING + SUBSCRIBE + PING);
         assertEquals("{\"@type\":\"PONG\"}\n{\"@type\":\"PONG\"}\n", peer.takeOutputString());
-        assertEquals(1, arrivals().size());
+        assertEquals(1, receivedEvents().size());
     }
 
     @Test
     void closesOnlyTheConnectionThatSendsUnreadableDataAndLogsItOnce() {
-        InMemoryPeer good = peer().send(SUBSCRIBE);
-        for (String bad : List.of(
+        InMemoryPeer validPeer = peer().send(SUBSCRIBE);
+        for (String unreadable : List.of(
                 "GET / HTTP/1.1\r\n",
                 "\u0016\u0003\u0001",
                 "{\"@type\":\u0000",
-                " [", // no end of a line is waited for
+                " [", // rejected before the end of the line
                 "{\"@type\":\"LOAD\",\"site\":\"a\",\"target\":\"s\",\"count\":1}\n",
                 RATE,
                 updateLine(7),
@@ -144,15 +146,15 @@
                 SUBSCRIBE + "{\"@type\":\"RATE\"\n",
                 SUBSCRIBE + "{]\n")) {
             logged.reset();
-            InMemoryPeer peer = peer().send(bad);
-            assertFalse(peer.isOpen(), bad);
+            InMemoryPeer peer = peer().send(unreadable);
+            assertFalse(peer.isOpen(), unreadable);
             peer.send(PING);
-            assertEquals("", peer.takeOutputString()); // nothing after it is looked at
-            assertEquals(1, logText().lines().count(), bad);
+            assertEquals("", peer.takeOutputString()); // data after the unreadable message is ignored
+            assertEquals(1, logText().lines().count(), unreadable);
         }
-        arrivals();
-        good.send(RATE);
-        assertEquals(List.of(RATE_REPORT), arrivals());
+        receivedEvents();
+        validPeer.send(RATE);
+        assertEquals(List.of(RATE_REPORT), receivedEvents());
     }
 
     @Test
@@ -160,7 +162,7 @@
         InMemoryPeer proxy = peer().send(SUBSCRIBE);
         InMemoryPeer collector = peer().send(SOURCE);
         proxy.connection().write(update(5));
-        arrivals();
+        receivedEvents();
         for (String invalid : List.of(
                 RATE.replace("\"over\":500", "\"ov\":1"),
                 RATE.replace("lookup", "x"),
@@ -175,42 +177,43 @@
                 "{}\n")) {
             assertEquals(
                     List.of(RATE_REPORT, RATE_REPORT),
-                    proxy.send(RATE + invalid + RATE).isOpen() ? arrivals() : null,
+                    proxy.send(RATE + invalid + RATE).isOpen() ? receivedEvents() : null,
                     invalid);
         }
         collector.send(acknowledgement(3, 5, 1) + "{\"@type\":\"LOAD\",\"site\":\"b\",\"target\":7}\n" + RATE);
-        assertEquals(List.of(RATE_REPORT), collector.isOpen() ? arrivals() : null);
+        assertEquals(List.of(RATE_REPORT), collector.isOpen() ? receivedEvents() : null);
         assertEquals(13, logLinesWith(" WARN invalid "));
-        proxy.send(acknowledgement(3, 5, 1)); // none of these was taken for it
-        assertEquals(List.of(new InboundMessage.Acknowledgement(3, 5, 1)), arrivals());
+        proxy.send(acknowledgement(3, 5, 1)); // the invalid acknowledgements had no effect on the update
+        assertEquals(List.of(new InboundMessage.Acknowledgement(3, 5, 1)), receivedEvents());
     }
 
     @Test
-    void laterAcknowledgementMakesUpForALostOne() {
+    void acceptsALaterAcknowledgementInPlaceOfALostOne() {
         InMemoryPeer proxy = peer().send(SUBSCRIBE);
         List.of(5, 6, 7).forEach(nonce -> proxy.connection().write(update(nonce)));
-        arrivals();
-        proxy.send(acknowledgement(3, 6, 1) + acknowledgement(3, 5, 1)); // that of 5 is stale by now
-        assertEquals(List.of(new InboundMessage.Acknowledgement(3, 6, 1)), arrivals());
+        receivedEvents();
+        proxy.send(acknowledgement(3, 6, 1)
+                + acknowledgement(3, 5, 1)); // the acknowledgement of nonce 5 arrives after that of nonce 6
+        assertEquals(List.of(new InboundMessage.Acknowledgement(3, 6, 1)), receivedEvents());
         proxy.send(acknowledgement(3, 7, 1));
-        assertEquals(List.of(new InboundMessage.Acknowledgement(3, 7, 1)), arrivals());
+        assertEquals(List.of(new InboundMessage.Acknowledgement(3, 7, 1)), receivedEvents());
         long future = clockNanos.get() + 1_000_000_000L;
-        closeIfOverdue(proxy, future, future); // it has nothing to say
-        assertTrue(proxy.isOpen() && arrivals().isEmpty());
+        closeIfOverdue(proxy, future, future); // an idle proxy has no timeout
+        assertTrue(proxy.isOpen() && receivedEvents().isEmpty());
     }
 
     @Test
-    void closesUnidentifiedPeersInTimeAndAProxyWithAnUnfinishedLineLater() {
-        InMemoryPeer asks = peer().send(PING);
-        InMemoryPeer half = peer().send("{\"@type\":\"SUBSCR");
+    void closesUnidentifiedPeersAndProxiesWithAnUnfinishedLineAfterTheirTimeouts() {
+        InMemoryPeer pingingPeer = peer().send(PING);
+        InMemoryPeer incompletePeer = peer().send("{\"@type\":\"SUBSCR");
         InMemoryPeer proxy = peer().send(SUBSCRIBE + "{\"@ty");
         long past = clockNanos.get() - 1_000_000_000L;
         long future = past + 2_000_000_000L;
-        List.of(asks, half, proxy).forEach(peer -> closeIfOverdue(peer, past, past));
-        assertTrue(asks.isOpen() && half.isOpen() && proxy.isOpen());
-        asks.send(PING); // further PINGs do not help
-        List.of(asks, half, proxy).forEach(peer -> closeIfOverdue(peer, future, past));
-        assertTrue(!asks.isOpen() && !half.isOpen() && proxy.isOpen());
+        List.of(pingingPeer, incompletePeer, proxy).forEach(peer -> closeIfOverdue(peer, past, past));
+        assertTrue(pingingPeer.isOpen() && incompletePeer.isOpen() && proxy.isOpen());
+        pingingPeer.send(PING); // PINGs do not extend the timeout
+        List.of(pingingPeer, incompletePeer, proxy).forEach(peer -> closeIfOverdue(peer, future, past));
+        assertTrue(!pingingPeer.isOpen() && !incompletePeer.isOpen() && proxy.isOpen());
         closeIfOverdue(proxy, future, future);
         assertFalse(proxy.isOpen());
         assertEquals(2, logLinesWith(" INFO unidentified "));
@@ -224,73 +227,73 @@
         assertEquals(PONG, peer.takeOutputString());
         peer.send("{" + "z".repeat(1 << 20));
         assertFalse(peer.isOpen());
-        assertFalse(peer().send("{" + "z".repeat(20_000)).isOpen()); // others get no such room
+        assertFalse(peer().send("{" + "z".repeat(20_000)).isOpen()); // unidentified peers have a lower limit
     }
 
     @Test
-    void yieldsToOtherConnectionsWhileAPeerSendsWithoutEnd() {
+    void yieldsToOtherConnectionsWhileAPeerSendsContinuously() {
         InMemoryPeer peer = peer().send(SUBSCRIBE);
-        arrivals();
+        receivedEvents();
         Queue<Runnable> tasks = peer.deferTasks();
         peer.send(RATE.repeat(18_000));
-        int all = 0;
+        int totalLines = 0;
         while (!tasks.isEmpty()) {
             tasks.poll().run();
-            int read = arrivals().size();
-            assertTrue(read < 9000, read + " lines in one turn");
-            all += read;
+            int linesInTurn = receivedEvents().size();
+            assertTrue(linesInTurn < 9000, linesInTurn + " lines in one turn");
+            totalLines += linesInTurn;
         }
-        assertEquals(18_000, all);
+        assertEquals(18_000, totalLines);
     }
 
     @Test
     void boundsMemoryOfUnfinishedLinesOverAllConnections() {
-        String half = "{" + "x".repeat(1_000_000);
+        String unfinishedLine = "{" + "x".repeat(1_000_000);
         List<InMemoryPeer> peers = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            peers.add(peer().send(SUBSCRIBE + half));
+            peers.add(peer().send(SUBSCRIBE + unfinishedLine));
         }
         assertEquals(16, peers.stream().filter(InMemoryPeer::isOpen).count());
         peers.forEach(peer -> peer.connection().onClose(null));
-        assertTrue(peer().send(SUBSCRIBE + half).isOpen());
+        assertTrue(peer().send(SUBSCRIBE + unfinishedLine).isOpen());
     }
 
     @Test
-    void closesAPeerThatReadsNothingOnceHundredsOfUpdatesWait() {
+    void closesAPeerThatDoesNotReadOnceTheOutboundQueueIsFull() {
         InMemoryPeer peer = new InMemoryPeer(server, 1024).send(SUBSCRIBE);
-        int written = 0;
-        while (peer.isOpen() && written < 1_000_000) {
+        int writtenBytes = 0;
+        while (peer.isOpen() && writtenBytes < 1_000_000) {
             peer.connection().write(update(7));
-            written += updateLine(7).length();
+            writtenBytes += updateLine(7).length();
         }
-        assertTrue(written > 64_000 && written < 200_000, written + " bytes");
-        assertTrue(logText().contains("proxy 3") && logText().contains("reads nothing"));
+        assertTrue(writtenBytes > 64_000 && writtenBytes < 200_000, writtenBytes + " bytes");
+        assertTrue(logText().contains("proxy 3") && logText().contains("does not read its updates"));
     }
 
     @Test
     void writesUpdatesInOrderAsThePeerReads() {
         InMemoryPeer peer = new InMemoryPeer(server, 70).send(SUBSCRIBE);
-        StringBuilder read = new StringBuilder();
+        StringBuilder output = new StringBuilder();
         for (int i = 0; i < 5; i++) {
             peer.connection().write(update(7));
         }
         for (int i = 0; i < 20; i++) {
-            read.append(peer.takeOutputString());
+            output.append(peer.takeOutputString());
         }
-        assertEquals(updateLine(7).repeat(5), read.toString());
+        assertEquals(updateLine(7).repeat(5), output.toString());
     }
 
     @Test
-    void reportsTheEndOfAProxyStreamOnceAndOfAnUnidentifiedOneNever() {
+    void reportsTheEndOfAProxyStreamOnceAndOfAnUnidentifiedPeerNever() {
         InMemoryPeer peer = peer().send(SUBSCRIBE);
-        arrivals();
+        receivedEvents();
         peer.addInputEOF();
         peer.connection().onClose(null);
-        assertEquals(List.of("ended"), arrivals());
+        assertEquals(List.of("ended"), receivedEvents());
         InMemoryPeer unidentified = peer().send("{\"@type\":\"PI");
         unidentified.addInputEOF();
         unidentified.connection().onClose(null);
-        assertEquals(List.of(), arrivals());
+        assertEquals(List.of(), receivedEvents());
     }
 
     @Test
@@ -300,37 +303,38 @@
         InMemoryPeer collector = peer().send(SOURCE);
         long past = clockNanos.get() - 1_000_000_000L;
         long future = past + 100_000_000_000L;
-        arrivals();
-        for (InMemoryPeer peer : List.of(proxy, collector)) { // they may have nothing to say
+        receivedEvents();
+        for (InMemoryPeer peer : List.of(proxy, collector)) { // idle peers have no timeout
             closeIfOverdue(peer, future, future);
         }
         closeIfOverdue(unidentified, past, future);
         assertTrue(unidentified.isOpen() && proxy.isOpen() && collector.isOpen());
         closeIfOverdue(unidentified, future, past);
         assertFalse(unidentified.isOpen());
-        proxy.connection().write(update(7)); // on a channel that takes a minute over hundreds of tables
+        proxy.connection().write(update(7)); // the update channel may need a minute for hundreds of tables
         closeIfOverdue(proxy, past, future);
         assertTrue(proxy.isOpen());
         proxy.send("{\"@type\":\"ACK\",\"id\":3,\"seq\":7,\"ms\":1}\n");
         assertEquals(
-                List.of(new InboundMessage.Acknowledgement(3, 7, 1)), arrivals()); // and it does not subscribe anew
+                List.of(new InboundMessage.Acknowledgement(3, 7, 1)),
+                receivedEvents()); // the proxy keeps its subscription
     }
 
     @Test
-    void evictsUnidentifiedPeersForTheNextConnectionUnlessTheyAreNew() throws Exception {
-        StreamServer small = server(35); // three connections
-        InMemoryPeer unidentified = new InMemoryPeer(small);
-        InMemoryPeer proxy = new InMemoryPeer(small).send(SUBSCRIBE);
-        advanceMs(150); // enough for the first to identify itself
-        InMemoryPeer next = new InMemoryPeer(small);
-        InMemoryPeer last = new InMemoryPeer(small);
-        InMemoryPeer tooMany = new InMemoryPeer(small);
-        assertFalse(unidentified.isOpen() || tooMany.isOpen());
-        assertTrue(proxy.isOpen() && next.isOpen() && last.isOpen());
+    void evictsOlderUnidentifiedPeersForANewConnection() throws Exception {
+        StreamServer smallServer = server(35); // 32 sockets are reserved, so that 3 connections are allowed
+        InMemoryPeer unidentified = new InMemoryPeer(smallServer);
+        InMemoryPeer proxy = new InMemoryPeer(smallServer).send(SUBSCRIBE);
+        advanceMs(150); // above the minimum age for eviction
+        InMemoryPeer secondToLast = new InMemoryPeer(smallServer);
+        InMemoryPeer last = new InMemoryPeer(smallServer);
+        InMemoryPeer rejectedPeer = new InMemoryPeer(smallServer);
+        assertFalse(unidentified.isOpen() || rejectedPeer.isOpen());
+        assertTrue(proxy.isOpen() && secondToLast.isOpen() && last.isOpen());
     }
 
     @Test
-    @SuppressWarnings("try") // the socket is closed early, and on purpose
+    @SuppressWarnings("try") // the test closes the socket before the end of the try block
     void servesAProxyOverSocketsFromSubscriptionToReset() throws Exception {
         QueuedThreadPool threads = new QueuedThreadPool(8, 2);
         ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
@@ -342,15 +346,15 @@
             socket.setSoTimeout(20_000);
             socket.connect(opened.address());
             socket.getOutputStream().write((PING + SUBSCRIBE).getBytes(StandardCharsets.UTF_8));
-            assertEquals(PONG, line(socket));
+            assertEquals(PONG, readLine(socket));
             assertTrue(eventQueue.await(20_000_000_000L));
-            assertEquals(List.of(new InboundMessage.Subscribe(3, 0, 2.5, true)), arrivals());
+            assertEquals(List.of(new InboundMessage.Subscribe(3, 0, 2.5, true)), receivedEvents());
             lastStream.write(update(7));
-            assertEquals(updateLine(7), line(socket));
-            socket.setSoLinger(true, 0); // a reset
+            assertEquals(updateLine(7), readLine(socket));
+            socket.setSoLinger(true, 0); // resets the connection on close
             socket.close();
             assertTrue(eventQueue.await(20_000_000_000L));
-            assertEquals(List.of("ended"), arrivals());
+            assertEquals(List.of("ended"), receivedEvents());
             InetSocketAddress taken = opened.address();
             ListenException refused = assertThrows(
                     ListenException.class,
@@ -364,7 +368,7 @@
         }
     }
 
-    private static String line(Socket socket) throws IOException {
+    private static String readLine(Socket socket) throws IOException {
         StringBuilder line = new StringBuilder();
         int octet = socket.getInputStream().read();
         while (octet >= 0) {
