--- a/src/main/java/linenring/planner/ChannelLedger.java
+++ b/src/main/java/linenring/planner/ChannelLedger.java
@@ -4,93 +4,103 @@
 import java.util.List;
 
 /**
- * The account of what waits in the channel to the proxies, in entries. It guards against a queue that is fuller than its limit,
- * {@link PlannerSettings.Channel#maxQueuedEntries}: the channel carries its stated rate and reports nothing but acknowledgements.
+ * Estimates how many entries are queued in the channel to the proxies. The channel exports no queue length: it states
+ * its rate, and proxies acknowledge messages. The estimate keeps the queue within {@link
+ * PlannerSettings.Channel#maxQueuedEntries}.
  *
- * <p>A message that was sent counts as waiting until one of these holds:
+ * <p>A sent message counts as queued until one of these conditions holds:
  *
  * <ol>
- *   <li>It is acknowledged, by itself or by a later message to its proxy, and no older message is still without an
- *       acknowledgement on a stream that lives. The older one is waited for since a message may overtake others: it moves up
- *       where messages to broken streams are dropped.
- *   <li>It is not acknowledged, and its stream has ended or a message sent later has been acknowledged: once the channel had time
- *       for all ahead of it, at the pace that acknowledgements have shown.
- *   <li>It is not acknowledged, and nothing else is known: after the longest wait.
+ *   <li>The message is acknowledged, by its own nonce or by that of a later message to the same proxy, and no older
+ *       message on an open stream is unacknowledged. The older messages matter because a message can overtake others:
+ *       the channel drops messages to closed streams, and later messages move up into the freed places.
+ *   <li>The message is unacknowledged, and its stream has closed or a message sent later has been acknowledged: then
+ *       the message is removed once the channel had time to send everything ahead of it, at the rate that
+ *       acknowledgements have shown.
+ *   <li>The message is unacknowledged, and neither of these signals has arrived: then the message is removed after a
+ *       timeout.
  * </ol>
  *
- * <p>The account could do harm where acknowledgements are lost and the channel is fast: then it counts entries that have left, and
- * writes wait.
+ * <p>The estimate is too high where acknowledgements are lost on a fast channel: entries that have left the queue are
+ * still counted, and writes are delayed.
  */
 final class ChannelLedger {
     private final double entriesPerMs;
     private final double longestTransitMs;
-    private final double longestWaitMs;
-    /** In the order in which they were sent. */
+    private final double maxQueueDelayMs;
+    /** Messages that count as queued, in the order in which they were sent. */
     private final List<SentMessage> messages = new ArrayList<>();
 
-    private double waitingEntries;
+    private double queuedEntries;
     private double latestAcknowledgedSentAtMs;
 
-    /** The longest wait is that of a message of which nothing is known. */
-    ChannelLedger(PlannerSettings.Channel channel, double longestWaitMs) {
+    /**
+     * Creates an empty ledger.
+     *
+     * @param maxQueueDelayMs time after which an unacknowledged message is taken to have left the queue
+     */
+    ChannelLedger(PlannerSettings.Channel channel, double maxQueueDelayMs) {
         entriesPerMs = channel.entriesPerMs();
         longestTransitMs = channel.longestTransitMs();
-        this.longestWaitMs = longestWaitMs;
+        this.maxQueueDelayMs = maxQueueDelayMs;
     }
 
-    /** Entries that wait, those that are reserved included. */
-    double waitingEntries() {
-        return waitingEntries;
+    /** Number of entries in the channel queue, including the reserved ones. */
+    double queuedEntries() {
+        return queuedEntries;
     }
 
     boolean isEmpty() {
         return messages.isEmpty();
     }
 
-    /** Counts entries of messages that are being written; the next {@link #update} forgets them. */
+    /** Adds entries of messages that are still being written; the next {@link #update} discards these reservations. */
     void reserve(double entries) {
-        waitingEntries += entries;
+        queuedEntries += entries;
     }
 
-    SentMessage send(int nonce, double nowMs, double entries) {
-        waitingEntries += entries;
-        SentMessage message = new SentMessage(nonce, nowMs, entries, nowMs + waitingEntries / entriesPerMs);
+    SentMessage recordSent(int nonce, double nowMs, double entries) {
+        queuedEntries += entries;
+        SentMessage message = new SentMessage(nonce, nowMs, entries, nowMs + queuedEntries / entriesPerMs);
         messages.add(message);
         return message;
     }
 
-    /** Takes an acknowledgement as proof of how slow the channel was for what was sent with that message and after it. */
-    void acknowledged(SentMessage message, double tookMs) {
+    /**
+     * Derives the actual speed of the channel from the time that an acknowledgement took, and applies it to the
+     * acknowledged message and all messages sent at the same time or later.
+     */
+    void recordAcknowledgement(SentMessage message, double tookMs) {
         latestAcknowledgedSentAtMs = Math.max(latestAcknowledgedSentAtMs, message.sentAtMs());
-        double statedMs = message.leavesByMs() - message.sentAtMs() + longestTransitMs;
-        double slowdown = Math.max(1, tookMs / statedMs);
-        for (SentMessage other : messages) {
-            if (other.sentAtMs() >= message.sentAtMs()) {
-                other.slowedBy(slowdown);
+        double expectedMs = message.expectedDepartureMs() - message.sentAtMs() + longestTransitMs;
+        double slowdown = Math.max(1, tookMs / expectedMs);
+        for (SentMessage sent : messages) {
+            if (sent.sentAtMs() >= message.sentAtMs()) {
+                sent.setSlowdown(slowdown);
             }
         }
     }
 
-    /** Removes what has left by now. */
+    /** Removes the messages that have left the channel by this time, and recomputes the number of queued entries. */
     void update(double nowMs) {
         messages.removeIf(message ->
-                !message.isAcknowledged() && nowMs > message.sentAtMs() + longestTransitMs + longestWaitMs(message));
-        double oldestMs = oldestUnacknowledgedSentAtMs(nowMs);
-        messages.removeIf(message -> message.isAcknowledged() && message.sentAtMs() <= oldestMs);
-        waitingEntries = messages.stream().mapToDouble(SentMessage::entries).sum();
+                !message.isAcknowledged() && nowMs > message.sentAtMs() + longestTransitMs + maxQueueDelayMs(message));
+        double oldestUnacknowledgedMs = oldestUnacknowledgedSentAtMs(nowMs);
+        messages.removeIf(message -> message.isAcknowledged() && message.sentAtMs() <= oldestUnacknowledgedMs);
+        queuedEntries = messages.stream().mapToDouble(SentMessage::entries).sum();
     }
 
-    private double oldestUnacknowledgedSentAtMs(double otherwiseMs) {
+    private double oldestUnacknowledgedSentAtMs(double defaultMs) {
         for (SentMessage message : messages) {
             if (!message.isAcknowledged() && !message.isLost()) {
                 return message.sentAtMs();
             }
         }
-        return otherwiseMs;
+        return defaultMs;
     }
 
-    private double longestWaitMs(SentMessage message) {
-        boolean mustHaveLeft = message.isLost() || message.sentAtMs() < latestAcknowledgedSentAtMs;
-        return mustHaveLeft ? Math.min(longestWaitMs, message.observedWaitMs()) : longestWaitMs;
+    private double maxQueueDelayMs(SentMessage message) {
+        boolean hasProbablyLeft = message.isLost() || message.sentAtMs() < latestAcknowledgedSentAtMs;
+        return hasProbablyLeft ? Math.min(maxQueueDelayMs, message.estimatedQueueDelayMs()) : maxQueueDelayMs;
     }
 }
--- a/src/main/java/linenring/planner/Commands.java
+++ b/src/main/java/linenring/planner/Commands.java
@@ -1,62 +1,73 @@
 package linenring.planner;
 
 /**
- * What the decisions call to act. All commands of one reconciliation take effect together: each proxy concerned gets them as one
- * message, in the order given. Hosts, proxies, tables and operations are small indices; times are milliseconds on the clock that
- * the inputs carry.
+ * Output of the planner: the commands that carry out its decisions. All commands of one reconciliation take effect
+ * together: each affected proxy receives its commands as one message, in the order in which they were issued. Hosts,
+ * proxies, tables and operations are identified by small indices; times are milliseconds on the clock of the
+ * planner's inputs.
  */
 public interface Commands {
-    /** Writes the entry of a host in a table; weight 0 removes it. */
+    /** Writes a host's entry in a table; weight 0 removes the entry. */
     void setWeight(int table, int host, double weight);
 
-    /** Removes all entries and admissions from a table. */
+    /** Removes all entries and all admission ratios from a table. */
     void clearTable(int table);
 
-    /** Ejects a host from every table that joined proxies hold, or restores it. */
+    /** Ejects a host from, or restores it in, every table that connected proxies hold. */
     void setEjected(int host, boolean ejected);
 
-    /** Binds a proxy to a table for the operations in the mask (bit k for operation k; 0 for all). */
+    /**
+     * Binds a proxy to a table for the operations in the mask: bit k stands for operation k, and 0 for all
+     * operations.
+     */
     void bindProxy(int table, int operations, int proxy);
 
     /**
-     * Number of entries that a bind would take beyond the table's own, its admissions and its ejected hosts; asked before the bind, as
-     * the channel's queue is limited.
+     * Number of entries that binding the proxy would take in addition to the table's entries, admission ratios and
+     * ejected hosts. The planner calls this method before the bind, to keep the channel queue within its limit.
      */
     int extraEntriesOfBind(int table, int proxy);
 
     /**
-     * Number of entries that one for this host would take at a proxy beyond itself, as the host may have to be restored there, or ejected;
-     * asked before the entry is written.
+     * Number of entries that writing this host's weight would take at the proxy in addition to the weight itself,
+     * since the host may have to be restored or ejected at this proxy. The planner calls this method before it writes
+     * the weight.
      */
     int extraEntriesOfWeight(int host, int proxy);
 
-    /** Sets how much of the operations is admitted, in the unit of the settings' measure, and how proxies retry. */
+    /**
+     * Sets the admission ratio of the operations in the mask, in the unit given by the settings' {@link
+     * PlannerSettings.Measure}, and how proxies retry these operations.
+     */
     void setAdmission(int table, int operations, double admissionRatio, RetryPolicy retryPolicy);
 
-    /** Asks each proxy that gets a message of this reconciliation to acknowledge it by this nonce once it has applied it. */
+    /**
+     * Requests an acknowledgement with this nonce from each proxy that receives a message of this reconciliation. A
+     * proxy acknowledges a message once it has applied it.
+     */
     void requestAcknowledgement(int nonce);
 
     /**
-     * Number of entries that the message to a proxy takes beside its head and the nonce, given the number expected; asked once all
-     * commands that it holds are given.
+     * Number of entries in the message to a proxy, without message overhead and nonce. The planner calls this method
+     * after all commands of the message are issued, and passes the number of entries that it expects.
      */
     double entriesInMessage(int proxy, double expected);
 
-    /** Asks for a call of {@link Planner#reconcile} at that time. */
+    /** Requests a call of {@link Planner#reconcile} at the given time. */
     void requestCall(double atMs);
 
-    /** Asks to be notified of changes to the host list. */
+    /** Subscribes to changes of the host list. */
     void watchHostList();
 
-    /** When a proxy retries a request at another host. */
+    /** Whether and how often a proxy retries a failed request at another host. */
     enum RetryPolicy {
-        /** Never. */
+        /** No retry. */
         NONE,
-        /** Once, on proof that the attempt was not executed. */
+        /** One retry, only if the failed attempt is known not to have been executed. */
         ONE_IF_NOT_EXECUTED,
-        /** Once. */
+        /** One retry after any failed attempt. */
         ONE,
-        /** Twice. */
+        /** Two retries after failed attempts. */
         TWO
     }
 }
--- a/src/main/java/linenring/planner/DrainScheduler.java
+++ b/src/main/java/linenring/planner/DrainScheduler.java
@@ -3,22 +3,35 @@
 import java.util.List;
 
 /**
- * Notifies proxies of hosts that drain or are gone: the host is ejected at all that may hold it, past the windows. Inputs: the
- * hosts to drain, the room in the channel (entries), the messages that proxies were sent, the drain grace (ms).
+ * Starts the graceful drain of hosts: a host that is draining or removed is ejected at all proxies that may hold it,
+ * regardless of their flow-control windows. Inputs: the hosts to drain, the free capacity of the channel queue
+ * (entries), the messages sent to each proxy, the drain grace (ms).
  *
- * <p>Failures guarded against: a host stops while proxies still send it requests, which are then lost. One by one each drain
- * takes a message head at each proxy and ordinary entries take the room between them: so drains wait for room together, and
- * hold all else meanwhile. And a list that announces a drain host by host uses up the message limit, so that later drains wait for
- * seconds: so the last half of the limit is spaced by a gap; nothing else is held back meanwhile, and drains ride along with
- * whatever goes to their proxies. It could do harm where the gap is long against the grace, hence half of the grace at most.
+ * <p>This class guards against two failures, in both of which a host stops while proxies still send it requests,
+ * which are lost.
+ *
+ * <ul>
+ *   <li>The queue is nearly full. Drains that are sent one by one each pay the message overhead at each proxy, and
+ *       ordinary entries use up the queue between them. So drains wait until the queue has room for all of them or a
+ *       quarter of it is free, and block all other writes meanwhile.
+ *   <li>The host list announces drains one host at a time, which uses up the limit on messages to a proxy, so that
+ *       later drains wait for seconds. So drains keep a minimum gap once half of the limit is used. Other writes
+ *       continue during the gap, and a drain is added to any message that its proxies receive anyway.
+ * </ul>
+ *
+ * <p>A gap that is long relative to the drain grace would delay drains too much, hence the gap is at most half of the
+ * grace.
  */
 final class DrainScheduler {
-    /** Drains wait for each other where less than this part of the queue is free: each message has a head. */
+    /** Drains are batched when less than this share of the queue is free, since each message adds its overhead. */
     private static final double MIN_FREE_QUEUE_SHARE = 0.25;
-    /** The gap between drains leaves the other half of the grace for the message itself. */
+    /**
+     * Longest gap between drains as a share of the drain grace; the other half is left for the transit of the
+     * message.
+     */
     private static final double MAX_GAP_SHARE_OF_GRACE = 0.5;
-    /** Drains are spaced once a proxy has used this part of its message limit. */
-    private static final double FREE_MESSAGE_SHARE = 0.5;
+    /** Drains keep a minimum gap once a proxy has used this share of its message limit. */
+    private static final double UNSPACED_MESSAGE_SHARE = 0.5;
 
     private final PlannerContext context;
     private final ProxyBinder binder;
@@ -29,19 +42,20 @@
         this.binder = binder;
     }
 
-    /** Ejects hosts that drain, as many as there is room for; whether there was one. */
+    /** Ejects draining hosts, as many as the channel queue has room for; returns whether any host was ejected. */
     boolean drain() {
         List<Host> draining =
                 context.fleet().hosts().stream().filter(Host::mustDrain).toList();
-        List<ProxyState> concerned = context.fleet().joined().stream()
+        List<ProxyState> affectedProxies = context.fleet().joined().stream()
                 .filter(proxy -> draining.stream().anyMatch(host -> mayHold(proxy, host)))
                 .toList();
-        boolean mustWait = !draining.isEmpty()
-                && (hasNoRoom(draining, concerned) || !context.flow().mayWrite(concerned, 0, WritePriority.DRAIN));
-        context.flow().holdForDrains(mustWait);
-        return !mustWait
-                && !mustBeSpaced(concerned)
-                && context.fleet().forEachHost(host -> host.mustDrain() && fits(host), this::drain);
+        boolean mustWaitForRoom = !draining.isEmpty()
+                && (mustWaitForQueue(draining, affectedProxies)
+                        || !context.flow().mayWrite(affectedProxies, 0, WritePriority.DRAIN));
+        context.flow().holdWritesForDrains(mustWaitForRoom);
+        return !mustWaitForRoom
+                && !mustKeepGap(affectedProxies)
+                && context.fleet().forEachHost(host -> host.mustDrain() && fitsInQueue(host), this::drain);
     }
 
     private void drain(Host host) {
@@ -49,36 +63,39 @@
         context.writer().eject(host);
     }
 
-    private boolean hasNoRoom(List<Host> draining, List<ProxyState> concerned) {
-        double needed = 0;
-        for (ProxyState proxy : concerned) {
-            long hosts = draining.stream().filter(host -> mayHold(proxy, host)).count();
-            needed += context.flow().cost(proxy, (double) hosts);
+    private boolean mustWaitForQueue(List<Host> draining, List<ProxyState> affectedProxies) {
+        double requiredEntries = 0;
+        for (ProxyState proxy : affectedProxies) {
+            long hostCount =
+                    draining.stream().filter(host -> mayHold(proxy, host)).count();
+            requiredEntries += context.flow().cost(proxy, (double) hostCount);
         }
-        double queue = context.settings().channel().maxQueuedEntries();
-        double free = queue - context.flow().waitingEntries();
-        return binder.newcomersWait() || (needed > free && free < MIN_FREE_QUEUE_SHARE * queue);
+        double capacity = context.settings().channel().maxQueuedEntries();
+        double freeEntries = capacity - context.flow().waitingEntries();
+        return binder.hasWaitingFirstBind()
+                || (requiredEntries > freeEntries && freeEntries < MIN_FREE_QUEUE_SHARE * capacity);
     }
 
     private boolean mayHold(ProxyState proxy, Host host) {
         return context.registry().mayHold(proxy, host);
     }
 
-    private boolean fits(Host host) {
+    private boolean fitsInQueue(Host host) {
         return context.flow()
-                .fits(context.registry().holdersOf(host).stream()
+                .fitsInQueue(context.registry().holdersOf(host).stream()
                         .mapToDouble(proxy -> context.flow().cost(proxy, 1))
                         .sum());
     }
 
-    private boolean mustBeSpaced(List<ProxyState> concerned) {
+    private boolean mustKeepGap(List<ProxyState> affectedProxies) {
         double gapMs = Math.min(
                 context.settings().channel().drainGraceMs() * MAX_GAP_SHARE_OF_GRACE,
                 context.flow().messageGapMs());
-        double freeMessages = FREE_MESSAGE_SHARE * context.settings().channel().maxMessages();
+        double unspacedMessages =
+                UNSPACED_MESSAGE_SHARE * context.settings().channel().maxMessages();
         return context.nowMs() - lastDrainAtMs < gapMs
-                && concerned.stream()
+                && affectedProxies.stream()
                         .anyMatch(proxy -> !proxy.hasMessageBeingWritten()
-                                && context.flow().countedMessages(proxy) > freeMessages);
+                                && context.flow().messagesInLimitSpan(proxy) > unspacedMessages);
     }
 }
--- a/src/main/java/linenring/planner/EndpointTable.java
+++ b/src/main/java/linenring/planner/EndpointTable.java
@@ -9,18 +9,20 @@
 import linenring.planner.PlannerSettings.Operation;
 
 /**
- * A table of endpoints that proxies share, for the operations that are open to the same hosts, as it was last written. It is
- * full (all hosts), of one zone, of some subsets of the fleet, or that of a shard.
+ * An endpoint table that several proxies share, for operations that may run on the same hosts, with its content as
+ * last written. A table holds all hosts (a full table), the hosts of one zone, the hosts of some subsets of the
+ * fleet, or the owner of one shard.
  *
- * <p>It belongs to the thread of the control loop, as the whole planner does. {@link AdmissionController} sets the admission ratios
- * and the retry policy, {@link ShardPlacement} the owner, {@link PendingChanges} and {@link TableWriter} the time of the last write.
+ * <p>Tables are confined to the control loop's thread, as is the whole planner. {@link AdmissionController} sets the
+ * admission ratios and the retry policy, {@link ShardPlacement} sets the owner, {@link PendingChanges} and {@link
+ * TableWriter} set the time of the last write.
  */
 final class EndpointTable {
-    /** The zone of a table that serves proxies of all zones. */
+    /** The home zone of a table that serves the proxies of all zones. */
     static final int ALL_ZONES = -1;
 
-    private static final int SPARE_ENTRIES = 32;
-    private static final double NEVER_MS = -1e9;
+    private static final int WEIGHTS_GROWTH = 32;
+    private static final double NEVER_WRITTEN_MS = -1e9;
 
     private final int number;
     private final int operations;
@@ -34,7 +36,7 @@
     private final double[] admissionRatio = new double[Integer.SIZE];
     private double[] weights = {};
     private int entryCount;
-    private double writtenAtMs = NEVER_MS;
+    private double writtenAtMs = NEVER_WRITTEN_MS;
     private TableCapacity capacity = TableCapacity.NONE;
     private RetryPolicy retryPolicy;
     private Host owner;
@@ -59,32 +61,32 @@
         this.members = members;
     }
 
-    /** Its number at the proxies. */
+    /** Returns the number by which proxies identify the table. */
     int number() {
         return number;
     }
 
-    /** Mask of its operations; 0 for all. */
+    /** Returns the mask of the table's operations: bit k stands for operation k, and 0 for all operations. */
     int operations() {
         return operations;
     }
 
-    /** The zone of the proxies and hosts that it is for, or {@link #ALL_ZONES}. */
+    /** Returns the zone whose proxies and hosts the table is for, or {@link #ALL_ZONES}. */
     int homeZone() {
         return homeZone;
     }
 
-    /** Number of zones that have a table like this one. */
+    /** Number of zones that have a table for the same operations; 1 for a table of all zones. */
     double zoneTables() {
         return homeZone == ALL_ZONES ? 1.0 : operation.zoneCount();
     }
 
-    /** Index of the full table that it stands for, or its own. */
+    /** Returns the index of the full table that the table replaces for its proxies; its own index for a full table. */
     int fullTable() {
         return fullTable;
     }
 
-    /** Whether it is made of subsets of the fleet. */
+    /** Whether the table holds only some subsets of the fleet. */
     boolean isOfSubsets() {
         return firstSubset != Host.WITHOUT_SUBSET;
     }
@@ -93,40 +95,42 @@
         return firstSubset;
     }
 
-    /** Number of subsets that it is made of. */
+    /** Number of subsets of the fleet whose hosts the table holds. */
     int subsetCount() {
         return subsetCount;
     }
 
-    /** The hosts that may be in it. */
+    /** Returns the hosts that may have an entry in the table. */
     List<Host> members() {
         return Collections.unmodifiableList(members);
     }
 
-    /** Adds a host to a table of subsets. */
+    /** Adds a host to a table that holds subsets of the fleet. */
     void addMember(Host host) {
         members.add(host);
     }
 
-    /** Removes a host from a table of subsets; the others have a view of all hosts. */
+    /**
+     * Removes a host from a table that holds subsets of the fleet; all other tables share a view of the whole fleet.
+     */
     void removeMember(Host host) {
         members.remove(host);
     }
 
-    /** Proxies that are bound to it, in the order of their binding. */
+    /** Returns the proxies that are bound to the table, in the order in which they were bound. */
     Set<ProxyState> users() {
         return Collections.unmodifiableSet(users);
     }
 
-    void addUser(ProxyState proxy) {
+    void addBoundProxy(ProxyState proxy) {
         users.add(proxy);
     }
 
-    void removeUser(ProxyState proxy) {
+    void removeBoundProxy(ProxyState proxy) {
         users.remove(proxy);
     }
 
-    /** How many hosts have an entry. */
+    /** Number of hosts that have an entry in the table. */
     int entryCount() {
         return entryCount;
     }
@@ -135,7 +139,7 @@
         return entryCount == 0;
     }
 
-    /** The host's weight as last written; 0 for no entry. */
+    /** Returns the host's weight as last written; 0 if the host has no entry. */
     double weight(Host host) {
         return host.id() < weights.length ? weights[host.id()] : 0;
     }
@@ -146,7 +150,7 @@
 
     void setWeight(Host host, double weight) {
         if (host.id() >= weights.length) {
-            weights = Arrays.copyOf(weights, host.id() + SPARE_ENTRIES);
+            weights = Arrays.copyOf(weights, host.id() + WEIGHTS_GROWTH);
         }
         entryCount += (weight > 0 ? 1 : 0) - (weights[host.id()] > 0 ? 1 : 0);
         weights[host.id()] = weight;
@@ -157,7 +161,7 @@
         entryCount = 0;
     }
 
-    /** When it was last written, in milliseconds. */
+    /** Returns the time of the last write to the table, in milliseconds. */
     double writtenAtMs() {
         return writtenAtMs;
     }
@@ -166,7 +170,7 @@
         writtenAtMs = nowMs;
     }
 
-    /** How much of the operation it admits, as last written. */
+    /** Returns the admission ratio of the operation, as last written. */
     double admissionRatio(int operationIndex) {
         return admissionRatio[operationIndex];
     }
@@ -175,7 +179,7 @@
         admissionRatio[operationIndex] = ratio;
     }
 
-    /** As last written, or null. */
+    /** Returns the retry policy as last written, or null before the first write. */
     RetryPolicy retryPolicy() {
         return retryPolicy;
     }
@@ -200,16 +204,16 @@
         return homeZone < 0 || homeZone == zone;
     }
 
-    /** Whether the host's zone, kind and subset let it be in the table. */
+    /** Whether the host's zone, kind and subset allow the host to have an entry in the table. */
     boolean accepts(Host host) {
-        return operation.isOpenTo(host.zone(), host.kind()) && servesZone(host.zone()) && hasSubset(host.subset());
+        return operation.isOpenTo(host.zone(), host.kind()) && servesZone(host.zone()) && includesSubset(host.subset());
     }
 
-    private boolean hasSubset(int subset) {
+    private boolean includesSubset(int subset) {
         return firstSubset < 0 || (subset >= firstSubset && subset < firstSubset + subsetCount);
     }
 
-    /** Of a shard: the host of its one entry, or null. */
+    /** Returns the owner of the shard, which is the only host in a shard's table, or null if the shard has no owner. */
     Host owner() {
         return owner;
     }
@@ -218,7 +222,7 @@
         owner = newOwner;
     }
 
-    /** Of a shard: since when it has no owner, in milliseconds. */
+    /** Returns the time since which the shard has had no owner, in milliseconds. */
     double ownerlessSinceMs() {
         return ownerlessSinceMs;
     }
@@ -228,7 +232,10 @@
         ownerlessSinceMs = sinceMs;
     }
 
-    /** Of a shard: it is another controller's until now, and nothing that was written holds. */
+    /**
+     * Removes the shard's owner and all entries: another controller was in charge of the shard, so the last written
+     * state is outdated.
+     */
     void resetOwner(double sinceMs) {
         loseOwner(sinceMs);
         clear();
--- a/src/main/java/linenring/planner/PendingChanges.java
+++ b/src/main/java/linenring/planner/PendingChanges.java
@@ -4,71 +4,80 @@
 import java.util.stream.Stream;
 
 /**
- * What is pending for each table: the difference between the state wanted and the state last written. Nothing is noted down
- * before it is sent, so what changes back meanwhile is never sent, and later changes merge into the next version of the table.
+ * Computes the pending changes of each table: the difference between its target state and its last written state.
+ * Changes are not stored before they are sent, so a change that is reverted in the meantime is never sent, and
+ * successive changes merge into one sub-update of the table.
  */
 final class PendingChanges {
-    /** A weight that differs by less is not written: a ramp is a dozen steps. */
-    private static final double MIN_WEIGHT_CHANGE = 0.12;
+    /** Smallest relative change of a weight that is written; it divides a slow start into about a dozen steps. */
+    private static final double MIN_RELATIVE_WEIGHT_CHANGE = 0.12;
 
     private final PlannerContext context;
     private final SlowStart slowStart;
-    private final RetryStormGuard storm;
+    private final RetryStormGuard stormGuard;
     private final AdmissionController admission;
 
-    PendingChanges(PlannerContext context, SlowStart slowStart, RetryStormGuard storm, AdmissionController admission) {
+    PendingChanges(
+            PlannerContext context, SlowStart slowStart, RetryStormGuard stormGuard, AdmissionController admission) {
         this.context = context;
         this.slowStart = slowStart;
-        this.storm = storm;
+        this.stormGuard = stormGuard;
         this.admission = admission;
     }
 
-    /** Whether the host's entry in the table must be written. */
-    boolean isDue(Host host, EndpointTable table) {
-        double wanted = slowStart.targetWeight(host, table);
-        double written = table.weight(host);
-        return (written > 0 || !storm.holdsBack(host))
-                && ((wanted == 0) != (written == 0)
-                        || Math.abs(wanted - written) > MIN_WEIGHT_CHANGE * Math.max(wanted, written)
-                        || (wanted == host.weight() && written != wanted));
+    /** Whether the host's target weight differs enough from its written weight that the table entry must be written. */
+    boolean mustWriteEntry(Host host, EndpointTable table) {
+        double targetWeight = slowStart.targetWeight(host, table);
+        double writtenWeight = table.weight(host);
+        return (writtenWeight > 0 || !stormGuard.holdsBack(host))
+                && ((targetWeight == 0) != (writtenWeight == 0)
+                        || Math.abs(targetWeight - writtenWeight)
+                                > MIN_RELATIVE_WEIGHT_CHANGE * Math.max(targetWeight, writtenWeight)
+                        || (targetWeight == host.weight() && writtenWeight != targetWeight));
     }
 
-    private Stream<Host> dueHosts(EndpointTable table) {
-        return table.members().stream().filter(host -> isDue(host, table));
+    private Stream<Host> hostsToWrite(EndpointTable table) {
+        return table.members().stream().filter(host -> mustWriteEntry(host, table));
     }
 
-    /** The hosts whose entries go with the next piece of the table's sub-update. */
+    /** Returns the hosts whose entries are written with the next piece of the table's sub-update. */
     List<Host> nextPiece(EndpointTable table) {
-        return dueHosts(table).limit(context.flow().maxPieceEntries(table)).toList();
+        return hostsToWrite(table).limit(context.flow().maxPieceEntries(table)).toList();
     }
 
-    /** Entries and admissions that must be written to the table. */
-    int count(EndpointTable table) {
+    /** Number of entries and admission ratios that must be written to the table. */
+    int pendingWrites(EndpointTable table) {
         long admissions = admission.due(table).count();
-        return (int) (admissions + dueHosts(table).count());
+        return (int) (admissions + hostsToWrite(table).count());
     }
 
-    /** Entries and admissions that must be written to the table, over all its users. */
-    double unsentEntries(EndpointTable table) {
-        return count(table) * context.registry().usersOf(table).size();
+    /** Number of entries and admission ratios that must be sent for the table, summed over all proxies that use it. */
+    double pendingEntries(EndpointTable table) {
+        return pendingWrites(table) * context.registry().usersOf(table).size();
     }
 
-    /** Writes what is due to the table, a piece of it at most. */
+    /**
+     * Writes the next piece of the table's sub-update: pending entries, up to the size limit of a piece, and pending
+     * admission ratios.
+     */
     void write(EndpointTable table) {
-        dueHosts(table)
+        hostsToWrite(table)
                 .limit(context.flow().maxPieceEntries(table))
                 .forEach(host -> context.writer().writeEntry(host, table, slowStart.targetWeight(host, table)));
         admission.write(table);
         table.markWritten(context.nowMs());
     }
 
-    /** Whether an ejected host serves again: it is healthy, warm enough, and every table has its due weight. */
+    /**
+     * Whether an ejected host may be restored: it is running, healthy and warm enough, and all tables have its target
+     * weight.
+     */
     boolean mayRestore(Host host) {
         return host.isEjected()
                 && host.isRunning()
                 && !host.health().isUnhealthy()
-                && !storm.holdsBack(host)
-                && context.registry().tables().stream().noneMatch(table -> isDue(host, table))
+                && !stormGuard.holdsBack(host)
+                && context.registry().tables().stream().noneMatch(table -> mustWriteEntry(host, table))
                 && context.flow().mayInterrupt(host);
     }
 }
--- a/src/main/java/linenring/planner/ProxyBinder.java
+++ b/src/main/java/linenring/planner/ProxyBinder.java
@@ -4,20 +4,23 @@
 import java.util.stream.Stream;
 
 /**
- * Binds proxies to tables: the second of the three stages of an update (add the new table, bind, clear the old one). Inputs: the
- * tables that are written, the entries that a bind takes, the room in the channel (entries).
+ * Binds proxies to tables, which is the second of the three stages of an update: add the new table, bind, clear the
+ * old table. Inputs: the written tables, the entries that each bind takes, the free capacity of the channel queue
+ * (entries).
  *
- * <p>A bind replaces all that a proxy held, hosts that drain included, at the cost of one table; ejecting each of those hosts
- * costs more, and the bind comes on top. So newcomers are bound before drains are written, with the priority of drains; moves
- * among this controller's tables are ordinary writes. Binds go to the most asked proxies first: they are all of one size, so that the
- * smallest-first order of sub-updates does not tell them apart. It could do harm where many newcomers come at once: drains wait
- * while a newcomer's bind has no room.
+ * <p>A bind replaces everything that a proxy held, including draining hosts, at the cost of one table. To eject each
+ * of these hosts first costs more, and the bind is needed anyway. So newly joined proxies are bound before drains are
+ * written, at the priority of drains; moves among this controller's tables are ordinary writes.
+ *
+ * <p>Proxies with the highest request rate are bound first: all binds have the same size, so the smallest-first order
+ * of sub-updates does not rank them. The priority has a cost when many proxies join at once: drains wait while a
+ * first bind has no room in the queue.
  */
 final class ProxyBinder {
     private final PlannerContext context;
     private final PartitionDetector partitions;
     private final SubsetAssigner subsets;
-    private boolean newcomersWait;
+    private boolean hasWaitingFirstBind;
 
     ProxyBinder(PlannerContext context, PartitionDetector partitions, SubsetAssigner subsets) {
         this.context = context;
@@ -25,69 +28,70 @@
         this.subsets = subsets;
     }
 
-    /** Whether a newcomer's bind found no room in the channel in the latest round of binds. */
-    boolean newcomersWait() {
-        return newcomersWait;
+    /** Whether the latest round of binds left a newly joined proxy unbound because the channel queue had no room. */
+    boolean hasWaitingFirstBind() {
+        return hasWaitingFirstBind;
     }
 
-    /** Binds proxies that are bound to none of this controller's tables; whether there was one. */
+    /** Binds proxies that are not bound to any of this controller's tables yet; returns whether any proxy was bound. */
     boolean bindNewcomers() {
         return bindAll(true);
     }
 
-    /** Moves proxies that should be on another table; whether there was one. */
+    /** Moves proxies that should be bound to another table; returns whether any proxy was moved. */
     boolean moveBound() {
         return bindAll(false);
     }
 
-    private boolean bindAll(boolean newcomersOnly) {
+    private boolean bindAll(boolean firstBindsOnly) {
         context.statistics().refresh();
-        newcomersWait = false;
-        boolean entriesAreWritten = context.registry().tables().stream()
+        hasWaitingFirstBind = false;
+        boolean areEntriesWritten = context.registry().tables().stream()
                 .allMatch(table -> !table.isEmpty() || table.capacity().admittedWeight() == 0);
         boolean any = false;
-        for (EndpointTable full : entriesAreWritten ? context.registry().fullTables() : List.<EndpointTable>of()) {
-            any |= bindAll(full, newcomersOnly);
+        for (EndpointTable full : areEntriesWritten ? context.registry().fullTables() : List.<EndpointTable>of()) {
+            any |= bindAll(full, firstBindsOnly);
         }
         return any;
     }
 
-    private boolean bindAll(EndpointTable full, boolean newcomersOnly) {
-        List<ProxyState> due = proxiesToBind(full)
-                .filter(proxy -> !newcomersOnly || proxy.boundTo(full.fullTable()) == null)
+    private boolean bindAll(EndpointTable full, boolean firstBindsOnly) {
+        List<ProxyState> proxies = proxiesToBind(full)
+                .filter(proxy -> !firstBindsOnly || proxy.boundTable(full.fullTable()) == null)
                 .toList();
-        List<EndpointTable> subsetTables = due.isEmpty() ? List.of() : subsets.ensureSubsetTables(full, newcomersOnly);
+        List<EndpointTable> subsetTables =
+                proxies.isEmpty() ? List.of() : subsets.ensureSubsetTables(full, firstBindsOnly);
         boolean any = false;
-        for (ProxyState proxy : due) {
-            EndpointTable ofZone = partitions.tableFor(proxy, full);
-            EndpointTable target = ofZone != full ? ofZone : subsets.leastLoaded(subsetTables, full);
+        for (ProxyState proxy : proxies) {
+            EndpointTable zoneTable = partitions.tableFor(proxy, full);
+            EndpointTable target = zoneTable != full ? zoneTable : subsets.leastLoaded(subsetTables, full);
             double entries = context.writer().entriesOfBind(proxy, target, context.operationCount());
-            WritePriority priority = newcomersOnly ? WritePriority.DRAIN : WritePriority.ORDINARY;
-            if (mustMove(proxy, full) && context.flow().mayWrite(List.of(proxy), entries, priority)) {
+            WritePriority priority = firstBindsOnly ? WritePriority.DRAIN : WritePriority.ORDINARY;
+            if (mustBind(proxy, full) && context.flow().mayWrite(List.of(proxy), entries, priority)) {
                 context.writer().bind(proxy, target, entries);
                 any = true;
             } else {
-                newcomersWait |=
-                        newcomersOnly && !context.flow().fits(context.flow().cost(proxy, entries));
+                hasWaitingFirstBind |= firstBindsOnly
+                        && !context.flow().fitsInQueue(context.flow().cost(proxy, entries));
             }
         }
         return any;
     }
 
-    private Stream<ProxyState> proxiesToBind(EndpointTable table) {
-        boolean isReady = context.registry().isFull(table) && !table.isEmpty();
+    private Stream<ProxyState> proxiesToBind(EndpointTable full) {
+        boolean isWritten = context.registry().isFull(full) && !full.isEmpty();
         return context.fleet().joined().stream()
-                .filter(proxy -> isReady && table.servesZone(proxy.zone()) && mustMove(proxy, table));
+                .filter(proxy -> isWritten && full.servesZone(proxy.zone()) && mustBind(proxy, full));
     }
 
-    private boolean mustMove(ProxyState proxy, EndpointTable full) {
-        EndpointTable current = proxy.boundTo(full.fullTable());
+    private boolean mustBind(ProxyState proxy, EndpointTable full) {
+        EndpointTable current = proxy.boundTable(full.fullTable());
         EndpointTable target = partitions.tableFor(proxy, full);
         return current != target && (current == null || target != full || subsets.mustLeave(current));
     }
 
-    /** Entries of the binds of a full table that are not sent yet. */
-    double unsentEntries(EndpointTable table) {
-        return proxiesToBind(table).count() * (1.0 + table.entryCount());
+    /** Number of entries in the pending binds of proxies that need this full table or a table in its place. */
+    double pendingBindEntries(EndpointTable full) {
+        return proxiesToBind(full).count() * (1.0 + full.entryCount());
     }
 }
--- a/src/main/java/linenring/planner/ProxyState.java
+++ b/src/main/java/linenring/planner/ProxyState.java
@@ -3,16 +3,24 @@
 import java.util.ArrayDeque;
 import java.util.Arrays;
 
-/** What the planner knows of one proxy: its tables, its demand and its unacknowledged messages. */
+/**
+ * State of one proxy as known to the planner: the tables it is bound to, its request rate and its unacknowledged
+ * messages.
+ */
 final class ProxyState {
     private final int id;
     private final double[] requestsPerSecond = new double[Integer.SIZE];
-    /** In the order in which they were sent. */
+    /** Messages without an acknowledgement, in the order in which they were sent. */
     private final ArrayDeque<SentMessage> unacknowledged = new ArrayDeque<>();
-    /** When the messages that the message limit counts were sent; the limit counts over a rejoin. */
+    /**
+     * Times at which messages were sent, for the message limit; kept when the proxy rejoins, since the limit spans a
+     * rejoin.
+     */
     private final ArrayDeque<Double> sentTimesMs = new ArrayDeque<>();
 
-    private EndpointTable[] bound = {};
+    /** The bound table in place of each full table; null where this controller has not bound the proxy. */
+    private EndpointTable[] boundTables = {};
+
     private int zone;
     private double usualRequestsPerSecond;
     private double entriesBeingWritten;
@@ -30,36 +38,44 @@
         return zone;
     }
 
-    /** Requests a second in all, as stated when it joined. */
+    /** Total requests per second, as stated by the proxy when it joined. */
     double usualRequestsPerSecond() {
         return usualRequestsPerSecond;
     }
 
-    /** Requests a second of one operation, smoothed over its reports. */
+    /** Requests per second for one operation, smoothed over the proxy's load reports. */
     double requestsPerSecond(int operation) {
         return requestsPerSecond[operation];
     }
 
-    /** Moves the rate of an operation by that part of its difference to the reported rate. */
+    /**
+     * Updates the smoothed request rate of an operation; {@code smoothing} is the weight of the newly reported rate.
+     */
     void smoothRequestRate(int operation, double reportedPerSecond, double smoothing) {
         requestsPerSecond[operation] += smoothing * (reportedPerSecond - requestsPerSecond[operation]);
     }
 
-    /** It has a new stream and is bound to none of this controller's tables yet. */
-    void join(int newZone, double usualRate, int fullTables) {
+    /** Records that the proxy has opened a new stream; this controller has not bound it to any table yet. */
+    void join(int newZone, double usualRate, int fullTableCount) {
         zone = newZone;
         usualRequestsPerSecond = usualRate;
-        bound = new EndpointTable[fullTables];
+        boundTables = new EndpointTable[fullTableCount];
     }
 
-    /** The table that it is bound to in place of this full table, or null for one that this controller did not give it. */
-    EndpointTable boundTo(int fullTable) {
-        return bound[fullTable];
+    /**
+     * Returns the table that the proxy uses in place of the given full table, or null if this controller has not
+     * bound it yet.
+     */
+    EndpointTable boundTable(int fullTable) {
+        return boundTables[fullTable];
     }
 
-    /** Whether it holds a table that this controller did not give it. */
+    /**
+     * Whether the proxy still uses a table that this controller has not bound it to: a default table, or another
+     * controller's.
+     */
     boolean isNewcomer() {
-        return Arrays.asList(bound).contains(null);
+        return Arrays.asList(boundTables).contains(null);
     }
 
     void bind(EndpointTable table) {
@@ -67,21 +83,24 @@
     }
 
     private void bind(int fullTable, EndpointTable table) {
-        if (bound[fullTable] != null) {
-            bound[fullTable].removeUser(this);
+        if (boundTables[fullTable] != null) {
+            boundTables[fullTable].removeBoundProxy(this);
         }
-        bound[fullTable] = table;
+        boundTables[fullTable] = table;
         if (table != null) {
-            table.addUser(this);
+            table.addBoundProxy(this);
         }
     }
 
-    /** Whether a table that it is bound to has an entry for the host; another controller's table, or its default one, may have any host. */
+    /**
+     * Whether the proxy may hold an entry for the host. A default table or a table of another controller may have an
+     * entry for any host.
+     */
     boolean mayHold(Host host) {
-        return Arrays.stream(bound).anyMatch(table -> table == null || table.holds(host));
+        return Arrays.stream(boundTables).anyMatch(table -> table == null || table.holds(host));
     }
 
-    /** Entries of the message that is being written to it. */
+    /** Number of entries in the message that is being written to the proxy. */
     double entriesBeingWritten() {
         return entriesBeingWritten;
     }
@@ -94,7 +113,7 @@
         entriesBeingWritten += entries;
     }
 
-    void sent(SentMessage message) {
+    void recordSent(SentMessage message) {
         unacknowledgedEntries += message.entries();
         unacknowledged.add(message);
         sentTimesMs.add(message.sentAtMs());
@@ -109,12 +128,15 @@
         return unacknowledgedEntries;
     }
 
-    /** When the oldest unacknowledged message was sent; only where there is one. */
+    /** Returns the time at which the oldest unacknowledged message was sent; fails if there is no such message. */
     double oldestUnacknowledgedSentAtMs() {
         return unacknowledged.peek().sentAtMs();
     }
 
-    /** Takes the message with this nonce and all before it as acknowledged; that message, or null if there is none. */
+    /**
+     * Marks the message with this nonce and all earlier messages as acknowledged; returns that message, or null if
+     * the nonce is unknown.
+     */
     SentMessage acknowledge(int nonce) {
         if (unacknowledged.stream().noneMatch(message -> message.nonce() == nonce)) {
             return null;
@@ -123,23 +145,26 @@
         do {
             message = unacknowledged.poll();
             unacknowledgedEntries -= message.entries();
-            message.acknowledge();
+            message.markAcknowledged();
         } while (message.nonce() != nonce);
         return message;
     }
 
-    /** Its stream has ended: nothing that it was sent is acknowledged any more, and its tables are not known. */
+    /**
+     * Records that the proxy's stream has closed: unacknowledged messages are lost, and the tables that the proxy
+     * holds are no longer known.
+     */
     void disconnect() {
-        unacknowledged.forEach(SentMessage::lose);
+        unacknowledged.forEach(SentMessage::markLost);
         unacknowledged.clear();
-        for (int i = 0; i < bound.length; i++) {
+        for (int i = 0; i < boundTables.length; i++) {
             bind(i, null);
         }
         entriesBeingWritten = 0;
         unacknowledgedEntries = 0;
     }
 
-    /** How many messages it was sent after that time; asked with times that do not go back. */
+    /** Number of messages sent to the proxy after the given time; later calls must not pass an earlier time. */
     int messagesSentSince(double timeMs) {
         sentTimesMs.removeIf(sentAtMs -> sentAtMs <= timeMs);
         return sentTimesMs.size();
--- a/src/main/java/linenring/planner/SentMessage.java
+++ b/src/main/java/linenring/planner/SentMessage.java
@@ -1,11 +1,11 @@
 package linenring.planner;
 
-/** One message to one proxy, from when it was sent until the channel has carried it. Times are on the planner's clock. */
+/** One message to one proxy, from its dispatch until it has left the channel. Times are on the planner's clock. */
 final class SentMessage {
     private final int nonce;
     private final double sentAtMs;
     private final double entries;
-    private final double leavesByMs;
+    private final double expectedDepartureMs;
     private double slowdown = 1;
     private boolean acknowledged;
     private boolean lost;
@@ -14,7 +14,7 @@
         this.nonce = nonce;
         this.sentAtMs = sentAtMs;
         this.entries = entries;
-        this.leavesByMs = leavesByMs;
+        this.expectedDepartureMs = leavesByMs;
     }
 
     int nonce() {
@@ -25,28 +25,31 @@
         return sentAtMs;
     }
 
-    /** What it takes of the channel, the cost of the message itself included. */
+    /** Number of entries that the message takes of the channel, including its message overhead. */
     double entries() {
         return entries;
     }
 
-    /** When it has left the channel if that keeps its stated rate. */
-    double leavesByMs() {
-        return leavesByMs;
+    /** Time by which the message has left the channel queue at the channel's stated rate. */
+    double expectedDepartureMs() {
+        return expectedDepartureMs;
     }
 
-    /** How long it waits for the channel at the pace that acknowledgements have shown since. */
-    double observedWaitMs() {
-        return slowdown * (leavesByMs - sentAtMs);
+    /**
+     * Estimated time that the message spends in the channel queue, at the rate that later acknowledgements have
+     * shown.
+     */
+    double estimatedQueueDelayMs() {
+        return slowdown * (expectedDepartureMs - sentAtMs);
     }
 
-    /** An acknowledgement shows that the channel was slower than stated by this factor. */
-    void slowedBy(double factor) {
+    /** Sets the factor by which the channel is slower than its stated rate, as measured by an acknowledgement. */
+    void setSlowdown(double factor) {
         slowdown = factor;
     }
 
-    /** Its acknowledgement, or that of a later message to the same proxy, has come. */
-    void acknowledge() {
+    /** Marks the message as acknowledged, by its own nonce or by that of a later message to the same proxy. */
+    void markAcknowledged() {
         acknowledged = true;
     }
 
@@ -54,8 +57,8 @@
         return acknowledged;
     }
 
-    /** Its stream has ended: no acknowledgement can come. */
-    void lose() {
+    /** Marks the message as lost: its stream has closed, so no acknowledgement can arrive. */
+    void markLost() {
         lost = true;
     }
 
--- a/src/main/java/linenring/planner/TableCapacity.java
+++ b/src/main/java/linenring/planner/TableCapacity.java
@@ -1,16 +1,17 @@
 package linenring.planner;
 
 /**
- * Capacity and expected demand of one table, as of the last refresh of the {@link FleetStatistics}.
+ * Capacity and expected request rate of one endpoint table, as of the last refresh of {@link FleetStatistics}.
  *
- * @param requestsPerSecond usual requests a second of all proxies that it may serve
- * @param listedWeight weight of its running hosts
- * @param admittedWeight weight of those that are not ejected
- * @param warmWeight weight of those that are warm, too
- * @param ableWeight weight of those that are not ejected, a cold one by the least that it can do
+ * @param requestsPerSecond usual requests per second of all proxies that the table may serve
+ * @param listedWeight total weight of the table's running hosts
+ * @param admittedWeight total weight of the running hosts that are not ejected
+ * @param warmWeight total weight of the running hosts that are warm and not ejected
+ * @param ableWeight total weight of the running hosts that are not ejected, with each cold host scaled down
+ *     to its guaranteed capacity
  */
 record TableCapacity(
         double requestsPerSecond, double listedWeight, double admittedWeight, double warmWeight, double ableWeight) {
-    /** Of a table that no refresh has seen yet. */
+    /** Capacity of a new table, before the first refresh. */
     static final TableCapacity NONE = new TableCapacity(0, 0, 0, 0, 0);
 }
--- a/src/main/java/linenring/planner/TableRegistry.java
+++ b/src/main/java/linenring/planner/TableRegistry.java
@@ -6,17 +6,20 @@
 import java.util.List;
 import linenring.planner.PlannerSettings.Operation;
 
-/** The shared tables, their numbers at the proxies, and who uses them. The full tables come before all others. */
+/**
+ * Registry of the shared endpoint tables, with their numbers at the proxies. Full tables are listed before all other
+ * tables.
+ */
 final class TableRegistry {
-    /** Numbers are 16 bits on the wire, and 0 and 65,535 have meanings of their own there. */
-    private static final int LAST_NUMBER = 65_534;
+    /** Highest table number: numbers have 16 bits on the wire, where 0 and 65,535 are reserved. */
+    private static final int MAX_TABLE_NUMBER = 65_534;
 
     private final List<EndpointTable> tables = new ArrayList<>();
     private final Fleet fleet;
     private final List<Operation> allOperations;
     private final boolean sharded;
-    private int lastNumber;
-    private int fullTables;
+    private int lastTableNumber;
+    private int fullTableCount;
 
     TableRegistry(Fleet fleet, List<Operation> allOperations, boolean sharded) {
         this.fleet = fleet;
@@ -24,13 +27,18 @@
         this.sharded = sharded;
     }
 
-    /** A full table for each set of operations open to the same hosts, in each zone where they are confined to it. */
+    /**
+     * Adds a full table for each group of operations that may run on the same hosts; one in each zone if the group is
+     * confined to the home zone.
+     */
     void addFullTables(PlannerSettings settings) {
         for (int i = 0; i < allOperations.size() && !sharded; i++) {
-            int alike = settings.operationsOpenToSameHosts(i);
-            boolean isFirstOfItsSet = Integer.numberOfTrailingZeros(alike) == i;
-            if (isFirstOfItsSet) {
-                addFullTables(Integer.bitCount(alike) == allOperations.size() ? 0 : alike, allOperations.get(i));
+            int sameHostsMask = settings.operationsOpenToSameHosts(i);
+            boolean isFirstOfMask = Integer.numberOfTrailingZeros(sameHostsMask) == i;
+            if (isFirstOfMask) {
+                addFullTables(
+                        Integer.bitCount(sameHostsMask) == allOperations.size() ? 0 : sameHostsMask,
+                        allOperations.get(i));
             }
         }
     }
@@ -46,20 +54,23 @@
     }
 
     EndpointTable addFullTable(int operations, int homeZone) {
-        fullTables++;
-        return add(nextNumber(), operations, homeZone, tables.size());
+        fullTableCount++;
+        return add(nextTableNumber(), operations, homeZone, tables.size());
     }
 
-    /** The table in place of a full one for proxies of one zone, with the hosts of that zone. */
+    /**
+     * Adds the table that replaces a full table for the proxies of one zone and holds the hosts of that zone, unless
+     * it exists.
+     */
     void ensureZoneTable(EndpointTable full, int zone) {
         boolean exists =
                 tables.stream().anyMatch(table -> table.fullTable() == full.fullTable() && table.homeZone() == zone);
         if (!exists) {
-            add(nextNumber(), full.operations(), zone, full.fullTable());
+            add(nextTableNumber(), full.operations(), zone, full.fullTable());
         }
     }
 
-    /** The table in place of a full one with these subsets, or null. */
+    /** Returns the table that replaces a full table and holds the given subsets, or null if there is none. */
     EndpointTable findSubsetTable(EndpointTable full, int firstSubset, int subsetCount) {
         for (EndpointTable table : tables) {
             if (table.fullTable() == full.fullTable()
@@ -73,9 +84,9 @@
 
     EndpointTable addSubsetTable(EndpointTable full, int firstSubset, int subsetCount) {
         EndpointTable table = new EndpointTable(
-                nextNumber(),
+                nextTableNumber(),
                 full.operations(),
-                anyOf(full.operations()),
+                representativeOperation(full.operations()),
                 full.homeZone(),
                 full.fullTable(),
                 firstSubset,
@@ -86,7 +97,7 @@
         return table;
     }
 
-    /** The table of a shard, which has one for all operations. */
+    /** Returns the table of a shard, which applies to all operations; adds the table if it does not exist. */
     EndpointTable ofShard(int number) {
         for (EndpointTable table : tables) {
             if (table.number() == number) {
@@ -96,52 +107,62 @@
         return add(number, 0, EndpointTable.ALL_ZONES, tables.size());
     }
 
-    private int nextNumber() {
-        lastNumber = lastNumber % LAST_NUMBER + 1;
-        return lastNumber;
+    private int nextTableNumber() {
+        lastTableNumber = lastTableNumber % MAX_TABLE_NUMBER + 1;
+        return lastTableNumber;
     }
 
     private EndpointTable add(int number, int operations, int homeZone, int fullTable) {
         EndpointTable table = new EndpointTable(
-                number, operations, anyOf(operations), homeZone, fullTable, Host.WITHOUT_SUBSET, 0, fleet.hosts());
+                number,
+                operations,
+                representativeOperation(operations),
+                homeZone,
+                fullTable,
+                Host.WITHOUT_SUBSET,
+                0,
+                fleet.hosts());
         tables.add(table);
         return table;
     }
 
-    /** One of the operations in the mask; all are open to the same hosts. */
-    private Operation anyOf(int mask) {
+    /**
+     * Returns one of the operations in the mask; the choice does not matter, since all of them may run on the same
+     * hosts.
+     */
+    private Operation representativeOperation(int mask) {
         return allOperations.get(Integer.numberOfTrailingZeros(mask) % allOperations.size());
     }
 
-    /** Whether keys are split over shards, each with a table of its own that has one entry. */
+    /** Whether keys are split over shards. Each shard has a table of its own with a single entry. */
     boolean isSharded() {
         return sharded;
     }
 
-    /** All tables, the full ones first; a live view. */
+    /** Returns an unmodifiable view of all tables, full tables first. */
     List<EndpointTable> tables() {
         return Collections.unmodifiableList(tables);
     }
 
-    /** The full tables; a copy, so that tables may be added meanwhile. */
+    /** Returns a copy of the list of full tables, so that callers may add tables while they iterate. */
     List<EndpointTable> fullTables() {
-        return List.copyOf(tables.subList(0, fullTables));
+        return List.copyOf(tables.subList(0, fullTableCount));
     }
 
     int fullTableCount() {
-        return fullTables;
+        return fullTableCount;
     }
 
-    /** The full table that this one stands for. */
+    /** Returns the full table that the given table replaces, or the table itself if it is a full table. */
     EndpointTable fullTableOf(EndpointTable table) {
         return tables.get(table.fullTable());
     }
 
     boolean isFull(EndpointTable table) {
-        return table.fullTable() < fullTables && fullTableOf(table) == table;
+        return table.fullTable() < fullTableCount && fullTableOf(table) == table;
     }
 
-    /** Whether requests may go by it, now or with the next proxy that joins. */
+    /** Whether proxies use the table now, or may be bound to it when they join. */
     boolean isInUse(EndpointTable table) {
         return sharded || isFull(table) || !table.users().isEmpty();
     }
@@ -150,7 +171,7 @@
         tables.removeAll(unused);
     }
 
-    /** Takes a host that is forgotten out of the members of all tables. */
+    /** Removes a host from the members of all tables that hold subsets of the fleet. */
     void forget(Host host) {
         for (EndpointTable table : tables) {
             if (table.isOfSubsets()) {
@@ -159,22 +180,22 @@
         }
     }
 
-    /** The tables that have an entry for the host. */
+    /** Returns the tables that have an entry for the host. */
     List<EndpointTable> holding(Host host) {
         return tables.stream().filter(table -> table.holds(host)).toList();
     }
 
-    /** The proxies that get what is written to the table. */
+    /** Returns the proxies that receive the writes to the table. */
     Collection<ProxyState> usersOf(EndpointTable table) {
         return sharded ? fleet.joined() : table.users();
     }
 
-    /** Whether requests of the proxy may go to the host: one that is not bound yet may hold any. */
+    /** Whether the proxy may send requests to the host. A proxy that is not bound yet may hold any host. */
     boolean mayHold(ProxyState proxy, Host host) {
         return sharded || proxy.mayHold(host);
     }
 
-    /** The proxies that may hold the host, and so get a message about it. */
+    /** Returns the proxies that may hold the host, and therefore receive messages about it. */
     List<ProxyState> holdersOf(Host host) {
         return fleet.joined().stream().filter(proxy -> mayHold(proxy, host)).toList();
     }
--- a/src/main/java/linenring/planner/TableWriter.java
+++ b/src/main/java/linenring/planner/TableWriter.java
@@ -3,8 +3,8 @@
 import linenring.planner.Commands.RetryPolicy;
 
 /**
- * Writes to tables: the only class that issues table commands. Each write changes the table as last written, accounts for what
- * it takes of the channel at each proxy that gets it, and marks the statistics stale where it changes who serves.
+ * Issues all table commands. Each write updates the last written state of the table, reserves channel capacity for
+ * each proxy that receives the write, and marks the fleet statistics stale if the set of serving hosts changes.
  */
 final class TableWriter {
     private final Commands commands;
@@ -26,7 +26,7 @@
         this.time = time;
     }
 
-    /** Sets the weight of a host in a table if it is another; 0 removes the entry. */
+    /** Writes a host's weight to a table unless the table has this weight already; 0 removes the entry. */
     void writeEntry(Host host, EndpointTable table, double weight) {
         if (weight != table.weight(host)) {
             commands.setWeight(table.number(), host.id(), weight);
@@ -35,17 +35,17 @@
         }
     }
 
-    /** Entries that one for this host takes at the proxy beyond itself. */
+    /** Number of entries that a table entry of this host takes at the proxy in addition to itself. */
     int extraEntries(Host host, ProxyState proxy) {
         return commands.extraEntriesOfWeight(host.id(), proxy.id());
     }
 
-    /** Stops requests to the host at all proxies that may hold it. */
+    /** Ejects the host at all proxies that may hold it, which stops their requests to the host. */
     void eject(Host host) {
         setEjected(host, true);
     }
 
-    /** Lets requests go to the host again. */
+    /** Ends the ejection of the host, so that proxies send requests to it again. */
     void restore(Host host) {
         setEjected(host, false);
     }
@@ -58,12 +58,16 @@
         registry.holding(host).forEach(table -> table.markWritten(time.nowMs()));
     }
 
-    /** Entries that binding the proxy to the table takes. */
-    double entriesOfBind(ProxyState proxy, EndpointTable table, int operations) {
-        long ejected = table.members().stream()
+    /** Number of entries that it takes to bind the proxy to the table. */
+    double entriesOfBind(ProxyState proxy, EndpointTable table, int operationCount) {
+        long ejectedHosts = table.members().stream()
                 .filter(host -> host.isEjected() && table.holds(host))
                 .count();
-        return 1 + table.entryCount() + operations + commands.extraEntriesOfBind(table.number(), proxy.id()) + ejected;
+        return 1
+                + table.entryCount()
+                + operationCount
+                + commands.extraEntriesOfBind(table.number(), proxy.id())
+                + ejectedHosts;
     }
 
     void bind(ProxyState proxy, EndpointTable table, double entries) {
@@ -72,14 +76,14 @@
         flow.reserve(proxy, entries);
     }
 
-    /** Clears a table that nobody is bound to. */
+    /** Clears a table to which no proxy is bound. */
     void clear(EndpointTable table) {
         commands.clearTable(table.number());
     }
 
-    /** Sets the admission of one operation, in the unit that the settings name. */
-    void writeAdmission(EndpointTable table, int operation, double admission, RetryPolicy retryPolicy) {
-        commands.setAdmission(table.number(), 1 << operation, admission, retryPolicy);
+    /** Sets the admission ratio of one operation, in the unit that the settings specify, and its retry policy. */
+    void writeAdmission(EndpointTable table, int operation, double admissionRatio, RetryPolicy retryPolicy) {
+        commands.setAdmission(table.number(), 1 << operation, admissionRatio, retryPolicy);
         registry.usersOf(table).forEach(proxy -> flow.reserve(proxy, 1));
     }
 }
--- a/src/main/java/linenring/planner/TickTimer.java
+++ b/src/main/java/linenring/planner/TickTimer.java
@@ -1,41 +1,43 @@
 package linenring.planner;
 
 /**
- * When the planner is to be called though nothing arrives: at the first tick of a fixed pace by which something is due, and not
- * at all while nothing is. Ticks that are passed over count on, so a call comes when it would have come with a call at each.
- * Times are milliseconds.
+ * Computes when the planner must be called if no input arrives: at the first tick of a fixed interval by which a
+ * decision is due, and not at all while none is due. Skipped ticks stay on the same grid, so that a call happens at
+ * the time at which it would have happened with a call at every tick. Times are milliseconds.
  */
 final class TickTimer {
-    /** Whoever calls may round times to whole milliseconds. */
+    /** Tolerance of call times, since callers may round times to whole milliseconds. */
     private static final double ROUNDING_MS = 1;
 
     private final double tickMs;
-    private double lastTick;
-    private double askedFor = Double.NEGATIVE_INFINITY;
+    private double lastTickMs;
+    private double requestedCallMs = Double.NEGATIVE_INFINITY;
 
     TickTimer(double tickMs) {
         this.tickMs = tickMs;
     }
 
-    /** The last tick up to now, one that was passed over included. */
-    double lastTickBy(double now) {
-        return lastTickBy(now, 0);
+    /** Returns the time of the last tick up to the given time, including skipped ticks. */
+    double lastTickBy(double nowMs) {
+        return lastTickBy(nowMs, 0);
     }
 
-    private double lastTickBy(double now, double tolerance) {
-        if (now + ROUNDING_MS >= askedFor) {
-            return now;
+    private double lastTickBy(double nowMs, double toleranceMs) {
+        if (nowMs + ROUNDING_MS >= requestedCallMs) {
+            return nowMs;
         }
-        double passed = tickMs * Math.floor((now + tolerance - lastTick) / tickMs);
-        return Math.min(now, lastTick + passed);
+        double elapsedTicksMs = tickMs * Math.floor((nowMs + toleranceMs - lastTickMs) / tickMs);
+        return Math.min(nowMs, lastTickMs + elapsedTicksMs);
     }
 
-    /** The time of a call that is to be asked for; infinity if that is done already, or nothing is due. */
-    double ask(double now, double due) {
-        lastTick = lastTickBy(now, ROUNDING_MS);
-        double next = lastTick + tickMs * Math.max(1, Math.ceil((due - lastTick) / tickMs));
-        boolean isAsked = next == askedFor;
-        askedFor = next;
-        return isAsked ? Double.POSITIVE_INFINITY : next;
+    /**
+     * Returns the time of the next call to request; infinity if this call is requested already or no decision is due.
+     */
+    double ask(double nowMs, double dueMs) {
+        lastTickMs = lastTickBy(nowMs, ROUNDING_MS);
+        double nextCallMs = lastTickMs + tickMs * Math.max(1, Math.ceil((dueMs - lastTickMs) / tickMs));
+        boolean isRequested = nextCallMs == requestedCallMs;
+        requestedCallMs = nextCallMs;
+        return isRequested ? Double.POSITIVE_INFINITY : nextCallMs;
     }
 }
--- a/src/main/java/linenring/planner/UpdateScheduler.java
+++ b/src/main/java/linenring/planner/UpdateScheduler.java
@@ -5,17 +5,21 @@
 import java.util.List;
 
 /**
- * Sends sub-updates by ESPRES. All pending changes of one shared table are one sub-update; the smallest goes first, as a batch,
- * once all its proxies have room in their windows of unacknowledged messages. Inputs: pending changes (entries, and entries times
- * proxies), round trip (ms), the windows and queue of {@link FlowControl}.
+ * Schedules sub-updates by ESPRES (see docs/design.md). All pending changes of one shared table form one sub-update.
+ * The smallest sub-update is sent first, to all proxies of the table at once, when all of them have room in their
+ * windows of unacknowledged messages. Inputs: pending changes (entries, and entries times proxies), round-trip time
+ * (ms), the windows and the queue estimate of {@link FlowControl}.
  *
- * <p>The depth rule: where binds would be the last to finish, a table's other entries wait for them, since proxies bound to
- * none of this controller's tables hold old ones. A large sub-update goes in pieces, as a whole one would never find room.
+ * <p>The depth rule of ESPRES: where binds would finish last, the other entries of the table wait for the binds,
+ * since proxies that are not bound to any of this controller's tables hold outdated tables. A large sub-update is
+ * split into pieces, since the complete sub-update would never find room in the queue.
  */
 final class UpdateScheduler {
-    /** The margin of ESPRES (see docs/design.md) in the comparison of what finishes last. */
+    /**
+     * Margin by which the depth rule of ESPRES (see docs/design.md) favours binds when it compares remaining entries.
+     */
     private static final double DEPTH_RULE_MARGIN = 1.05;
-    /** A bind has depth 2: another step, the clearing of the old table, comes after it. */
+    /** Number of steps from a bind to the end of its update: the bind, and the clearing of the old table. */
     private static final int BIND_DEPTH = 2;
 
     private final PlannerContext context;
@@ -30,13 +34,15 @@
         this.binder = binder;
     }
 
-    /** Sends the smallest sub-update that may go; whether there was one. */
+    /** Sends the smallest sub-update that may be sent now; returns whether one was sent. */
     boolean sendSubUpdate() {
         double gapMs = Math.max(context.flow().roundTripMs(), context.flow().messageGapMs());
         EndpointTable smallest = context.registry().tables().stream()
-                .filter(table -> table.isEmpty() || context.flow().isGapOver(table, gapMs) || admission.isCutDue(table))
-                .filter(table -> changes.count(table) > 0 && !onlyBinds(table) && allHaveRoom(table))
-                .min(Comparator.comparingDouble(changes::unsentEntries))
+                .filter(table -> table.isEmpty()
+                        || context.flow().hasMessageGapElapsed(table, gapMs)
+                        || admission.isCutDue(table))
+                .filter(table -> changes.pendingWrites(table) > 0 && !mustWaitForBinds(table) && fitsAllProxies(table))
+                .min(Comparator.comparingDouble(changes::pendingEntries))
                 .orElse(null);
         if (smallest != null) {
             changes.write(smallest);
@@ -44,40 +50,44 @@
         return smallest != null;
     }
 
-    /** The depth rule: whether the table gets binds alone. */
-    private boolean onlyBinds(EndpointTable table) {
-        double binds = context.registry().isFull(table) ? binder.unsentEntries(table) : 0;
-        if (binds == 0) {
+    /** Whether the table's entries must wait for pending binds, by the depth rule. */
+    private boolean mustWaitForBinds(EndpointTable table) {
+        double bindEntries = context.registry().isFull(table) ? binder.pendingBindEntries(table) : 0;
+        if (bindEntries == 0) {
             return false;
         }
-        double longest = context.registry().fullTables().stream()
-                .mapToDouble(full -> changes.unsentEntries(full) + binder.unsentEntries(full))
+        double maxPendingEntries = context.registry().fullTables().stream()
+                .mapToDouble(full -> changes.pendingEntries(full) + binder.pendingBindEntries(full))
                 .max()
                 .orElse(0);
         double stepEntries = BIND_DEPTH
                 * context.flow().roundTripMs()
                 * context.settings().channel().entriesPerMs();
-        return (stepEntries + binds) * DEPTH_RULE_MARGIN > longest;
+        return (stepEntries + bindEntries) * DEPTH_RULE_MARGIN > maxPendingEntries;
     }
 
-    /** Whether the next piece fits everywhere, with what it brings along at proxies that other controllers had before. */
-    private boolean allHaveRoom(EndpointTable table) {
-        Collection<ProxyState> users = context.registry().usersOf(table);
+    /**
+     * Whether the next piece of the table's sub-update fits into the queue and into the windows of all proxies. The
+     * size includes the extra entries for proxies that other controllers were in charge of before.
+     */
+    private boolean fitsAllProxies(EndpointTable table) {
+        Collection<ProxyState> proxies = context.registry().usersOf(table);
         List<Host> piece = changes.nextPiece(table);
-        int extra = users.stream()
+        int maxExtraEntries = proxies.stream()
                 .mapToInt(proxy -> piece.stream()
                         .mapToInt(host -> context.writer().extraEntries(host, proxy))
                         .sum())
                 .max()
                 .orElse(0);
-        double entries = Math.min(changes.count(table), context.flow().maxPieceEntries(table)) + extra;
-        return context.flow().mayWrite(users, entries, WritePriority.ORDINARY)
-                && users.stream().allMatch(proxy -> context.flow().hasRoomInWindow(proxy, entries, table));
+        double entries =
+                Math.min(changes.pendingWrites(table), context.flow().maxPieceEntries(table)) + maxExtraEntries;
+        return context.flow().mayWrite(proxies, entries, WritePriority.ORDINARY)
+                && proxies.stream().allMatch(proxy -> context.flow().hasRoomInWindow(proxy, entries, table));
     }
 
-    /** Whether anything is left to send. */
+    /** Whether any sub-update or bind is pending. */
     boolean isAnythingPending() {
         return context.registry().tables().stream()
-                .anyMatch(table -> changes.count(table) > 0 || binder.unsentEntries(table) > 0);
+                .anyMatch(table -> changes.pendingWrites(table) > 0 || binder.pendingBindEntries(table) > 0);
     }
 }
--- a/src/main/java/linenring/planner/WritePriority.java
+++ b/src/main/java/linenring/planner/WritePriority.java
@@ -1,28 +1,31 @@
 package linenring.planner;
 
-/** How urgent a write is: how much of the channel's queue and of a proxy's message limit it may fill. */
+/**
+ * Priority of a write: limits the share of the channel's queue and of a proxy's message limit that the write may use.
+ */
 enum WritePriority {
-    /** Sub-updates and moves. Half of the queue stays free for drains; for the second value no reason is recorded. */
+    /** Sub-updates and moves of proxies between tables. Half of the queue is reserved for drains. */
     ORDINARY(0.5, 0.7),
-    /** Ejections, restores and cut weights. What is left is for drains; no reason is recorded for the value. */
+    /** Ejections, restores and weight reductions. The remaining capacity is reserved for drains. */
     URGENT(0.85, 0.85),
-    /** Drains and binds of newcomers, which must go before the host stops. */
+    /** Drains and the first binds of newly joined proxies, which must be delivered before the draining host stops. */
     DRAIN(1, 1);
 
-    private final double queueShare;
-    private final double messageShare;
+    private final double maxQueueShare;
+    private final double maxMessageShare;
 
     WritePriority(double queueShare, double messageShare) {
-        this.queueShare = queueShare;
-        this.messageShare = messageShare;
+        this.maxQueueShare = queueShare;
+        this.maxMessageShare = messageShare;
     }
 
-    double queueShare() {
-        return queueShare;
+    /** Share of the channel's queue limit up to which writes of this priority are allowed. */
+    double maxQueueShare() {
+        return maxQueueShare;
     }
 
-    /** Share of the messages that one proxy may be sent. */
-    double messageShare() {
-        return messageShare;
+    /** Share of a proxy's message limit up to which writes of this priority are allowed. */
+    double maxMessageShare() {
+        return maxMessageShare;
     }
 }
