--- a/src/main/java/linenring/planner/Commands.java
+++ b/src/main/java/linenring/planner/Commands.java
@@ -67,7 +67,7 @@
         ONE_IF_NOT_EXECUTED,
         /** One retry after any failed attempt. */
         ONE,
-        /** Two retries after failed attempts. */
+        /** Up to two retries after any failed attempt. */
         TWO
     }
 }
--- a/src/main/java/linenring/planner/DrainScheduler.java
+++ b/src/main/java/linenring/planner/DrainScheduler.java
@@ -44,13 +44,13 @@
 
     /** Ejects draining hosts, as many as the channel queue has room for; returns whether any host was ejected. */
     boolean drain() {
-        List<Host> draining =
+        List<Host> drainingHosts =
                 context.fleet().hosts().stream().filter(Host::mustDrain).toList();
         List<ProxyState> affectedProxies = context.fleet().joined().stream()
-                .filter(proxy -> draining.stream().anyMatch(host -> mayHold(proxy, host)))
+                .filter(proxy -> drainingHosts.stream().anyMatch(host -> mayHold(proxy, host)))
                 .toList();
-        boolean mustWaitForRoom = !draining.isEmpty()
-                && (mustWaitForQueue(draining, affectedProxies)
+        boolean mustWaitForRoom = !drainingHosts.isEmpty()
+                && (mustWaitForQueue(drainingHosts, affectedProxies)
                         || !context.flow().mayWrite(affectedProxies, 0, WritePriority.DRAIN));
         context.flow().holdWritesForDrains(mustWaitForRoom);
         return !mustWaitForRoom
@@ -63,11 +63,11 @@
         context.writer().eject(host);
     }
 
-    private boolean mustWaitForQueue(List<Host> draining, List<ProxyState> affectedProxies) {
+    private boolean mustWaitForQueue(List<Host> drainingHosts, List<ProxyState> affectedProxies) {
         double requiredEntries = 0;
         for (ProxyState proxy : affectedProxies) {
             long hostCount =
-                    draining.stream().filter(host -> mayHold(proxy, host)).count();
+                    drainingHosts.stream().filter(host -> mayHold(proxy, host)).count();
             requiredEntries += context.flow().cost(proxy, (double) hostCount);
         }
         double capacity = context.settings().channel().maxQueuedEntries();
--- a/src/main/java/linenring/planner/ProxyBinder.java
+++ b/src/main/java/linenring/planner/ProxyBinder.java
@@ -49,26 +49,27 @@
         boolean areEntriesWritten = context.registry().tables().stream()
                 .allMatch(table -> !table.isEmpty() || table.capacity().admittedWeight() == 0);
         boolean any = false;
-        for (EndpointTable full : areEntriesWritten ? context.registry().fullTables() : List.<EndpointTable>of()) {
-            any |= bindAll(full, firstBindsOnly);
+        for (EndpointTable fullTable : areEntriesWritten ? context.registry().fullTables() : List.<EndpointTable>of()) {
+            any |= bindAll(fullTable, firstBindsOnly);
         }
         return any;
     }
 
-    private boolean bindAll(EndpointTable full, boolean firstBindsOnly) {
-        List<ProxyState> proxies = proxiesToBind(full)
-                .filter(proxy -> !firstBindsOnly || proxy.boundTable(full.fullTable()) == null)
+    private boolean bindAll(EndpointTable fullTable, boolean firstBindsOnly) {
+        List<ProxyState> proxies = proxiesToBind(fullTable)
+                .filter(proxy -> !firstBindsOnly || proxy.boundTable(fullTable.fullTable()) == null)
                 .toList();
         List<EndpointTable> subsetTables =
-                proxies.isEmpty() ? List.of() : subsets.ensureSubsetTables(full, firstBindsOnly);
+                proxies.isEmpty() ? List.of() : subsets.ensureSubsetTables(fullTable, firstBindsOnly);
         boolean any = false;
         for (ProxyState proxy : proxies) {
-            EndpointTable zoneTable = partitions.tableFor(proxy, full);
-            EndpointTable target = zoneTable != full ? zoneTable : subsets.leastLoaded(subsetTables, full);
-            double entries = context.writer().entriesOfBind(proxy, target, context.operationCount());
+            EndpointTable zoneTable = partitions.tableFor(proxy, fullTable);
+            EndpointTable targetTable =
+                    zoneTable != fullTable ? zoneTable : subsets.leastLoaded(subsetTables, fullTable);
+            double entries = context.writer().entriesOfBind(proxy, targetTable, context.operationCount());
             WritePriority priority = firstBindsOnly ? WritePriority.DRAIN : WritePriority.ORDINARY;
-            if (mustBind(proxy, full) && context.flow().mayWrite(List.of(proxy), entries, priority)) {
-                context.writer().bind(proxy, target, entries);
+            if (mustBind(proxy, fullTable) && context.flow().mayWrite(List.of(proxy), entries, priority)) {
+                context.writer().bind(proxy, targetTable, entries);
                 any = true;
             } else {
                 hasWaitingFirstBind |= firstBindsOnly
@@ -78,20 +79,21 @@
         return any;
     }
 
-    private Stream<ProxyState> proxiesToBind(EndpointTable full) {
-        boolean isWritten = context.registry().isFull(full) && !full.isEmpty();
+    private Stream<ProxyState> proxiesToBind(EndpointTable fullTable) {
+        boolean isWritten = context.registry().isFull(fullTable) && !fullTable.isEmpty();
         return context.fleet().joined().stream()
-                .filter(proxy -> isWritten && full.servesZone(proxy.zone()) && mustBind(proxy, full));
+                .filter(proxy -> isWritten && fullTable.servesZone(proxy.zone()) && mustBind(proxy, fullTable));
     }
 
-    private boolean mustBind(ProxyState proxy, EndpointTable full) {
-        EndpointTable current = proxy.boundTable(full.fullTable());
-        EndpointTable target = partitions.tableFor(proxy, full);
-        return current != target && (current == null || target != full || subsets.mustLeave(current));
+    private boolean mustBind(ProxyState proxy, EndpointTable fullTable) {
+        EndpointTable currentTable = proxy.boundTable(fullTable.fullTable());
+        EndpointTable targetTable = partitions.tableFor(proxy, fullTable);
+        return currentTable != targetTable
+                && (currentTable == null || targetTable != fullTable || subsets.mustLeave(currentTable));
     }
 
     /** Number of entries in the pending binds of proxies that need this full table or a table in its place. */
-    double pendingBindEntries(EndpointTable full) {
-        return proxiesToBind(full).count() * (1.0 + full.entryCount());
+    double pendingBindEntries(EndpointTable fullTable) {
+        return proxiesToBind(fullTable).count() * (1.0 + fullTable.entryCount());
     }
 }
--- a/src/main/java/linenring/planner/ProxyState.java
+++ b/src/main/java/linenring/planner/ProxyState.java
@@ -66,8 +66,8 @@
      * Returns the table that the proxy uses in place of the given full table, or null if this controller has not
      * bound it yet.
      */
-    EndpointTable boundTable(int fullTable) {
-        return boundTables[fullTable];
+    EndpointTable boundTable(int fullTableIndex) {
+        return boundTables[fullTableIndex];
     }
 
     /**
@@ -82,11 +82,11 @@
         bind(table.fullTable(), table);
     }
 
-    private void bind(int fullTable, EndpointTable table) {
-        if (boundTables[fullTable] != null) {
-            boundTables[fullTable].removeBoundProxy(this);
+    private void bind(int fullTableIndex, EndpointTable table) {
+        if (boundTables[fullTableIndex] != null) {
+            boundTables[fullTableIndex].removeBoundProxy(this);
         }
-        boundTables[fullTable] = table;
+        boundTables[fullTableIndex] = table;
         if (table != null) {
             table.addBoundProxy(this);
         }
--- a/src/main/java/linenring/planner/TableRegistry.java
+++ b/src/main/java/linenring/planner/TableRegistry.java
@@ -62,18 +62,18 @@
      * Adds the table that replaces a full table for the proxies of one zone and holds the hosts of that zone, unless
      * it exists.
      */
-    void ensureZoneTable(EndpointTable full, int zone) {
-        boolean exists =
-                tables.stream().anyMatch(table -> table.fullTable() == full.fullTable() && table.homeZone() == zone);
+    void ensureZoneTable(EndpointTable fullTable, int zone) {
+        boolean exists = tables.stream()
+                .anyMatch(table -> table.fullTable() == fullTable.fullTable() && table.homeZone() == zone);
         if (!exists) {
-            add(nextTableNumber(), full.operations(), zone, full.fullTable());
+            add(nextTableNumber(), fullTable.operations(), zone, fullTable.fullTable());
         }
     }
 
     /** Returns the table that replaces a full table and holds the given subsets, or null if there is none. */
-    EndpointTable findSubsetTable(EndpointTable full, int firstSubset, int subsetCount) {
+    EndpointTable findSubsetTable(EndpointTable fullTable, int firstSubset, int subsetCount) {
         for (EndpointTable table : tables) {
-            if (table.fullTable() == full.fullTable()
+            if (table.fullTable() == fullTable.fullTable()
                     && table.firstSubset() == firstSubset
                     && table.subsetCount() == subsetCount) {
                 return table;
@@ -82,13 +82,13 @@
         return null;
     }
 
-    EndpointTable addSubsetTable(EndpointTable full, int firstSubset, int subsetCount) {
+    EndpointTable addSubsetTable(EndpointTable fullTable, int firstSubset, int subsetCount) {
         EndpointTable table = new EndpointTable(
                 nextTableNumber(),
-                full.operations(),
-                representativeOperation(full.operations()),
-                full.homeZone(),
-                full.fullTable(),
+                fullTable.operations(),
+                representativeOperation(fullTable.operations()),
+                fullTable.homeZone(),
+                fullTable.fullTable(),
                 firstSubset,
                 subsetCount,
                 new ArrayList<>());
@@ -98,13 +98,13 @@
     }
 
     /** Returns the table of a shard, which applies to all operations; adds the table if it does not exist. */
-    EndpointTable ofShard(int number) {
+    EndpointTable ofShard(int shardNumber) {
         for (EndpointTable table : tables) {
-            if (table.number() == number) {
+            if (table.number() == shardNumber) {
                 return table;
             }
         }
-        return add(number, 0, EndpointTable.ALL_ZONES, tables.size());
+        return add(shardNumber, 0, EndpointTable.ALL_ZONES, tables.size());
     }
 
     private int nextTableNumber() {
@@ -112,13 +112,13 @@
         return lastTableNumber;
     }
 
-    private EndpointTable add(int number, int operations, int homeZone, int fullTable) {
+    private EndpointTable add(int number, int operations, int homeZone, int fullTableIndex) {
         EndpointTable table = new EndpointTable(
                 number,
                 operations,
                 representativeOperation(operations),
                 homeZone,
-                fullTable,
+                fullTableIndex,
                 Host.WITHOUT_SUBSET,
                 0,
                 fleet.hosts());
@@ -167,8 +167,8 @@
         return sharded || isFull(table) || !table.users().isEmpty();
     }
 
-    void removeAll(List<EndpointTable> unused) {
-        tables.removeAll(unused);
+    void removeAll(List<EndpointTable> unusedTables) {
+        tables.removeAll(unusedTables);
     }
 
     /** Removes a host from the members of all tables that hold subsets of the fleet. */
--- a/src/main/java/linenring/planner/UpdateScheduler.java
+++ b/src/main/java/linenring/planner/UpdateScheduler.java
@@ -37,17 +37,17 @@
     /** Sends the smallest sub-update that may be sent now; returns whether one was sent. */
     boolean sendSubUpdate() {
         double gapMs = Math.max(context.flow().roundTripMs(), context.flow().messageGapMs());
-        EndpointTable smallest = context.registry().tables().stream()
+        EndpointTable smallestUpdate = context.registry().tables().stream()
                 .filter(table -> table.isEmpty()
                         || context.flow().hasMessageGapElapsed(table, gapMs)
                         || admission.isCutDue(table))
                 .filter(table -> changes.pendingWrites(table) > 0 && !mustWaitForBinds(table) && fitsAllProxies(table))
                 .min(Comparator.comparingDouble(changes::pendingEntries))
                 .orElse(null);
-        if (smallest != null) {
-            changes.write(smallest);
+        if (smallestUpdate != null) {
+            changes.write(smallestUpdate);
         }
-        return smallest != null;
+        return smallestUpdate != null;
     }
 
     /** Whether the table's entries must wait for pending binds, by the depth rule. */
@@ -57,7 +57,7 @@
             return false;
         }
         double maxPendingEntries = context.registry().fullTables().stream()
-                .mapToDouble(full -> changes.pendingEntries(full) + binder.pendingBindEntries(full))
+                .mapToDouble(fullTable -> changes.pendingEntries(fullTable) + binder.pendingBindEntries(fullTable))
                 .max()
                 .orElse(0);
         double stepEntries = BIND_DEPTH
--- a/src/test/java/linenring/planner/ChannelAccountingTest.java
+++ b/src/test/java/linenring/planner/ChannelAccountingTest.java
@@ -7,32 +7,34 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What waits in the channel is known, so that the queue is never over its limit. */
+/**
+ * The estimate of queued entries accounts for all messages in the channel, so that the queue stays within its limit.
+ */
 class ChannelAccountingTest {
     @Test
-    void countsHeadOfEachMessage() {
-        FakeProxies fleet = new FakeProxies(settings(0)).start(6, 160); // a message to all takes 160 x (1 + 5) entries
+    void countsOverheadOfEachMessage() {
+        FakeProxies fleet = new FakeProxies(settings(0)).start(6, 160); // a drain costs 160 x (1 + 5) entries
         fleet.drainHost(0);
         fleet.reconcile();
         fleet.drainHost(1);
-        fleet.reconcile(); // 960 of 1500 entries wait: a second one has no room before acknowledgements come
+        fleet.reconcile(); // 960 of 1500 entries are queued: the second drain must wait for acknowledgements
         assertEquals(Set.of(0), fleet.ejected());
         fleet.pass(200);
         assertEquals(Set.of(0, 1), fleet.ejected());
     }
 
     /**
-     * Almost all streams break and come back at once. What was on its way to them is in the channel still; written off
-     * with the streams, it would make room that there is not.
+     * Almost all streams close and reopen at once, while messages to them are still in the channel. A ledger that
+     * drops these messages with their streams would report free capacity that the channel does not have.
      */
     @Test
-    void countsMessagesToLostStreamsUntilTheyHaveLeft() {
+    void countsMessagesToClosedStreamsUntilTheyLeaveQueue() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 160);
         fleet.drainHost(0);
-        fleet.reconcile(); // 960 of 1500 entries
+        fleet.reconcile(); // the drain takes 960 of the 1500 entries that the queue may hold
         for (int proxy = 1; proxy < 160; proxy++) {
             fleet.planner().proxyDisconnected(proxy);
-            fleet.join(proxy); // they come back at once, and the channel is no shorter
+            fleet.join(proxy); // the proxies reconnect at once; the channel queue is as long as before
         }
         fleet.drainHost(1);
         fleet.reconcile();
@@ -41,53 +43,57 @@
                 .messageAcknowledged(
                         0,
                         fleet.acknowledgementRequests(),
-                        200); // its message may have gone first of all: the others may be there yet
+                        200); // this message may have been sent first: the others may still be queued
         fleet.reconcile();
         assertEquals(Set.of(0), fleet.ejected());
-        fleet.pass(10_000); // at a fifth of the rate it is through by now
+        fleet.pass(10_000); // even at a fifth of the stated rate the queue is empty by now
         assertEquals(Set.of(0, 1), fleet.ejected());
     }
 
-    /** Acknowledgements of many messages are lost. Counted for ever, they would keep drains out of the queue. */
+    /**
+     * The acknowledgements of many messages are lost. A ledger that counted these messages for ever would block
+     * drains.
+     */
     @Test
-    void writesOffEarlierMessagesOnceLaterOneIsAcknowledged() {
+    void dropsEarlierMessagesAfterLaterAcknowledgement() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 120);
         for (int proxy = 1; proxy < 120; proxy++) {
-            fleet.silent().add(proxy); // their acknowledgements are lost
+            fleet.silent().add(proxy); // the acknowledgements of these proxies are lost
         }
         fleet.drainHost(0);
-        fleet.reconcile().pass(200); // proxy 0 alone has acknowledged: 714 entries may be in the channel still
-        fleet.join(120); // bound by a message of its own, which follows them
+        fleet.reconcile().pass(200); // only proxy 0 has acknowledged: 714 entries may still be queued
+        fleet.join(120); // the bind is a later message, sent after the unacknowledged ones
         fleet.pass(400);
-        for (int host : new int[] {1, 2}) { // 726 entries each, and 1500 may wait
+        for (int host : new int[] {1, 2}) { // 726 entries for each drain; the queue limit is 1500
             fleet.drainHost(host);
             fleet.reconcile();
         }
-        assertEquals(Set.of(0, 1), fleet.ejected()); // the first 714 need 0.7 s of the channel in any case
+        assertEquals(Set.of(0, 1), fleet.ejected()); // the channel needs 0.7 s to send the first 714 entries
         fleet.pass(1000);
         assertEquals(Set.of(0, 1, 2), fleet.ejected());
     }
 
     /**
-     * The channel is slow, and streams break: a later message goes in the room that theirs leave, before older ones.
-     * Its acknowledgement was once taken for proof that those had left, and the queue went over its limit.
+     * The channel is slow, and some streams close: the channel drops their messages, and a later message overtakes
+     * older ones. The acknowledgement of the later message must not count as proof that the older ones have left the
+     * queue; otherwise the queue exceeds its limit.
      */
     @Test
-    void keepsOlderMessagesThoughLaterOneOvertookThem() {
+    void keepsOlderMessagesWhenLaterOneOvertakesThem() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 100);
         for (int proxy = 0; proxy < 100; proxy++) {
-            fleet.silent().add(proxy); // the channel is slow: they have not got it yet
+            fleet.silent().add(proxy); // the channel is slow: these proxies have not received the message yet
         }
         fleet.drainHost(0);
-        fleet.reconcile(); // 600 of 1500 entries
+        fleet.reconcile(); // the drain takes 600 of the 1500 entries that the queue may hold
         for (int proxy = 80; proxy < 100; proxy++) {
-            fleet.planner().proxyDisconnected(proxy); // what was on its way to them is lost and makes way
+            fleet.planner().proxyDisconnected(proxy); // the channel drops the messages to closed streams
             fleet.joined().remove(proxy);
         }
         fleet.join(100);
-        fleet.pass(300); // the newcomer is bound, and its acknowledgement is there before the others'
+        fleet.pass(300); // proxy 100 is bound and acknowledges before the older messages are acknowledged
         assertTrue(fleet.bound().containsKey(100));
-        for (int host : new int[] {1, 2}) { // 486 entries each
+        for (int host : new int[] {1, 2}) { // 486 entries for each drain
             fleet.drainHost(host);
             fleet.reconcile();
         }
@@ -95,18 +101,18 @@
     }
 
     @Test
-    void countsEntriesThatTheWayAddsToMessage() {
+    void countsExtraEntriesOfMessage() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 110);
         fleet.setExtraEntriesOfMessage(4);
         fleet.drainHost(0);
-        fleet.reconcile(); // 110 x (1 + 5 + 4) of 1500 entries
+        fleet.reconcile(); // the drain takes 110 x (1 + 5 + 4) of the 1500 entries that the queue may hold
         fleet.drainHost(1);
         fleet.reconcile();
         assertEquals(Set.of(0), fleet.ejected());
     }
 
     @Test
-    void countsEntriesThatBindBringsBesideTable() {
+    void countsExtraEntriesOfBind() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 0);
         fleet.setExtraEntriesOfBind(400);
         fleet.silent().addAll(Set.of(0, 1, 2, 3, 4, 5));
@@ -114,6 +120,6 @@
             fleet.join(proxy);
         }
         fleet.reconcile();
-        assertEquals(3, fleet.bound().size()); // 1,236 of 1500 entries: a fourth would be over
+        assertEquals(3, fleet.bound().size()); // three binds take 1,236 of 1500 entries; a fourth does not fit
     }
 }
--- a/src/test/java/linenring/planner/DrainSchedulerTest.java
+++ b/src/test/java/linenring/planner/DrainSchedulerTest.java
@@ -7,14 +7,14 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Drains reach the proxies in time, past windows and behind nothing else. */
+/** Drains reach the proxies in time: they bypass the flow-control windows and take priority over other writes. */
 class DrainSchedulerTest {
     /**
-     * Proxies acknowledge nothing while hosts drain. A drain that waited for room in a window would come after the
-     * host has stopped.
+     * Proxies stop acknowledging while hosts drain. A drain that waited for space in a proxy's window would arrive
+     * after the host has stopped.
      */
     @Test
-    void drainsPastFullWindows() {
+    void drainsDespiteFullWindows() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 2);
         fleet.silent().addAll(Set.of(0, 1));
         for (int host = 0; host < 3; host++) {
@@ -25,11 +25,11 @@
     }
 
     @Test
-    void sendsWhatIsDueAlongWithDrain() {
+    void sendsPendingChangesWithDrain() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 2);
         fleet.startHost(6);
         fleet.reconcile();
-        fleet.startHost(7); // the last message to all went a moment ago: alone it would wait
+        fleet.startHost(7); // without the drain this change would wait for the gap after the last message
         fleet.drainHost(0);
         int before = fleet.acknowledgementRequests();
         fleet.reconcile();
@@ -38,20 +38,21 @@
     }
 
     /**
-     * Hosts drain one by one while the queue is nearly full. Each drain alone takes a message head at each proxy,
-     * and other entries take the room between them; so the later drains come too late.
+     * Hosts drain one after the other while the queue is nearly full. Drains that are sent one by one each pay the
+     * message overhead at each proxy, and ordinary entries use the queue between them, so that later drains arrive
+     * too late.
      */
     @Test
-    void drainsTogetherAndFirstWhenRoomIsShort() {
+    void batchesDrainsBeforeOtherWritesWhenQueueIsNearlyFull() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 120);
         fleet.drainHost(0);
         fleet.drainHost(1);
-        fleet.reconcile(); // 840 of 1500 entries
+        fleet.reconcile(); // both drains take 840 of the 1500 entries that the queue may hold
         int before = fleet.acknowledgementRequests();
         fleet.drainHost(2);
         fleet.drainHost(3);
         fleet.startHost(6);
-        fleet.reconcile(); // 720 entries and more: there is no room for one
+        fleet.reconcile(); // each drain needs 720 entries or more: neither fits into the queue
         assertEquals(Set.of(0, 1), fleet.ejected());
         assertEquals(before, fleet.acknowledgementRequests());
         fleet.pass(100);
@@ -59,20 +60,20 @@
     }
 
     /**
-     * The channel takes four seconds where the drain grace is two. Whatever else is written comes before the next
-     * drain and makes it late: a failing host is not ejected, a draining one is.
+     * The channel takes four seconds to deliver a message, while the drain grace is two seconds. Any other write
+     * would delay the next drain further: so a failing host is not ejected, but a draining host is.
      */
     @Test
-    void writesOnlyDrainsBehindQuarterOfSlowChannel() {
+    void writesOnlyDrainsWhenSlowChannelIsQuarterFull() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(12, 40);
-        fleet.setAcknowledgementMs(4000); // the grace is 2 s
+        fleet.setAcknowledgementMs(4000); // the drain grace is 2 s
         fleet.startHost(12);
         fleet.pass(3000);
         fleet.silent().addAll(fleet.joined());
         fleet.drainHost(0);
         fleet.reconcile();
         fleet.drainHost(1);
-        fleet.reconcile(); // 480 of 1500 entries
+        fleet.reconcile(); // both drains take 480 of the 1500 entries that the queue may hold
         fleet.passSecond(12, 0, 10, 100, 9, Set.of(5)).passSecond(12, 0, 10, 100, 9, Set.of(5));
         assertEquals(Set.of(0, 1), fleet.ejected());
         fleet.drainHost(2);
--- a/src/test/java/linenring/planner/FakeProxies.java
+++ b/src/test/java/linenring/planner/FakeProxies.java
@@ -8,13 +8,16 @@
 import java.util.TreeSet;
 import linenring.planner.PlannerSettings.Operation;
 
-/** Proxies that carry out a planner's commands at once and remember them, and the hosts and the clock that it sees. */
+/**
+ * Test double of the proxies: applies the planner's commands at once and records them; also supplies the hosts and
+ * the clock.
+ */
 final class FakeProxies implements Commands {
     static final long ALL = -1;
     private static final double STEP_MS = 100;
 
     private final Map<Integer, Map<Integer, Double>> tables = new TreeMap<>();
-    private final Map<Integer, Integer> latestTable = new TreeMap<>();
+    private final Map<Integer, Integer> tableByProxy = new TreeMap<>();
     private final Map<Integer, Double> admissionByMask = new TreeMap<>();
     private final Map<Integer, RetryPolicy> retryPolicyByMask = new TreeMap<>();
     private final Set<Integer> ejected = new TreeSet<>();
@@ -55,13 +58,16 @@
                 6);
     }
 
-    /** What each proxy that joins from now on is asked a second, about. */
+    /** Sets the request rate that proxies state when they join from now on. */
     FakeProxies withRequestsPerSecond(double requestsPerSecond) {
         usualRequestsPerSecond = requestsPerSecond;
         return this;
     }
 
-    /** Starts warm hosts, the even ones in zone 0 and the odd ones in zone 1, and joins proxies; all is bound afterwards. */
+    /**
+     * Starts warm hosts (even ids in zone 0, odd ids in zone 1), connects proxies, and lets time pass until all
+     * proxies are bound.
+     */
     FakeProxies start(int hosts, int proxies) {
         planner.advanceClock(nowMs);
         planner.beginHostList(true);
@@ -72,7 +78,7 @@
         for (int proxy = 0; proxy < proxies; proxy++) {
             join(proxy);
         }
-        return reconcile().pass(10_500); // by then the controller is no longer new
+        return reconcile().pass(10_500); // long enough for the controller's start-up phase to end
     }
 
     Planner planner() {
@@ -88,7 +94,7 @@
         joined.add(proxy);
     }
 
-    /** The proxy goes and does not come back. */
+    /** Disconnects the proxy for good. */
     void leave(int proxy) {
         planner.proxyDisconnected(proxy);
         joined.remove(proxy);
@@ -111,7 +117,7 @@
         return this;
     }
 
-    /** Lets time pass in steps; messages are acknowledged a step later, but not by silent proxies. */
+    /** Advances the clock in steps; each message is acknowledged one step later, except by unresponsive proxies. */
     FakeProxies pass(double durationMs) {
         double endMs = nowMs + durationMs;
         while (nowMs < endMs) {
@@ -128,32 +134,37 @@
         return this;
     }
 
-    /** Reports of one second in which the hosts met these attempts, with this number of failed ones at some of them. */
-    FakeProxies passSecond(int hosts, int proxyZone, int total, double meanMs, int bad, Set<Integer> badHosts) {
+    /**
+     * Reports the given number of attempts at each host in one second, some of them failed at the failing hosts; then
+     * advances the clock by one second.
+     */
+    FakeProxies passSecond(
+            int hosts, int proxyZone, int attempts, double meanMs, int failed, Set<Integer> failingHosts) {
         for (int host = 0; host < hosts; host++) {
-            planner.hostStatistics(host, proxyZone, total, badHosts.contains(host) ? bad : 0, meanMs, reportSpanMs);
+            planner.hostStatistics(
+                    host, proxyZone, attempts, failingHosts.contains(host) ? failed : 0, meanMs, reportSpanMs);
         }
         return pass(1000);
     }
 
-    /** The weight by which the proxy chooses the host; 0 while the host is ejected. */
+    /** Returns the weight with which the proxy chooses the host; 0 while the host is ejected. */
     double weight(int proxy, int host) {
         return ejected.contains(host) ? 0 : entries(proxy).getOrDefault(host, 0.0);
     }
 
-    /** The weights in the proxy's latest table, by host. */
+    /** Returns the weights in the table that the proxy was last bound to, by host. */
     Map<Integer, Double> entries(int proxy) {
-        return tables.get(latestTable.get(proxy));
+        return tables.get(tableByProxy.get(proxy));
     }
 
-    /** Weights by table and host. */
+    /** Returns the weights of all tables, by table number and host. */
     Map<Integer, Map<Integer, Double>> tables() {
         return tables;
     }
 
-    /** The latest table of each proxy that is bound. */
+    /** Returns the number of the table that each bound proxy was last bound to, by proxy. */
     Map<Integer, Integer> bound() {
-        return latestTable;
+        return tableByProxy;
     }
 
     Map<Integer, Double> admissionByMask() {
@@ -172,7 +183,7 @@
         return joined;
     }
 
-    /** Proxies that acknowledge nothing. */
+    /** Returns the modifiable set of proxies that do not acknowledge messages. */
     Set<Integer> silent() {
         return silent;
     }
@@ -181,7 +192,7 @@
         return acknowledgementRequests;
     }
 
-    /** Acknowledgements state this as the time that they took. */
+    /** Sets the round-trip time that acknowledgements state. */
     void setAcknowledgementMs(double tookMs) {
         acknowledgementMs = tookMs;
     }
@@ -223,7 +234,7 @@
 
     @Override
     public void bindProxy(int table, int operations, int proxy) {
-        latestTable.put(proxy, table);
+        tableByProxy.put(proxy, table);
     }
 
     @Override
@@ -255,11 +266,11 @@
 
     @Override
     public void requestCall(double atMs) {
-        // the tests let time pass in steps of their own
+        // not needed: the tests call the planner at every step of the clock
     }
 
     @Override
     public void watchHostList() {
-        // these settings never ask for it
+        // not needed: the host list is not polled with these settings
     }
 }
--- a/src/test/java/linenring/planner/HistoryReferenceWriter.java
+++ b/src/test/java/linenring/planner/HistoryReferenceWriter.java
@@ -7,11 +7,14 @@
 import java.nio.file.Path;
 import java.util.zip.GZIPOutputStream;
 
-/** Writes the references of {@link RecordedHistoriesTest}, for a change that means to alter decisions. */
+/**
+ * Writes the reference files of {@link RecordedHistoriesTest}, for a change that is intended to alter the planner's
+ * decisions.
+ */
 final class HistoryReferenceWriter {
     private HistoryReferenceWriter() {}
 
-    /** Takes the folder to write to. */
+    /** Writes one reference file for each history; the argument is the output folder. */
     public static void main(String[] args) throws IOException {
         Path folder = Files.createDirectories(Path.of(args[0]));
         for (RecordedHistories.History history : RecordedHistories.all()) {
--- a/src/test/java/linenring/planner/PlannerHistory.java
+++ b/src/test/java/linenring/planner/PlannerHistory.java
@@ -5,26 +5,26 @@
 import java.util.function.Consumer;
 
 /**
- * Plays a planner on a clock of its own, with proxies that acknowledge each message a fifth of a second later. It is called when
- * something arrives, and either at every tick or only when it asked to be.
+ * Runs a planner on a simulated clock, with proxies that acknowledge each message 200 ms later. The planner is called
+ * on each input, and in addition either at every tick or only at the times that it has requested.
  */
 final class PlannerHistory implements Commands {
     private static final double TICK_MS = 100;
     private static final double ROUNDING_MS = 1;
     private static final double ACKNOWLEDGEMENT_MS = 200;
     private static final int PROXIES = 6;
-    /** The proxy that acknowledges nothing, where there is one. */
-    private static final int SILENT = 5;
+    /** The proxy that does not acknowledge messages, in histories with an unresponsive proxy. */
+    private static final int UNRESPONSIVE_PROXY = 5;
 
-    private final boolean everyTick;
-    private final boolean oneIsSilent;
+    private final boolean isCalledEveryTick;
+    private final boolean hasUnresponsiveProxy;
     private final PlannerPlayer player = new PlannerPlayer(FakeProxies.settings(0), this, this::requestTick);
     private final List<String> decisions = new ArrayList<>();
     private double nextTickMs = PlannerPlayer.START_MS;
 
-    PlannerHistory(boolean everyTick, boolean oneIsSilent) {
-        this.everyTick = everyTick;
-        this.oneIsSilent = oneIsSilent;
+    PlannerHistory(boolean isCalledEveryTick, boolean hasUnresponsiveProxy) {
+        this.isCalledEveryTick = isCalledEveryTick;
+        this.hasUnresponsiveProxy = hasUnresponsiveProxy;
     }
 
     double now() {
@@ -35,12 +35,12 @@
         return player.callCount();
     }
 
-    /** All commands in order, each with its time. */
+    /** Returns all commands in order, each with its time. */
     List<String> decisions() {
         return decisions;
     }
 
-    /** Has something arrive this number of milliseconds after the start. */
+    /** Schedules an input for the given number of milliseconds after the start. */
     void at(double elapsedMs, Consumer<Planner> input) {
         player.at(elapsedMs, input);
     }
@@ -50,34 +50,34 @@
     }
 
     private void requestTick() {
-        if (everyTick && nextTickMs <= now() + ROUNDING_MS) {
+        if (isCalledEveryTick && nextTickMs <= now() + ROUNDING_MS) {
             nextTickMs = now() + TICK_MS;
             player.requestCall(nextTickMs);
         }
     }
 
-    private void decided(String command) {
+    private void recordDecision(String command) {
         decisions.add(now() + " " + command);
     }
 
     @Override
     public void setWeight(int table, int host, double weight) {
-        decided("weight " + table + " " + host + " " + weight);
+        recordDecision("weight " + table + " " + host + " " + weight);
     }
 
     @Override
     public void clearTable(int table) {
-        decided("clear " + table);
+        recordDecision("clear " + table);
     }
 
     @Override
     public void setEjected(int host, boolean eject) {
-        decided("eject " + host + " " + eject);
+        recordDecision("eject " + host + " " + eject);
     }
 
     @Override
     public void bindProxy(int table, int operations, int proxy) {
-        decided("bind " + table + " " + operations + " " + proxy);
+        recordDecision("bind " + table + " " + operations + " " + proxy);
     }
 
     @Override
@@ -92,18 +92,18 @@
 
     @Override
     public void setAdmission(int table, int operations, double admissionRatio, RetryPolicy retryPolicy) {
-        decided("admission " + table + " " + operations + " " + admissionRatio + " " + retryPolicy);
+        recordDecision("admission " + table + " " + operations + " " + admissionRatio + " " + retryPolicy);
     }
 
     @Override
     public void requestAcknowledgement(int nonce) {
-        decided("acknowledge " + nonce);
+        recordDecision("acknowledge " + nonce);
         for (int proxy = 0; proxy < PROXIES; proxy++) {
-            int acknowledging = proxy;
-            if (!oneIsSilent || proxy != SILENT) {
+            int acknowledgingProxy = proxy;
+            if (!hasUnresponsiveProxy || proxy != UNRESPONSIVE_PROXY) {
                 player.atTime(
                         now() + ACKNOWLEDGEMENT_MS,
-                        target -> target.messageAcknowledged(acknowledging, nonce, ACKNOWLEDGEMENT_MS));
+                        target -> target.messageAcknowledged(acknowledgingProxy, nonce, ACKNOWLEDGEMENT_MS));
             }
         }
     }
@@ -115,13 +115,13 @@
 
     @Override
     public void requestCall(double atMs) {
-        if (!everyTick) {
+        if (!isCalledEveryTick) {
             player.requestCall(atMs);
         }
     }
 
     @Override
     public void watchHostList() {
-        decided("watch");
+        recordDecision("watch");
     }
 }
--- a/src/test/java/linenring/planner/RecordedHistories.java
+++ b/src/test/java/linenring/planner/RecordedHistories.java
@@ -11,10 +11,13 @@
 import linenring.planner.PlannerSettings.Shards;
 import linenring.planner.RandomFleet.Shape;
 
-/** The histories whose commands are compared with a reference; each is known by its name and seed. */
+/** The histories whose commands are compared with a reference; each history is identified by its name and seed. */
 final class RecordedHistories {
-    private static final int SEEDS = 3;
-    /** Each made a difference of some constant by 2% visible that the named shapes don't show, or was the first to. */
+    private static final int SEEDS_PER_SHAPE = 3;
+    /**
+     * Seeds of random shapes. With each of them a 2% change of some constant alters the commands where the named
+     * shapes or earlier seeds show no difference.
+     */
     private static final List<Long> RANDOM_SHAPE_SEEDS = List.of(
             6L, 7L, 9L, 11L, 12L, 15L, 17L, 19L, 20L, 22L, 26L, 34L, 35L, 37L, 42L, 50L, 55L, 73L, 116L, 129L, 183L,
             282L, 366L, 489L, 560L);
@@ -22,7 +25,7 @@
     private static final List<Long> WAITING_BINDS_SEEDS = List.of(1086L, 2517L);
     private static final Shards WITHOUT_SHARDS = new Shards(0, false, 0, 0);
 
-    /** One history. */
+    /** A history: the shape of a fleet, played with one seed of the random events. */
     record History(String name, long seed, Shape shape) {
         List<String> play() {
             return RandomFleet.play(shape, seed);
@@ -33,7 +36,10 @@
         }
     }
 
-    /** Chances a second that a host fails, that one slows down, that hosts are replaced, and that proxies join or are lost. */
+    /**
+     * Probabilities per second of events: a host fails, a host slows down, hosts are replaced, proxies join or are
+     * lost.
+     */
     private record Chances(double fail, double slow, double replace, double join) {}
 
     private RecordedHistories() {}
@@ -41,7 +47,7 @@
     static List<History> all() {
         List<History> histories = new ArrayList<>();
         shapes().forEach((name, shape) -> {
-            for (long seed = 1; seed <= SEEDS; seed++) {
+            for (long seed = 1; seed <= SEEDS_PER_SHAPE; seed++) {
                 histories.add(new History(name, seed, shape));
             }
         });
@@ -56,34 +62,34 @@
 
     private static Map<String, Shape> shapes() {
         Map<String, Shape> shapes = new LinkedHashMap<>();
-        Channel wide = channel(20_000, 40_000, 0);
-        Channel narrow = channel(1200, 18_000, 60);
-        addHealthAndLoad(shapes, wide);
-        addSubsetsAndZones(shapes, wide, narrow);
-        addDrainsAndLists(shapes, wide);
-        addShards(shapes, wide);
-        addThinTraffic(shapes, wide);
+        Channel fast = channel(20_000, 40_000, 0);
+        Channel limited = channel(1200, 18_000, 60);
+        addHealthAndLoad(shapes, fast);
+        addSubsetsAndZones(shapes, fast, limited);
+        addDrainsAndHostLists(shapes, fast);
+        addShards(shapes, fast);
+        addLowTraffic(shapes, fast);
         addSlowChannels(shapes);
         return shapes;
     }
 
-    private static void addHealthAndLoad(Map<String, Shape> shapes, Channel wide) {
+    private static void addHealthAndLoad(Map<String, Shape> shapes, Channel fast) {
         shapes.put(
                 "health",
-                shape(settings(wide, WITHOUT_SHARDS), 18, 8, 40, 0.08, 0.5, new Chances(0.012, 0.004, 0.05, 0.02)));
-        shapes.put("kinds", kinds(settings(wide, WITHOUT_SHARDS), 24, 6, 8));
+                shape(settings(fast, WITHOUT_SHARDS), 18, 8, 40, 0.08, 0.5, new Chances(0.012, 0.004, 0.05, 0.02)));
+        shapes.put("kinds", withMachineKinds(settings(fast, WITHOUT_SHARDS), 24, 6, 8));
         shapes.put(
                 "overload",
-                shape(overload(wide, Measure.SHARE), 12, 6, 30, 0.2, 1.3, new Chances(0.004, 0, 0.1, 0.02)));
+                shape(overloadSettings(fast, Measure.SHARE), 12, 6, 30, 0.2, 1.3, new Chances(0.004, 0, 0.1, 0.02)));
         shapes.put(
                 "overload-rate",
-                shape(overload(wide, Measure.PER_SECOND), 10, 5, 30, 0.1, 1.1, new Chances(0, 0, 0.02, 0)));
+                shape(overloadSettings(fast, Measure.PER_SECOND), 10, 5, 30, 0.1, 1.1, new Chances(0, 0, 0.02, 0)));
     }
 
-    private static void addSubsetsAndZones(Map<String, Shape> shapes, Channel wide, Channel narrow) {
+    private static void addSubsetsAndZones(Map<String, Shape> shapes, Channel fast, Channel limited) {
         shapes.put(
                 "subsets",
-                shape(settings(narrow, WITHOUT_SHARDS), 48, 120, 3, 0.1, 0.5, new Chances(0.002, 0.001, 0.3, 0.3)));
+                shape(settings(limited, WITHOUT_SHARDS), 48, 120, 3, 0.1, 0.5, new Chances(0.002, 0.001, 0.3, 0.3)));
         shapes.put(
                 "subset-churn",
                 shape(
@@ -104,14 +110,21 @@
                         0.1,
                         0.3,
                         new Chances(0, 0, 0.3, 0.4)));
-        shapes.put("zones", cut(settings(wide, WITHOUT_SHARDS), 60, 12, 2));
-        shapes.put("zone-subsets", cut(settings(narrow, WITHOUT_SHARDS), 60, 60, 1));
+        shapes.put("zones", withZonePartitions(settings(fast, WITHOUT_SHARDS), 60, 12, 2));
+        shapes.put("zone-subsets", withZonePartitions(settings(limited, WITHOUT_SHARDS), 60, 60, 1));
         shapes.put(
                 "home-zone",
-                shape(homeZone(channel(5000, 20_000, 30)), 18, 12, 20, 0.1, 0.6, new Chances(0.005, 0.002, 0.1, 0.1)));
+                shape(
+                        homeZoneSettings(channel(5000, 20_000, 30)),
+                        18,
+                        12,
+                        20,
+                        0.1,
+                        0.6,
+                        new Chances(0.005, 0.002, 0.1, 0.1)));
     }
 
-    private static void addDrainsAndLists(Map<String, Shape> shapes, Channel wide) {
+    private static void addDrainsAndHostLists(Map<String, Shape> shapes, Channel fast) {
         shapes.put(
                 "drains",
                 shape(
@@ -124,16 +137,17 @@
                         new Chances(0.002, 0, 0.9, 0.2)));
         shapes.put(
                 "short-grace",
-                shape(settings(shortGrace(), WITHOUT_SHARDS), 30, 24, 8, 0.1, 0.3, new Chances(0, 0, 0.8, 0.2)));
-        shapes.put("ids", shape(settings(wide, WITHOUT_SHARDS), 12, 8, 20, 0.1, 0.4, new Chances(0.003, 0, 0.8, 0.1)));
-        shapes.put("asked-list", shape(polledList(wide), 8, 4, 20, 0.05, 0.3, new Chances(0.002, 0, 0.2, 0.05)));
+                shape(settings(shortGraceChannel(), WITHOUT_SHARDS), 30, 24, 8, 0.1, 0.3, new Chances(0, 0, 0.8, 0.2)));
+        shapes.put("ids", shape(settings(fast, WITHOUT_SHARDS), 12, 8, 20, 0.1, 0.4, new Chances(0.003, 0, 0.8, 0.1)));
+        shapes.put(
+                "asked-list", shape(polledListSettings(fast), 8, 4, 20, 0.05, 0.3, new Chances(0.002, 0, 0.2, 0.05)));
     }
 
-    private static void addShards(Map<String, Shape> shapes, Channel wide) {
+    private static void addShards(Map<String, Shape> shapes, Channel fast) {
         shapes.put(
                 "shards",
                 shape(
-                        settings(wide, new Shards(24, false, 3000, 1000)),
+                        settings(fast, new Shards(24, false, 3000, 1000)),
                         9,
                         6,
                         20,
@@ -143,7 +157,7 @@
         shapes.put(
                 "single-owner",
                 shape(
-                        settings(wide, new Shards(16, true, 2500, 700)),
+                        settings(fast, new Shards(16, true, 2500, 700)),
                         7,
                         6,
                         20,
@@ -152,25 +166,33 @@
                         new Chances(0.002, 0, 0.3, 0.05)));
     }
 
-    /** Few requests for each host: the histories in which the least evidence for a verdict is decisive. */
-    private static void addThinTraffic(Map<String, Shape> shapes, Channel wide) {
-        shapes.put("thin-zones", cut(settings(wide, WITHOUT_SHARDS), 40, 20, 0.6));
+    /**
+     * Adds histories with few requests for each host, where the minimum number of attempts for a health decision
+     * matters.
+     */
+    private static void addLowTraffic(Map<String, Shape> shapes, Channel fast) {
+        shapes.put("thin-zones", withZonePartitions(settings(fast, WITHOUT_SHARDS), 40, 20, 0.6));
         shapes.put(
                 "thin-cold",
-                shape(settings(wide, WITHOUT_SHARDS), 20, 10, 4.6, 0.2, 0.7, new Chances(0.01, 0, 0.5, 0.2)));
-        shapes.put("tiny", shape(overload(wide, Measure.SHARE), 5, 2, 3.5, 0.2, 0.9, new Chances(0.02, 0, 0.05, 0.05)));
+                shape(settings(fast, WITHOUT_SHARDS), 20, 10, 4.6, 0.2, 0.7, new Chances(0.01, 0, 0.5, 0.2)));
+        shapes.put(
+                "tiny",
+                shape(overloadSettings(fast, Measure.SHARE), 5, 2, 3.5, 0.2, 0.9, new Chances(0.02, 0, 0.05, 0.05)));
         shapes.put(
                 "mass-failure",
-                shape(settings(wide, WITHOUT_SHARDS), 20, 10, 30, 0.2, 1, new Chances(0.09, 0.03, 0.1, 0.05)));
+                shape(settings(fast, WITHOUT_SHARDS), 20, 10, 30, 0.2, 1, new Chances(0.09, 0.03, 0.1, 0.05)));
         shapes.put(
                 "slow-hosts",
-                shape(settings(wide, WITHOUT_SHARDS), 16, 8, 16, 0.15, 0.5, new Chances(0, 0.02, 0.02, 0.02)));
+                shape(settings(fast, WITHOUT_SHARDS), 16, 8, 16, 0.15, 0.5, new Chances(0, 0.02, 0.02, 0.02)));
     }
 
-    /** A slow channel, silent proxies and uneven subsets: the histories in which the account of the channel is decisive. */
+    /**
+     * Adds histories with a slow channel, unresponsive proxies or uneven subsets, where the estimate of queued
+     * entries matters.
+     */
     private static void addSlowChannels(Map<String, Shape> shapes) {
-        shapes.put("silent", silent(settings(channel(150, 1200, 0), WITHOUT_SHARDS), 14, 9));
-        shapes.put("silent-capped", silent(settings(channel(900, 4000, 12), WITHOUT_SHARDS), 20, 16));
+        shapes.put("silent", withUnresponsiveProxies(settings(channel(150, 1200, 0), WITHOUT_SHARDS), 14, 9));
+        shapes.put("silent-capped", withUnresponsiveProxies(settings(channel(900, 4000, 12), WITHOUT_SHARDS), 20, 16));
         shapes.put(
                 "uneven-parts",
                 shape(
@@ -183,7 +205,7 @@
                         new Chances(0, 0, 0.7, 0.9)));
     }
 
-    private static Shape silent(PlannerSettings settings, int hosts, int proxies) {
+    private static Shape withUnresponsiveProxies(PlannerSettings settings, int hosts, int proxies) {
         return new Shape(settings, hosts, proxies, 2, 2, 8, 0.1, 0.6, 0.004, 0.002, 0.4, 0.4, 0, 4, 180, 0);
     }
 
@@ -192,8 +214,8 @@
             int hosts,
             int proxies,
             double requestsPerSecond,
-            double pressureLow,
-            double pressureHigh,
+            double minPressure,
+            double maxPressure,
             Chances chances) {
         return new Shape(
                 settings,
@@ -202,8 +224,8 @@
                 2,
                 1,
                 requestsPerSecond,
-                pressureLow,
-                pressureHigh,
+                minPressure,
+                maxPressure,
                 chances.fail(),
                 chances.slow(),
                 chances.replace(),
@@ -214,12 +236,13 @@
                 0);
     }
 
-    private static Shape kinds(PlannerSettings settings, int hosts, int proxies, double requestsPerSecond) {
+    private static Shape withMachineKinds(PlannerSettings settings, int hosts, int proxies, double requestsPerSecond) {
         return new Shape(
                 settings, hosts, proxies, 2, 3, requestsPerSecond, 0.1, 0.45, 0.001, 0, 0.05, 0.02, 0, 0, 240, 0);
     }
 
-    private static Shape cut(PlannerSettings settings, int hosts, int proxies, double requestsPerSecond) {
+    private static Shape withZonePartitions(
+            PlannerSettings settings, int hosts, int proxies, double requestsPerSecond) {
         return new Shape(
                 settings, hosts, proxies, 3, 1, requestsPerSecond, 0.1, 0.4, 0.001, 0, 0.05, 0.05, 0.15, 0, 160, 0);
     }
@@ -232,7 +255,7 @@
         return new Channel(entriesPerSecond, 4, maxQueuedEntries, maxMessages, 10_000, 100, 250, 5000);
     }
 
-    private static Channel shortGrace() {
+    private static Channel shortGraceChannel() {
         return new Channel(1500, 4, 9000, 12, 6000, 150, 400, 1500);
     }
 
@@ -245,19 +268,19 @@
         return new PlannerSettings(operations, new ColdStart(0.2, 8000), channel, shards, measure, false, 0, false, 5);
     }
 
-    private static PlannerSettings overload(Channel channel, Measure measure) {
+    private static PlannerSettings overloadSettings(Channel channel, Measure measure) {
         List<Operation> operations =
                 List.of(operation(600, 1, false), operation(1000, 5, false), operation(2500, 3, false));
         return settings(channel, WITHOUT_SHARDS, measure, operations);
     }
 
-    private static PlannerSettings homeZone(Channel channel) {
+    private static PlannerSettings homeZoneSettings(Channel channel) {
         List<Operation> operations =
                 List.of(operation(800, 1, true), operation(800, 2, true), new Operation(1500, 4, 1, -1, false, 2));
         return settings(channel, WITHOUT_SHARDS, Measure.SHARE, operations);
     }
 
-    private static PlannerSettings polledList(Channel channel) {
+    private static PlannerSettings polledListSettings(Channel channel) {
         return new PlannerSettings(
                 List.of(operation(1000, 1, false)),
                 new ColdStart(0.3, 12_000),
--- a/src/test/java/linenring/planner/RecordedHistoriesTest.java
+++ b/src/test/java/linenring/planner/RecordedHistoriesTest.java
@@ -15,8 +15,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * The planner gives the commands that it gave when the references were written, in the same order and at the same times. A change
- * that means to alter a decision writes new references ({@link HistoryReferenceWriter}) and says so; a change of form writes none.
+ * Compares the planner's commands, their order and their times with recorded references. A change that is intended to
+ * alter decisions writes new references with {@link HistoryReferenceWriter} and says so; a refactoring leaves the
+ * references as they are.
  */
 class RecordedHistoriesTest {
     private static final int CONTEXT_COMMANDS = 4;
@@ -27,12 +28,12 @@
 
     @ParameterizedTest
     @MethodSource("histories")
-    void givesTheRecordedCommands(RecordedHistories.History history) throws IOException {
+    void issuesRecordedCommands(RecordedHistories.History history) throws IOException {
         List<String> expected = reference(history.file());
         List<String> actual = history.play();
         for (int i = 0; i < Math.min(expected.size(), actual.size()); i++) {
-            List<String> before = expected.subList(Math.max(0, i - CONTEXT_COMMANDS), i);
-            assertEquals(expected.get(i), actual.get(i), "command " + i + " after " + before);
+            List<String> precedingCommands = expected.subList(Math.max(0, i - CONTEXT_COMMANDS), i);
+            assertEquals(expected.get(i), actual.get(i), "command " + i + " after " + precedingCommands);
         }
         assertEquals(expected.size(), actual.size());
     }
--- a/src/test/java/linenring/planner/RecordedHistory.java
+++ b/src/test/java/linenring/planner/RecordedHistory.java
@@ -9,58 +9,64 @@
 import java.util.function.IntPredicate;
 
 /**
- * Plays a planner on a clock of its own behind one channel of limited rate, and records every command with its time. The planner
- * is called when something arrives and when it asked to be; a proxy acknowledges once its message has left the channel.
+ * Runs a planner on a simulated clock behind one channel of limited rate, and records every command with its time.
+ * The planner is called on each input and at the times that it has requested; a proxy acknowledges a message once the
+ * message has left the channel.
  */
 final class RecordedHistory implements Commands {
-    private static final double SILENCE_CYCLE_MS = 20_000;
-    private static final double SPEAKING_SHARE = 0.6;
-    private static final int MESSAGE_HEAD_ENTRIES = 5;
-    private static final int MOST_HOSTS = 1024;
+    private static final double RESPONSE_CYCLE_MS = 20_000;
+    private static final double RESPONSIVE_SHARE_OF_CYCLE = 0.6;
+    private static final int MESSAGE_OVERHEAD_ENTRIES = 5;
+    private static final int MAX_HOSTS = 1024;
 
     private final PlannerSettings settings;
-    private final IntPredicate isSometimesSilent;
+    private final IntPredicate isSometimesUnresponsive;
     private final PlannerPlayer player;
     private final List<String> commands = new ArrayList<>();
     private final BitSet ejected = new BitSet();
-    private final double[] lastWeight = new double[MOST_HOSTS];
+    private final double[] lastWeight = new double[MAX_HOSTS];
     private final ArrayDeque<Runnable> afterReconcile = new ArrayDeque<>();
     private double channelFreeAtMs = PlannerPlayer.START_MS;
     private double channelSlowdown = 1;
     private int nonce;
 
-    /** Proxies for which the condition holds acknowledge nothing in the last two fifths of every {@link #SILENCE_CYCLE_MS}. */
-    RecordedHistory(PlannerSettings settings, IntPredicate isSometimesSilent) {
+    /**
+     * Creates a history in which some proxies are unresponsive at times.
+     *
+     * @param isSometimesUnresponsive selects the proxies that acknowledge nothing in the last two fifths of every
+     *     {@link #RESPONSE_CYCLE_MS}
+     */
+    RecordedHistory(PlannerSettings settings, IntPredicate isSometimesUnresponsive) {
         this.settings = settings;
-        this.isSometimesSilent = isSometimesSilent;
-        player = new PlannerPlayer(settings, this, this::deliverMessages);
+        this.isSometimesUnresponsive = isSometimesUnresponsive;
+        player = new PlannerPlayer(settings, this, this::scheduleAcknowledgements);
     }
 
     double now() {
         return player.nowMs();
     }
 
-    /** All commands in order, each with its time. */
+    /** Returns all recorded commands in order, each with its time. */
     List<String> commands() {
         return commands;
     }
 
-    /** The weight that the host's entries were last given, 0 while it is ejected. */
+    /** Returns the last written weight of the host; 0 while the host is ejected. */
     double weight(int host) {
         return ejected.get(host) ? 0 : lastWeight[host];
     }
 
-    /** From now on the channel takes this multiple of the time for each entry. */
+    /** Slows the channel down by the given factor from now on; 1 is the stated rate. */
     void slowChannel(double slowdown) {
         channelSlowdown = slowdown;
     }
 
-    /** Has something arrive this number of milliseconds after the start. */
+    /** Schedules an input for the given number of milliseconds after the start. */
     void at(double elapsedMs, Consumer<Planner> input) {
         player.at(elapsedMs, input);
     }
 
-    /** Records what the planner returned, like a command. */
+    /** Records a command, or a value that the planner returned, with the current time. */
     void record(String command) {
         commands.add(String.format(Locale.ROOT, "%.3f %s", now() - PlannerPlayer.START_MS, command));
     }
@@ -69,7 +75,7 @@
         player.playTo(elapsedMs);
     }
 
-    private void deliverMessages() {
+    private void scheduleAcknowledgements() {
         afterReconcile.forEach(Runnable::run);
         afterReconcile.clear();
     }
@@ -113,32 +119,32 @@
     @Override
     public void setAdmission(int table, int operations, double admissionRatio, RetryPolicy retryPolicy) {
         record("admission table=" + table + " operations=" + operations + " " + rounded(admissionRatio) + " retries="
-                + retriesText(retryPolicy));
+                + retryPolicyText(retryPolicy));
     }
 
     @Override
-    public void requestAcknowledgement(int requested) {
-        nonce = requested;
-        record("acknowledge nonce=" + requested);
+    public void requestAcknowledgement(int requestedNonce) {
+        nonce = requestedNonce;
+        record("acknowledge nonce=" + requestedNonce);
     }
 
     @Override
     public double entriesInMessage(int proxy, double expected) {
         double sentAtMs = now();
-        int requested = nonce;
-        double entries = expected + MESSAGE_HEAD_ENTRIES;
+        int requestedNonce = nonce;
+        double entries = expected + MESSAGE_OVERHEAD_ENTRIES;
         channelFreeAtMs = Math.max(now(), channelFreeAtMs)
                 + entries * channelSlowdown / settings.channel().entriesPerMs();
         double acknowledgedAtMs = channelFreeAtMs + 2 * settings.channel().transitMs();
-        if (!isSilent(proxy, acknowledgedAtMs)) {
+        if (!isUnresponsive(proxy, acknowledgedAtMs)) {
             double tookMs = Math.round(acknowledgedAtMs - sentAtMs);
-            afterReconcile.add(() ->
-                    player.atTime(acknowledgedAtMs, target -> target.messageAcknowledged(proxy, requested, tookMs)));
+            afterReconcile.add(() -> player.atTime(
+                    acknowledgedAtMs, target -> target.messageAcknowledged(proxy, requestedNonce, tookMs)));
         }
         return expected;
     }
 
-    private static String retriesText(RetryPolicy retryPolicy) {
+    private static String retryPolicyText(RetryPolicy retryPolicy) {
         return switch (retryPolicy) {
             case NONE -> "0";
             case ONE_IF_NOT_EXECUTED -> "1";
@@ -147,10 +153,10 @@
         };
     }
 
-    private boolean isSilent(int proxy, double atMs) {
-        boolean isInLastFifths =
-                (atMs - PlannerPlayer.START_MS) % SILENCE_CYCLE_MS >= SPEAKING_SHARE * SILENCE_CYCLE_MS;
-        return isInLastFifths && isSometimesSilent.test(proxy);
+    private boolean isUnresponsive(int proxy, double atMs) {
+        boolean isInUnresponsivePhase =
+                (atMs - PlannerPlayer.START_MS) % RESPONSE_CYCLE_MS >= RESPONSIVE_SHARE_OF_CYCLE * RESPONSE_CYCLE_MS;
+        return isInUnresponsivePhase && isSometimesUnresponsive.test(proxy);
     }
 
     @Override
--- a/src/test/java/linenring/planner/UpdateSchedulerTest.java
+++ b/src/test/java/linenring/planner/UpdateSchedulerTest.java
@@ -9,17 +9,17 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What is sent when: one table for all, changes that merge, sub-updates that go whole, in pieces, or not at all yet. */
+/** Scheduling of sub-updates: shared tables, merging of changes, splitting into pieces, and delays. */
 class UpdateSchedulerTest {
     @Test
-    void bindsAllProxiesToOneTableOfAllHosts() {
+    void bindsAllProxiesToOneFullTable() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 5);
         assertEquals(1, Set.copyOf(fleet.bound().values()).size());
         assertEquals(6, fleet.entries(0).size());
     }
 
     @Test
-    void mergesChangesWhileSubUpdateIsUnderWay() {
+    void mergesChangesWhileSubUpdateIsUnacknowledged() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 2);
         fleet.startHost(6);
         fleet.reconcile();
@@ -29,21 +29,22 @@
         fleet.startHost(8);
         fleet.reconcile();
         assertEquals(
-                before, fleet.acknowledgementRequests()); // the first change went less than a round trip ago: both wait
+                before,
+                fleet.acknowledgementRequests()); // both changes wait for one round-trip time after the previous one
         fleet.pass(300);
         assertEquals(before + 1, fleet.acknowledgementRequests());
         assertTrue(fleet.weight(0, 6) > 0 && fleet.weight(0, 7) > 0 && fleet.weight(0, 8) > 0);
     }
 
     @Test
-    void confinesTableOfOperationToItsZone() {
+    void confinesTableToZoneOfItsOperation() {
         FakeProxies fleet = new FakeProxies(settings(0, operation(1, ALL), operation(3, 1))).start(6, 3);
         assertEquals(2, fleet.tables().size());
         assertEquals(Set.of(0, 2, 4), fleet.entries(0).keySet());
     }
 
     @Test
-    void bindsMostAskedProxiesFirst() {
+    void bindsProxiesWithHighestRequestRateFirst() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 0);
         for (int proxy = 0; proxy < 200; proxy++) {
             fleet.planner().proxyJoined(proxy, 0, proxy);
@@ -53,24 +54,25 @@
     }
 
     /**
-     * A proxy freezes and acknowledges nothing. The batch waits until all proxies have room in their windows, so
-     * one frozen proxy would keep new hosts from all others.
+     * A proxy freezes and stops acknowledging. A sub-update waits until all proxies have room in their windows, so
+     * one frozen proxy could withhold new hosts from all other proxies.
      */
     @Test
-    void sendsSubUpdateThoughOneProxyIsFrozen() {
+    void sendsSubUpdateDespiteFrozenProxy() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 3);
         fleet.silent().add(2);
         fleet.startHost(6);
-        fleet.pass(12_000); // its ramp alone fills a window of five
+        fleet.pass(12_000); // the slow start of the host alone takes more than five messages, the size of a window
         assertEquals(1, fleet.weight(0, 6));
     }
 
     /**
-     * A stream breaks with messages on their way. Acknowledgements of these cannot come, and what the proxy applied
-     * is not known: it starts with a free window and a whole table.
+     * A stream closes while messages to it are unacknowledged. These acknowledgements can never arrive, and it is
+     * unknown which messages the proxy has applied: so the proxy starts again with an empty window and a complete
+     * table.
      */
     @Test
-    void freesWindowOfLostStreamAndBindsProxyAgain() {
+    void resetsWindowOfClosedStreamAndRebindsProxy() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 2);
         fleet.planner().proxyDisconnected(1);
         fleet.bound().remove(1);
@@ -84,11 +86,11 @@
     }
 
     /**
-     * Hosts start one after the other. Were each change sent at once, the limit on messages to a proxy would be
-     * used up when a host drains, and its requests would be lost.
+     * Hosts start one after the other. If each change were sent at once, the limit on messages to a proxy would be
+     * used up when a host drains, and requests to that host would be lost.
      */
     @Test
-    void spacesMessagesUnderLimitWithRoomForDrain() {
+    void spacesMessagesSoThatLimitLeavesRoomForDrain() {
         FakeProxies fleet = new FakeProxies(settings(10)).start(12, 2);
         fleet.startHost(0);
         fleet.startHost(1);
@@ -102,14 +104,14 @@
     }
 
     /**
-     * Thirty hosts start at once. Their entries for all proxies never find room in the queue together; whole, the
-     * sub-update would never be sent.
+     * Thirty hosts start at once. The queue cannot hold their entries for all proxies, so a sub-update that is not
+     * split would never be sent.
      */
     @Test
-    void sendsSubUpdateInPiecesWhereNoQueueHoldsIt() {
+    void splitsSubUpdateThatExceedsQueue() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(4, 40);
         for (int host = 4; host < 34; host++) {
-            fleet.startHost(host); // thirty entries to forty proxies: 1400 of 1500
+            fleet.startHost(host); // thirty entries to each of forty proxies: 1400 of 1500 entries
         }
         fleet.reconcile();
         fleet.pass(20_000);
@@ -117,7 +119,7 @@
     }
 
     @Test
-    void servesHundredZonesAndKinds() {
+    void supportsHundredZonesAndKinds() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 2);
         fleet.planner().beginHostList(false);
         fleet.planner().hostReady(6, 100, 90, 1, Double.NEGATIVE_INFINITY);
