--- a/src/main/java/linenring/planner/ChannelLedger.java
+++ b/src/main/java/linenring/planner/ChannelLedger.java
@@ -74,9 +74,9 @@
         latestAcknowledgedSentAtMs = Math.max(latestAcknowledgedSentAtMs, message.sentAtMs());
         double expectedMs = message.expectedDepartureMs() - message.sentAtMs() + longestTransitMs;
         double slowdown = Math.max(1, tookMs / expectedMs);
-        for (SentMessage sent : messages) {
-            if (sent.sentAtMs() >= message.sentAtMs()) {
-                sent.setSlowdown(slowdown);
+        for (SentMessage sentMessage : messages) {
+            if (sentMessage.sentAtMs() >= message.sentAtMs()) {
+                sentMessage.setSlowdown(slowdown);
             }
         }
     }
--- a/src/main/java/linenring/planner/Commands.java
+++ b/src/main/java/linenring/planner/Commands.java
@@ -51,7 +51,7 @@
      * Number of entries in the message to a proxy, without message overhead and nonce. The planner calls this method
      * after all commands of the message are issued, and passes the number of entries that it expects.
      */
-    double entriesInMessage(int proxy, double expected);
+    double entriesInMessage(int proxy, double expectedEntries);
 
     /** Requests a call of {@link Planner#reconcile} at the given time. */
     void requestCall(double atMs);
--- a/src/main/java/linenring/planner/FlowControl.java
+++ b/src/main/java/linenring/planner/FlowControl.java
@@ -138,8 +138,8 @@
     // ---- admission of writes
 
     /** Sets whether a drain waits for room in the queue; while one does, all writes of lower priority are blocked. */
-    void holdWritesForDrains(boolean hold) {
-        isDrainWaiting = hold;
+    void holdWritesForDrains(boolean mustHold) {
+        isDrainWaiting = mustHold;
     }
 
     /** Whether this number of entries may be written to each of the given proxies now, at the given priority. */
--- a/src/main/java/linenring/planner/SentMessage.java
+++ b/src/main/java/linenring/planner/SentMessage.java
@@ -10,11 +10,11 @@
     private boolean acknowledged;
     private boolean lost;
 
-    SentMessage(int nonce, double sentAtMs, double entries, double leavesByMs) {
+    SentMessage(int nonce, double sentAtMs, double entries, double expectedDepartureMs) {
         this.nonce = nonce;
         this.sentAtMs = sentAtMs;
         this.entries = entries;
-        this.expectedDepartureMs = leavesByMs;
+        this.expectedDepartureMs = expectedDepartureMs;
     }
 
     int nonce() {
--- a/src/main/java/linenring/planner/WritePriority.java
+++ b/src/main/java/linenring/planner/WritePriority.java
@@ -14,9 +14,9 @@
     private final double maxQueueShare;
     private final double maxMessageShare;
 
-    WritePriority(double queueShare, double messageShare) {
-        this.maxQueueShare = queueShare;
-        this.maxMessageShare = messageShare;
+    WritePriority(double maxQueueShare, double maxMessageShare) {
+        this.maxQueueShare = maxQueueShare;
+        this.maxMessageShare = maxMessageShare;
     }
 
     /** Share of the channel's queue limit up to which writes of this priority are allowed. */
--- a/src/test/java/linenring/planner/DrainSchedulerTest.java
+++ b/src/test/java/linenring/planner/DrainSchedulerTest.java
@@ -31,10 +31,10 @@
         fleet.reconcile();
         fleet.startHost(7); // without the drain this change would wait for the gap after the last message
         fleet.drainHost(0);
-        int before = fleet.acknowledgementRequests();
+        int requestsBefore = fleet.acknowledgementRequests();
         fleet.reconcile();
         assertTrue(fleet.ejected().contains(0) && fleet.weight(0, 7) > 0);
-        assertEquals(before + 1, fleet.acknowledgementRequests());
+        assertEquals(requestsBefore + 1, fleet.acknowledgementRequests());
     }
 
     /**
@@ -48,13 +48,13 @@
         fleet.drainHost(0);
         fleet.drainHost(1);
         fleet.reconcile(); // both drains take 840 of the 1500 entries that the queue may hold
-        int before = fleet.acknowledgementRequests();
+        int requestsBefore = fleet.acknowledgementRequests();
         fleet.drainHost(2);
         fleet.drainHost(3);
         fleet.startHost(6);
         fleet.reconcile(); // each drain needs 720 entries or more: neither fits into the queue
         assertEquals(Set.of(0, 1), fleet.ejected());
-        assertEquals(before, fleet.acknowledgementRequests());
+        assertEquals(requestsBefore, fleet.acknowledgementRequests());
         fleet.pass(100);
         assertEquals(Set.of(0, 1, 2, 3), fleet.ejected());
     }
--- a/src/test/java/linenring/planner/FakeProxies.java
+++ b/src/test/java/linenring/planner/FakeProxies.java
@@ -260,8 +260,8 @@
     }
 
     @Override
-    public double entriesInMessage(int proxy, double expected) {
-        return expected + extraEntriesOfMessage;
+    public double entriesInMessage(int proxy, double expectedEntries) {
+        return expectedEntries + extraEntriesOfMessage;
     }
 
     @Override
--- a/src/test/java/linenring/planner/PlannerHistory.java
+++ b/src/test/java/linenring/planner/PlannerHistory.java
@@ -103,14 +103,14 @@
             if (!hasUnresponsiveProxy || proxy != UNRESPONSIVE_PROXY) {
                 player.atTime(
                         now() + ACKNOWLEDGEMENT_MS,
-                        target -> target.messageAcknowledged(acknowledgingProxy, nonce, ACKNOWLEDGEMENT_MS));
+                        planner -> planner.messageAcknowledged(acknowledgingProxy, nonce, ACKNOWLEDGEMENT_MS));
             }
         }
     }
 
     @Override
-    public double entriesInMessage(int proxy, double expected) {
-        return expected;
+    public double entriesInMessage(int proxy, double expectedEntries) {
+        return expectedEntries;
     }
 
     @Override
--- a/src/test/java/linenring/planner/RecordedHistoriesTest.java
+++ b/src/test/java/linenring/planner/RecordedHistoriesTest.java
@@ -29,7 +29,7 @@
     @ParameterizedTest
     @MethodSource("histories")
     void issuesRecordedCommands(RecordedHistories.History history) throws IOException {
-        List<String> expected = reference(history.file());
+        List<String> expected = readReference(history.file());
         List<String> actual = history.play();
         for (int i = 0; i < Math.min(expected.size(), actual.size()); i++) {
             List<String> precedingCommands = expected.subList(Math.max(0, i - CONTEXT_COMMANDS), i);
@@ -38,7 +38,7 @@
         assertEquals(expected.size(), actual.size());
     }
 
-    private static List<String> reference(String file) throws IOException {
+    private static List<String> readReference(String file) throws IOException {
         try (InputStream compressed = RecordedHistoriesTest.class.getResourceAsStream("histories/" + file)) {
             assertNotNull(compressed, file);
             InputStream text = new GZIPInputStream(compressed);
--- a/src/test/java/linenring/planner/RecordedHistory.java
+++ b/src/test/java/linenring/planner/RecordedHistory.java
@@ -25,7 +25,7 @@
     private final List<String> commands = new ArrayList<>();
     private final BitSet ejected = new BitSet();
     private final double[] lastWeight = new double[MAX_HOSTS];
-    private final ArrayDeque<Runnable> afterReconcile = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> pendingAcknowledgements = new ArrayDeque<>();
     private double channelFreeAtMs = PlannerPlayer.START_MS;
     private double channelSlowdown = 1;
     private int nonce;
@@ -76,18 +76,18 @@
     }
 
     private void scheduleAcknowledgements() {
-        afterReconcile.forEach(Runnable::run);
-        afterReconcile.clear();
+        pendingAcknowledgements.forEach(Runnable::run);
+        pendingAcknowledgements.clear();
     }
 
-    private static String rounded(double value) {
+    private static String formatNumber(double value) {
         return String.format(Locale.ROOT, "%.9g", value);
     }
 
     @Override
     public void setWeight(int table, int host, double weight) {
         lastWeight[host] = weight;
-        record("weight table=" + table + " host=" + host + " " + rounded(weight));
+        record("weight table=" + table + " host=" + host + " " + formatNumber(weight));
     }
 
     @Override
@@ -118,8 +118,8 @@
 
     @Override
     public void setAdmission(int table, int operations, double admissionRatio, RetryPolicy retryPolicy) {
-        record("admission table=" + table + " operations=" + operations + " " + rounded(admissionRatio) + " retries="
-                + retryPolicyText(retryPolicy));
+        record("admission table=" + table + " operations=" + operations + " " + formatNumber(admissionRatio)
+                + " retries=" + retryPolicyText(retryPolicy));
     }
 
     @Override
@@ -129,19 +129,19 @@
     }
 
     @Override
-    public double entriesInMessage(int proxy, double expected) {
+    public double entriesInMessage(int proxy, double expectedEntries) {
         double sentAtMs = now();
         int requestedNonce = nonce;
-        double entries = expected + MESSAGE_OVERHEAD_ENTRIES;
+        double entries = expectedEntries + MESSAGE_OVERHEAD_ENTRIES;
         channelFreeAtMs = Math.max(now(), channelFreeAtMs)
                 + entries * channelSlowdown / settings.channel().entriesPerMs();
         double acknowledgedAtMs = channelFreeAtMs + 2 * settings.channel().transitMs();
         if (!isUnresponsive(proxy, acknowledgedAtMs)) {
             double tookMs = Math.round(acknowledgedAtMs - sentAtMs);
-            afterReconcile.add(() -> player.atTime(
-                    acknowledgedAtMs, target -> target.messageAcknowledged(proxy, requestedNonce, tookMs)));
+            pendingAcknowledgements.add(() -> player.atTime(
+                    acknowledgedAtMs, planner -> planner.messageAcknowledged(proxy, requestedNonce, tookMs)));
         }
-        return expected;
+        return expectedEntries;
     }
 
     private static String retryPolicyText(RetryPolicy retryPolicy) {
--- a/src/test/java/linenring/planner/TableRegistryTest.java
+++ b/src/test/java/linenring/planner/TableRegistryTest.java
@@ -17,30 +17,30 @@
 
     @Test
     void forgetRemovesHostFromSubsetTablesOnly() {
-        EndpointTable full = registry.addFullTable(0, EndpointTable.ALL_ZONES);
+        EndpointTable fullTable = registry.addFullTable(0, EndpointTable.ALL_ZONES);
         firstHost.assignTo(0);
         secondHost.assignTo(0);
-        EndpointTable subset = registry.addSubsetTable(full, 0, 1);
-        assertEquals(List.of(firstHost, secondHost), subset.members());
+        EndpointTable subsetTable = registry.addSubsetTable(fullTable, 0, 1);
+        assertEquals(List.of(firstHost, secondHost), subsetTable.members());
         registry.forget(firstHost);
-        assertEquals(List.of(secondHost), subset.members());
-        assertEquals(2, full.members().size());
+        assertEquals(List.of(secondHost), subsetTable.members());
+        assertEquals(2, fullTable.members().size());
     }
 
     @Test
     void findsTablesWithEntryForHost() {
-        EndpointTable full = registry.addFullTable(0, EndpointTable.ALL_ZONES);
+        EndpointTable fullTable = registry.addFullTable(0, EndpointTable.ALL_ZONES);
         registry.addFullTable(0, EndpointTable.ALL_ZONES);
-        full.setWeight(secondHost, 0.5);
-        assertEquals(List.of(full), registry.holding(secondHost));
-        full.setWeight(secondHost, 0);
+        fullTable.setWeight(secondHost, 0.5);
+        assertEquals(List.of(fullTable), registry.holding(secondHost));
+        fullTable.setWeight(secondHost, 0);
         assertEquals(List.of(), registry.holding(secondHost));
     }
 
     @Test
     void addsShardTableOnce() {
-        EndpointTable shard = registry.ofShard(7);
-        assertSame(shard, registry.ofShard(7));
+        EndpointTable shardTable = registry.ofShard(7);
+        assertSame(shardTable, registry.ofShard(7));
         assertEquals(1, registry.tables().size());
     }
 
--- a/src/test/java/linenring/planner/UpdateSchedulerTest.java
+++ b/src/test/java/linenring/planner/UpdateSchedulerTest.java
@@ -23,16 +23,16 @@
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 2);
         fleet.startHost(6);
         fleet.reconcile();
-        int before = fleet.acknowledgementRequests();
+        int requestsBefore = fleet.acknowledgementRequests();
         fleet.startHost(7);
         fleet.reconcile();
         fleet.startHost(8);
         fleet.reconcile();
         assertEquals(
-                before,
+                requestsBefore,
                 fleet.acknowledgementRequests()); // both changes wait for one round-trip time after the previous one
         fleet.pass(300);
-        assertEquals(before + 1, fleet.acknowledgementRequests());
+        assertEquals(requestsBefore + 1, fleet.acknowledgementRequests());
         assertTrue(fleet.weight(0, 6) > 0 && fleet.weight(0, 7) > 0 && fleet.weight(0, 8) > 0);
     }
 
