--- a/src/test/java/linenring/planner/TableRegistryTest.java
+++ b/src/test/java/linenring/planner/TableRegistryTest.java
@@ -10,46 +10,46 @@
 
 class TableRegistryTest {
     private final Fleet fleet = new Fleet();
-    private final Host first = fleet.host(0);
-    private final Host second = fleet.host(1);
+    private final Host firstHost = fleet.host(0);
+    private final Host secondHost = fleet.host(1);
     private final TableRegistry registry = new TableRegistry(
             fleet, List.of(FakeProxies.operation(1, FakeProxies.ALL), FakeProxies.operation(2, 1)), false);
 
     @Test
-    void forgetTakesHostOutOfSubsetTablesAndLeavesListOfAllHosts() {
-        EndpointTable full = registry.addFullTable(0, EndpointTable.ALL_ZONES);
-        first.assignTo(0);
-        second.assignTo(0);
-        EndpointTable subset = registry.addSubsetTable(full, 0, 1);
-        assertEquals(List.of(first, second), subset.members());
-        registry.forget(first);
-        assertEquals(List.of(second), subset.members());
-        assertEquals(2, full.members().size());
+    void forgetRemovesHostFromSubsetTablesOnly() {
+        EndpointTable fullTable = registry.addFullTable(0, EndpointTable.ALL_ZONES);
+        firstHost.assignTo(0);
+        secondHost.assignTo(0);
+        EndpointTable subsetTable = registry.addSubsetTable(fullTable, 0, 1);
+        assertEquals(List.of(firstHost, secondHost), subsetTable.members());
+        registry.forget(firstHost);
+        assertEquals(List.of(secondHost), subsetTable.members());
+        assertEquals(2, fullTable.members().size());
     }
 
     @Test
-    void findsTablesThatHoldHost() {
-        EndpointTable full = registry.addFullTable(0, EndpointTable.ALL_ZONES);
+    void findsTablesWithEntryForHost() {
+        EndpointTable fullTable = registry.addFullTable(0, EndpointTable.ALL_ZONES);
         registry.addFullTable(0, EndpointTable.ALL_ZONES);
-        full.setWeight(second, 0.5);
-        assertEquals(List.of(full), registry.holding(second));
-        full.setWeight(second, 0);
-        assertEquals(List.of(), registry.holding(second));
+        fullTable.setWeight(secondHost, 0.5);
+        assertEquals(List.of(fullTable), registry.holding(secondHost));
+        fullTable.setWeight(secondHost, 0);
+        assertEquals(List.of(), registry.holding(secondHost));
     }
 
     @Test
-    void addsTableOfShardOnce() {
-        EndpointTable shard = registry.ofShard(7);
-        assertSame(shard, registry.ofShard(7));
+    void addsShardTableOnce() {
+        EndpointTable shardTable = registry.ofShard(7);
+        assertSame(shardTable, registry.ofShard(7));
         assertEquals(1, registry.tables().size());
     }
 
     @Test
-    void givesTableTheHostsOfFirstOperationInItsMask() {
-        first.update(0, 0, 1);
-        second.update(1, 0, 1);
-        assertFalse(registry.addFullTable(2, EndpointTable.ALL_ZONES).accepts(second));
-        assertTrue(registry.addFullTable(2, EndpointTable.ALL_ZONES).accepts(first));
-        assertTrue(registry.addFullTable(0, EndpointTable.ALL_ZONES).accepts(second));
+    void tableAcceptsHostsOfFirstOperationInItsMask() {
+        firstHost.update(0, 0, 1);
+        secondHost.update(1, 0, 1);
+        assertFalse(registry.addFullTable(2, EndpointTable.ALL_ZONES).accepts(secondHost));
+        assertTrue(registry.addFullTable(2, EndpointTable.ALL_ZONES).accepts(firstHost));
+        assertTrue(registry.addFullTable(0, EndpointTable.ALL_ZONES).accepts(secondHost));
     }
 }
