--- a/src/main/java/linenring/gateway/Attempt.java
+++ b/src/main/java/linenring/gateway/Attempt.java
@@ -13,30 +13,30 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * One attempt of a request at one host: waits for a stream, sends the request, forwards the answer, or finds out how it
- * failed. Jetty and timers call from any thread; all but the volatile fields are touched by the request's serialized
- * tasks alone.
+ * One attempt of a request at one host: waits for a stream of the upstream connection pool, sends the request and
+ * forwards the response, or reports how the attempt failed. Jetty and timers call from any thread; the fields that are
+ * not volatile are accessed only by the request's serialized tasks.
  */
 final class Attempt implements Stream.Listener, UpstreamConnections.StreamWaiter, Promise<Stream> {
-    /** After a stream closed as reset: a host's own reset is reported within the same call. */
-    private static final double RESET_REPORT_MS = 10;
+    /** Delay after a stream closed as reset; Jetty reports a reset by the host within the same call, so it arrives first. */
+    private static final double RESET_REPORT_DELAY_MS = 10;
 
     private final ProxiedRequest request;
     private final RequestServices services;
     private final int host;
     private final UpstreamConnections upstream;
     private final double startedAtMs;
-    private final double sendByMs;
-    private final Scheduler.Task deadline;
-    private final RequestBodyForwarder requestBody;
-    private final AnswerForwarder answer;
-    private UpstreamConnections.Connection connection; // null until a stream was granted
-    private Stream stream; // null until the headers were sent
-    private boolean headersSent; // handed to Jetty
-    private boolean decided; // its end was reported to the decision, or nobody waits for it any more
-    private boolean released; // its stream of the connection
+    private final double sendDeadlineMs;
+    private final Scheduler.Task deadlineTask;
+    private final RequestBodyForwarder requestBodyForwarder;
+    private final ResponseForwarder responseForwarder;
+    private UpstreamConnections.Connection connection; // null until the pool has granted a stream
+    private Stream stream; // null until the request headers were sent
+    private boolean headersSent; // the request headers were handed to Jetty, which may still be writing them
+    private boolean hasOutcome; // the retry decision knows the attempt's outcome, or the attempt was abandoned
+    private boolean streamReleased; // the attempt's stream was given back to the connection
     private volatile boolean resetByHost;
-    private volatile Stream createdStream; // null while Jetty has made none, and so written nothing
+    private volatile Stream createdStream; // null until Jetty has created the stream; nothing has been written before
 
     Attempt(ProxiedRequest request, NextStep.Send step) {
         this.request = request;
@@ -44,15 +44,15 @@
         startedAtMs = services.nowMs();
         host = step.host();
         upstream = services.upstreams().upstream(host);
-        sendByMs = step.sendByMs();
-        answer = new AnswerForwarder(request);
-        requestBody = new RequestBodyForwarder(request, this::isFailed);
-        deadline = services.schedule(
+        sendDeadlineMs = step.sendByMs();
+        responseForwarder = new ResponseForwarder(request);
+        requestBodyForwarder = new RequestBodyForwarder(request, this::isFailed);
+        deadlineTask = services.schedule(
                 () -> request.execute(this::timedOut), Math.max(0, step.giveUpAtMs() - services.nowMs()));
     }
 
     void begin() {
-        requestBody.prepareReplay();
+        requestBodyForwarder.prepareReplay();
         upstream.requestStream(this);
     }
 
@@ -60,29 +60,27 @@
         return host;
     }
 
-    /** Whether its end is decided without an answer. */
+    /** Whether the attempt ended before a response was forwarded. */
     private boolean isFailed() {
-        return decided && !answer.isStarted();
+        return hasOutcome && !responseForwarder.isStarted();
     }
 
     void requestDataAvailable() {
-        requestBody.dataAvailable();
+        requestBodyForwarder.dataAvailable();
     }
 
-    void pumpRequestBody() {
-        requestBody.pump();
+    void forwardRequestBody() {
+        requestBodyForwarder.sendNext();
     }
 
-    // The stream to the host is opened.
-
     @Override
-    public void granted(UpstreamConnections.Connection granted) {
+    public void granted(UpstreamConnections.Connection grantedConnection) {
         request.execute(() -> {
-            connection = granted;
-            if (decided) {
-                release();
-            } else if (services.nowMs() > sendByMs) { // it waited too long for a connection
-                release();
+            connection = grantedConnection;
+            if (hasOutcome) {
+                releaseStream();
+            } else if (services.nowMs() > sendDeadlineMs) { // the attempt has waited too long for a connection
+                releaseStream();
                 failed(AttemptFailure.neverSent());
             } else {
                 openStream();
@@ -91,9 +89,9 @@
     }
 
     private void openStream() {
-        boolean last = requestBody.startWithHeaders();
+        boolean isLast = requestBodyForwarder.startWithHeaders();
         headersSent = true;
-        connection.session().newStream(new HeadersFrame(request.headers().getMetaData(), null, last), this, this);
+        connection.session().newStream(new HeadersFrame(request.headers().getMetaData(), null, isLast), this, this);
     }
 
     @Override
@@ -102,148 +100,147 @@
     }
 
     @Override
-    public void succeeded(Stream opened) {
+    public void succeeded(Stream openedStream) {
         request.execute(() -> {
-            useStream(opened);
-            opened.setIdleTimeout(GatewayTransport.UNLIMITED); // the decision says how long it may take
+            useStream(openedStream);
+            openedStream.setIdleTimeout(GatewayTransport.UNLIMITED); // the retry decision sets the attempt's deadline
             if (isFailed()) {
                 cancelStream();
-            } else if (!requestBody.isEndSent()) {
-                requestBody.pump();
+            } else if (!requestBodyForwarder.isEndSent()) {
+                requestBodyForwarder.sendNext();
             }
         });
     }
 
-    private void useStream(Stream opened) {
-        stream = opened;
-        requestBody.setHostStream(opened);
-        answer.setHostStream(opened);
+    private void useStream(Stream openedStream) {
+        stream = openedStream;
+        requestBodyForwarder.setHostStream(openedStream);
+        responseForwarder.setHostStream(openedStream);
     }
 
-    /** Before anything is written; within the call of {@code newStream}. */
+    /** Called by Jetty within {@code newStream}, before anything is written to the stream. */
     @Override
-    public void onNewStream(Stream opened) {
-        createdStream = opened;
+    public void onNewStream(Stream openedStream) {
+        createdStream = openedStream;
     }
 
     /**
-     * The stream was not opened. A connection that is lost while the headers are written, or closed by {@link #release},
-     * may be reported here before the stream is notified that a GOAWAY leaves it out.
+     * Called by Jetty when opening the stream has failed. When the connection is lost during the write of the headers, or
+     * was closed by {@link #releaseStream}, this failure may be reported before the stream is notified that its number is
+     * above the last stream of a GOAWAY.
      */
     @Override
     public void failed(Throwable failure) {
         request.execute(() -> {
-            release();
+            releaseStream();
             failed(createdStream == null ? AttemptFailure.streamNotCreated() : connectionLost(createdStream));
         });
     }
 
-    // The answer.
-
-    /** The answer may come before the request's headers are reported as sent. */
+    /** Handles headers from the host; they may arrive before Jetty reports the request headers as sent. */
     @Override
-    public void onHeaders(Stream from, HeadersFrame frame) {
+    public void onHeaders(Stream hostStream, HeadersFrame frame) {
         request.execute(() -> {
-            if (request.isOver() || isFailed()) {
+            if (request.hasEnded() || isFailed()) {
                 return;
             }
-            useStream(from);
+            useStream(hostStream);
             if (!(frame.getMetaData() instanceof MetaData.Response head)) {
-                answer.trailersReceived(frame.getMetaData().getHttpFields());
+                responseForwarder.trailersReceived(frame.getMetaData().getHttpFields());
             } else if (head.getStatus() < HttpStatus.OK_200) {
-                answer.forwardInterim(head);
+                responseForwarder.forwardInterim(head);
             } else {
-                answered(head, frame.isEndStream());
+                responseReceived(head, frame.isEndStream());
             }
         });
     }
 
-    private void answered(MetaData.Response head, boolean last) {
-        boolean errored = Responses.isServerError(head.getStatus());
-        recordAttempt(!errored);
-        NextStep step = errored ? request.attemptErrored() : request.attemptSucceeded();
-        decided = true;
-        deadline.cancel();
+    private void responseReceived(MetaData.Response head, boolean isLast) {
+        boolean isError = Responses.isServerError(head.getStatus());
+        recordAttempt(!isError);
+        NextStep step = isError ? request.attemptErrored() : request.attemptSucceeded();
+        hasOutcome = true;
+        deadlineTask.cancel();
         if (step instanceof NextStep.Send send) {
-            if (!last) {
+            if (!isLast) {
                 cancelStream();
             }
             request.retry(send);
         } else if (step instanceof NextStep.Forward) {
-            services.outcomes().answered(request.operation(), errored);
-            answer.start(head, last);
+            services.outcomes().responseStarted(request.operation(), isError);
+            responseForwarder.start(head, isLast);
         }
     }
 
     @Override
-    public void onDataAvailable(Stream from) {
-        request.execute(answer::pump);
+    public void onDataAvailable(Stream hostStream) {
+        request.execute(responseForwarder::forwardNext);
     }
 
-    // The attempt ends without an answer.
-
     @Override
-    public void onReset(Stream from, ResetFrame frame, Callback callback) {
-        boolean refused = frame.getError() == ErrorCode.REFUSED_STREAM_ERROR.code;
-        boolean answeredEarly = frame.getError() == ErrorCode.NO_ERROR.code; // RFC 9113, 8.1
+    public void onReset(Stream hostStream, ResetFrame frame, Callback callback) {
+        boolean isRefused = frame.getError() == ErrorCode.REFUSED_STREAM_ERROR.code;
+        boolean hasRespondedEarly = frame.getError() == ErrorCode.NO_ERROR.code;
         resetByHost = true;
         request.execute(() -> {
-            release();
-            if (!(answeredEarly && answer.isStarted())) { // else the answer is complete, and is being read
-                failed(AttemptFailure.reset(refused, answer.isStarted()));
+            releaseStream();
+            // after a reset with NO_ERROR the rest of a complete response is still read (RFC 9113, 8.1)
+            if (!(hasRespondedEarly && responseForwarder.isStarted())) {
+                failed(AttemptFailure.reset(isRefused, responseForwarder.isStarted()));
             }
         });
         callback.succeeded();
     }
 
     @Override
-    public void onFailure(Stream from, int error, String reason, Throwable failure, Callback callback) {
+    public void onFailure(Stream hostStream, int error, String reason, Throwable failure, Callback callback) {
         request.execute(() -> {
-            release();
-            failed(connectionLost(from));
+            releaseStream();
+            failed(connectionLost(hostStream));
         });
         callback.succeeded();
     }
 
-    /** A stream that is closed as reset was reset by the host, which is reported next, or by Jetty. */
+    /** Handles the close of the stream; a reset came either from the host, and is then reported next, or from Jetty. */
     @Override
-    public void onClosed(Stream from) {
+    public void onClosed(Stream hostStream) {
         request.execute(() -> {
-            release();
-            if (from.isReset() && !isFailed() && !request.isOver()) {
-                services.schedule(() -> request.execute(this::resetByJetty), RESET_REPORT_MS);
+            releaseStream();
+            if (hostStream.isReset() && !isFailed() && !request.hasEnded()) {
+                services.schedule(() -> request.execute(this::failIfResetByJetty), RESET_REPORT_DELAY_MS);
             }
         });
     }
 
     /**
-     * Jetty resets what is no HTTP/2 message, such as a body of another length than was announced (RFC 9113, 8.1.1), and
-     * reports it to nobody: without this the client would get no answer until the deadline.
+     * Fails the attempt if Jetty has reset its stream. Jetty resets a stream with a malformed message, such as a body
+     * whose length differs from its Content-Length (RFC 9113, 8.1.1), and calls no listener; without this check the client
+     * would get no response until the deadline.
      */
-    private void resetByJetty() {
+    private void failIfResetByJetty() {
         if (!resetByHost) {
-            failed(AttemptFailure.reset(false, answer.isStarted()));
+            failed(AttemptFailure.reset(false, responseForwarder.isStarted()));
         }
     }
 
-    private AttemptFailure connectionLost(Stream lost) {
-        return AttemptFailure.connectionLost(connection.isNotProcessed(lost.getId()));
+    private AttemptFailure connectionLost(Stream lostStream) {
+        return AttemptFailure.connectionLost(connection.isNotProcessed(lostStream.getId()));
     }
 
     private void timedOut() {
-        if (!decided) {
-            boolean sent = headersSent;
+        if (!hasOutcome) {
+            boolean wasSent = headersSent;
             abandonStream();
-            failed(AttemptFailure.timedOut(sent));
+            failed(AttemptFailure.timedOut(wasSent));
         }
     }
 
     private void failed(AttemptFailure failure) {
-        if (answer.isStarted() && !request.isOver()) { // the client has part of the answer
-            request.answerBrokeOff(host, failure);
-        } else if (!decided) {
-            decided = true;
-            deadline.cancel();
+        if (responseForwarder.isStarted() && !request.hasEnded()) { // the client has received a part of the response
+            request.responseBrokenOff(host, failure);
+        } else if (!hasOutcome) {
+            hasOutcome = true;
+            deadlineTask.cancel();
             recordAttempt(!failure.countsAgainstHost());
             request.attemptFailed(failure);
         }
@@ -253,10 +250,10 @@
         services.statistics().recordAttempt(host, success, services.nowMs() - startedAtMs);
     }
 
-    /** Nobody waits for it any more; that a client left says nothing about the host. */
+    /** Ends the attempt without an outcome; a client that leaves does not count against the host. */
     void abandon() {
-        deadline.cancel();
-        decided = true;
+        deadlineTask.cancel();
+        hasOutcome = true;
         abandonStream();
     }
 
@@ -264,24 +261,24 @@
         if (connection != null) {
             cancelStream();
         } else if (!upstream.cancel(this)) {
-            decided = true; // granted or rejected by now, which sees this
+            hasOutcome = true; // granted() or rejected() is already queued and finds this flag set
         }
     }
 
     /**
-     * Resets the stream, unless it closes by itself. It counts as active until it is closed; one that is not open yet is
-     * reset once it is.
+     * Resets the stream, unless both sides of it are complete. The stream counts as active until it is closed; a stream
+     * that is still being opened is reset as soon as it is open.
      */
     private void cancelStream() {
-        boolean closesByItself = answer.isComplete() && requestBody.isEndSent();
-        if (stream != null && !stream.isReset() && !stream.isClosed() && !closesByItself) {
+        boolean isComplete = responseForwarder.isComplete() && requestBodyForwarder.isEndSent();
+        if (stream != null && !stream.isReset() && !stream.isClosed() && !isComplete) {
             Responses.reset(stream, ErrorCode.CANCEL_STREAM_ERROR);
         }
     }
 
-    private void release() {
-        if (connection != null && !released) {
-            released = true;
+    private void releaseStream() {
+        if (connection != null && !streamReleased) {
+            streamReleased = true;
             connection.streamClosed();
         }
     }
--- a/src/main/java/linenring/gateway/BufferBudget.java
+++ b/src/main/java/linenring/gateway/BufferBudget.java
@@ -1,6 +1,6 @@
 package linenring.gateway;
 
-/** Bytes that may be held by all requests together. Thread-safe. */
+/** Limits the number of bytes that all requests together may buffer. Thread-safe. */
 final class BufferBudget {
     private final long maxBytes;
     private long reservedBytes; // guarded by this
@@ -9,7 +9,7 @@
         this.maxBytes = maxBytes;
     }
 
-    /** False, and nothing is reserved, where fewer bytes are left. */
+    /** Reserves the bytes and returns true, or reserves nothing and returns false if fewer bytes are left. */
     synchronized boolean tryReserve(long bytes) {
         if (reservedBytes + bytes > maxBytes) {
             return false;
--- a/src/main/java/linenring/gateway/ClientProtocol.java
+++ b/src/main/java/linenring/gateway/ClientProtocol.java
@@ -5,52 +5,54 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** What a client speaks, by the first bytes of its connection. */
+/** The protocol that a client uses, detected by the first bytes of its connection. */
 enum ClientProtocol {
-    /** The complete preface is there (RFC 9113, 3.4). */
+    /** The complete HTTP/2 connection preface was received (RFC 9113, 3.4). */
     HTTP2,
-    /** All that is there begins the preface. */
+    /** All received bytes match the beginning of the HTTP/2 connection preface. */
     INCOMPLETE_PREFACE,
-    /** A request of HTTP/1. */
+    /** The client sends an HTTP/1 request. */
     HTTP1,
-    /** A request of HTTP/1 for the obsolete upgrade to h2c (RFC 9113, 3.1). */
+    /** The client sends an HTTP/1 request for the obsolete upgrade to h2c (RFC 9113, 3.1). */
     HTTP1_UPGRADE,
-    /** A TLS record of a handshake. */
+    /** The client sends a TLS handshake record. */
     TLS,
-    /** Anything else. */
+    /** The first bytes match no other protocol of this list. */
     UNKNOWN;
 
     private static final byte[] PREFACE = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-    private static final int TLS_HANDSHAKE = 0x16;
-    private static final int METHOD_LENGTH = 4;
+    private static final int TLS_HANDSHAKE_RECORD_TYPE = 0x16;
+    private static final int METHOD_PREFIX_BYTES = 4;
 
-    /** HTTP/1's methods, cut to {@link #METHOD_LENGTH}. */
-    private static final Set<String> METHODS = Set.of("GET ", "POST", "PUT ", "HEAD", "DELE", "OPTI", "PATC", "CONN");
+    /** HTTP/1 request methods, truncated to {@link #METHOD_PREFIX_BYTES} bytes. */
+    private static final Set<String> METHOD_PREFIXES =
+            Set.of("GET ", "POST", "PUT ", "HEAD", "DELE", "OPTI", "PATC", "CONN");
 
-    /** Leaves the buffer as it is. */
-    static ClientProtocol of(ByteBuffer received) {
+    /** Detects the protocol by the received bytes, without moving the buffer's position. */
+    static ClientProtocol detect(ByteBuffer received) {
         int length = received.remaining();
-        int matching = matchingPrefaceBytes(received);
-        if (matching == PREFACE.length) {
+        int matchingBytes = matchingPrefaceBytes(received);
+        if (matchingBytes == PREFACE.length) {
             return HTTP2;
         }
-        return matching == length ? INCOMPLETE_PREFACE : otherProtocol(received, length);
+        return matchingBytes == length ? INCOMPLETE_PREFACE : otherProtocol(received, length);
     }
 
     private static int matchingPrefaceBytes(ByteBuffer received) {
-        int compared = Math.min(received.remaining(), PREFACE.length);
-        int matching = 0;
-        while (matching < compared && received.get(received.position() + matching) == PREFACE[matching]) {
-            matching++;
+        int comparedBytes = Math.min(received.remaining(), PREFACE.length);
+        int matchingBytes = 0;
+        while (matchingBytes < comparedBytes
+                && received.get(received.position() + matchingBytes) == PREFACE[matchingBytes]) {
+            matchingBytes++;
         }
-        return matching;
+        return matchingBytes;
     }
 
     private static ClientProtocol otherProtocol(ByteBuffer received, int length) {
         String start = StandardCharsets.ISO_8859_1.decode(received.slice()).toString();
-        if (length >= METHOD_LENGTH && METHODS.contains(start.substring(0, METHOD_LENGTH))) {
+        if (length >= METHOD_PREFIX_BYTES && METHOD_PREFIXES.contains(start.substring(0, METHOD_PREFIX_BYTES))) {
             return start.toLowerCase(Locale.ROOT).contains("upgrade: h2c") ? HTTP1_UPGRADE : HTTP1;
         }
-        return start.charAt(0) == TLS_HANDSHAKE ? TLS : UNKNOWN;
+        return start.charAt(0) == TLS_HANDSHAKE_RECORD_TYPE ? TLS : UNKNOWN;
     }
 }
--- a/src/main/java/linenring/gateway/ClientSessionListener.java
+++ b/src/main/java/linenring/gateway/ClientSessionListener.java
@@ -11,7 +11,7 @@
 import org.eclipse.jetty.http2.frames.SettingsFrame;
 import org.eclipse.jetty.util.Callback;
 
-/** The clients' HTTP/2 sessions. Jetty calls for one session after the other on that session's thread. */
+/** Handles the events of all clients' HTTP/2 sessions. Jetty delivers the events of one session one at a time. */
 final class ClientSessionListener implements ServerSessionListener {
     private final GracefulShutdown shutdown;
     private final RequestDispatcher dispatcher;
@@ -36,10 +36,11 @@
     @Override
     public Stream.Listener onNewStream(Stream stream, HeadersFrame frame) {
         if (!shutdown.acceptStream(stream.getSession(), stream.getId())) {
-            Responses.reset(stream, ErrorCode.REFUSED_STREAM_ERROR); // proof that it was not processed (RFC 9113, 8.7)
+            Responses.reset(
+                    stream, ErrorCode.REFUSED_STREAM_ERROR); // tells the client that a retry is safe (RFC 9113, 8.7)
             return null;
         }
-        stream.setIdleTimeout(GatewayTransport.UNLIMITED); // attempts and stalls have limits of their own
+        stream.setIdleTimeout(GatewayTransport.UNLIMITED); // deadlines of attempts and the stall timeout apply instead
         return dispatcher.dispatch(stream, frame);
     }
 
@@ -51,10 +52,10 @@
 
     @Override
     public void onFailure(Session session, Throwable failure, Callback callback) {
-        if (failure.getMessage() != null) { // else it has only closed its connection
+        if (failure.getMessage() != null) { // a failure without a message means that the client closed its connection
             log.info(
                     Http2Gateway.CLIENT_LOG_SUBJECT,
-                    session.getRemoteSocketAddress() + " failed: " + failure.getMessage());
+                    "HTTP/2 session of " + session.getRemoteSocketAddress() + " has failed: " + failure.getMessage());
         }
         shutdown.sessionClosed(session);
         callback.succeeded();
@@ -69,6 +70,6 @@
 
     @Override
     public boolean onIdleTimeout(Session session) {
-        return shutdown.isIdle(session); // while something is active, its own limits count
+        return shutdown.isIdle(session); // sessions with active streams are not closed as idle
     }
 }
--- a/src/main/java/linenring/gateway/ControllerSubscription.java
+++ b/src/main/java/linenring/gateway/ControllerSubscription.java
@@ -15,15 +15,15 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * The gateway as one more proxy of the controller in its process: subscribes through the event queue, applies
- * configuration updates, acknowledges them, reports. The controller's thread is never kept waiting: what it hands over
- * is applied by {@link SerialTasks} of the gateway's threads.
+ * Subscribes the gateway as a proxy of the controller in the same process: subscribes through the event queue, applies
+ * and acknowledges configuration updates, and sends load reports. The controller's thread never waits for the gateway,
+ * since a {@link SerialExecutor} applies the updates on the gateway's threads.
  */
 final class ControllerSubscription {
-    /** As proxies, which dial again within 0.1 to 2 s. */
-    private static final long RESUBSCRIBE_MS = 200;
+    /** Delay before a new subscription, within the 0.1 to 2 s in which other proxies reconnect. */
+    private static final long RESUBSCRIBE_DELAY_MS = 200;
 
-    /** One stream to the controller; updates on one that has ended change nothing. */
+    /** One stream to the controller; updates that arrive on a stream which has ended are ignored. */
     private final class Subscription implements ProxyStream {
         private final long number = events.nextStreamNumber();
 
@@ -34,12 +34,12 @@
 
         @Override
         public void write(ConfigurationUpdate update) {
-            updates.execute(() -> apply(this, update));
+            updateTasks.execute(() -> apply(this, update));
         }
 
         @Override
         public void close(String reason) {
-            updates.execute(() -> streamBroke(this, reason));
+            updateTasks.execute(() -> streamLost(this, reason));
         }
     }
 
@@ -48,10 +48,10 @@
     private final Tables tables;
     private final RollingStatistics statistics;
     private final RequestServices services;
-    private final SerialTasks updates;
+    private final SerialExecutor updateTasks;
     private final Log log;
-    private volatile Subscription current; // null between two streams
-    private volatile boolean leaving; // written under this
+    private volatile Subscription currentStream; // null until the gateway has subscribed again after a lost stream
+    private volatile boolean unsubscribed; // written while holding the lock of this
 
     ControllerSubscription(
             GatewaySettings settings,
@@ -66,40 +66,40 @@
         this.services = services;
         this.log = log;
         statistics = services.statistics();
-        updates = new SerialTasks(executor);
+        updateTasks = new SerialExecutor(executor);
     }
 
     synchronized void subscribe() {
-        if (leaving) {
-            return; // it was to leave while it waited to subscribe again
+        if (unsubscribed) {
+            return; // unsubscribe() was called during the delay before this subscription
         }
         Subscription next = new Subscription();
-        current = next;
+        currentStream = next;
         events.enqueueMessage(
                 next,
                 new InboundMessage.Subscribe(
                         settings.proxy(), settings.zone(), settings.usualPerSecond(), tables.isEmpty()));
     }
 
-    /** Reports now, and from then on at every interval. */
-    void report() {
-        Subscription stream = current;
-        if (leaving) {
+    /** Sends load reports now and then periodically. */
+    void sendReport() {
+        Subscription stream = currentStream;
+        if (unsubscribed) {
             return;
         }
         statistics.drainReport(services.nowMs()).forEach(message -> events.enqueueMessage(stream, message));
-        scheduler().schedule(this::report, (long) settings.reportIntervalMs(), TimeUnit.MILLISECONDS);
+        scheduler().schedule(this::sendReport, (long) settings.reportIntervalMs(), TimeUnit.MILLISECONDS);
     }
 
-    synchronized void leave() {
-        leaving = true;
-        if (current != null) { // else there is no stream to end
-            events.enqueueStreamClosed(current);
+    synchronized void unsubscribe() {
+        unsubscribed = true;
+        if (currentStream != null) { // without a current stream there is nothing to close
+            events.enqueueStreamClosed(currentStream);
         }
     }
 
     private void apply(Subscription stream, ConfigurationUpdate update) {
-        if (!stream.equals(current)) {
+        if (!stream.equals(currentStream)) {
             return;
         }
         double startedAtMs = services.nowMs();
@@ -108,7 +108,7 @@
             nonces = tables.apply(update);
         } catch (UnusableUpdateException unusable) {
             events.enqueueStreamClosed(stream);
-            streamBroke(stream, "brought a configuration update that cannot be applied: " + unusable.getMessage());
+            streamLost(stream, "a configuration update cannot be applied: " + unusable.getMessage());
             return;
         }
         services.upstreams().refresh();
@@ -117,11 +117,11 @@
                 events.enqueueMessage(stream, new InboundMessage.Acknowledgement(settings.proxy(), nonce, appliedMs)));
     }
 
-    private void streamBroke(Subscription stream, String reason) {
-        if (stream.equals(current) && !leaving) {
-            log.warn(Http2Gateway.LOG_SUBJECT, "its stream to the controller " + reason + ": subscribes again");
-            current = null;
-            scheduler().schedule(this::subscribe, RESUBSCRIBE_MS, TimeUnit.MILLISECONDS);
+    private void streamLost(Subscription stream, String reason) {
+        if (stream.equals(currentStream) && !unsubscribed) {
+            log.warn(Http2Gateway.LOG_SUBJECT, "stream to the controller has ended: " + reason + "; subscribing again");
+            currentStream = null;
+            scheduler().schedule(this::subscribe, RESUBSCRIBE_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
--- a/src/main/java/linenring/gateway/Drain.java
+++ b/src/main/java/linenring/gateway/Drain.java
@@ -4,48 +4,49 @@
 import java.util.Map;
 
 /**
- * The decisions of a graceful shutdown of all client sessions (RFC 9113, 6.8). First comes a GOAWAY that takes nothing
- * back, so that what is on its way is still accepted, and behind it a PING. Once the client has answered that, it has
- * seen both, and a second GOAWAY names the last accepted stream; what comes after that is refused as not processed. The
- * drain is over when no accepted stream is active, or at its time limit. {@code S} names a session. Thread-safe.
+ * Decides the steps of a graceful shutdown of all client sessions (RFC 9113, 6.8). The first GOAWAY names the highest
+ * possible stream, so that streams in transit are still accepted, and is followed by a PING. The answer to the PING proves
+ * that the client has received both frames. A second, final GOAWAY then names the last accepted stream, and later streams
+ * are refused as not processed. The drain is complete when no accepted stream is active, or at its time limit. The type
+ * parameter {@code S} identifies a session. Thread-safe.
  *
- * <p>It guards against requests that are lost because a client sends them before it has read of the shutdown; that shows
- * as streams refused at clients that did nothing wrong. A PING is answered behind everything that was sent before it, so
- * nothing can be on its way any more. It does harm where a client answers no PING: it is waited for half of the limit.
+ * <p>The PING guards against the refusal of streams that a client sent before it received the first GOAWAY: frames arrive
+ * in order, so after the answer to the PING no such stream is in transit. A client that answers no PING delays the drain
+ * by up to half of the time limit.
  */
 final class Drain<S> {
-    /** A round trip inside one network, many times over; clients' own connections are as near. */
+    /** Minimum time between the two GOAWAY frames, many round trips of the network that clients and gateway share. */
     static final double MIN_ANNOUNCEMENT_MS = 200;
 
-    /** No stream: the last one of a session is not to be named now. */
-    static final int NOT_NOW = -1;
+    /** Returned when no final GOAWAY is to be sent to a session now. */
+    static final int NOT_DUE = -1;
 
-    /** Where the drain stands. */
+    /** The stages of a drain, in order. */
     enum Stage {
-        /** There is none. */
+        /** No drain is in progress. */
         SERVING,
-        /** The first GOAWAY was sent. */
+        /** The first GOAWAY was sent to all sessions. */
         ANNOUNCED,
-        /** Sessions' last streams are named as soon as their clients know of the drain. */
-        NAMING_LAST_STREAMS,
-        /** Nothing is waited for any more. */
-        OVER
+        /** Each session gets its final GOAWAY once its client has answered the PING. */
+        SENDING_FINAL_GOAWAYS,
+        /** All accepted streams have ended, or the time limit is reached. */
+        COMPLETED
     }
 
     private static final class SessionState {
         private int lastAcceptedStream;
         private int activeStreams;
-        private boolean pingUnanswered; // the one behind the first GOAWAY
-        private boolean lastStreamNamed;
-        private boolean openedDuringDrain; // none of its streams is accepted
+        private boolean pingUnanswered; // the PING that follows the first GOAWAY
+        private boolean finalGoAwayBegun;
+        private boolean openedDuringDrain; // no stream of such a session is accepted
     }
 
     private final double maxDrainMs;
-    // All below are guarded by this.
+    // The fields below are guarded by this.
     private final Map<S, SessionState> sessions = new HashMap<>();
     private Stage stage = Stage.SERVING;
-    private double begunAtMs;
-    private double nowMs; // as of the latest step
+    private double startedAtMs;
+    private double nowMs; // time of the latest call of advance()
     private int finished;
     private int refused;
 
@@ -53,7 +54,7 @@
         this.maxDrainMs = maxDrainMs;
     }
 
-    /** A session is there; false if it comes too late, and its client is to be notified. */
+    /** Adds a session; returns false during a drain, when the session's client has to be sent a GOAWAY. */
     synchronized boolean sessionOpened(S session) {
         SessionState state = new SessionState();
         state.openedDuringDrain = stage != Stage.SERVING;
@@ -70,10 +71,10 @@
         sessions.remove(session);
     }
 
-    /** A stream has come; false: it is to be refused as not processed. */
+    /** Accepts a new stream and returns true, or returns false if the stream is to be refused as not processed. */
     synchronized boolean acceptStream(S session, int streamId) {
         SessionState state = sessions.get(session);
-        if (state == null || state.openedDuringDrain || state.lastStreamNamed || stage == Stage.OVER) {
+        if (state == null || state.openedDuringDrain || state.finalGoAwayBegun || stage == Stage.COMPLETED) {
             refused++;
             return false;
         }
@@ -90,23 +91,23 @@
         finished += stage == Stage.SERVING ? 0 : 1;
     }
 
-    /** Begins; false if it had begun. */
-    synchronized boolean begin(double beginMs) {
+    /** Begins a drain and returns true, or returns false if one is already in progress. */
+    synchronized boolean begin(double startMs) {
         if (stage != Stage.SERVING) {
             return false;
         }
         stage = Stage.ANNOUNCED;
-        begunAtMs = beginMs;
-        nowMs = beginMs;
+        startedAtMs = startMs;
+        nowMs = startMs;
         return true;
     }
 
-    /** A PING is sent behind the first GOAWAY. */
+    /** Records that the PING after the first GOAWAY is sent. */
     synchronized void pingSent(S session) {
         setPingUnanswered(session, true);
     }
 
-    /** The client has answered the PING: what it sent before it knew is here. */
+    /** Records the client's answer to the PING, which arrives after all streams sent without knowledge of the drain. */
     synchronized void pingAnswered(S session) {
         setPingUnanswered(session, false);
     }
@@ -118,12 +119,12 @@
         }
     }
 
-    /** Whether the client may still send streams without knowing of the drain. */
-    private boolean mayNotKnow(SessionState state) {
-        return state.pingUnanswered && !state.lastStreamNamed && nowMs - begunAtMs < maxDrainMs / 2;
+    /** Whether the client may still send streams because it has not received the first GOAWAY. */
+    private boolean mayStillSendStreams(SessionState state) {
+        return state.pingUnanswered && !state.finalGoAwayBegun && nowMs - startedAtMs < maxDrainMs / 2;
     }
 
-    /** Serves again; sessions whose last stream was named go on refusing later ones. */
+    /** Ends the drain and serves again; sessions that were sent a final GOAWAY still refuse new streams. */
     synchronized void cancel() {
         for (SessionState state : sessions.values()) {
             state.pingUnanswered = false;
@@ -132,31 +133,33 @@
         stage = Stage.SERVING;
     }
 
-    /** Moves on with time and with what has finished. */
+    /** Moves to the next stage if the elapsed time and the active streams allow it, and returns the current stage. */
     synchronized Stage advance(double stepMs) {
         nowMs = stepMs;
-        double drainingMs = nowMs - begunAtMs;
+        double drainingMs = nowMs - startedAtMs;
         if (stage == Stage.ANNOUNCED && drainingMs >= MIN_ANNOUNCEMENT_MS) {
-            stage = Stage.NAMING_LAST_STREAMS;
+            stage = Stage.SENDING_FINAL_GOAWAYS;
         }
-        boolean done = activeStreams() == 0 && sessions.values().stream().noneMatch(this::mayNotKnow);
-        boolean atLimit = drainingMs >= maxDrainMs;
-        if ((stage == Stage.NAMING_LAST_STREAMS && (done || atLimit)) || (stage == Stage.ANNOUNCED && atLimit)) {
-            stage = Stage.OVER;
+        boolean isDrained = activeStreams() == 0 && sessions.values().stream().noneMatch(this::mayStillSendStreams);
+        boolean isAtLimit = drainingMs >= maxDrainMs;
+        if ((stage == Stage.SENDING_FINAL_GOAWAYS && (isDrained || isAtLimit))
+                || (stage == Stage.ANNOUNCED && isAtLimit)) {
+            stage = Stage.COMPLETED;
         }
         return stage;
     }
 
     /**
-     * The last accepted stream of a session, which its client is notified of now, once: later ones are refused. {@link #NOT_NOW}
-     * while its client may not know of the drain, and for a session opened during it, which is closed by itself.
+     * Returns the last accepted stream of a session, for the final GOAWAY that the caller sends; from now on new streams of
+     * the session are refused. Returns {@link #NOT_DUE} after the first such call, while the client may not have received
+     * the first GOAWAY, and for a session that was opened during the drain, which gets a GOAWAY of its own.
      */
-    synchronized int nameLastStream(S session) {
+    synchronized int beginFinalGoAway(S session) {
         SessionState state = sessions.get(session);
-        if (state == null || state.openedDuringDrain || state.lastStreamNamed || mayNotKnow(state)) {
-            return NOT_NOW;
+        if (state == null || state.openedDuringDrain || state.finalGoAwayBegun || mayStillSendStreams(state)) {
+            return NOT_DUE;
         }
-        state.lastStreamNamed = true;
+        state.finalGoAwayBegun = true;
         return state.lastAcceptedStream;
     }
 
@@ -169,12 +172,12 @@
         return sessions.values().stream().mapToInt(state -> state.activeStreams).sum();
     }
 
-    /** Streams that ended during a drain. */
+    /** Number of streams that ended during a drain. */
     synchronized int finished() {
         return finished;
     }
 
-    /** Streams that were refused. */
+    /** Number of streams that were refused. */
     synchronized int refused() {
         return refused;
     }
--- a/src/main/java/linenring/gateway/GatewayClock.java
+++ b/src/main/java/linenring/gateway/GatewayClock.java
@@ -2,7 +2,7 @@
 
 import java.util.function.DoubleSupplier;
 
-/** Milliseconds since the gateway was made, never stepping back. */
+/** A monotonic clock that counts milliseconds since the gateway was created. */
 final class GatewayClock implements DoubleSupplier {
     private static final double NANOS_PER_MILLI = 1e6;
 
--- a/src/main/java/linenring/gateway/GatewayStartException.java
+++ b/src/main/java/linenring/gateway/GatewayStartException.java
@@ -1,6 +1,6 @@
 package linenring.gateway;
 
-/** A gateway that could not be started; nothing of it is left running. */
+/** Thrown when a gateway cannot be started; all of its threads and sockets have been closed. */
 public final class GatewayStartException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/linenring/gateway/GatewayTransport.java
+++ b/src/main/java/linenring/gateway/GatewayTransport.java
@@ -17,25 +17,25 @@
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 import org.eclipse.jetty.util.thread.Scheduler;
 
-/** Jetty's parts of a gateway: threads, timers, the server towards clients, the client towards hosts. */
+/** Creates and configures the Jetty components of a gateway: threads, timers, the server for clients, the client for hosts. */
 final class GatewayTransport {
-    /** As a timeout of Jetty's: none, since this software has its own. */
+    /** Disables a Jetty timeout where the gateway has a timeout of its own. */
     static final long UNLIMITED = -1;
 
-    /** None of them waits for anything: selectors, helpers, a burst. */
+    /** Gateway threads never block; the limit leaves space for selectors, helper tasks and bursts. */
     private static final int MAX_THREADS = 32;
 
     private static final int MIN_THREADS = 4;
 
-    /** No thread waits in accept, so that accepting can be stopped. */
+    /** Without acceptor threads no thread blocks in accept(), so that accepting can be stopped. */
     private static final int ACCEPTORS = 0;
 
     private static final int SELECTORS = 1;
 
-    /** Connections that the kernel completes while nothing accepts, during an upgrade. The number has no known reason. */
+    /** Number of connections that the kernel holds while no process accepts them during an upgrade. */
     private static final int ACCEPT_QUEUE_CONNECTIONS = 512;
 
-    /** RFC 9113, 6.9.2: a session's window cannot begin smaller. */
+    /** Minimum of the initial flow-control window of a session (RFC 9113, 6.9.2). */
     private static final int MIN_SESSION_WINDOW_BYTES = 65_535;
 
     private final GatewaySettings settings;
@@ -46,7 +46,7 @@
     private Server server;
     private ServerConnector connector;
 
-    /** {@code clientFactory}: so that a test can order what Jetty does. */
+    /** The {@code clientFactory} allows a test to control the order of Jetty's events. */
     GatewayTransport(GatewaySettings settings, Supplier<HTTP2Client> clientFactory, Log log) {
         this.settings = settings;
         this.log = log;
@@ -55,7 +55,7 @@
         threads.setDaemon(true);
     }
 
-    /** Starts the threads and the client, and makes the server; {@link #startServer} then listens. */
+    /** Starts the threads and the client and creates the server, which {@link #startServer} starts. */
     void start(ServerSessionListener sessions, ListenOptions options) throws Exception {
         scheduler.start();
         server = new Server(threads, scheduler, null);
@@ -72,8 +72,8 @@
     private void createConnector(ServerSessionListener sessions, ListenOptions options) throws Exception {
         GatewaySettings.Clients clients = settings.clients();
         RawHTTP2ServerConnectionFactory http2 = connectionFactory(sessions);
-        server.addBean(http2); // has the life of the server, as it is no connector's own
-        ConnectionAcceptor acceptor = new ConnectionAcceptor(http2, clients.maxConnections(), log);
+        server.addBean(http2); // started and stopped with the server, since the connector does not own the factory
+        PrefaceConnectionFactory acceptor = new PrefaceConnectionFactory(http2, clients.maxConnections(), log);
         connector = new ServerConnector(server, ACCEPTORS, SELECTORS, acceptor);
         connector.setHost(settings.listen().getAddress().getHostAddress());
         connector.setPort(settings.listen().getPort());
@@ -85,8 +85,8 @@
         }
         if (options.acceptsAtOnce()) {
             server.addConnector(connector);
-        } // else it is started by the first startAccepting()
-        connector.addBean(acceptor); // as a listener of each connection's beginning and end
+        } // otherwise the first call of startAccepting() starts the connector
+        connector.addBean(acceptor); // registers the factory as a listener of opened and closed connections
     }
 
     private RawHTTP2ServerConnectionFactory connectionFactory(ServerSessionListener sessions) {
@@ -97,7 +97,7 @@
         http2.setMaxConcurrentStreams(clients.maxStreams());
         http2.setInitialStreamRecvWindow(settings.body().streamWindowBytes());
         http2.setInitialSessionRecvWindow(sessionWindowBytes(clients.maxStreams()));
-        http2.setStreamIdleTimeout(UNLIMITED); // attempts, stalls and sessions have limits of their own
+        http2.setStreamIdleTimeout(UNLIMITED); // attempts, stalls and idle sessions have timeouts of their own
         http2.setRateControlFactory(new WindowRateControl.Factory(clients.maxFramesPerSecond()));
         http2.setMaxHeaderBlockFragment(clients.maxHeaderBytes());
         return http2;
@@ -115,7 +115,7 @@
         client.setStreamIdleTimeout(UNLIMITED);
     }
 
-    /** As much as all streams may hold: no stream's unread data keeps another's out (RFC 9113, 5.2). */
+    /** Returns the sum of all stream windows, so that unread data of one stream never blocks another (RFC 9113, 5.2). */
     private int sessionWindowBytes(int streams) {
         long allStreams = (long) streams * settings.body().streamWindowBytes();
         return (int) Math.min(Integer.MAX_VALUE, Math.max(MIN_SESSION_WINDOW_BYTES, allStreams));
@@ -133,7 +133,7 @@
         return client;
     }
 
-    /** Again or for the first time. */
+    /** Starts or resumes accepting connections. */
     void startAccepting() throws Exception {
         if (connector.isStarted()) {
             connector.setAccepting(true);
@@ -155,7 +155,7 @@
         return connector.getLocalPort();
     }
 
-    /** Stops what was started, at once. */
+    /** Stops all started components immediately. */
     void stop() throws Exception {
         if (server != null) {
             server.stop();
--- a/src/main/java/linenring/gateway/GracefulShutdown.java
+++ b/src/main/java/linenring/gateway/GracefulShutdown.java
@@ -14,9 +14,13 @@
 import org.eclipse.jetty.util.Callback;
 import org.eclipse.jetty.util.thread.Scheduler;
 
-/** Drains the clients' sessions: does what {@link Drain} decides (RFC 9113, 6.8). Steps run on the scheduler's thread. */
+/**
+ * Shuts the clients' sessions down gracefully by carrying out the decisions of {@link Drain} (RFC 9113, 6.8). The steps
+ * run on the scheduler's thread.
+ */
 final class GracefulShutdown {
-    private static final long STEP_MS = 20; // a drain ends within this time after its last request
+    /** Interval between two steps, the maximum delay between the end of the last request and the end of the drain. */
+    private static final long STEP_INTERVAL_MS = 20;
 
     private final Drain<Session> drain;
     private final double maxDrainMs;
@@ -24,7 +28,7 @@
     private final Scheduler scheduler;
     private final Log log;
     private final Set<Session> sessions = ConcurrentHashMap.newKeySet();
-    private volatile CountDownLatch over = new CountDownLatch(1);
+    private volatile CountDownLatch completion = new CountDownLatch(1);
 
     GracefulShutdown(double maxDrainMs, GatewayClock clock, Scheduler scheduler, Log log) {
         this.maxDrainMs = maxDrainMs;
@@ -45,7 +49,8 @@
     }
 
     /**
-     * A client that came during a drain gets its GOAWAY behind the gateway's own SETTINGS, which go first (RFC 9113, 3.4).
+     * Sends a GOAWAY to a client that has connected during a drain. The client's SETTINGS arrive after the gateway has
+     * sent its own, which must precede any other frame (RFC 9113, 3.4).
      */
     void settingsReceived(Session session) {
         if (drain.wasOpenedDuringDrain(session)) {
@@ -53,12 +58,12 @@
         }
     }
 
-    /** Only a drain sends any PING. */
+    /** Records the answer to a PING; the gateway sends PINGs only during a drain. */
     void pingAnswered(Session session) {
         drain.pingAnswered(session);
     }
 
-    /** A stream has come; false: it is to be refused as not processed. */
+    /** Accepts a new stream and returns true, or returns false if the stream is to be refused as not processed. */
     boolean acceptStream(Session session, int streamId) {
         return drain.acceptStream(session, streamId);
     }
@@ -72,8 +77,8 @@
     }
 
     /**
-     * Begins, unless it has begun. Connections are accepted as before, and get at once a GOAWAY that nothing of theirs was
-     * processed: in the listener's queue they would hear nothing until the process ends.
+     * Begins a drain, unless one is in progress. New connections are still accepted and get a GOAWAY at once that no stream
+     * was processed; in the kernel's accept queue they would get no response until the process ends.
      */
     void begin() {
         if (!drain.begin(clock.nowMs())) {
@@ -81,16 +86,17 @@
         }
         log.info(
                 Http2Gateway.LOG_SUBJECT,
-                "drains: " + drain.activeStreams() + " requests are active, " + sessions.size() + " clients");
-        sessions.forEach(this::announce);
+                "graceful shutdown begins with " + drain.activeStreams() + " active requests and " + sessions.size()
+                        + " client sessions");
+        sessions.forEach(this::sendFirstGoAway);
         step();
     }
 
     /**
-     * The GOAWAY goes out by {@code frames()}: after its own {@code goAway()} Jetty closes a session at once in which
-     * nothing is active, and with it the requests that are on their way.
+     * Sends the first GOAWAY and a PING. The GOAWAY is sent by {@code frames()}, since Jetty's {@code goAway()} would
+     * immediately close a session without active streams and lose the requests in transit.
      */
-    private void announce(Session session) {
+    private void sendFirstGoAway(Session session) {
         drain.pingSent(session);
         ((HTTP2Session) session).frames(null, List.of(GoAwayFrame.GRACEFUL), Callback.NOOP);
         session.ping(new PingFrame(false), Callback.NOOP);
@@ -99,48 +105,50 @@
     private void step() {
         Drain.Stage stage = drain.advance(clock.nowMs());
         switch (stage) {
-            case SERVING -> {} // cancelled
+            case SERVING -> {} // the drain was cancelled
             case ANNOUNCED -> scheduleStep();
-            case NAMING_LAST_STREAMS -> {
-                nameLastStreams();
+            case SENDING_FINAL_GOAWAYS -> {
+                sendFinalGoAways();
                 scheduleStep();
             }
-            case OVER -> {
-                nameLastStreams();
-                logEnd();
-                over.countDown();
+            case COMPLETED -> {
+                sendFinalGoAways();
+                logCompletion();
+                completion.countDown();
             }
         }
     }
 
     private void scheduleStep() {
-        scheduler.schedule(this::step, STEP_MS, TimeUnit.MILLISECONDS);
+        scheduler.schedule(this::step, STEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void nameLastStreams() {
+    private void sendFinalGoAways() {
         for (Session session : sessions) {
-            int last = drain.nameLastStream(session);
-            if (last != Drain.NOT_NOW) {
-                ((HTTP2Session) session).goAway(new GoAwayFrame(last, ErrorCode.NO_ERROR.code, null), Callback.NOOP);
+            int lastStream = drain.beginFinalGoAway(session);
+            if (lastStream != Drain.NOT_DUE) {
+                ((HTTP2Session) session)
+                        .goAway(new GoAwayFrame(lastStream, ErrorCode.NO_ERROR.code, null), Callback.NOOP);
             }
         }
     }
 
-    private void logEnd() {
-        int left = drain.activeStreams();
+    private void logCompletion() {
+        int unfinished = drain.activeStreams();
         log.info(
                 Http2Gateway.LOG_SUBJECT,
-                "has drained: " + drain.finished() + " finished, " + drain.refused() + " refused, " + left
-                        + " broken off" + (left > 0 ? " after " + (long) maxDrainMs + " ms" : ""));
+                "graceful shutdown completed; requests finished: " + drain.finished() + ", refused: " + drain.refused()
+                        + ", aborted: " + unfinished
+                        + (unfinished > 0 ? " at the limit of " + (long) maxDrainMs + " ms" : ""));
     }
 
-    void awaitOver() throws InterruptedException {
-        over.await();
+    void awaitCompletion() throws InterruptedException {
+        completion.await();
     }
 
-    /** A drain that has begun is called off for all who come from now on. */
+    /** Cancels a drain in progress, so that new sessions and streams are accepted again. */
     void cancel() {
         drain.cancel();
-        over = new CountDownLatch(1);
+        completion = new CountDownLatch(1);
     }
 }
--- a/src/main/java/linenring/gateway/Http2Gateway.java
+++ b/src/main/java/linenring/gateway/Http2Gateway.java
@@ -17,20 +17,21 @@
 import org.eclipse.jetty.http2.client.HTTP2Client;
 
 /**
- * An HTTP/2 reverse proxy (RFC 9113) inside the controller's process: clients' sessions on one side, hosts' on the other,
- * and one {@link ProxiedRequest} for each stream of a client. Its tables are those of one more proxy of the controller.
+ * An HTTP/2 reverse proxy (RFC 9113) in the controller's process. The gateway forwards requests from client sessions to
+ * host sessions, with one {@link ProxiedRequest} for each client stream. The controller sends endpoint tables to the
+ * gateway as to any other proxy.
  *
- * <p>It runs on threads of its own, which never wait; methods may be called from any thread.
+ * <p>The gateway runs on threads of its own, which never block. Its methods may be called from any thread.
  */
 public final class Http2Gateway {
-    /** What its log lines begin with. */
+    /** Subject of the gateway's log lines. */
     static final String LOG_SUBJECT = "gateway";
 
-    /** What log lines about a single client begin with. */
+    /** Subject of log lines about a single client. */
     static final String CLIENT_LOG_SUBJECT = "client";
 
-    /** How often stalled requests and idle connections are looked for: a small part of any such time. */
-    private static final long SWEEP_MS = 250;
+    /** Interval between checks for stalled requests and idle connections, a small part of their timeouts. */
+    private static final long SWEEP_INTERVAL_MS = 250;
 
     private final GatewaySettings settings;
     private final Log log;
@@ -82,10 +83,10 @@
     }
 
     /**
-     * Listens and subscribes to the controller.
+     * Creates a gateway that listens for clients and subscribes to the controller.
      *
-     * @param hosts follows the endpoint list from its beginning
-     * @throws GatewayStartException for example where its address is taken
+     * @param hosts a registry that has followed the endpoint list from its first version
+     * @throws GatewayStartException for example if the listen address is in use
      */
     public static Http2Gateway start(
             GatewaySettings settings,
@@ -98,7 +99,7 @@
         return start(settings, measure, hosts, events, options, log, HTTP2Client::new);
     }
 
-    /** The same with a client of the caller's making towards the hosts. */
+    /** Creates a gateway like the public method, with the caller's HTTP/2 client for connections to hosts. */
     static Http2Gateway start(
             GatewaySettings settings,
             Measure measure,
@@ -111,7 +112,7 @@
         Http2Gateway gateway = new Http2Gateway(settings, measure, hosts, events, clientFactory, log);
         try {
             gateway.start(events, options);
-        } catch (Exception failure) { // Jetty's start() may throw any
+        } catch (Exception failure) { // Jetty's start() may throw any exception
             gateway.close();
             throw new GatewayStartException(failure);
         }
@@ -121,13 +122,14 @@
     private void start(EventQueue events, ListenOptions options) throws Exception {
         transport.start(new ClientSessionListener(shutdown, dispatcher, log), options);
         events.addHostListListener(
-                list -> services.upstreams().refresh()); // the registry of hosts has the list by then
+                list -> services.upstreams().refresh()); // the host registry was updated by an earlier listener
         transport.startServer();
         subscription.subscribe();
-        subscription.report();
+        subscription.sendReport();
         sweep();
         log.info(
-                LOG_SUBJECT, (options.acceptsAtOnce() ? "accepts requests at " : "is ready to accept at ") + address());
+                LOG_SUBJECT,
+                (options.acceptsAtOnce() ? "accepts requests at " : "is ready to accept requests at ") + address());
     }
 
     private void sweep() {
@@ -135,53 +137,53 @@
             dispatcher.endStalledRequests();
             services.upstreams().closeIdleConnections();
         } finally {
-            transport.scheduler().schedule(this::sweep, SWEEP_MS, TimeUnit.MILLISECONDS);
+            transport.scheduler().schedule(this::sweep, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Lets active requests finish and takes nothing new; does nothing where that has begun. */
+    /** Begins a graceful shutdown, in which active requests finish and new ones are refused; later calls have no effect. */
     public void drain() {
         shutdown.begin();
     }
 
-    /** Waits until a drain is over, and leaves the controller. */
+    /** Waits until the drain is complete, then ends the subscription to the controller. */
     public void awaitDrained() throws InterruptedException {
-        shutdown.awaitOver();
-        subscription.leave();
+        shutdown.awaitCompletion();
+        subscription.unsubscribe();
     }
 
-    /** Accepts nobody new; the socket stays open, so that another process may accept at it. */
+    /** Stops accepting connections; the listening socket stays open so that another process can accept on it. */
     public void stopAccepting() {
         transport.stopAccepting();
     }
 
-    /** Accepts, again or for the first time; a drain that has begun is called off for all who come from now on. */
+    /** Starts or resumes accepting connections; a drain in progress is cancelled for new sessions and streams. */
     public void startAccepting() {
         shutdown.cancel();
         try {
             transport.startAccepting();
             log.info(LOG_SUBJECT, "accepts requests at " + address());
-        } catch (Exception failure) { // Jetty's start() may throw any
-            log.error(LOG_SUBJECT, "cannot accept: " + failure);
+        } catch (Exception failure) { // Jetty's start() may throw any exception
+            log.error(LOG_SUBJECT, "cannot accept connections: " + failure);
         }
     }
 
-    /** Whether it has a table to pick from. */
+    /** Whether the gateway has received an endpoint table to pick hosts from. */
     public boolean hasTables() {
         return !tables.isEmpty();
     }
 
-    /** What it listens with. */
+    /** The socket on which the gateway listens. */
     public ServerSocketChannel listeningSocket() {
         return transport.listeningSocket();
     }
 
-    /** Ends at once. */
+    /** Stops the gateway immediately, without a graceful shutdown. */
     public void close() {
         try {
             transport.stop();
-        } catch (Exception failure) { // Jetty's stop() may throw any
-            log.warn(LOG_SUBJECT, "does not stop cleanly: " + failure.getMessage());
+        } catch (Exception failure) { // Jetty's stop() may throw any exception
+            log.warn(LOG_SUBJECT, "cannot stop cleanly: " + failure.getMessage());
         }
     }
 
@@ -189,17 +191,17 @@
         return settings.listen().getAddress().getHostAddress() + ":" + port();
     }
 
-    /** The port that it listens on. */
+    /** The port on which the gateway listens. */
     public int port() {
         return transport.port();
     }
 
-    /** How many requests are active. */
+    /** Number of active requests. */
     public int activeRequests() {
         return dispatcher.activeRequests();
     }
 
-    /** By operation: how many succeeded, errored, were rate-limited, found no host, timed out, lost their client. */
+    /** Formats how many requests of each operation succeeded, errored, were rate-limited, had no host, timed out or lost their client. */
     public String totals() {
         return services.outcomes().totals();
     }
--- a/src/main/java/linenring/gateway/ListenOptions.java
+++ b/src/main/java/linenring/gateway/ListenOptions.java
@@ -3,13 +3,13 @@
 import java.nio.channels.ServerSocketChannel;
 
 /**
- * Where a gateway gets its listening socket from, and when it accepts.
+ * Defines which socket a gateway listens on, and when it begins to accept connections.
  *
- * @param inheritedSocket one that another process has handed over, or null: it opens its own
- * @param acceptsAtOnce   else from {@link Http2Gateway#startAccepting} on
+ * @param inheritedSocket a listening socket from another process, or null if the gateway opens its own
+ * @param acceptsAtOnce   whether the gateway accepts immediately, instead of after {@link Http2Gateway#startAccepting}
  */
 public record ListenOptions(ServerSocketChannel inheritedSocket, boolean acceptsAtOnce) {
-    /** Opens a socket and accepts at once. */
+    /** Returns options to open a new socket and accept immediately. */
     public static ListenOptions openSocket() {
         return new ListenOptions(null, true);
     }
--- a/src/main/java/linenring/gateway/PerThreadRandom.java
+++ b/src/main/java/linenring/gateway/PerThreadRandom.java
@@ -3,9 +3,9 @@
 import java.util.SplittableRandom;
 import java.util.function.DoubleSupplier;
 
-/** Random numbers in [0, 1) from a generator of each thread's own, so that picks never wait for one another. */
+/** Supplies random numbers in [0, 1) from one generator per thread, so that picks of hosts never contend for a lock. */
 final class PerThreadRandom implements DoubleSupplier {
-    private final SplittableRandom seeds; // guarded by itself
+    private final SplittableRandom seeds; // guarded by its own lock
     private final ThreadLocal<SplittableRandom> generators;
 
     PerThreadRandom(long seed) {
--- a/src/main/java/linenring/gateway/ConnectionAcceptor.java
+++ b/src/main/java/linenring/gateway/PrefaceConnectionFactory.java
@@ -16,19 +16,19 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Hands connections that begin with HTTP/2's preface (RFC 9113, 3.4) on to the HTTP/2 factory. HTTP/1.1, its obsolete
- * upgrade to h2c included (RFC 9113, 3.1), is answered that this port speaks HTTP/2 alone; whatever else comes, or
- * nothing in time, is closed.
+ * Passes connections that begin with the HTTP/2 connection preface (RFC 9113, 3.4) to the HTTP/2 connection factory. An
+ * HTTP/1.1 request, including one for the obsolete upgrade to h2c (RFC 9113, 3.1), is answered with status 505. A
+ * connection with other first bytes, or without a preface in time, is closed.
  */
-final class ConnectionAcceptor extends AbstractConnectionFactory implements Connection.Listener {
-    /** As at the controller's own address: a client says at once what it speaks. */
+final class PrefaceConnectionFactory extends AbstractConnectionFactory implements Connection.Listener {
+    /** Time in which a client has to send the preface, as at the controller's address; clients send it right after connecting. */
     private static final long PREFACE_TIMEOUT_MS = 1000;
 
-    private static final int PREFACE_BUFFER_BYTES = 4096; // whatever comes with the preface is handed on with it
-    private static final String BODY_TEXT = "This port speaks HTTP/2 with prior knowledge alone.\n";
-    private static final byte[] HTTP1_ANSWER =
+    private static final int PREFACE_BUFFER_BYTES = 4096; // has space for frames that arrive together with the preface
+    private static final String HTTP1_RESPONSE_BODY = "This port speaks HTTP/2 with prior knowledge alone.\n";
+    private static final byte[] HTTP1_RESPONSE =
             ("HTTP/1.1 505 HTTP Version Not Supported\r\nContent-Type: text/plain\r\n" + "Content-Length: "
-                            + BODY_TEXT.length() + "\r\nConnection: close\r\n\r\n" + BODY_TEXT)
+                            + HTTP1_RESPONSE_BODY.length() + "\r\nConnection: close\r\n\r\n" + HTTP1_RESPONSE_BODY)
                     .getBytes(StandardCharsets.US_ASCII);
 
     private final ConnectionFactory http2;
@@ -37,8 +37,8 @@
     private final Set<PendingConnection> pending = new LinkedHashSet<>(); // oldest first; guarded by this
     private int openConnections; // guarded by this
 
-    /** The connector calls it as the listener of its connections. */
-    ConnectionAcceptor(ConnectionFactory http2, int maxConnections, Log log) {
+    /** Creates the factory, which also has to be registered as a connection listener of the connector. */
+    PrefaceConnectionFactory(ConnectionFactory http2, int maxConnections, Log log) {
         super("preface");
         this.http2 = http2;
         this.maxConnections = maxConnections;
@@ -69,19 +69,19 @@
     }
 
     /**
-     * The connection to close where one too many is open, or null: the oldest that has sent no preface yet.
+     * Returns the oldest connection that has sent no preface yet, if the connection limit is exceeded, or else null.
      *
-     * <p>It guards against connections that take all places and send nothing. To stop accepting instead would keep
-     * everybody out while the silent ones are waited for.
+     * <p>Closing this connection guards against silent connections that occupy the complete limit. Not accepting new
+     * connections instead would lock out all clients until the silent connections have timed out.
      */
     private synchronized PendingConnection connectionToClose() {
         return openConnections <= maxConnections ? null : pending.iterator().next();
     }
 
-    /** A connection that has not sent the preface yet. */
+    /** A connection whose client has not sent the complete preface yet. */
     private final class PendingConnection extends AbstractConnection {
         private final Connector connector;
-        private final long idleTimeoutMs; // from the preface on
+        private final long idleTimeoutMs; // idle timeout that applies after the preface
         private final ByteBuffer received = BufferUtil.allocate(PREFACE_BUFFER_BYTES);
 
         PendingConnection(Connector connector, EndPoint endPoint, long idleTimeoutMs) {
@@ -93,16 +93,17 @@
         @Override
         public void onOpen() {
             super.onOpen();
-            PendingConnection closed = connectionToClose();
-            if (closed != null) {
-                EndPoint endPoint = closed.getEndPoint();
+            PendingConnection evicted = connectionToClose();
+            if (evicted != null) {
+                EndPoint endPoint = evicted.getEndPoint();
                 log.info(
                         Http2Gateway.CLIENT_LOG_SUBJECT,
-                        endPoint.getRemoteSocketAddress() + " makes room, " + maxConnections
-                                + " connections are open: closed");
+                        "closing the connection of " + endPoint.getRemoteSocketAddress()
+                                + " because it has sent no preface and the limit of " + maxConnections
+                                + " connections is exceeded");
                 endPoint.close();
             }
-            if (!equals(closed)) {
+            if (!equals(evicted)) {
                 fillInterested();
             }
         }
@@ -121,7 +122,7 @@
         }
 
         private void checkPreface() throws IOException {
-            switch (ClientProtocol.of(received)) {
+            switch (ClientProtocol.detect(received)) {
                 case HTTP2 -> {
                     getEndPoint().setIdleTimeout(idleTimeoutMs);
                     Connection next = http2.newConnection(connector, getEndPoint());
@@ -130,39 +131,39 @@
                 }
                 case INCOMPLETE_PREFACE -> fillInterested();
                 case HTTP1 -> {
-                    logRefusal("speaks HTTP/1");
-                    answerHttp1();
+                    logRejection("it sends an HTTP/1 request");
+                    sendHttp1Response();
                 }
                 case HTTP1_UPGRADE -> {
-                    logRefusal("asks for the obsolete upgrade to h2c");
-                    answerHttp1();
+                    logRejection("it requests the obsolete upgrade to h2c");
+                    sendHttp1Response();
                 }
                 case TLS -> {
-                    logRefusal("speaks TLS");
+                    logRejection("it sends a TLS handshake");
                     getEndPoint().close();
                 }
                 case UNKNOWN -> {
-                    logRefusal("does not begin with HTTP/2's preface");
+                    logRejection("it does not begin with the HTTP/2 connection preface");
                     getEndPoint().close();
                 }
             }
         }
 
-        private void logRefusal(String finding) {
+        private void logRejection(String reason) {
             log.info(
                     Http2Gateway.CLIENT_LOG_SUBJECT,
-                    getEndPoint().getRemoteSocketAddress() + " " + finding + ": refused");
+                    "connection of " + getEndPoint().getRemoteSocketAddress() + " is rejected because " + reason);
         }
 
-        private void answerHttp1() {
+        private void sendHttp1Response() {
             Callback callback = Callback.from(
                     getEndPoint()::shutdownOutput, failure -> getEndPoint().close());
-            getEndPoint().write(callback, ByteBuffer.wrap(HTTP1_ANSWER));
+            getEndPoint().write(callback, ByteBuffer.wrap(HTTP1_RESPONSE));
         }
 
         @Override
         protected void onFillInterestedFailed(Throwable cause) {
-            getEndPoint().close(); // nothing came in time
+            getEndPoint().close(); // the preface did not arrive in time
         }
     }
 }
--- a/src/main/java/linenring/gateway/ProxiedRequest.java
+++ b/src/main/java/linenring/gateway/ProxiedRequest.java
@@ -14,34 +14,35 @@
 import org.eclipse.jetty.util.thread.SerializedInvoker;
 
 /**
- * One client's request, from its first frame to its end: does what its {@link RetryDecision} decides, one
- * {@link Attempt} after the other.
+ * Handles one client's request from its headers to its end, by making one {@link Attempt} after another as its
+ * {@link RetryDecision} decides.
  *
- * <p>All that happens to it, its attempts included, is handled by serialized tasks ({@link #execute}), which alone touch
- * its state; they run on whichever thread brings the event. No lock is held while Jetty is called, since Jetty calls
- * back for other requests.
+ * <p>All events of a request and of its attempts are handled by serialized tasks ({@link #execute}), which run on the
+ * thread that delivers the event. Only these tasks access the request's state. No lock is held during calls to Jetty,
+ * since Jetty may call back for other requests.
  */
 final class ProxiedRequest implements Stream.Listener {
     /**
      * The client's side of a request.
      *
-     * @param client    its stream
-     * @param headers   as they came, and as hosts get them
-     * @param operation its index
-     * @param body      as far as it was read
-     * @param stalls    who keeps the answer from moving on
+     * @param stream        the client's stream
+     * @param headers       the request headers, which are forwarded to hosts unchanged
+     * @param operation     index of the request's operation
+     * @param body          reads and retains the request body
+     * @param stallDetector detects whether the client or the host stalls the response
      */
-    record ClientRequest(Stream client, HeadersFrame headers, int operation, RequestBody body, StallDetector stalls) {}
+    record ClientRequest(
+            Stream stream, HeadersFrame headers, int operation, RequestBody body, StallDetector stallDetector) {}
 
     private final ClientRequest clientRequest;
     private final RetryDecision decision;
     private final RequestServices services;
     private final Consumer<ProxiedRequest> onEnd;
     private final SerializedInvoker invoker = new SerializedInvoker();
-    private Attempt currentAttempt; // null while none is active
-    private boolean over;
+    private Attempt currentAttempt; // null while no attempt is active
+    private boolean ended;
 
-    /** {@code onEnd}: called once, by a serialized task. */
+    /** Creates a request that calls {@code onEnd} once, from a serialized task, when it has ended. */
     ProxiedRequest(
             ClientRequest clientRequest,
             RetryDecision decision,
@@ -53,12 +54,12 @@
         this.onEnd = onEnd;
     }
 
-    /** Runs a task after those that are there, on this thread or on the one that runs them now. */
+    /** Runs a task after the queued tasks, on this thread or on the thread that is running them. */
     void execute(Runnable task) {
         invoker.run(() -> {
             try {
                 task.run();
-            } catch (RuntimeException fault) { // a fault in one request reaches no other
+            } catch (RuntimeException fault) { // a fault in one request must not affect other requests
                 services.outcomes().internalError(fault);
                 decision.abandon();
                 abort(ErrorCode.INTERNAL_ERROR);
@@ -67,27 +68,25 @@
     }
 
     void begin() {
-        execute(() -> follow(decision.begin(services.nowMs(), body().isRetained())));
+        execute(() -> applyStep(decision.begin(services.nowMs(), body().isRetained())));
     }
 
-    private void follow(NextStep step) {
+    private void applyStep(NextStep step) {
         if (step instanceof NextStep.Send send) {
             currentAttempt = new Attempt(this, send);
             currentAttempt.begin();
         } else if (step instanceof NextStep.Reject reject) {
             services.outcomes().rejected(operation(), reject.reason());
-            answer(Responses.status(reject.reason()), Responses.fields(reject));
+            sendResponse(Responses.rejectionStatus(reject.reason()), Responses.rejectionFields(reject));
         }
     }
 
-    // The client's stream.
-
     @Override
     public void onHeaders(Stream stream, HeadersFrame frame) {
         execute(() -> {
             body().setTrailers(frame.getMetaData().getHttpFields());
             if (currentAttempt != null) {
-                currentAttempt.pumpRequestBody(); // the end of the body is still to be read
+                currentAttempt.forwardRequestBody(); // forwards the remaining body and the trailers
             }
         });
     }
@@ -113,10 +112,8 @@
         callback.succeeded();
     }
 
-    // What attempts ask, within serialized tasks.
-
-    Stream client() {
-        return clientRequest.client();
+    Stream clientStream() {
+        return clientRequest.stream();
     }
 
     HeadersFrame headers() {
@@ -131,94 +128,96 @@
         return clientRequest.body();
     }
 
-    StallDetector stalls() {
-        return clientRequest.stalls();
+    StallDetector stallDetector() {
+        return clientRequest.stallDetector();
     }
 
     RequestServices services() {
         return services;
     }
 
-    /** Whether its client has its answer, or is gone. */
-    boolean isOver() {
-        return over;
+    /** Whether the request has ended: the client's response is complete or aborted, or the client has left. */
+    boolean hasEnded() {
+        return ended;
     }
 
-    /** The current attempt failed, and no answer has begun. */
+    /** Handles the failure of the current attempt before a response was forwarded. */
     void attemptFailed(AttemptFailure failure) {
         NextStep step = decision.attemptFailed(failure, services.nowMs(), body().isRetained());
         currentAttempt = null;
-        follow(step);
+        applyStep(step);
     }
 
-    /** The host of the current attempt has answered with an error of its own: forward that, or {@link #retry}. */
+    /** Decides whether a server error of the current attempt's host is forwarded, or followed by {@link #retry}. */
     NextStep attemptErrored() {
         return decision.attemptFailed(AttemptFailure.answeredErrored(), services.nowMs(), body().isRetained());
     }
 
-    /** The host of the current attempt has answered well. */
+    /** Records that the current attempt's host responded without a server error. */
     NextStep attemptSucceeded() {
         return decision.attemptSucceeded(services.nowMs());
     }
 
-    /** Replaces the current attempt by the next one; the answer of the current one is not forwarded. */
+    /** Replaces the current attempt by a new one, without forwarding the current attempt's response. */
     void retry(NextStep.Send step) {
-        follow(step);
+        applyStep(step);
     }
 
-    /** The client waits for nothing any more. */
+    /** Ends the request after the client has reset its stream or lost its connection. */
     void clientGone() {
-        if (!over) {
+        if (!ended) {
             decision.abandon();
             services.outcomes().clientGone(operation());
             end();
         }
     }
 
-    /** Ends the client's stream where its answer can't be complete any more. */
+    /** Resets the client's stream and ends the request when its response cannot be completed. */
     void abort(ErrorCode code) {
-        if (!over) {
-            Responses.reset(client(), code);
+        if (!ended) {
+            Responses.reset(clientStream(), code);
             end();
         }
     }
 
-    /** The host did not finish the answer that it had begun: the client's stream is reset, nothing else is tried. */
-    void answerBrokeOff(int host, AttemptFailure failure) {
-        services.outcomes().answerBrokeOff(operation(), host, failure);
+    /** Resets the client's stream after the host has broken off its response; a retry is not possible any more. */
+    void responseBrokenOff(int host, AttemptFailure failure) {
+        services.outcomes().responseBrokenOff(operation(), host, failure);
         abort(ErrorCode.INTERNAL_ERROR);
     }
 
-    /** The client has its answer, or never will. */
+    /** Ends the request and its current attempt, and releases the retained body. */
     void end() {
-        if (over) {
+        if (ended) {
             return;
         }
-        over = true;
-        stalls().stop();
-        Attempt last = currentAttempt;
+        ended = true;
+        stallDetector().stop();
+        Attempt lastAttempt = currentAttempt;
         currentAttempt = null;
-        if (last != null) {
-            last.abandon();
+        if (lastAttempt != null) {
+            lastAttempt.abandon();
         }
         body().discardRetained();
         onEnd.accept(this);
     }
 
-    /** Answers with a status of the gateway's; what the client still sends is not read. */
-    private void answer(int status, HttpFields fields) {
-        if (!over) {
-            Responses.send(client(), status, fields, body().isFullyRead());
+    /** Sends a response of the gateway itself, without reading the rest of the request body. */
+    private void sendResponse(int status, HttpFields fields) {
+        if (!ended) {
+            Responses.send(clientStream(), status, fields, body().isFullyRead());
             end();
         }
     }
 
-    /** To be called periodically, by any thread. */
+    /** Ends the request if its response has stalled; called periodically, from any thread. */
     void endIfStalled(long nowNanos) {
-        StallDetector.Stall stall = stalls().check(nowNanos);
+        StallDetector.Stall stall = stallDetector().check(nowNanos);
         if (stall != StallDetector.Stall.NONE) {
             execute(() -> {
-                if (!over && stalls().check(nowNanos) == stall) { // else it has moved on meanwhile
+                if (!ended
+                        && stallDetector().check(nowNanos)
+                                == stall) { // the response may have progressed since the first check
                     endStalled(stall);
                 }
             });
@@ -227,10 +226,10 @@
 
     private void endStalled(StallDetector.Stall stall) {
         if (stall == StallDetector.Stall.CLIENT) {
-            services.outcomes().clientStalled(operation(), client());
+            services.outcomes().clientStalled(operation(), clientStream());
             abort(ErrorCode.ENHANCE_YOUR_CALM_ERROR);
         } else {
-            answerBrokeOff(currentAttempt.host(), AttemptFailure.answerStalled());
+            responseBrokenOff(currentAttempt.host(), AttemptFailure.answerStalled());
         }
     }
 }
--- a/src/main/java/linenring/gateway/RequestBody.java
+++ b/src/main/java/linenring/gateway/RequestBody.java
@@ -5,13 +5,13 @@
 import org.eclipse.jetty.http2.api.Stream;
 
 /**
- * The body of a client's request as far as it was read, for one attempt after the other: what was read is retained, as
- * long as there is capacity, so that a later attempt can begin with it. Used by the request's serialized tasks alone.
+ * Reads the body of a client's request for its successive attempts. The bytes read are retained while the buffer limits
+ * allow it, so that a later attempt can send them again. Only the request's serialized tasks may call its methods.
  */
 final class RequestBody {
     private final Stream clientStream;
     private final RetainedBody retained;
-    private HttpFields trailers; // Jetty hands them over before the rest of the body is read
+    private HttpFields trailers; // Jetty delivers the trailers before the last part of the body has been read
     private boolean fullyRead;
 
     RequestBody(Stream clientStream, RetainedBody retained, boolean isEmpty) {
@@ -25,7 +25,7 @@
         trailers = fields;
     }
 
-    /** Null where there are none, or none yet. */
+    /** The request's trailers, or null if none have arrived. */
     HttpFields trailers() {
         return trailers;
     }
@@ -38,7 +38,7 @@
         return fullyRead;
     }
 
-    /** The next piece, which the caller releases, or null: then more is demanded of the client. */
+    /** Returns the next data, which the caller releases, or demands more from the client and returns null. */
     Stream.Data read() {
         Stream.Data data = clientStream.readData();
         if (data == null) {
@@ -50,22 +50,22 @@
         return data;
     }
 
-    /** Whether another attempt could send all of it. */
+    /** Whether all bytes read so far are retained, so that another attempt could send the complete body. */
     boolean isRetained() {
         return retained.isComplete();
     }
 
-    /** Whether the retained bytes are the complete body. */
-    boolean isRetainedToItsEnd() {
+    /** Whether the body was read to its end, so that the retained bytes are the complete body. */
+    boolean isFullyRetained() {
         return retained.hasEnded();
     }
 
-    /** What a further attempt sends first. */
+    /** The retained bytes, which another attempt sends first. */
     byte[] retainedBytes() {
         return retained.bytes();
     }
 
-    /** No attempt follows any more. */
+    /** Discards the retained bytes when no further attempt can follow. */
     void discardRetained() {
         retained.discard();
     }
--- a/src/main/java/linenring/gateway/RequestBodyForwarder.java
+++ b/src/main/java/linenring/gateway/RequestBodyForwarder.java
@@ -10,39 +10,39 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Sends a request's body to the host of one attempt: what earlier attempts have read, then what the client sends, then
- * the trailers (RFC 9113, 8.1). One write is under way at a time, so that a slow host slows its client and nothing is
- * buffered in between. Used by the request's serialized tasks alone.
+ * Sends a request's body to the host of one attempt: first the bytes that earlier attempts have read, then data from the
+ * client, then the trailers (RFC 9113, 8.1). At most one write is in progress, so that a slow host slows down its client
+ * and the gateway buffers nothing in between. Only the request's serialized tasks may call its methods.
  */
 final class RequestBodyForwarder {
-    /** As HTTP/2's least frame size (RFC 9113, 4.2), so that others get their turn between two writes. */
+    /** HTTP/2's minimum for the maximum frame size (RFC 9113, 4.2); small chunks let other streams write in between. */
     private static final int REPLAY_CHUNK_BYTES = 16 << 10;
 
     private final ProxiedRequest request;
     private final RequestBody body;
-    private final BooleanSupplier stopped;
-    private Stream hostStream; // null until it was opened
-    private byte[] replay = {};
-    private int replayedBytes;
+    private final BooleanSupplier isStopped;
+    private Stream hostStream; // null until the stream to the host is open
+    private byte[] replayBytes = {};
+    private int replayPosition;
     private boolean writing;
     private boolean dataDemanded;
-    private boolean endSent; // handed to Jetty
+    private boolean endSent; // a frame with END_STREAM was handed to Jetty
 
-    /** {@code stopped}: whether the attempt wants nothing sent any more. */
-    RequestBodyForwarder(ProxiedRequest request, BooleanSupplier stopped) {
+    /** Creates a forwarder that sends nothing more once {@code isStopped} returns true. */
+    RequestBodyForwarder(ProxiedRequest request, BooleanSupplier isStopped) {
         this.request = request;
         body = request.body();
-        this.stopped = stopped;
+        this.isStopped = isStopped;
     }
 
-    /** Takes what earlier attempts have read. */
+    /** Copies the bytes that earlier attempts have read. */
     void prepareReplay() {
-        replay = body.retainedBytes();
+        replayBytes = body.retainedBytes();
     }
 
-    /** The headers are about to be sent; true if nothing follows them, and they end the stream. */
+    /** Returns whether the headers frame ends the stream, since neither a body nor trailers follow. */
     boolean startWithHeaders() {
-        endSent = body.isRetainedToItsEnd() && replay.length == 0 && !body.hasTrailers();
+        endSent = body.isFullyRetained() && replayBytes.length == 0 && !body.hasTrailers();
         return endSent;
     }
 
@@ -56,15 +56,15 @@
 
     void dataAvailable() {
         dataDemanded = false;
-        pump();
+        sendNext();
     }
 
-    /** Sends the next piece, if there is one and none is under way. */
-    void pump() {
-        if (stopped.getAsBoolean() || writing || hostStream == null || hostStream.isReset()) {
+    /** Sends the next part of the body, if one is available and no write is in progress. */
+    void sendNext() {
+        if (isStopped.getAsBoolean() || writing || hostStream == null || hostStream.isReset()) {
             return;
         }
-        if (replayedBytes < replay.length) {
+        if (replayPosition < replayBytes.length) {
             sendReplayChunk();
         } else if (body.isFullyRead()) {
             if (body.hasTrailers()) {
@@ -76,15 +76,15 @@
     }
 
     private void sendReplayChunk() {
-        int length = Math.min(REPLAY_CHUNK_BYTES, replay.length - replayedBytes);
-        ByteBuffer chunk = ByteBuffer.wrap(replay, replayedBytes, length);
-        replayedBytes += length;
-        boolean last = replayedBytes == replay.length && body.isFullyRead() && !body.hasTrailers();
-        write(new DataFrame(hostStream.getId(), chunk, last), () -> {});
+        int length = Math.min(REPLAY_CHUNK_BYTES, replayBytes.length - replayPosition);
+        ByteBuffer chunk = ByteBuffer.wrap(replayBytes, replayPosition, length);
+        replayPosition += length;
+        boolean isLast = replayPosition == replayBytes.length && body.isFullyRead() && !body.hasTrailers();
+        write(new DataFrame(hostStream.getId(), chunk, isLast), () -> {});
     }
 
     private void sendTrailers() {
-        writing = true; // nothing follows
+        writing = true; // the flag stays set, since no frame may follow the trailers
         endSent = true;
         MetaData trailers = new MetaData(HttpVersion.HTTP_2, body.trailers());
         hostStream.headers(new HeadersFrame(hostStream.getId(), trailers, null, true), Callback.NOOP);
@@ -99,10 +99,10 @@
         ByteBuffer bytes = data.frame().getByteBuffer();
         if (body.isFullyRead() && body.hasTrailers() && !bytes.hasRemaining()) {
             data.release();
-            pump();
+            sendNext();
         } else {
-            boolean last = body.isFullyRead() && !body.hasTrailers();
-            write(new DataFrame(hostStream.getId(), bytes, last), data::release);
+            boolean isLast = body.isFullyRead() && !body.hasTrailers();
+            write(new DataFrame(hostStream.getId(), bytes, isLast), data::release);
         }
     }
 
@@ -116,7 +116,7 @@
                             release.run();
                             request.execute(() -> written(frame));
                         },
-                        failure -> { // the stream's end is reported elsewhere
+                        failure -> { // the attempt, as the stream's listener, handles the stream's end
                             release.run();
                             request.execute(() -> writing = false);
                         }));
@@ -125,7 +125,7 @@
     private void written(DataFrame frame) {
         writing = false;
         if (!frame.isEndStream()) {
-            pump();
+            sendNext();
         }
     }
 }
--- a/src/main/java/linenring/gateway/RequestCapacity.java
+++ b/src/main/java/linenring/gateway/RequestCapacity.java
@@ -3,37 +3,37 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Limits what all active requests hold together: their number and the flow-control windows of their streams.
+ * Limits the number of active requests and the total of the flow-control windows of their streams. Thread-safe.
  *
- * <p>It guards against running out of memory when hosts or clients are slow; that shows as a number of active requests
- * that only grows. A request reserves its windows before it begins, so that memory is bounded whatever comes. It does
- * harm where the limits are lower than what the machine could carry: requests are then answered 503. Thread-safe.
+ * <p>The limits guard against running out of memory when slow hosts or clients make the number of active requests grow
+ * without bound. A request reserves its windows before it begins, so that the buffered data always fits into memory.
+ * Limits below the capacity of the machine cause unnecessary 503 responses.
  */
 final class RequestCapacity {
-    private final int maxActive;
-    private final BufferBudget buffers;
-    private final AtomicInteger active = new AtomicInteger();
+    private final int maxActiveRequests;
+    private final BufferBudget bufferBudget;
+    private final AtomicInteger activeRequests = new AtomicInteger();
 
     RequestCapacity(int maxActive, long maxBufferBytes) {
-        this.maxActive = maxActive;
-        buffers = new BufferBudget(maxBufferBytes);
+        this.maxActiveRequests = maxActive;
+        bufferBudget = new BufferBudget(maxBufferBytes);
     }
 
-    /** Reserves a place and {@code bufferBytes}, or nothing. */
+    /** Reserves capacity for one request and its {@code bufferBytes}, or reserves nothing and returns false. */
     boolean tryAcquire(long bufferBytes) {
-        if (active.incrementAndGet() > maxActive || !buffers.tryReserve(bufferBytes)) {
-            active.decrementAndGet();
+        if (activeRequests.incrementAndGet() > maxActiveRequests || !bufferBudget.tryReserve(bufferBytes)) {
+            activeRequests.decrementAndGet();
             return false;
         }
         return true;
     }
 
     void release(long bufferBytes) {
-        active.decrementAndGet();
-        buffers.release(bufferBytes);
+        activeRequests.decrementAndGet();
+        bufferBudget.release(bufferBytes);
     }
 
-    int active() {
-        return active.get();
+    int activeRequests() {
+        return activeRequests.get();
     }
 }
--- a/src/main/java/linenring/gateway/RequestDispatcher.java
+++ b/src/main/java/linenring/gateway/RequestDispatcher.java
@@ -12,7 +12,7 @@
 import org.eclipse.jetty.http2.api.Stream;
 import org.eclipse.jetty.http2.frames.HeadersFrame;
 
-/** Makes a {@link ProxiedRequest} of each client's stream that has a route and capacity. Thread-safe. */
+/** Creates a {@link ProxiedRequest} for each client stream that has a route, if capacity is left. Thread-safe. */
 final class RequestDispatcher {
     private static final double NANOS_PER_MILLI = 1e6;
 
@@ -23,8 +23,8 @@
     private final Log log;
     private final Routes routes;
     private final RequestCapacity capacity;
-    private final BufferBudget retainedBodies;
-    private final Set<ProxiedRequest> active = ConcurrentHashMap.newKeySet();
+    private final BufferBudget retainedBodyBudget;
+    private final Set<ProxiedRequest> proxiedRequests = ConcurrentHashMap.newKeySet();
 
     RequestDispatcher(
             GatewaySettings settings,
@@ -40,75 +40,77 @@
         routes = new Routes(settings.routes());
         capacity = new RequestCapacity(
                 settings.clients().maxActiveRequests(), settings.body().maxWindowBytesInAll());
-        retainedBodies = new BufferBudget(settings.body().maxRetainedBytesInAll());
+        retainedBodyBudget = new BufferBudget(settings.body().maxRetainedBytesInAll());
     }
 
-    /** The listener of the stream, or null where it was answered at once. */
+    /** Returns the listener of the stream, or null if the gateway has rejected the request. */
     Stream.Listener dispatch(Stream stream, HeadersFrame headers) {
         MetaData.Request head = (MetaData.Request) headers.getMetaData();
-        int operation = routes.operation(head.getMethod(), head.getHttpURI().getPath());
-        if (operation == Routes.NONE) {
+        int operation = routes.findOperation(head.getMethod(), head.getHttpURI().getPath());
+        if (operation == Routes.UNMATCHED) {
             return reject(stream, headers, HttpStatus.NOT_FOUND_404);
         }
         long bufferBytes = maxBufferBytes(headers);
         if (!capacity.tryAcquire(bufferBytes)) {
             log.warn(
-                    Http2Gateway.LOG_SUBJECT, "no capacity for one more request beside " + capacity.active() + ": 503");
+                    Http2Gateway.LOG_SUBJECT,
+                    "rejecting a request with 503 because no capacity is left beside " + capacity.activeRequests()
+                            + " active requests");
             return reject(stream, headers, HttpStatus.SERVICE_UNAVAILABLE_503);
         }
         services.statistics().recordRequest(operation);
-        ProxiedRequest request = create(stream, headers, operation, bufferBytes);
-        active.add(request);
+        ProxiedRequest request = createRequest(stream, headers, operation, bufferBytes);
+        proxiedRequests.add(request);
         request.begin();
         return request;
     }
 
-    /** A window of its answer, and one of its body if it has any (RFC 9113, 5.2). */
+    /** Returns the flow-control windows of a request: one for the response and one for a request body (RFC 9113, 5.2). */
     private long maxBufferBytes(HeadersFrame headers) {
         long windows = headers.isEndStream() ? 1 : 2;
         return windows * settings.body().streamWindowBytes();
     }
 
-    private ProxiedRequest create(Stream stream, HeadersFrame headers, int operation, long bufferBytes) {
+    private ProxiedRequest createRequest(Stream stream, HeadersFrame headers, int operation, long bufferBytes) {
         String keyHeader = settings.idempotencyKeyHeader();
         boolean hasIdempotencyKey =
                 keyHeader != null && headers.getMetaData().getHttpFields().contains(keyHeader);
         RetryDecision decision = new RetryDecision(
                 retryContext, operation, settings.operations().get(operation), hasIdempotencyKey, services.nowMs());
-        RetainedBody retained = new RetainedBody(settings.body().maxRetainedBytes(), retainedBodies);
+        RetainedBody retainedBody = new RetainedBody(settings.body().maxRetainedBytes(), retainedBodyBudget);
         long maxStallNanos = (long) (settings.clients().maxStallMs() * NANOS_PER_MILLI);
         return new ProxiedRequest(
                 new ProxiedRequest.ClientRequest(
                         stream,
                         headers,
                         operation,
-                        new RequestBody(stream, retained, headers.isEndStream()),
+                        new RequestBody(stream, retainedBody, headers.isEndStream()),
                         new StallDetector(maxStallNanos)),
                 decision,
                 services,
-                request -> ended(request, bufferBytes));
+                request -> requestEnded(request, bufferBytes));
     }
 
     private Stream.Listener reject(Stream stream, HeadersFrame headers, int status) {
-        Responses.send(stream, status, Responses.empty(), headers.isEndStream());
+        Responses.send(stream, status, Responses.emptyBodyFields(), headers.isEndStream());
         shutdown.streamClosed(stream.getSession());
         return null;
     }
 
-    private void ended(ProxiedRequest request, long bufferBytes) {
-        if (active.remove(request)) {
+    private void requestEnded(ProxiedRequest request, long bufferBytes) {
+        if (proxiedRequests.remove(request)) {
             capacity.release(bufferBytes);
-            shutdown.streamClosed(request.client().getSession());
+            shutdown.streamClosed(request.clientStream().getSession());
         }
     }
 
-    /** To be called periodically. */
+    /** Ends all requests whose responses have stalled; called periodically. */
     void endStalledRequests() {
         long nowNanos = System.nanoTime();
-        active.forEach(request -> request.endIfStalled(nowNanos));
+        proxiedRequests.forEach(request -> request.endIfStalled(nowNanos));
     }
 
     int activeRequests() {
-        return capacity.active();
+        return capacity.activeRequests();
     }
 }
--- a/src/main/java/linenring/gateway/RequestOutcomes.java
+++ b/src/main/java/linenring/gateway/RequestOutcomes.java
@@ -11,9 +11,9 @@
 import linenring.routing.HostRegistry;
 import org.eclipse.jetty.http2.api.Stream;
 
-/** Counts by operation how requests end, and logs the ends that an operator has to look at. Thread-safe. */
+/** Counts the outcomes of requests by operation and logs outcomes that need an operator's attention. Thread-safe. */
 final class RequestOutcomes {
-    /** How a request ends, in the order in which totals are logged. */
+    /** The outcomes of a request, in the order in which totals are logged. */
     private enum Outcome {
         SUCCEEDED("succeeded"),
         ERRORED("errored"),
@@ -33,29 +33,29 @@
     private final HostRegistry hosts;
     private final long maxStallMs;
     private final Log log;
-    private final List<Map<Outcome, AtomicLong>> counts; // by operation
+    private final List<Map<Outcome, AtomicLong>> countsByOperation; // the list index is the operation's index
 
     RequestOutcomes(List<String> operations, HostRegistry hosts, long maxStallMs, Log log) {
         this.operations = operations;
         this.hosts = hosts;
         this.maxStallMs = maxStallMs;
         this.log = log;
-        counts = operations.stream().map(operation -> zeroCounts()).toList();
+        countsByOperation = operations.stream().map(operation -> zeroCounts()).toList();
     }
 
     private static Map<Outcome, AtomicLong> zeroCounts() {
-        Map<Outcome, AtomicLong> zero = new EnumMap<>(Outcome.class);
+        Map<Outcome, AtomicLong> countsByOutcome = new EnumMap<>(Outcome.class);
         for (Outcome outcome : Outcome.values()) {
-            zero.put(outcome, new AtomicLong());
+            countsByOutcome.put(outcome, new AtomicLong());
         }
-        return zero;
+        return countsByOutcome;
     }
 
     private void count(int operation, Outcome outcome) {
-        counts.get(operation).get(outcome).incrementAndGet();
+        countsByOperation.get(operation).get(outcome).incrementAndGet();
     }
 
-    /** The gateway answers by itself. */
+    /** Counts a request that the gateway rejects by itself. */
     void rejected(int operation, FailureReason reason) {
         count(
                 operation,
@@ -66,51 +66,52 @@
                     case TIMED_OUT -> Outcome.TIMED_OUT;
                 });
         if (reason == FailureReason.NO_HOST) {
-            log.warn(Http2Gateway.LOG_SUBJECT, "no host can be picked for " + operations.get(operation) + ": 503");
+            log.warn(
+                    Http2Gateway.LOG_SUBJECT,
+                    "rejecting a request for " + operations.get(operation) + " with 503 because no host can be picked");
         }
     }
 
-    /** A host's answer is forwarded. */
-    void answered(int operation, boolean errored) {
-        count(operation, errored ? Outcome.ERRORED : Outcome.SUCCEEDED);
+    /** Counts a request whose response from a host is forwarded. */
+    void responseStarted(int operation, boolean isError) {
+        count(operation, isError ? Outcome.ERRORED : Outcome.SUCCEEDED);
     }
 
     void clientGone(int operation) {
         count(operation, Outcome.CLIENT_GONE);
     }
 
-    /** The client has not taken an answer for too long; its request was counted when the answer began. */
+    /** Logs a client that has accepted no response data for too long; the request was counted when its response began. */
     void clientStalled(int operation, Stream client) {
         log.warn(
                 Http2Gateway.CLIENT_LOG_SUBJECT,
-                client.getSession().getRemoteSocketAddress() + " takes nothing of an answer to "
-                        + operations.get(operation) + " for " + maxStallMs + " ms: stream " + client.getId()
-                        + " reset");
+                client.getSession().getRemoteSocketAddress() + " has accepted no data of a response to "
+                        + operations.get(operation) + " for " + maxStallMs + " ms; resetting stream " + client.getId());
     }
 
-    /** The host did not finish the answer that it had begun. */
-    void answerBrokeOff(int operation, int host, AttemptFailure failure) {
+    /** Counts and logs a host's response that broke off before its end. */
+    void responseBrokenOff(int operation, int host, AttemptFailure failure) {
         count(operation, Outcome.ERRORED);
         log.warn(
                 Http2Gateway.LOG_SUBJECT,
-                "host " + hosts.host(host).id() + " broke off in its answer to " + operations.get(operation) + ": "
-                        + Responses.logName(failure.cause()));
+                "host " + hosts.host(host).id() + " broke off its response to " + operations.get(operation)
+                        + ", so the client's stream is reset: " + Responses.logName(failure.cause()));
     }
 
-    /** A fault of the gateway itself. */
+    /** Logs an internal error of the gateway. */
     void internalError(RuntimeException error) {
         StackTraceElement[] trace = error.getStackTrace();
         log.error("fault", error + (trace.length > 0 ? " at " + trace[0] : ""));
     }
 
-    /** All counts by operation, for the log. */
+    /** Formats the counts of all operations for the log. */
     String totals() {
         StringBuilder text = new StringBuilder();
         for (int operation = 0; operation < operations.size(); operation++) {
             text.append(operation > 0 ? "; " : "")
                     .append(operations.get(operation))
                     .append(' ');
-            text.append(counts.get(operation).entrySet().stream()
+            text.append(countsByOperation.get(operation).entrySet().stream()
                     .map(entry -> entry.getValue() + " " + entry.getKey().label)
                     .collect(Collectors.joining(" ")));
         }
--- a/src/main/java/linenring/gateway/RequestServices.java
+++ b/src/main/java/linenring/gateway/RequestServices.java
@@ -5,13 +5,13 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * What all requests of a gateway share.
+ * The services that all requests of a gateway share.
  *
- * @param clock      all times of decisions are of this one
- * @param scheduler  for deadlines
- * @param upstreams  connections to hosts
- * @param statistics for the reports to the controller
- * @param outcomes   for the operators
+ * @param clock      the clock for all retry decisions and statistics
+ * @param scheduler  runs the timers of deadlines
+ * @param upstreams  the connections to hosts
+ * @param statistics the counts that load reports to the controller contain
+ * @param outcomes   the outcome counts that are logged for operators
  */
 record RequestServices(
         GatewayClock clock,
--- /dev/null
+++ b/src/main/java/linenring/gateway/ResponseForwarder.java
@@ -0,0 +1,148 @@
+package linenring.gateway;
+
+import linenring.routing.StallDetector;
+import org.eclipse.jetty.http.HttpFields;
+import org.eclipse.jetty.http.HttpStatus;
+import org.eclipse.jetty.http.HttpVersion;
+import org.eclipse.jetty.http.MetaData;
+import org.eclipse.jetty.http2.ErrorCode;
+import org.eclipse.jetty.http2.api.Stream;
+import org.eclipse.jetty.http2.frames.DataFrame;
+import org.eclipse.jetty.http2.frames.HeadersFrame;
+import org.eclipse.jetty.util.Callback;
+
+/**
+ * Forwards a host's response to the client: headers, body, trailers (RFC 9113, 8.1). At most one frame is being written
+ * at a time, so that a slow client slows down its host and the gateway buffers nothing in between. Only the request's
+ * serialized tasks may call its methods.
+ */
+final class ResponseForwarder {
+    private final ProxiedRequest request;
+    private final Stream clientStream;
+    private final StallDetector stallDetector;
+    private Stream hostStream; // null until the response headers have arrived
+    private boolean started;
+    private boolean writingData;
+    private boolean complete;
+    private HttpFields trailers; // Jetty delivers the trailers before the last part of the body has been read
+
+    ResponseForwarder(ProxiedRequest request) {
+        this.request = request;
+        clientStream = request.clientStream();
+        stallDetector = request.stallDetector();
+    }
+
+    /** Whether the response headers were sent to the client. */
+    boolean isStarted() {
+        return started;
+    }
+
+    /** Whether the complete response was forwarded. */
+    boolean isComplete() {
+        return complete;
+    }
+
+    void setHostStream(Stream stream) {
+        hostStream = stream;
+    }
+
+    /** Forwards an interim response (RFC 9110, 15.2), except 101, which HTTP/2 does not support (RFC 9113, 8.6). */
+    void forwardInterim(MetaData.Response head) {
+        if (head.getStatus() != HttpStatus.SWITCHING_PROTOCOLS_101 && !started) {
+            clientStream.headers(new HeadersFrame(clientStream.getId(), head, null, false), Callback.NOOP);
+        }
+    }
+
+    /** Sends the response headers; {@code isLast} is true if the response has neither a body nor trailers. */
+    void start(MetaData.Response head, boolean isLast) {
+        started = true;
+        request.body().discardRetained();
+        stallDetector.clientWriteStarted(System.nanoTime());
+        clientStream.headers(new HeadersFrame(clientStream.getId(), head, null, isLast), clientCallback(() -> {
+            stallDetector.clientWriteEnded();
+            if (isLast) {
+                finish();
+            } else {
+                forwardNext();
+            }
+        }));
+    }
+
+    void trailersReceived(HttpFields fields) {
+        trailers = fields;
+        forwardNext();
+    }
+
+    /** Forwards the next part of the body, if one is available and no write is in progress. */
+    void forwardNext() {
+        if (request.hasEnded() || !started || writingData || stallDetector.isWritingToClient()) {
+            return;
+        }
+        Stream.Data data = hostStream.readData();
+        if (data == null) {
+            stallDetector.hostWaitStarted(System.nanoTime());
+            hostStream.demand();
+            return;
+        }
+        stallDetector.hostWaitEnded();
+        if (data.frame().isEndStream()
+                && trailers != null
+                && !data.frame().getByteBuffer().hasRemaining()) {
+            data.release();
+            sendTrailers();
+        } else {
+            forwardData(data);
+        }
+    }
+
+    private void forwardData(Stream.Data data) {
+        boolean isLast = data.frame().isEndStream();
+        writingData = true;
+        stallDetector.clientWriteStarted(System.nanoTime());
+        clientStream.data(
+                new DataFrame(clientStream.getId(), data.frame().getByteBuffer(), isLast && trailers == null),
+                Callback.from(
+                        () -> {
+                            data.release();
+                            request.execute(() -> dataWritten(isLast));
+                        },
+                        failure -> {
+                            data.release();
+                            request.execute(request::clientGone);
+                        }));
+    }
+
+    private void dataWritten(boolean isLast) {
+        writingData = false;
+        stallDetector.clientWriteEnded();
+        if (!isLast) {
+            forwardNext();
+        } else if (trailers != null) {
+            sendTrailers();
+        } else {
+            finish();
+        }
+    }
+
+    private void sendTrailers() {
+        MetaData trailerSection = new MetaData(HttpVersion.HTTP_2, trailers);
+        clientStream.headers(
+                new HeadersFrame(clientStream.getId(), trailerSection, null, true), clientCallback(this::finish));
+    }
+
+    private Callback clientCallback(Runnable onSuccess) {
+        return Callback.from(() -> request.execute(onSuccess), failure -> request.execute(request::clientGone));
+    }
+
+    /**
+     * Ends the request after its complete response. The unread part of the request body is not needed any more, so the
+     * client's stream is reset with NO_ERROR (RFC 9113, 8.1).
+     */
+    private void finish() {
+        complete = true;
+        if (!request.hasEnded() && !request.body().isFullyRead()) {
+            Responses.reset(clientStream, ErrorCode.NO_ERROR);
+        }
+        request.end();
+    }
+}
--- a/src/main/java/linenring/gateway/Responses.java
+++ b/src/main/java/linenring/gateway/Responses.java
@@ -14,13 +14,13 @@
 import org.eclipse.jetty.http2.frames.ResetFrame;
 import org.eclipse.jetty.util.Callback;
 
-/** The answers that the gateway gives by itself, where no host has answered (RFC 9110, 15; RFC 6585, 4). */
+/** Creates the responses that the gateway sends when no host has responded (RFC 9110, 15; RFC 6585, 4). */
 final class Responses {
     private static final double MILLIS_PER_SECOND = 1000;
 
     private Responses() {}
 
-    static int status(FailureReason reason) {
+    static int rejectionStatus(FailureReason reason) {
         return switch (reason) {
             case RATE_LIMITED -> HttpStatus.TOO_MANY_REQUESTS_429;
             case NO_HOST -> HttpStatus.SERVICE_UNAVAILABLE_503;
@@ -29,8 +29,8 @@
         };
     }
 
-    /** With {@code Retry-After} in whole seconds, rounded up, where a time to come back is known. */
-    static HttpFields fields(NextStep.Reject step) {
+    /** Returns headers with {@code Retry-After} in seconds, rounded up, if the time of a possible retry is known. */
+    static HttpFields rejectionFields(NextStep.Reject step) {
         HttpFields.Mutable fields = HttpFields.build().put(HttpHeader.CONTENT_LENGTH, 0L);
         if (!Double.isInfinite(step.retryAfterMs())) {
             long retryAfterSeconds = (long) Math.ceil(step.retryAfterMs() / MILLIS_PER_SECOND);
@@ -39,31 +39,31 @@
         return fields;
     }
 
-    /** No body, and nothing else to say. */
-    static HttpFields empty() {
+    /** Returns the headers of a response without a body. */
+    static HttpFields emptyBodyFields() {
         return HttpFields.build().put(HttpHeader.CONTENT_LENGTH, 0L);
     }
 
-    /** Whether a host's answer says that the host failed, rather than its client. */
+    /** Whether a response status reports an error of the host rather than of the client. */
     static boolean isServerError(int status) {
         return status >= HttpStatus.INTERNAL_SERVER_ERROR_500;
     }
 
     /**
-     * Answers at once and without a body. The answer is complete without the rest of the request; a reset with
-     * NO_ERROR says so to the client once the answer is written (RFC 9113, 8.1).
+     * Sends a response without a body. If the request was not read to its end, the stream is then reset with NO_ERROR, which
+     * tells the client that the rest of the request is not needed (RFC 9113, 8.1).
      */
-    static void send(Stream client, int status, HttpFields fields, boolean requestRead) {
+    static void send(Stream client, int status, HttpFields fields, boolean isRequestRead) {
         MetaData.Response head = new MetaData.Response(status, null, HttpVersion.HTTP_2, fields);
         client.headers(
                 new HeadersFrame(client.getId(), head, null, true),
                 Callback.from(
                         () -> {
-                            if (!requestRead) {
+                            if (!isRequestRead) {
                                 reset(client, ErrorCode.NO_ERROR);
                             }
                         },
-                        failure -> {})); // the client is gone, and needs no answer
+                        failure -> {})); // the client has left and needs no response
     }
 
     /** Resets a stream (RFC 9113, 6.4). */
@@ -71,7 +71,7 @@
         stream.reset(new ResetFrame(stream.getId(), code.code), Callback.NOOP);
     }
 
-    /** A name of a constant as logs have it. */
+    /** Returns the lower-case name of a constant for log lines. */
     static String logName(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/linenring/gateway/RetainedBody.java
+++ b/src/main/java/linenring/gateway/RetainedBody.java
@@ -4,15 +4,15 @@
 import java.nio.ByteBuffer;
 
 /**
- * The beginning of a request's body, retained so that it can be sent a second time. Past its limit, or that of all bodies
- * together, nothing is retained, and the request has no attempt but the one that is under way. Not thread-safe.
+ * Retains the bytes of a request body so that another attempt can send them again. A body that exceeds its own limit or
+ * the shared limit of all bodies is discarded, and the request then has no attempt after the current one. Not thread-safe.
  */
 final class RetainedBody {
     private final int maxBytes;
     private final BufferBudget budget;
     private ByteArrayOutputStream bytes = new ByteArrayOutputStream(0);
     private int reservedBytes;
-    private boolean complete = true; // all that was read is retained
+    private boolean complete = true; // all bytes read so far are retained
     private boolean ended;
 
     RetainedBody(int maxBytes, BufferBudget budget) {
@@ -20,9 +20,9 @@
         this.budget = budget;
     }
 
-    /** Takes a copy of what was read, as long as there is capacity. */
-    void add(ByteBuffer read, boolean last) {
-        ended |= last;
+    /** Retains a copy of the bytes read, or discards the body if a limit is exceeded. */
+    void add(ByteBuffer read, boolean isLast) {
+        ended |= isLast;
         int length = read.remaining();
         if (!complete || length == 0) {
             return;
@@ -37,7 +37,7 @@
         bytes.writeBytes(copy);
     }
 
-    /** Whether all that was read can be sent again. */
+    /** Whether all bytes read so far are retained and can be sent again. */
     boolean isComplete() {
         return complete;
     }
@@ -51,7 +51,7 @@
         return bytes.toByteArray();
     }
 
-    /** Gives its bytes back; from then on nothing is retained. */
+    /** Discards the retained bytes and retains no later ones. */
     void discard() {
         budget.release(reservedBytes);
         reservedBytes = 0;
--- a/src/main/java/linenring/gateway/Routes.java
+++ b/src/main/java/linenring/gateway/Routes.java
@@ -6,10 +6,10 @@
 import java.util.TreeMap;
 import linenring.gateway.settings.GatewaySettings;
 
-/** Method and path to operation: the longest prefix of whole segments counts; a query is no part of the path. */
+/** Maps a method and path, without the query, to an operation by the longest prefix of complete path segments. */
 final class Routes {
-    /** No operation. */
-    static final int NONE = -1;
+    /** Returned when no route matches. */
+    static final int UNMATCHED = -1;
 
     private final Map<String, TreeMap<String, Integer>> operationsByMethod = new HashMap<>();
 
@@ -19,32 +19,32 @@
                 .put(route.prefix(), route.operation()));
     }
 
-    /** The index of the operation, or {@link #NONE}. */
-    int operation(String method, String pathAndQuery) {
+    /** Returns the index of a request's operation, or {@link #UNMATCHED}. */
+    int findOperation(String method, String pathAndQuery) {
         Map<String, Integer> operationsByPrefix = operationsByMethod.get(method);
         if (operationsByPrefix == null || pathAndQuery == null) {
-            return NONE;
+            return UNMATCHED;
         }
-        int query = pathAndQuery.indexOf('?');
-        String path = query < 0 ? pathAndQuery : pathAndQuery.substring(0, query);
+        int queryStart = pathAndQuery.indexOf('?');
+        String path = queryStart < 0 ? pathAndQuery : pathAndQuery.substring(0, queryStart);
         for (String prefix = path; prefix != null; prefix = nextShorterPrefix(prefix)) {
             Integer operation = operationsByPrefix.get(prefix);
             if (operation != null) {
                 return operation;
             }
         }
-        return NONE;
+        return UNMATCHED;
     }
 
-    /** The next of /a/b, /a/, /a, /; null past the last. */
+    /** Returns the next shorter prefix in an order such as /a/b, /a/, /a, /, or null after the shortest one. */
     private static String nextShorterPrefix(String path) {
         if (path.length() <= 1) {
             return null;
         }
-        int slash = path.lastIndexOf('/');
-        if (slash < 0) {
+        int lastSlash = path.lastIndexOf('/');
+        if (lastSlash < 0) {
             return null;
         }
-        return slash == path.length() - 1 ? path.substring(0, slash) : path.substring(0, slash + 1);
+        return lastSlash == path.length() - 1 ? path.substring(0, lastSlash) : path.substring(0, lastSlash + 1);
     }
 }
--- a/src/main/java/linenring/gateway/UpstreamConnections.java
+++ b/src/main/java/linenring/gateway/UpstreamConnections.java
@@ -20,23 +20,24 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * The connections to one host: does what its {@link ConnectionPool} decides. The pool is called under this object's lock;
- * what it decides is done without the lock, since Jetty and the waiters call back.
+ * Manages the connections to one host by carrying out the decisions of a {@link ConnectionPool}. The pool is called under
+ * this object's lock. Its decisions are carried out without the lock, since Jetty and the waiters may call back.
  */
 final class UpstreamConnections {
-    /** Who wants a stream. One of the two is called, once, by any thread. */
+    /** Waits for a stream to the host. Exactly one of its methods is called, once, from any thread. */
     interface StreamWaiter {
-        /** A stream of this connection may be opened; {@link Connection#streamClosed} is called once it is over. */
+        /** Grants a stream on the connection; the waiter calls {@link Connection#streamClosed} when the stream has closed. */
         void granted(Connection connection);
 
-        /** There is no connection, or none in time. */
+        /** Reports that no connection to the host is available, or none in time. */
         void rejected();
     }
 
-    /** One connection, and what the host has announced on it. */
+    /** One connection to the host, with the limits that the host has announced. */
     final class Connection implements Session.Listener, Promise<Session> {
         private volatile Session session;
-        private volatile int lastProcessedStream = Integer.MAX_VALUE; // as its GOAWAY says (RFC 9113, 6.8)
+        private volatile int lastProcessedStream =
+                Integer.MAX_VALUE; // last stream of the host's GOAWAY (RFC 9113, 6.8)
         private boolean dialEnded; // guarded by the enclosing object
         private boolean dialFailed; // guarded by the enclosing object
 
@@ -44,17 +45,17 @@
             return session;
         }
 
-        /** Whether the host has announced that it did not process this stream (RFC 9113, 6.8). */
+        /** Whether a GOAWAY of the host announces that it did not process the stream (RFC 9113, 6.8). */
         boolean isNotProcessed(int streamId) {
             return streamId > lastProcessedStream;
         }
 
-        /** A stream that was granted is over. */
+        /** Returns a granted stream to the pool after it has closed. */
         void streamClosed() {
-            decide(state -> state.streamClosed(this, clock.getAsDouble()));
+            applyToPool(state -> state.streamClosed(this, clock.getAsDouble()));
         }
 
-        /** The host speaks HTTP/2 for certain only once its SETTINGS have come (RFC 9113, 3.4). */
+        /** Stores the new session; the dial succeeds only when the host's SETTINGS arrive (RFC 9113, 3.4). */
         @Override
         public void succeeded(Session result) {
             session = result;
@@ -62,19 +63,19 @@
         }
 
         /**
-         * A dial that was given up may come through all the same, before or after that was decided. Nobody would use or
-         * close such a session, and it would stay open for ever.
+         * Closes the session if the dial has already failed by its timeout, and returns whether the dial has failed. Jetty
+         * may open the session before or after the timeout; without this check an unused session would never be closed.
          */
         private boolean closeIfDialFailed() {
-            Session opened = session;
-            boolean failed;
+            Session openedSession = session;
+            boolean hasFailed;
             synchronized (UpstreamConnections.this) {
-                failed = dialFailed;
+                hasFailed = dialFailed;
             }
-            if (failed && opened != null) {
-                closeSession(opened, ErrorCode.CANCEL_STREAM_ERROR, "no settings");
+            if (hasFailed && openedSession != null) {
+                closeSession(openedSession, ErrorCode.CANCEL_STREAM_ERROR, "no settings");
             }
-            return failed;
+            return hasFailed;
         }
 
         @Override
@@ -90,61 +91,61 @@
                 dialEnded = true;
                 dialFailed = true;
             }
-            decide(state -> state.dialFailed(clock.getAsDouble()));
+            applyToPool(state -> state.dialFailed(clock.getAsDouble()));
             closeIfDialFailed();
         }
 
         @Override
-        public void onSettings(Session from, SettingsFrame frame) {
-            session = from;
+        public void onSettings(Session hostSession, SettingsFrame frame) {
+            session = hostSession;
             if (closeIfDialFailed()) {
                 return;
             }
             Map<Integer, Integer> values = frame.getSettings();
             int streams = Math.min(maxStreams, values.getOrDefault(SettingsFrame.MAX_CONCURRENT_STREAMS, maxStreams));
-            boolean first;
+            boolean isFirstSettings;
             synchronized (UpstreamConnections.this) {
-                first = !dialEnded;
+                isFirstSettings = !dialEnded;
                 dialEnded = true;
             }
-            if (first) {
-                decide(state -> state.connectionOpened(this, streams, clock.getAsDouble()));
+            if (isFirstSettings) {
+                applyToPool(state -> state.connectionOpened(this, streams, clock.getAsDouble()));
             } else if (values.containsKey(SettingsFrame.MAX_CONCURRENT_STREAMS)) {
-                decide(state -> state.maxStreamsChanged(this, streams, clock.getAsDouble()));
+                applyToPool(state -> state.maxStreamsChanged(this, streams, clock.getAsDouble()));
             }
         }
 
         @Override
-        public void onGoAway(Session from, GoAwayFrame frame) {
+        public void onGoAway(Session hostSession, GoAwayFrame frame) {
             lastProcessedStream = frame.getLastStreamId();
-            decide(state -> state.connectionGoingAway(this, clock.getAsDouble()));
+            applyToPool(state -> state.connectionGoingAway(this, clock.getAsDouble()));
         }
 
         @Override
-        public void onClose(Session from, GoAwayFrame frame, Callback callback) {
-            connectionEnded();
+        public void onClose(Session hostSession, GoAwayFrame frame, Callback callback) {
+            connectionLost();
             callback.succeeded();
         }
 
         @Override
-        public void onFailure(Session from, Throwable failure, Callback callback) {
-            connectionEnded();
+        public void onFailure(Session hostSession, Throwable failure, Callback callback) {
+            connectionLost();
             callback.succeeded();
         }
 
         @Override
-        public boolean onIdleTimeout(Session from) {
-            return false; // the pool decides when an idle one is closed
+        public boolean onIdleTimeout(Session hostSession) {
+            return false; // the pool decides when an idle connection is closed
         }
 
-        /** Nothing is active on it any more, so that it need not wait for the host to close its side. */
+        /** Closes the session and its socket at once, since no stream is active on an idle connection. */
         private void closeIdleSession() {
             closeSession(session, ErrorCode.NO_ERROR, "idle");
         }
 
-        private void connectionEnded() {
+        private void connectionLost() {
             failDial();
-            decide(state -> state.connectionLost(this, clock.getAsDouble()));
+            applyToPool(state -> state.connectionLost(this, clock.getAsDouble()));
         }
     }
 
@@ -156,7 +157,7 @@
     private final DoubleSupplier clock;
     private final ConnectionPool<Connection, StreamWaiter> pool; // guarded by this
 
-    /** {@code clock}: in ms. */
+    /** Creates the connection pool of one host; the {@code clock} returns milliseconds. */
     UpstreamConnections(
             HTTP2Client client,
             HostRegistry.Host host,
@@ -191,22 +192,22 @@
         }
     }
 
-    /** Who waited no longer does; false if it was granted a stream or rejected already. */
+    /** Removes a waiter and returns true, or returns false if it was already granted a stream or rejected. */
     synchronized boolean cancel(StreamWaiter waiter) {
         return pool.cancel(waiter);
     }
 
-    /** Whether the host is not to be used any more. */
+    /** Sets whether the host is retired, in which case its connections accept no new streams. */
     void setRetired(boolean retired) {
-        decide(state -> state.setRetired(retired, clock.getAsDouble()));
+        applyToPool(state -> state.setRetired(retired, clock.getAsDouble()));
     }
 
     void closeIdle() {
-        decide(state -> state.closeIdle(clock.getAsDouble()));
+        applyToPool(state -> state.closeIdle(clock.getAsDouble()));
     }
 
-    /** Lets the pool decide under the lock, and acts on its decision without. */
-    private void decide(
+    /** Passes an event to the pool under the lock, and carries out the pool's decisions without the lock. */
+    private void applyToPool(
             Function<ConnectionPool<Connection, StreamWaiter>, ConnectionPool.Actions<Connection, StreamWaiter>>
                     event) {
         ConnectionPool.Actions<Connection, StreamWaiter> actions;
@@ -236,7 +237,7 @@
         session.close(code.code, reason, Callback.from(((HTTP2Session) session).getEndPoint()::close));
     }
 
-    /** The listed address, a numeric one so that no name is looked up; null if it is none. */
+    /** Parses a numeric IP address with a port, without a DNS lookup; returns null if the address is invalid. */
     private static InetSocketAddress parseAddress(String text) {
         int colon = text == null ? -1 : text.lastIndexOf(':');
         if (colon < 0 || !text.substring(0, colon).matches("[0-9.]+|\\[[0-9a-fA-F:.]+]")) {
--- a/src/main/java/linenring/gateway/UpstreamRegistry.java
+++ b/src/main/java/linenring/gateway/UpstreamRegistry.java
@@ -9,7 +9,7 @@
 import org.eclipse.jetty.http2.client.HTTP2Client;
 import org.eclipse.jetty.util.thread.Scheduler;
 
-/** The connections to all hosts, made at a host's first request. Thread-safe. */
+/** The connections to all hosts; those of one host are created at its first request. Thread-safe. */
 final class UpstreamRegistry {
     private final GatewaySettings settings;
     private final HostRegistry hosts;
@@ -17,7 +17,7 @@
     private final HTTP2Client client;
     private final Scheduler scheduler;
     private final GatewayClock clock;
-    private final Map<Integer, UpstreamConnections> byHost = new ConcurrentHashMap<>();
+    private final Map<Integer, UpstreamConnections> connectionsByHost = new ConcurrentHashMap<>();
 
     UpstreamRegistry(
             GatewaySettings settings,
@@ -34,31 +34,31 @@
         this.clock = clock;
     }
 
-    /** The connections to the host with this index. */
+    /** Returns the connections to the host with the given index, creating them if necessary. */
     UpstreamConnections upstream(int host) {
-        return byHost.computeIfAbsent(
+        return connectionsByHost.computeIfAbsent(
                 host,
                 index -> new UpstreamConnections(
                         client, hosts.host(index), settings.pool(), settings.dialTimeoutMs(), scheduler, clock));
     }
 
     /**
-     * Tables or the endpoint list have changed: connections to hosts that are not to be used any more are retired. A host
-     * that has moved is dialed at its new address by connections made anew.
+     * Retires connections to hosts that are not used any more, after a change of the tables or the endpoint list. If a
+     * host's address has changed, the next request opens new connections to the new address.
      */
     void refresh() {
-        byHost.entrySet().removeIf(entry -> {
+        connectionsByHost.entrySet().removeIf(entry -> {
             int host = entry.getKey();
             UpstreamConnections connections = entry.getValue();
-            boolean moved =
+            boolean hasMoved =
                     !Objects.equals(connections.address(), hosts.host(host).address());
-            boolean unused = !hosts.host(host).isListed() || !tables.isEligibleAnywhere(host);
-            connections.setRetired(moved || unused);
-            return moved;
+            boolean isUnused = !hosts.host(host).isListed() || !tables.isEligibleAnywhere(host);
+            connections.setRetired(hasMoved || isUnused);
+            return hasMoved;
         });
     }
 
     void closeIdleConnections() {
-        byHost.values().forEach(UpstreamConnections::closeIdle);
+        connectionsByHost.values().forEach(UpstreamConnections::closeIdle);
     }
 }
--- a/src/test/java/linenring/gateway/ClientProtocolTest.java
+++ b/src/test/java/linenring/gateway/ClientProtocolTest.java
@@ -22,6 +22,6 @@
     })
     void recognisesProtocolByFirstBytes(ClientProtocol expected, String text) {
         byte[] bytes = text.replace("|", "\r\n").getBytes(StandardCharsets.US_ASCII);
-        assertEquals(expected, ClientProtocol.of(ByteBuffer.wrap(bytes)));
+        assertEquals(expected, ClientProtocol.detect(ByteBuffer.wrap(bytes)));
     }
 }
--- a/src/test/java/linenring/gateway/FailedStreamsTest.java
+++ b/src/test/java/linenring/gateway/FailedStreamsTest.java
@@ -33,7 +33,7 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 import org.junit.jupiter.api.Test;
 
-/** Streams to hosts whose opening fails in Jetty although it is proven that the request was not executed. */
+/** Tests streams that Jetty fails to open in cases where the request was certainly not executed by the host. */
 class FailedStreamsTest {
     private static final int WAIT_SECONDS = 15;
 
@@ -46,11 +46,11 @@
         }
     }
 
-    /** A connection whose writing thread, once it is set, does not return from a write before the connection is closed. */
+    /** An end point in which writes by a certain thread return only after the connection is closed. */
     private static final class SlowWriteEndPoint extends SocketChannelEndPoint {
         private final CountDownLatch closed = new CountDownLatch(1);
         private final CountDownLatch writeFailed = new CountDownLatch(1);
-        private volatile Thread writer; // whose writes return late
+        private volatile Thread writer; // the thread whose writes return late; null for none
         private volatile boolean closedWithinWrite;
 
         SlowWriteEndPoint(
@@ -72,35 +72,35 @@
             super.onClose(cause);
             if (writer != null) {
                 closed.countDown();
-                await(writeFailed); // the closing thread goes on once the write's failure was reported
+                await(writeFailed); // the closing thread continues after the write's failure was reported
             }
         }
     }
 
     /**
-     * The GOAWAY that leaves a request's stream out is read while another thread has written the request's headers and
-     * not yet returned from that write. The stream's end releases the connection, whose closing makes the write fail; that
-     * failure is reported before the stream's.
+     * A GOAWAY below a request's stream is read while another thread is still in the write of the request's headers. The
+     * end of the stream closes the connection, which makes the write fail, and Jetty reports the failed write before it
+     * reports the stream as not processed. The request must still be retried.
      */
     @Test
     void retriesWhenGoAwayIsReadBeforeWriteOfHeadersReturns() throws Exception {
         SlowFirstConnector connector = new SlowFirstConnector();
         try (GatewayFixture fixture = new GatewayFixture(2, "", () -> new HTTP2Client(connector))) {
             fixture.backends().get(0).onPath("/assign", Reaction.of(Behaviour.GO_AWAY_BELOW));
-            fixture.orderTable(new int[] {0}, 1, RetryPolicy.ONE_IF_NOT_EXECUTED);
+            fixture.sendTable(new int[] {0}, 1, RetryPolicy.ONE_IF_NOT_EXECUTED);
             LoadClient client = fixture.connect();
-            assertEquals(200, client.call("GET", "/quote").status()); // so that there is a connection
+            assertEquals(200, client.call("GET", "/quote").status()); // opens a connection to the host
             fixture.awaitIdle();
-            SlowWriteEndPoint endPoint = connector.first;
+            SlowWriteEndPoint endPoint = connector.firstEndPoint;
             HTTP2Session session = ((HTTP2Connection) endPoint.getConnection()).getSession();
             CountDownLatch mayWrite = new CountDownLatch(1);
-            Thread writer = startHeldWriter(endPoint, session, mayWrite);
+            Thread writer = startBlockedWriter(endPoint, session, mayWrite);
             int assign = client.send("POST", "/assign", "x-mark", "once");
-            client.await(() -> session.getFrameQueueSize() > 0, "its headers wait to be written");
-            fixture.orderTable(new int[] {1}, 1, RetryPolicy.ONE_IF_NOT_EXECUTED);
+            client.await(() -> session.getFrameQueueSize() > 0, "the request headers are queued for writing");
+            fixture.sendTable(new int[] {1}, 1, RetryPolicy.ONE_IF_NOT_EXECUTED);
             mayWrite.countDown();
             assertEquals(200, client.await(assign).status());
-            assertTrue(endPoint.closedWithinWrite, "the order of events that is meant came about");
+            assertTrue(endPoint.closedWithinWrite, "the connection was closed during the write, as this test requires");
             assertEquals(0, fixture.backends().get(0).executions("/assign"));
             assertEquals(1, fixture.backends().get(1).executions("/assign"));
             assertEquals(1, fixture.executionsOfKey("once"));
@@ -108,38 +108,39 @@
         }
     }
 
-    /** A thread that holds the right to write, and from {@code mayWrite} on writes what others have queued. */
-    private static Thread startHeldWriter(SlowWriteEndPoint endPoint, HTTP2Session session, CountDownLatch mayWrite) {
-        CountDownLatch holdsWriting = new CountDownLatch(1);
+    /** Starts a thread that blocks all writes of the session until {@code mayWrite}, then writes the queued frames. */
+    private static Thread startBlockedWriter(
+            SlowWriteEndPoint endPoint, HTTP2Session session, CountDownLatch mayWrite) {
+        CountDownLatch writesBlocked = new CountDownLatch(1);
         Thread writer = new Thread(() -> {
             session.ping(new PingFrame(1, false), Callback.from(() -> {
-                holdsWriting.countDown();
+                writesBlocked.countDown();
                 await(mayWrite);
                 endPoint.writer = Thread.currentThread();
             }));
             endPoint.writeFailed.countDown();
         });
         writer.start();
-        assertTrue(await(holdsWriting));
+        assertTrue(await(writesBlocked));
         return writer;
     }
 
-    /** Its first connection is a {@link SlowWriteEndPoint}. */
+    /** A connector that uses a {@link SlowWriteEndPoint} for its first connection. */
     private static final class SlowFirstConnector extends ClientConnector {
         private final AtomicInteger dials = new AtomicInteger();
-        private volatile SlowWriteEndPoint first;
+        private volatile SlowWriteEndPoint firstEndPoint;
 
         @Override
         protected EndPoint newEndPoint(SelectableChannel channel, ManagedSelector selector, SelectionKey key) {
             if (dials.getAndIncrement() > 0) {
                 return super.newEndPoint(channel, selector, key);
             }
-            first = new SlowWriteEndPoint((SocketChannel) channel, selector, key, getScheduler());
-            return first;
+            firstEndPoint = new SlowWriteEndPoint((SocketChannel) channel, selector, key, getScheduler());
+            return firstEndPoint;
         }
     }
 
-    /** Jetty knows that the connection has ended and has not reported it: no stream is created, so nothing is written. */
+    /** Jetty has closed a connection without reporting it yet, so it creates no stream and writes nothing for a request. */
     @Test
     @SuppressWarnings("try") // Jetty's close() may throw InterruptedException
     void retriesWhenStreamCannotBeCreated() throws Exception {
@@ -147,18 +148,18 @@
         HTTP2Client dialer = new HTTP2Client(new ClientConnector()) {
             @Override
             public void connect(SocketAddress address, Session.Listener listener, Promise<Session> promise) {
-                super.connect(address, new HeldFailure(listener, connectionFailed), promise);
+                super.connect(address, new DeferredFailureListener(listener, connectionFailed), promise);
             }
         };
         try (GatewayFixture fixture = new GatewayFixture(2, "avoid after=0\ntries least=40", () -> dialer)) {
-            fixture.orderTable(new int[] {0}, 1, RetryPolicy.ONE_IF_NOT_EXECUTED);
+            fixture.sendTable(new int[] {0}, 1, RetryPolicy.ONE_IF_NOT_EXECUTED);
             LoadClient client = fixture.connect();
-            assertEquals(200, client.call("GET", "/quote").status()); // so that there is a connection
+            assertEquals(200, client.call("GET", "/quote").status()); // opens a connection to the host
             fixture.awaitIdle();
-            fixture.orderAll(RetryPolicy.ONE_IF_NOT_EXECUTED);
+            fixture.sendTableOfAllHosts(RetryPolicy.ONE_IF_NOT_EXECUTED);
             fixture.backends().get(0).close();
             Runnable reportFailure = connectionFailed.get(WAIT_SECONDS, TimeUnit.SECONDS);
-            for (int i = 0; i < 30; i++) { // the first attempt of half of them is at the first backend
+            for (int i = 0; i < 30; i++) { // half of the requests have their first attempt at the closed backend
                 assertEquals(200, client.call("POST", "/assign").status(), "request " + i);
             }
             assertEquals(30, fixture.backends().get(1).executions("/assign"));
@@ -166,8 +167,8 @@
         }
     }
 
-    /** Passes everything on, but hands a failure of the session to the test, which reports it when it likes. */
-    private record HeldFailure(Session.Listener target, CompletableFuture<Runnable> failure)
+    /** Forwards all events of a session, except a failure, which the test reports later by running {@code failure}. */
+    private record DeferredFailureListener(Session.Listener target, CompletableFuture<Runnable> failure)
             implements Session.Listener {
         @Override
         public void onSettings(Session session, SettingsFrame frame) {
--- a/src/test/java/linenring/gateway/GatewayBesideControllerTest.java
+++ b/src/test/java/linenring/gateway/GatewayBesideControllerTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A controller with its thread, a gateway that is its only proxy, and test backends. */
+/** Tests a gateway that is the only proxy of a controller in the same process, with test backends as hosts. */
 @Timeout(90)
 class GatewayBesideControllerTest {
     private static final int BACKENDS = 4;
@@ -62,7 +62,7 @@
         controllerThread = new Thread(controller::run, "controller");
         controllerThread.setDaemon(true);
         controllerThread.start();
-        list(HostList.State.READY, 0, 1, 2, 3);
+        enqueueHostList(HostList.State.READY, 0, 1, 2, 3);
         gateway = Http2Gateway.start(
                 GatewayFixture.settings("avoid after=0"),
                 PlannerSettings.Measure.SHARE,
@@ -81,12 +81,12 @@
         }
     }
 
-    private void list(HostList.State state, int... hosts) {
+    private void enqueueHostList(HostList.State state, int... hosts) {
         version++;
         events.enqueueHostList(GatewayFixture.hostList(version, version == 1, state, IntStream.of(hosts), backends));
     }
 
-    private static int quote(LoadClient client) {
+    private static int callQuote(LoadClient client) {
         try {
             return client.call("GET", "/quote").status();
         } catch (IOException failure) {
@@ -94,19 +94,19 @@
         }
     }
 
-    /** How many of 40 quotes are answered with another status than 200. */
-    private static int failedOf40(LoadClient client) {
+    /** Sends 40 requests and returns the number of responses with a status other than 200. */
+    private static int countFailuresOf40(LoadClient client) {
         int failed = 0;
         for (int i = 0; i < 40; i++) {
-            failed += quote(client) == 200 ? 0 : 1;
+            failed += callQuote(client) == 200 ? 0 : 1;
         }
         return failed;
     }
 
-    /** A client, once the gateway has its first table. */
+    /** Returns a client after the gateway has received its first endpoint table. */
     private LoadClient connect() throws IOException {
         LoadClient client = new LoadClient(gateway.port());
-        LoadClient.await(this, () -> quote(client) == 200, "the first table has come");
+        LoadClient.await(this, () -> callQuote(client) == 200, "the gateway has received its first table");
         return client;
     }
 
@@ -117,53 +117,53 @@
     @Test
     void sendsNothingToDrainingHostOnceUpdateIsApplied() throws IOException {
         try (LoadClient client = connect()) {
-            list(HostList.State.TERMINATING, 0);
+            enqueueHostList(HostList.State.TERMINATING, 0);
             TestBackend draining = backends.get(0);
             LoadClient.await(
                     this,
-                    () -> { // 40 in a row without it; of four equal hosts that is chance once in 100,000
-                        int before = draining.executions("/quote");
-                        assertEquals(0, failedOf40(client));
-                        return before == draining.executions("/quote");
+                    () -> { // 40 requests in a row avoid one of four equal hosts by chance once in 100,000 times
+                        int executionsBefore = draining.executions("/quote");
+                        assertEquals(0, countFailuresOf40(client));
+                        return executionsBefore == draining.executions("/quote");
                     },
-                    "s-0 gets nothing");
-            int last = draining.executions("/quote");
+                    "the draining host s-0 gets no requests");
+            int finalExecutions = draining.executions("/quote");
             for (int i = 0; i < 100; i++) {
-                assertEquals(200, quote(client));
+                assertEquals(200, callQuote(client));
             }
-            assertEquals(last, draining.executions("/quote"));
+            assertEquals(finalExecutions, draining.executions("/quote"));
         }
     }
 
-    /** The gateway ejects no host by itself here: the controller does, by the gateway's load reports. */
+    /** The controller ejects a failing host by the gateway's load reports; ejection by the gateway itself is disabled. */
     @Test
     void ejectsFailingHostByReportsOfGateway() throws IOException {
         try (LoadClient client = connect()) {
             backends.get(1).onPath("/", Reaction.of(Behaviour.ERROR));
-            LoadClient.await(this, () -> failedOf40(client) == 0, "s-1 is ejected");
+            LoadClient.await(this, () -> countFailuresOf40(client) == 0, "s-1 is ejected");
         }
     }
 
     @Test
     void answersAtOnceWhileAllHostsDrainAndRecovers() throws IOException {
         try (LoadClient client = connect()) {
-            list(HostList.State.TERMINATING, 0, 1, 2, 3);
-            LoadClient.await(this, () -> quote(client) == 503, "no host can be picked");
-            long from = System.nanoTime();
+            enqueueHostList(HostList.State.TERMINATING, 0, 1, 2, 3);
+            LoadClient.await(this, () -> callQuote(client) == 503, "no host can be picked");
+            long startNanos = System.nanoTime();
             assertEquals(503, client.call("POST", "/assign").status());
-            assertTrue(System.nanoTime() - from < 1_000_000_000L);
-            list(HostList.State.READY, 0, 1, 2, 3);
+            assertTrue(System.nanoTime() - startNanos < 1_000_000_000L);
+            enqueueHostList(HostList.State.READY, 0, 1, 2, 3);
             connect().close();
         }
     }
 
     @Test
-    void goesOnWithItsTablesWithoutController() throws Exception {
+    void servesWithItsTablesWithoutController() throws Exception {
         try (LoadClient client = connect()) {
             controllerThread.interrupt();
             controllerThread.join();
             for (int i = 0; i < 200; i++) {
-                assertEquals(200, quote(client));
+                assertEquals(200, callQuote(client));
             }
             assertTrue(backends.stream().allMatch(backend -> backend.executions("/quote") > 10));
         }
@@ -178,8 +178,8 @@
             for (int i = 0; i < 60; i++) {
                 streams.add(client.send("POST", "/assign"));
             }
-            client.await(() -> executions("/assign") == 60, "backends execute all");
-            list(HostList.State.TERMINATING, 2, 3);
+            client.await(() -> executions("/assign") == 60, "the backends execute all requests");
+            enqueueHostList(HostList.State.TERMINATING, 2, 3);
             gateway.drain();
             gateway.awaitDrained();
             streams.forEach(stream -> assertEquals(200, client.await(stream).status()));
@@ -193,14 +193,14 @@
                 TestBackend elsewhere = new TestBackend()) {
             backends.get(0).close();
             backends.set(0, elsewhere);
-            list(HostList.State.READY, 0);
+            enqueueHostList(HostList.State.READY, 0);
             LoadClient.await(
                     this,
                     () -> {
-                        quote(client); // with whatever status
+                        callQuote(client); // the status does not matter until the new address is used
                         return elsewhere.executions("/quote") > 0;
                     },
-                    "the new address is used");
+                    "the gateway uses the new address");
         }
     }
 }
--- a/src/test/java/linenring/gateway/GatewayDrainTest.java
+++ b/src/test/java/linenring/gateway/GatewayDrainTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Graceful shutdown of the gateway (RFC 9113, 6.8). */
+/** Tests the gateway's graceful shutdown (RFC 9113, 6.8). */
 @Timeout(60)
 class GatewayDrainTest {
     /**
-     * SIGTERM comes while 200 requests are active: all of them are answered, and a stream above the named last one is
-     * not.
+     * SIGTERM arrives while 200 requests are active. All of them get a response, and a stream above the last stream of the
+     * final GOAWAY gets none.
      */
     @Test
     void finishesActiveRequestsAndRefusesLaterOnes() throws Exception {
@@ -24,7 +24,7 @@
             fixture.backends().forEach(backend -> {
                 backend.onPath(
                         "/quote",
-                        Reaction.of(Behaviour.ANSWER).after(2000)); // on a busy machine too all are active at the drain
+                        Reaction.of(Behaviour.ANSWER).after(2000)); // keeps all requests active until the drain begins
                 backend.onPath("/assign", Reaction.of(Behaviour.ANSWER).after(2600));
             });
             LoadClient client = fixture.connect();
@@ -35,13 +35,14 @@
                 other.send("POST", "/assign");
             }
             client.await(
-                    () -> fixture.executions("/assign") + fixture.executions("/quote") == 200, "backends execute 200");
+                    () -> fixture.executions("/assign") + fixture.executions("/quote") == 200,
+                    "the backends execute 200 requests");
             fixture.gateway().drain();
-            fixture.gateway().drain(); // a second SIGTERM changes nothing
-            client.await(() -> client.goAways().size() >= 2, "the last stream is named");
+            fixture.gateway().drain(); // a second SIGTERM has no effect
+            client.await(() -> client.goAways().size() >= 2, "the final GOAWAY has arrived");
             assertEquals(Integer.MAX_VALUE, client.goAways().get(0).uint31(0));
             assertEquals(199, client.goAways().get(1).uint31(0));
-            int late = client.send("POST", "/assign", "x-mark", "late");
+            int lateStream = client.send("POST", "/assign", "x-mark", "late");
             fixture.gateway().awaitDrained();
             for (int stream : streams) {
                 assertEquals(200, client.await(stream).status());
@@ -49,13 +50,13 @@
             for (int stream = 1; stream < 200; stream += 2) {
                 assertEquals(200, other.await(stream).status());
             }
-            assertEquals(0, fixture.executionsOfKey("late")); // the GOAWAY is its only answer
-            assertEquals(0, client.answer(late).status());
-            assertTrue(fixture.log().contains("has drained: 200 finished"), fixture.log());
+            assertEquals(0, fixture.executionsOfKey("late")); // the GOAWAY is the only reply to the late stream
+            assertEquals(0, client.answer(lateStream).status());
+            assertTrue(fixture.log().contains("graceful shutdown completed; requests finished: 200"), fixture.log());
         }
     }
 
-    /** The client, or its network, is slow: it sends without knowing for longer than any time that could be fixed. */
+    /** A slow client or network delays the first GOAWAY beyond any fixed waiting time, and the client still sends requests. */
     @Test
     void refusesNothingWhileClientHasNotReadOfDrain() throws Exception {
         try (GatewayFixture fixture = new GatewayFixture(1)) {
@@ -63,30 +64,30 @@
             assertEquals(200, client.call("GET", "/quote").status());
             fixture.awaitIdle();
             fixture.gateway().drain();
-            client.await(() -> client.heldPings() == 1, "the PING is there");
-            long announced = System.nanoTime();
-            while (System.nanoTime() - announced < 600_000_000L) {
-                Thread.onSpinWait(); // three times the least announcement
+            client.await(() -> client.heldPings() == 1, "the client has received the PING");
+            long announcedNanos = System.nanoTime();
+            while (System.nanoTime() - announcedNanos < 600_000_000L) {
+                Thread.onSpinWait(); // three times the minimum time between the two GOAWAY frames
             }
             assertEquals(200, client.call("POST", "/assign").status());
             assertEquals(1, client.goAways().size());
             client.answerPings();
             fixture.gateway().awaitDrained();
-            assertTrue(fixture.log().contains("1 finished, 0 refused, 0 broken off"), fixture.log());
+            assertTrue(fixture.log().contains("requests finished: 1, refused: 0, aborted: 0"), fixture.log());
         }
     }
 
-    /** A host never answers: the drain does not wait for it past its limit, and the log says what was broken off. */
+    /** A host never responds: the drain ends at its time limit, and the log has the number of aborted requests. */
     @Test
-    void endsAtLimitAndLogsWhatBrokeOff() throws Exception {
+    void endsAtLimitAndLogsBrokenOffRequests() throws Exception {
         try (GatewayFixture fixture = new GatewayFixture(1, "drain \"1s\"")) {
             fixture.backends().get(0).onPath("/", Reaction.of(Behaviour.HANG));
             LoadClient client = fixture.connect();
             client.send("GET", "/quote");
-            client.await(() -> fixture.executions("/quote") == 1, "the backend executes it");
+            client.await(() -> fixture.executions("/quote") == 1, "the backend executes the request");
             fixture.gateway().drain();
             fixture.gateway().awaitDrained();
-            assertTrue(fixture.log().contains("1 broken off after 1000 ms"), fixture.log());
+            assertTrue(fixture.log().contains("aborted: 1 at the limit of 1000 ms"), fixture.log());
         }
     }
 }
--- a/src/test/java/linenring/gateway/GatewayFixture.java
+++ b/src/test/java/linenring/gateway/GatewayFixture.java
@@ -25,7 +25,10 @@
 import linenring.testserver.TestBackend;
 import org.eclipse.jetty.http2.client.HTTP2Client;
 
-/** A gateway, test backends in zones a and b alternately, and in the controller's place the orders of a test. */
+/**
+ * A gateway with test backends, which are alternately in zones a and b. The test sends configuration updates in place of
+ * a controller.
+ */
 final class GatewayFixture implements AutoCloseable, EventQueue.EventHandler {
     static final Names NAMES = new Names(List.of("a", "b"), List.of("std"), List.of("quote", "book", "assign"), 4, 4);
 
@@ -47,7 +50,7 @@
             }
             """;
 
-    /** By their number in a configuration update. */
+    /** Retry policies, at the index that identifies them in a configuration update. */
     private static final List<RetryPolicy> RETRY_POLICIES =
             List.of(RetryPolicy.NONE, RetryPolicy.ONE_IF_NOT_EXECUTED, RetryPolicy.ONE, RetryPolicy.TWO);
 
@@ -64,12 +67,12 @@
         this(count, "");
     }
 
-    /** With further lines of settings. */
+    /** Starts a gateway with additional lines of settings. */
     GatewayFixture(int count, String moreSettings) throws IOException {
         this(count, moreSettings, HTTP2Client::new);
     }
 
-    /** With a client of the test's making towards the backends. */
+    /** Starts a gateway with additional settings and with the test's HTTP/2 client for connections to the backends. */
     GatewayFixture(int count, String moreSettings, Supplier<HTTP2Client> clientFactory) throws IOException {
         for (int i = 0; i < count; i++) {
             backends.add(new TestBackend());
@@ -90,14 +93,14 @@
             throw new IOException(failure);
         }
         processEvents();
-        orderAll(RetryPolicy.ONE_IF_NOT_EXECUTED);
+        sendTableOfAllHosts(RetryPolicy.ONE_IF_NOT_EXECUTED);
     }
 
     static GatewaySettings settings(String moreSettings) {
         return SettingsText.parse(SETTINGS.replace("MORE_SETTINGS", moreSettings), NAMES);
     }
 
-    /** Hosts s-0, s-1, ..., each at the backend of its number. */
+    /** Returns a host list with host s-i at the address of backend i. */
     static HostList hostList(
             long version, boolean complete, HostList.State state, IntStream hosts, List<TestBackend> backends) {
         return new HostList(
@@ -118,7 +121,7 @@
         return backends;
     }
 
-    /** What the controller would have received. */
+    /** Messages from the gateway to the controller. */
     List<InboundMessage> messages() {
         return List.copyOf(messages);
     }
@@ -127,15 +130,15 @@
         return log.toString(StandardCharsets.UTF_8);
     }
 
-    /** Orders all backends with equal weight, and this retry policy; in force when it returns. */
-    void orderAll(RetryPolicy retryPolicy) {
-        orderTable(IntStream.range(0, backends.size()).toArray(), 1, retryPolicy);
+    /** Sends a table of all backends with equal weights and the given retry policy, and waits until it is applied. */
+    void sendTableOfAllHosts(RetryPolicy retryPolicy) {
+        sendTable(IntStream.range(0, backends.size()).toArray(), 1, retryPolicy);
     }
 
-    /** Orders a complete table; in force when it returns. */
-    void orderTable(int[] hosts, double admissionRatio, RetryPolicy retryPolicy) {
+    /** Sends a complete table with equal weights and waits until it is applied. */
+    void sendTable(int[] hosts, double admissionRatio, RetryPolicy retryPolicy) {
         nonce++;
-        order(new ConfigurationUpdate.Part(
+        sendUpdate(new ConfigurationUpdate.Part(
                 List.of(),
                 true,
                 IntStream.of(hosts)
@@ -147,13 +150,13 @@
                 nonce));
     }
 
-    /** Orders that hosts are ejected; in force when it returns. */
-    void orderEjected(String... hosts) {
+    /** Sends an update that ejects hosts, and waits until it is applied. */
+    void sendEjections(String... hosts) {
         nonce++;
-        order(new ConfigurationUpdate.Part(List.of(), false, List.of(), null, List.of(hosts), List.of(), nonce));
+        sendUpdate(new ConfigurationUpdate.Part(List.of(), false, List.of(), null, List.of(hosts), List.of(), nonce));
     }
 
-    private void order(ConfigurationUpdate.Part part) {
+    private void sendUpdate(ConfigurationUpdate.Part part) {
         stream.write(new ConfigurationUpdate(List.of(part)));
         LoadClient.await(
                 this,
@@ -168,7 +171,7 @@
         return message instanceof InboundMessage.Acknowledgement acknowledgement && acknowledgement.nonce() == nonce;
     }
 
-    /** Takes what the gateway has sent to its controller. */
+    /** Receives the messages that the gateway has sent to the controller. */
     void processEvents() {
         events.drainTo(this);
     }
@@ -203,13 +206,13 @@
     }
 
     @Override
-    public void onStreamClosed(ProxyStream which) {
+    public void onStreamClosed(ProxyStream closedStream) {
         stream = null;
     }
 
     @Override
     public void onHostList(HostList list) {
-        // the gateway follows the list by itself
+        // the gateway has a host list listener of its own
     }
 
     @Override
--- a/src/test/java/linenring/gateway/GatewayMeasurements.java
+++ b/src/test/java/linenring/gateway/GatewayMeasurements.java
@@ -7,13 +7,13 @@
 import linenring.load.LoadGenerator;
 import linenring.testserver.LoadClient;
 
-/** Measurements by hand against a gateway of another process; see docs/results.md. Not run with the tests. */
+/** Manual measurements of a gateway in another process; not run with the tests. See docs/results.md. */
 public final class GatewayMeasurements {
     private GatewayMeasurements() {}
 
     /**
-     * {@code idle PORT CONNECTIONS STREAMS SECONDS} holds streams open; {@code stalled PORT COUNT} has clients that take
-     * nothing beside a load.
+     * Runs one measurement. {@code idle PORT CONNECTIONS STREAMS SECONDS} holds streams open; {@code stalled PORT COUNT}
+     * measures a load while other clients accept no response data.
      */
     public static void main(String[] args) throws IOException, InterruptedException {
         int port = Integer.parseInt(args[1]);
@@ -36,13 +36,13 @@
             }
         }
         TimeUnit.SECONDS.sleep(seconds);
-        int over = 0;
+        int endedStreams = 0;
         for (LoadClient client : clients) {
             for (int j = 0; j < streams; j++) {
-                over += client.answer(2 * j + 1).isOver() ? 1 : 0;
+                endedStreams += client.answer(2 * j + 1).isOver() ? 1 : 0;
             }
         }
-        System.out.println(connections + " connections, " + over + " streams over");
+        System.out.println(connections + " connections, " + endedStreams + " streams have ended");
     }
 
     private static void loadBesideStalledClients(int port, int count) throws IOException, InterruptedException {
@@ -57,16 +57,16 @@
                 3,
                 5000,
                 1);
-        System.out.print("without: " + LoadGenerator.table(LoadGenerator.run(plan)));
+        System.out.print("without stalled clients: " + LoadGenerator.table(LoadGenerator.run(plan)));
         List<LoadClient> stalled = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             LoadClient client = new LoadClient(port).ignoreWindows();
             stalled.add(client);
             client.send("GET", "/read/large");
         }
-        System.out.print("with " + count + ": " + LoadGenerator.table(LoadGenerator.run(plan)));
+        System.out.print("with " + count + " stalled clients: " + LoadGenerator.table(LoadGenerator.run(plan)));
         long open =
                 stalled.stream().filter(client -> !client.answer(1).isOver()).count();
-        System.out.println(open + " of them still hold their stream");
+        System.out.println(open + " stalled clients still hold their streams");
     }
 }
--- a/src/test/java/linenring/gateway/GatewayRetryTest.java
+++ b/src/test/java/linenring/gateway/GatewayRetryTest.java
@@ -13,32 +13,33 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** How often a request is executed, whatever its hosts and its client do. */
+/** Tests how many times a request is executed when its hosts fail or its client resets it. */
 @Timeout(60)
 class GatewayRetryTest {
     private static final int CANCEL = 8;
 
     /**
-     * The client gives up and never learns whether its request was executed. Whenever that is, the gateway must not
-     * send it a second time.
+     * A client resets its stream without knowing whether the request was executed. The gateway must not send the request a
+     * second time, regardless of when the reset arrives.
      */
     @Test
     void executesSideEffectingRequestAtMostOnceWhenClientResets() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(3)) {
-            fixture.orderAll(RetryPolicy.TWO);
+            fixture.sendTableOfAllHosts(RetryPolicy.TWO);
             fixture.backends()
                     .forEach(backend -> backend.onPath(
                             "/assign", Reaction.of(Behaviour.ANSWER).after(100)));
             LoadClient client = fixture.connect();
-            for (int i = 0; i < 20; i++) { // before its body has come, at once, while it is executed
-                int held = client.sendHeaders("POST", "/assign", false, "x-mark", "held" + i);
-                client.frames().sendReset(held, CANCEL);
-                int quick = client.send("POST", "/assign", "x-mark", "quick" + i);
-                client.frames().sendReset(quick, CANCEL);
+            // resets requests before their bodies, immediately after their bodies, and during their execution
+            for (int i = 0; i < 20; i++) {
+                int withoutBody = client.sendHeaders("POST", "/assign", false, "x-mark", "held" + i);
+                client.frames().sendReset(withoutBody, CANCEL);
+                int resetAtOnce = client.send("POST", "/assign", "x-mark", "quick" + i);
+                client.frames().sendReset(resetAtOnce, CANCEL);
                 String key = "runs" + i;
-                int runs = client.send("POST", "/assign", "x-mark", key);
-                client.await(() -> fixture.executionsOfKey(key) == 1, "a backend executes it");
-                client.frames().sendReset(runs, CANCEL);
+                int executing = client.send("POST", "/assign", "x-mark", key);
+                client.await(() -> fixture.executionsOfKey(key) == 1, "a backend executes the request");
+                client.frames().sendReset(executing, CANCEL);
             }
             assertEquals(200, client.call("POST", "/assign", "x-mark", "last").status());
             fixture.awaitIdle();
@@ -50,18 +51,20 @@
     }
 
     /**
-     * The host dies with the request: nobody knows whether it was executed. The client gets 502 at once, and no other
-     * host gets the request.
+     * The host dies during the request, so it is unknown whether the request was executed. The client gets 502 at once,
+     * and no other host gets the request.
      */
     @Test
-    void answersAtOnceAndNeverRepeatsSideEffectingRequestWhenHostDies() throws IOException {
+    void answersAtOnceAndNeverRetriesSideEffectingRequestWhenHostDies() throws IOException {
         for (Behaviour behaviour : List.of(Behaviour.DIE, Behaviour.RESET, Behaviour.CLOSE)) {
             try (GatewayFixture fixture = new GatewayFixture(3)) {
-                fixture.orderAll(RetryPolicy.TWO);
+                fixture.sendTableOfAllHosts(RetryPolicy.TWO);
                 fixture.backends().forEach(backend -> backend.onPath("/assign", Reaction.of(behaviour)));
-                long from = System.nanoTime();
+                long startNanos = System.nanoTime();
                 assertEquals(502, fixture.connect().call("POST", "/assign").status(), behaviour.toString());
-                assertTrue(System.nanoTime() - from < 2_000_000_000L, "long before its timeout");
+                assertTrue(
+                        System.nanoTime() - startNanos < 2_000_000_000L,
+                        "the 502 arrives long before the timeout of 4 s");
                 assertEquals(
                         1,
                         fixture.backends().stream()
@@ -72,15 +75,15 @@
     }
 
     /**
-     * The host refuses the stream, or leaves it out by a GOAWAY: that proves that nothing was executed, so another host
-     * may.
+     * The host refuses the stream, or sends a GOAWAY below it. Either proves that the request was not executed, so another
+     * host may execute it.
      */
     @Test
     void retriesSideEffectingRequestOnceOnProofThatItWasNotExecuted() throws IOException {
         for (Behaviour behaviour : List.of(Behaviour.REFUSE, Behaviour.GO_AWAY_BELOW)) {
             try (GatewayFixture fixture = new GatewayFixture(2)) {
                 LoadClient client = fixture.connect();
-                client.call("GET", "/quote"); // so that there are connections
+                client.call("GET", "/quote"); // opens connections to the hosts
                 fixture.backends().forEach(backend -> backend.onPath("/assign", Reaction.of(Behaviour.ANSWER)));
                 for (int i = 0; i < 10; i++) {
                     fixture.backends().get(0).onPath("/assign", Reaction.of(behaviour));
@@ -97,8 +100,8 @@
     }
 
     /**
-     * The process of a host is gone and nothing listens at its address: nothing was sent, so any request may go
-     * elsewhere.
+     * The process of a host has ended and its port refuses connections. The request was not sent, so even a side-effecting
+     * request may be sent to another host.
      */
     @Test
     void retriesElsewhereWhenHostIsUnreachable() throws IOException {
@@ -115,15 +118,15 @@
     }
 
     /**
-     * A host fails in each way that it can. An idempotent request goes to another one, body included, and its client
-     * notices nothing.
+     * A host fails in each possible way. An idempotent request with its body is sent to another host, and the client gets
+     * a single, successful response.
      */
     @Test
     void retriesIdempotentRequestElsewhereAndAnswersOnce() throws IOException {
         for (Behaviour behaviour :
                 List.of(Behaviour.RESET, Behaviour.DIE, Behaviour.ERROR, Behaviour.CLOSE, Behaviour.HANG)) {
             try (GatewayFixture fixture = new GatewayFixture(2)) {
-                fixture.orderAll(RetryPolicy.ONE);
+                fixture.sendTableOfAllHosts(RetryPolicy.ONE);
                 fixture.backends().get(0).onPath("/", Reaction.of(behaviour));
                 LoadClient client = fixture.connect();
                 for (int i = 0; i < 6; i++) {
@@ -143,7 +146,7 @@
         }
     }
 
-    /** Under the default policy a host that may have executed the request is not followed by another. */
+    /** Under the default retry policy, a request that may have been executed is not sent to another host. */
     @Test
     void answersFailureAtOnceWithoutRetryPolicy() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(2)) {
@@ -155,39 +158,39 @@
     }
 
     /**
-     * The host dies with a booking. Hosts of its zone recognise the repeat by its key; hosts of the other zone would
-     * book twice.
+     * The host dies during a booking. Hosts of its zone recognise a retry by its idempotency key, whereas hosts of the
+     * other zone would execute the booking twice.
      */
     @Test
-    void repeatsRequestWithIdempotencyKeyInItsZoneAlone() throws IOException {
+    void retriesRequestWithIdempotencyKeyOnlyInItsZone() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(4)) {
-            fixture.orderAll(RetryPolicy.ONE);
+            fixture.sendTableOfAllHosts(RetryPolicy.ONE);
             fixture.backends().forEach(backend -> backend.onPath("/book", Reaction.of(Behaviour.ANSWER)));
-            fixture.backends().get(0).onPath("/book", Reaction.of(Behaviour.DIE)); // zone a, as is backend 2
+            fixture.backends().get(0).onPath("/book", Reaction.of(Behaviour.DIE)); // backends 0 and 2 are in zone a
             LoadClient client = fixture.connect();
-            int repeated = 0;
+            int retried = 0;
             for (int i = 0; i < 30; i++) {
                 String key = "b" + i;
                 assertEquals(200, client.call("POST", "/book", "x-mark", key).status());
                 if (fixture.backends().get(0).executionsOfKey(key) == 1) {
-                    repeated++;
+                    retried++;
                     assertEquals(1, fixture.backends().get(2).executionsOfKey(key));
                 }
                 assertTrue(fixture.backends().get(1).executionsOfKey(key)
                                 + fixture.backends().get(3).executionsOfKey(key)
                         <= 1);
             }
-            assertTrue(repeated > 0);
+            assertTrue(retried > 0);
             fixture.backends().forEach(backend -> backend.onPath("/book", Reaction.of(Behaviour.DIE)));
-            assertEquals(502, client.call("POST", "/book").status()); // without a key it has one attempt
+            assertEquals(502, client.call("POST", "/book").status()); // a request without a key has only one attempt
         }
     }
 
-    /** A body longer than what is retained cannot be sent again, so its first attempt is the only one. */
+    /** A body that exceeds the limit of retained bytes cannot be sent again, so the request has only one attempt. */
     @Test
     void doesNotRetryWhenBodyIsLongerThanRetained() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(2, "body kept=\"1KiB\"")) {
-            fixture.orderAll(RetryPolicy.ONE);
+            fixture.sendTableOfAllHosts(RetryPolicy.ONE);
             fixture.backends().forEach(backend -> backend.onPath("/", Reaction.of(Behaviour.RESET)));
             LoadClient client = fixture.connect();
             int stream = client.sendHeaders("POST", "/quote", false);
@@ -200,15 +203,15 @@
     }
 
     /**
-     * The host fails behind the head of its answer, which the client has: another answer would be joined to the first
-     * part.
+     * The host fails after its response headers, which the client has already received. A retry would append another
+     * response to the first part, so the client's stream is reset instead.
      */
     @Test
-    void resetsAnswerThatBreaksOffAndNeverJoinsTwo() throws IOException {
+    void resetsIncompleteResponseAndNeverJoinsTwo() throws IOException {
         for (Behaviour behaviour :
                 List.of(Behaviour.RESET_AFTER_HEAD, Behaviour.RESET_IN_BODY, Behaviour.DIE_IN_BODY)) {
             try (GatewayFixture fixture = new GatewayFixture(2)) {
-                fixture.orderAll(RetryPolicy.TWO);
+                fixture.sendTableOfAllHosts(RetryPolicy.TWO);
                 fixture.backends()
                         .forEach(backend ->
                                 backend.onPath("/", Reaction.of(behaviour).withBytes(1000)));
@@ -220,14 +223,14 @@
     }
 
     /**
-     * All hosts fail all requests. Retries stay within their budget, or they would double the load under which the
-     * hosts fail.
+     * All hosts fail all requests. Retries must stay within the retry budget, since they would otherwise double the load of
+     * hosts that are failing already.
      */
     @Test
     void keepsRetryStormWithinBudget() throws IOException {
         try (GatewayFixture fixture =
                 new GatewayFixture(4, "tries budget=\"20%\" over=\"60s\" least=5\navoid after=0")) {
-            fixture.orderAll(RetryPolicy.TWO);
+            fixture.sendTableOfAllHosts(RetryPolicy.TWO);
             fixture.backends().forEach(backend -> backend.onPath("/", Reaction.of(Behaviour.ERROR)));
             LoadClient client = fixture.connect();
             for (int i = 0; i < 500; i++) {
--- a/src/test/java/linenring/gateway/Http2GatewayTest.java
+++ b/src/test/java/linenring/gateway/Http2GatewayTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What is forwarded, rejected and reported. */
+/** Tests which requests the gateway forwards and rejects, and which load it reports. */
 @Timeout(60)
 class Http2GatewayTest {
     @Test
@@ -62,9 +62,9 @@
             backend.onNext(Reaction.of(Behaviour.ANSWER).withBytes(0));
             assertEquals(0, client.call("GET", "/quote").bytes());
             backend.onNext(Reaction.of(Behaviour.EARLY_HINTS_AND_TRAILERS));
-            LoadClient.Answer hinted = client.call("GET", "/quote");
-            assertEquals(List.of(103), hinted.interimStatuses());
-            assertEquals("7", hinted.trailers().get("x-sum"));
+            LoadClient.Answer responseWithHints = client.call("GET", "/quote");
+            assertEquals(List.of(103), responseWithHints.interimStatuses());
+            assertEquals("7", responseWithHints.trailers().get("x-sum"));
             backend.onNext(Reaction.of(Behaviour.ANSWER).withBytes(0));
             assertEquals(200, client.call("HEAD", "/quote").status());
             int upload = client.sendHeaders("POST", "/quote", false, "content-length", "50000");
@@ -73,22 +73,22 @@
             }
             assertEquals(200, client.await(upload).status());
             assertEquals(50_000, backend.bodyBytes("/quote"));
-            int trailed = client.sendHeaders("POST", "/quote", false);
-            client.sendData(trailed, 10, false);
+            int requestWithTrailers = client.sendHeaders("POST", "/quote", false);
+            client.sendData(requestWithTrailers, 10, false);
             client.frames()
                     .sendHeaders(
-                            trailed,
+                            requestWithTrailers,
                             new MetaData(HttpVersion.HTTP_2, HttpFields.build().put("x-last", "9")),
                             true);
-            assertEquals(200, client.await(trailed).status());
+            assertEquals(200, client.await(requestWithTrailers).status());
             assertEquals("9", backend.trailers().get("x-last"));
             backend.onNext(Reaction.of(Behaviour.LIE_ABOUT_LENGTH).withBytes(100));
             LoadClient.Answer tooShort = client.call("GET", "/quote");
-            assertTrue(tooShort.isReset(), "a body that is shorter than it says is not forwarded as complete");
+            assertTrue(tooShort.isReset(), "a body shorter than its Content-Length is not forwarded as complete");
         }
     }
 
-    /** A client sends a longer body than it announced (RFC 9113, 8.1.1): its stream alone is ended. */
+    /** A client sends a body longer than its Content-Length (RFC 9113, 8.1.1): only that stream is reset. */
     @Test
     void resetsStreamOfWrongContentLengthAndServesOthers() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(1)) {
@@ -102,8 +102,8 @@
     }
 
     /**
-     * One host stops in the middle of its answer: it is ended, or it would hold its place for ever. Another one sends a
-     * byte at a time and takes longer in all: it is served.
+     * A response that stalls in the middle is ended, since its request would otherwise use capacity for ever. A response
+     * that arrives byte by byte and takes longer in total is forwarded to its end.
      */
     @Test
     void endsStalledAnswerAtLimitButNotSlowOne() throws IOException {
@@ -116,37 +116,39 @@
             LoadClient client = fixture.connect();
             LoadClient.Answer stalled = client.call("GET", "/quote");
             assertTrue(stalled.isReset() && stalled.bytes() == 500);
-            assertTrue(fixture.log().contains("host s-0 broke off in its answer to quote: timed_out"));
-            LoadClient.Answer slow = client.call("GET", "/quote"); // 1.6 s in all
+            assertTrue(fixture.log()
+                    .contains("host s-0 broke off its response to quote, so the client's stream is reset: timed_out"));
+            LoadClient.Answer slow = client.call("GET", "/quote"); // takes 1.6 s in total
             assertTrue(slow.isComplete() && slow.bytes() == 80);
         }
     }
 
     /**
-     * A host takes a request and never answers: the client gets 504 at the operation's timeout, not before and not much
-     * later.
+     * A host accepts a request and never responds: the client gets 504 at the operation's timeout, not before it and not
+     * much later.
      */
     @Test
     void answersForHangingHostAtTimeout() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(1)) {
             fixture.backends().get(0).onPath("/", Reaction.of(Behaviour.HANG));
-            long from = System.nanoTime();
+            long startNanos = System.nanoTime();
             LoadClient.Answer answer = fixture.connect().call("POST", "/assign");
             assertEquals(504, answer.status());
-            double elapsedMs = (System.nanoTime() - from) / 1e6;
-            assertTrue(elapsedMs > 3900 && elapsedMs < 6000, elapsedMs + " ms for a timeout of 4 s");
+            double elapsedMs = (System.nanoTime() - startNanos) / 1e6;
+            assertTrue(
+                    elapsedMs > 3900 && elapsedMs < 6000, elapsedMs + " ms until the response, with a timeout of 4 s");
             assertNotNull(answer.fields());
         }
     }
 
-    /** All hosts are ejected, or the table is empty: waiting would not help the client, so it gets 503 at once. */
+    /** With all hosts ejected, or with an empty table, the client gets 503 at once, since waiting would not help. */
     @Test
     void answersAtOnceWhenNoHostCanBePicked() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(2)) {
-            fixture.orderEjected("s-0", "s-1");
+            fixture.sendEjections("s-0", "s-1");
             assertEquals(503, fixture.connect().call("GET", "/quote").status());
-            assertTrue(fixture.log().contains("no host can be picked for quote"));
-            fixture.orderTable(new int[0], 1, RetryPolicy.ONE);
+            assertTrue(fixture.log().contains("rejecting a request for quote with 503 because no host can be picked"));
+            fixture.sendTable(new int[0], 1, RetryPolicy.ONE);
             assertEquals(503, fixture.connect().call("GET", "/quote").status());
         }
     }
@@ -154,7 +156,7 @@
     @Test
     void shedsLoadByAdmissionRatio() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(2)) {
-            fixture.orderTable(new int[] {0, 1}, 0.5, RetryPolicy.NONE);
+            fixture.sendTable(new int[] {0, 1}, 0.5, RetryPolicy.NONE);
             LoadClient client = fixture.connect();
             int limited = 0;
             for (int i = 0; i < 200; i++) {
@@ -165,7 +167,8 @@
     }
 
     /**
-     * A host drains while it has requests: they finish, nothing new comes, and its connections are closed afterwards.
+     * A host is ejected while it executes requests: these requests finish, the host gets no new ones, and its connections
+     * are closed afterwards.
      */
     @Test
     void sendsNothingNewToEjectedHostAndLetsItFinish() throws IOException {
@@ -178,16 +181,18 @@
             for (int i = 0; i < 20; i++) {
                 streams.add(client.send("POST", "/assign"));
             }
-            client.await(() -> fixture.executions("/assign") == 20, "backends execute all");
-            int before = fixture.backends().get(0).executions("/assign");
-            fixture.orderEjected("s-0");
+            client.await(() -> fixture.executions("/assign") == 20, "the backends execute all requests");
+            int executionsBefore = fixture.backends().get(0).executions("/assign");
+            fixture.sendEjections("s-0");
             for (int i = 0; i < 10; i++) {
                 assertEquals(200, client.call("GET", "/quote").status());
             }
             streams.forEach(stream -> assertEquals(200, client.await(stream).status()));
-            assertEquals(before, fixture.backends().get(0).executions("/assign"));
+            assertEquals(executionsBefore, fixture.backends().get(0).executions("/assign"));
             assertEquals(0, fixture.backends().get(0).executions("/quote"));
-            client.await(() -> fixture.backends().get(0).connections() == 0, "its connections are closed");
+            client.await(
+                    () -> fixture.backends().get(0).connections() == 0,
+                    "the connections of the ejected host are closed");
         }
     }
 
@@ -206,7 +211,7 @@
                         fixture.processEvents();
                         return sumOfReports(fixture, InboundMessage.LoadReport::requests) == 8;
                     },
-                    "all attempts are reported");
+                    "the load reports contain all 8 attempts");
             assertEquals(1, sumOfReports(fixture, InboundMessage.LoadReport::failed));
             int quotes = fixture.messages().stream()
                     .filter(InboundMessage.RequestRateReport.class::isInstance)
