--- a/src/test/java/linenring/gateway/MisbehavingClientsTest.java
+++ b/src/test/java/linenring/gateway/MisbehavingClientsTest.java
@@ -22,7 +22,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Clients that break HTTP/2's rules or limits (RFC 9113, 5.1, 6, 10.5): they alone are ended, others are served. */
+/**
+ * Tests clients that violate rules or limits of HTTP/2 (RFC 9113, 5.1, 6, 10.5). Only the violator's stream or connection
+ * is closed, and other clients are still served.
+ */
 @Timeout(60)
 class MisbehavingClientsTest {
     private static final int PROTOCOL_ERROR = 1;
@@ -35,7 +38,7 @@
         void commit(LoadClient client) throws IOException;
     }
 
-    /** The violator's connection is ended with one of these codes; who came before and after it is served. */
+    /** Asserts that the violator's connection is closed with one of the error codes and that other clients are served. */
     private static void assertEndsViolatorAlone(GatewayFixture fixture, Set<Integer> codes, Violation violation)
             throws IOException {
         LoadClient other = fixture.connect();
@@ -44,22 +47,22 @@
         try {
             violation.commit(violator);
         } catch (IOException failure) {
-            // the connection was ended meanwhile
+            // the gateway closed the connection during the violation
         }
-        violator.await(violator::isClosed, "the violator is ended");
-        if (!violator.goAways().isEmpty()) { // a reset connection may lose it
+        violator.await(violator::isClosed, "the violator's connection is closed");
+        if (!violator.goAways().isEmpty()) { // a reset of the connection may lose the GOAWAY
             int code = violator.goAways().get(violator.goAways().size() - 1).uint31(4);
             assertTrue(codes.contains(code), "error code " + code);
         }
         assertEquals(200, other.call("GET", "/quote").status());
         assertEquals(200, fixture.connect().call("GET", "/quote").status());
-        assertTrue(fixture.log().lines().count() < 50, "a flood of 5,000 frames fills no log");
+        assertTrue(fixture.log().lines().count() < 50, "a flood of 5,000 frames writes fewer than 50 log lines");
         fixture.awaitIdle();
     }
 
     /**
-     * Clients ask for large answers and never take them: the gateway holds a bounded part of each, others are not
-     * delayed, and the stalled ones are ended.
+     * Clients request large responses and never open their flow-control windows. The gateway buffers a bounded part of each
+     * response, other clients are not delayed, and the stalled streams are reset.
      */
     @Test
     void endsClientsThatNeverOpenWindowsWithoutDelayingOthers() throws IOException {
@@ -74,14 +77,14 @@
                 violators.add(fixture.connect().ignoreWindows());
                 violators.get(i).send("GET", "/quote/large");
             }
-            other.await(() -> fixture.executions("/quote/large") == 50, "backends execute all");
-            long worst = 0;
+            other.await(() -> fixture.executions("/quote/large") == 50, "the backends execute all requests");
+            long maxLatencyNanos = 0;
             for (int i = 0; i < 200; i++) {
-                long from = System.nanoTime();
+                long startNanos = System.nanoTime();
                 assertEquals(200, other.call("GET", "/quote").status());
-                worst = Math.max(worst, System.nanoTime() - from);
+                maxLatencyNanos = Math.max(maxLatencyNanos, System.nanoTime() - startNanos);
             }
-            assertTrue(worst < 1_000_000_000L, "others waited " + worst / 1e6 + " ms");
+            assertTrue(maxLatencyNanos < 1_000_000_000L, "another client waited " + maxLatencyNanos / 1e6 + " ms");
             for (LoadClient violator : violators) {
                 assertEquals(ENHANCE_YOUR_CALM, violator.await(1).resetCode());
                 assertTrue(violator.answer(1).bytes() <= 65_535);
@@ -89,37 +92,37 @@
             long sent = fixture.backends().stream()
                     .mapToLong(TestBackend::sentBytes)
                     .sum();
-            assertTrue(sent < 50 * 200_000L, "backends sent " + sent + " bytes, two windows a stream at most");
-            assertTrue(fixture.log().contains("takes nothing of an answer to quote for 1500 ms"));
+            assertTrue(sent < 50 * 200_000L, "backends sent " + sent + " bytes, more than two windows per stream");
+            assertTrue(fixture.log().contains("has accepted no data of a response to quote for 1500 ms"));
             fixture.awaitIdle();
         }
     }
 
-    /** A client allows any amount of data and reads nothing from its socket: it is ended at the limits for stalls. */
+    /** A client with maximum flow-control windows never reads from its socket: its requests end at the stall timeout. */
     @Test
     void endsClientThatNeverReads() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(1, "clients stall=\"500ms\" idle=\"1s\"")) {
             fixture.backends()
                     .get(0)
                     .onPath("/quote/large", Reaction.of(Behaviour.ANSWER).withBytes(2_000_000));
-            try (Socket deaf = new Socket(
+            try (Socket unreadSocket = new Socket(
                     InetAddress.getLoopbackAddress(), fixture.gateway().port())) {
-                FrameConnection link = new FrameConnection(deaf);
-                link.sendBytes(FrameConnection.preface());
-                link.sendSettings(4, 100 << 20); // every stream's window is wide open
-                link.sendWindowUpdate(0, 1 << 30);
+                FrameConnection frames = new FrameConnection(unreadSocket);
+                frames.sendBytes(FrameConnection.preface());
+                frames.sendSettings(4, 100 << 20); // a stream window of 100 MiB exceeds every response
+                frames.sendWindowUpdate(0, 1 << 30);
                 for (int stream = 1; stream < 40; stream += 2) {
-                    link.sendHeaders(stream, FrameConnection.request("GET", "/quote/large", HttpFields.EMPTY), true);
+                    frames.sendHeaders(stream, FrameConnection.request("GET", "/quote/large", HttpFields.EMPTY), true);
                 }
                 LoadClient other = fixture.connect();
-                other.await(() -> fixture.executions("/quote/large") == 20, "the backend executes all");
-                other.await(() -> fixture.gateway().activeRequests() == 0, "they are ended");
+                other.await(() -> fixture.executions("/quote/large") == 20, "the backend executes all requests");
+                other.await(() -> fixture.gateway().activeRequests() == 0, "the stalled requests have ended");
                 assertEquals(200, other.call("GET", "/quote").status());
             }
         }
     }
 
-    /** A host takes no body: its client has to wait, others on the same connection do not. */
+    /** A host reads no request body: the sender waits, but other requests on the same client connection do not. */
     @Test
     void slowHostDelaysOnlyItsOwnClient() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(1)) {
@@ -136,7 +139,7 @@
         }
     }
 
-    /** A client opens streams and resets them at once, which costs it nothing and its hosts much (CVE-2023-44487). */
+    /** A client opens streams and resets them at once, which is cheap for the client but costly for hosts (CVE-2023-44487). */
     @Test
     void endsRapidReset() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(1, "clients frames-per-second=100")) {
@@ -145,7 +148,9 @@
                     client.frames().sendReset(client.send("POST", "/assign"), 8);
                 }
             });
-            assertTrue(fixture.executions("/assign") < 1000, "ran " + fixture.executions("/assign"));
+            assertTrue(
+                    fixture.executions("/assign") < 1000,
+                    "executions of reset requests: " + fixture.executions("/assign"));
         }
     }
 
@@ -183,7 +188,9 @@
             });
             LoadClient client = fixture.connect();
             int tooLarge = client.send("GET", "/quote", "x-long", "x".repeat(40_000));
-            client.await(() -> client.isClosed() || client.answer(tooLarge).isOver(), "it is refused");
+            client.await(
+                    () -> client.isClosed() || client.answer(tooLarge).isOver(),
+                    "the request with too large headers is refused");
             assertTrue(client.isClosed()
                     || client.answer(tooLarge).isReset()
                     || client.answer(tooLarge).status() == 431);
@@ -203,12 +210,12 @@
                     fixture, Set.of(PROTOCOL_ERROR), client -> client.frames().sendWindowUpdate(0, 0));
             fixture.backends().get(0).onPath("/assign", Reaction.of(Behaviour.HANG));
             LoadClient client = fixture.connect();
-            int over = client.send("POST", "/assign");
-            int zero = client.send("POST", "/assign");
-            client.frames().sendWindowUpdate(over, Integer.MAX_VALUE);
-            assertEquals(FLOW_CONTROL_ERROR, client.await(over).resetCode());
-            client.frames().sendWindowUpdate(zero, 0);
-            assertEquals(PROTOCOL_ERROR, client.await(zero).resetCode());
+            int overflowing = client.send("POST", "/assign");
+            int zeroIncrement = client.send("POST", "/assign");
+            client.frames().sendWindowUpdate(overflowing, Integer.MAX_VALUE);
+            assertEquals(FLOW_CONTROL_ERROR, client.await(overflowing).resetCode());
+            client.frames().sendWindowUpdate(zeroIncrement, 0);
+            assertEquals(PROTOCOL_ERROR, client.await(zeroIncrement).resetCode());
             assertEquals(200, client.call("GET", "/quote").status());
         }
     }
@@ -237,7 +244,9 @@
     void rejectsFramesOfStreamsThatAreNotOpen() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(1)) {
             assertEndsViolatorAlone(
-                    fixture, Set.of(PROTOCOL_ERROR, STREAM_CLOSED), client -> client.sendData(77, 10, true)); // idle
+                    fixture,
+                    Set.of(PROTOCOL_ERROR, STREAM_CLOSED),
+                    client -> client.sendData(77, 10, true)); // stream 77 is idle
             assertEndsViolatorAlone(
                     fixture,
                     Set.of(PROTOCOL_ERROR, STREAM_CLOSED),
@@ -247,15 +256,15 @@
                     Set.of(PROTOCOL_ERROR),
                     client -> client.frames().sendFrame(Frame.DATA, 0, 0, new byte[4]));
             LoadClient client = fixture.connect();
-            int done = client.send("GET", "/quote");
-            client.await(done);
-            client.sendData(done, 10, true); // closed: an error of the stream or of the connection, and no run
+            int closedStream = client.send("GET", "/quote");
+            client.await(closedStream);
+            client.sendData(closedStream, 10, true); // a stream or connection error; no host executes anything
             fixture.awaitIdle();
             assertEquals(0, fixture.backends().get(0).bodyBytes("/quote"));
         }
     }
 
-    private static String answerTo(GatewayFixture fixture, byte[] bytes) throws IOException {
+    private static String readResponse(GatewayFixture fixture, byte[] bytes) throws IOException {
         try (Socket socket =
                 new Socket(InetAddress.getLoopbackAddress(), fixture.gateway().port())) {
             socket.setSoTimeout(10_000);
@@ -266,38 +275,40 @@
         }
     }
 
-    private static void assertRefusedInWords(GatewayFixture fixture, String... lines) throws IOException {
+    private static void assertRejectedWith505(GatewayFixture fixture, String... lines) throws IOException {
         String request = String.join("\r\n", lines) + "\r\n\r\n";
-        String answer = answerTo(fixture, request.getBytes(StandardCharsets.US_ASCII));
+        String answer = readResponse(fixture, request.getBytes(StandardCharsets.US_ASCII));
         assertTrue(answer.startsWith("HTTP/1.1 505 "), answer);
     }
 
     @Test
     void refusesConnectionsWithoutPreface() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(1)) {
-            assertRefusedInWords(fixture, "GET /quote HTTP/1.1", "Host: x");
-            assertRefusedInWords(
+            assertRejectedWith505(fixture, "GET /quote HTTP/1.1", "Host: x");
+            assertRejectedWith505(
                     fixture,
                     "GET / HTTP/1.1",
                     "Host: x",
                     "Connection: Upgrade, HTTP2-Settings",
                     "Upgrade: h2c",
                     "HTTP2-Settings: AAMAAABkAAQAAP__");
-            assertEquals("", answerTo(fixture, new byte[] {0x16, 3, 1, 2, 0, 1, 0, 1, (byte) 0xfc, 3, 3}));
-            assertEquals("", answerTo(fixture, "PRI * HTTP/2.0\r\n\r\nXX\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
-            assertEquals("", answerTo(fixture, new byte[0])); // nothing, for a second
-            assertEquals("", answerTo(fixture, "PRI * HT".getBytes(StandardCharsets.US_ASCII)));
+            assertEquals("", readResponse(fixture, new byte[] {0x16, 3, 1, 2, 0, 1, 0, 1, (byte) 0xfc, 3, 3}));
+            assertEquals(
+                    "", readResponse(fixture, "PRI * HTTP/2.0\r\n\r\nXX\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
+            assertEquals(
+                    "", readResponse(fixture, new byte[0])); // the client sends no bytes and is closed after a second
+            assertEquals("", readResponse(fixture, "PRI * HT".getBytes(StandardCharsets.US_ASCII)));
             String log = fixture.log();
-            assertTrue(log.contains("asks for the obsolete upgrade to h2c: refused")
-                    && log.contains("speaks TLS: refused"));
+            assertTrue(log.contains("is rejected because it requests the obsolete upgrade to h2c")
+                    && log.contains("is rejected because it sends a TLS handshake"));
             assertEquals(200, fixture.connect().call("GET", "/quote").status());
             assertEquals(1, fixture.backends().get(0).requests());
         }
     }
 
-    /** More connections than allowed are opened and send nothing: the oldest silent one makes room for each new one. */
+    /** Silent connections exceed the connection limit: each new connection closes the oldest silent one. */
     @Test
-    void leavesRoomForOthersWhenConnectionsAreSilent() throws IOException {
+    void closesOldestSilentConnectionsWhenConnectionLimitIsReached() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(1, "clients connections=200")) {
             List<Socket> silent = new ArrayList<>();
             try {
@@ -305,7 +316,8 @@
                     silent.add(new Socket(
                             InetAddress.getLoopbackAddress(), fixture.gateway().port()));
                 }
-                assertEquals(200, fixture.connect().call("GET", "/quote").status()); // once the silent ones are closed
+                // the new connection replaces a silent one
+                assertEquals(200, fixture.connect().call("GET", "/quote").status());
             } finally {
                 for (Socket socket : silent) {
                     socket.close();
@@ -314,19 +326,20 @@
         }
     }
 
-    /** As many requests hang as may be active: one more is answered 503 at once, so that memory stays bounded. */
+    /** With the maximum number of active requests, another request gets 503 at once, so that memory stays bounded. */
     @Test
     void answersAtOnceWithoutCapacity() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(1, "clients running=5")) {
-            fixture.orderAll(RetryPolicy.NONE);
+            fixture.sendTableOfAllHosts(RetryPolicy.NONE);
             fixture.backends().get(0).onPath("/assign", Reaction.of(Behaviour.HANG));
             LoadClient client = fixture.connect();
             for (int i = 0; i < 5; i++) {
                 client.send("POST", "/assign");
             }
-            client.await(() -> fixture.executions("/assign") == 5, "the backend executes five");
+            client.await(() -> fixture.executions("/assign") == 5, "the backend executes five requests");
             assertEquals(503, client.call("GET", "/quote").status());
-            assertTrue(fixture.log().contains("no capacity for one more request beside 5: 503"));
+            assertTrue(fixture.log()
+                    .contains("rejecting a request with 503 because no capacity is left beside 5 active requests"));
         }
     }
 }
--- a/src/test/java/linenring/gateway/RetainedBodyTest.java
+++ b/src/test/java/linenring/gateway/RetainedBodyTest.java
@@ -18,7 +18,7 @@
         first.add(ByteBuffer.wrap(new byte[] {4, 5}), true);
         assertTrue(first.isComplete() && first.hasEnded());
         assertArrayEquals(new byte[] {1, 2, 3, 4, 5}, first.bytes());
-        second.add(ByteBuffer.wrap(new byte[6]), false); // 5 of 10 are left
+        second.add(ByteBuffer.wrap(new byte[6]), false); // 5 of the 10 bytes of the shared budget are left
         assertFalse(second.isComplete());
         assertEquals(5, budget.reservedBytes());
         first.add(ByteBuffer.wrap(new byte[4]), false);
--- a/src/test/java/linenring/gateway/SlowDialsTest.java
+++ b/src/test/java/linenring/gateway/SlowDialsTest.java
@@ -24,46 +24,48 @@
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 import org.junit.jupiter.api.Test;
 
-/** Dials that succeed at the wrong moment, over loopback. */
+/** Tests dials to hosts that succeed late, over the loopback interface. */
 class SlowDialsTest {
     /**
-     * The host of the first attempt died on it; that of the second takes longer to send its SETTINGS than hosts recognise a
-     * repeat.
+     * The host of the first attempt has died during it. The host of the second attempt sends its SETTINGS only after the
+     * deduplication window, so the retry must not be sent.
      */
     @Test
-    void doesNotSendRepeatThatWaitedPastDeduplicationWindow() throws Exception {
+    void doesNotSendRetryThatWaitedPastDeduplicationWindow() throws Exception {
         try (GatewayFixture fixture = new GatewayFixture(4, "hosts dial=\"10s\"")) {
-            CountDownLatch greets = new CountDownLatch(1);
-            fixture.backends().get(2).greetAfter(greets);
+            CountDownLatch maySendSettings = new CountDownLatch(1);
+            fixture.backends().get(2).greetAfter(maySendSettings);
             fixture.backends().get(0).onPath("/book", Reaction.of(Behaviour.DIE).after(300));
-            fixture.orderTable(new int[] {0}, 1, RetryPolicy.ONE);
+            fixture.sendTable(new int[] {0}, 1, RetryPolicy.ONE);
             LoadClient client = fixture.connect();
-            long sent = System.nanoTime();
+            long sentNanos = System.nanoTime();
             int book = client.send("POST", "/book", "x-mark", "once");
-            client.await(() -> fixture.backends().get(0).requests() == 1, "it is at the first host");
-            fixture.orderTable(new int[] {2}, 1, RetryPolicy.ONE);
-            while (System.nanoTime() - sent < 2_200_000_000L) {
-                Thread.onSpinWait(); // four fifths of the window of 2.5 s are over
+            client.await(() -> fixture.backends().get(0).requests() == 1, "the first host has received the request");
+            fixture.sendTable(new int[] {2}, 1, RetryPolicy.ONE);
+            while (System.nanoTime() - sentNanos < 2_200_000_000L) {
+                Thread.onSpinWait(); // waits until less than a fifth of the window of 2.5 s is left
             }
-            greets.countDown();
+            maySendSettings.countDown();
             assertEquals(502, client.await(book).status());
             assertEquals(
-                    200, client.call("GET", "/quote").status()); // on the connection that the repeat had waited for
+                    200, client.call("GET", "/quote").status()); // uses the connection that the retry was waiting for
             assertEquals(0, fixture.backends().get(2).executionsOfKey("once"));
         }
     }
 
     /**
-     * The dial's timer goes off before Jetty reports the session. Nobody knew of that session then, and it stayed open.
+     * The dial times out before Jetty reports the new session. The session must be closed; it once stayed open, since no
+     * component held a reference to it.
      */
     @Test
     @SuppressWarnings("try") // Jetty's close() may throw InterruptedException
     void closesSessionThatOpensAfterDialTimeout() throws Exception {
-        LateClient client = new LateClient();
+        DeferredSessionClient client = new DeferredSessionClient();
         ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
         client.start();
         scheduler.start();
-        try (ServerSocket host = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) { // it sends no SETTINGS
+        try (ServerSocket host =
+                new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) { // the host sends no SETTINGS
             HostRegistry.Host listed =
                     new HostRegistry.Host("s-0", "127.0.0.1:" + host.getLocalPort(), 0, -1, HostList.State.READY);
             UpstreamConnections connections = new UpstreamConnections(
@@ -80,7 +82,7 @@
             try (Socket accepted = host.accept()) {
                 accepted.setSoTimeout(5000);
                 reportSession.run();
-                accepted.getInputStream().readAllBytes(); // the preface, and then its end
+                accepted.getInputStream().readAllBytes(); // reads the preface and then the end of the connection
             }
         } finally {
             client.stop();
@@ -88,12 +90,12 @@
         }
     }
 
-    /** Hands a session to the test, which reports it when it likes. */
+    /** A client that reports a new session only when the test runs {@code sessionOpened}. */
     @SuppressWarnings("try") // Jetty's close() may throw InterruptedException
-    private static final class LateClient extends HTTP2Client {
+    private static final class DeferredSessionClient extends HTTP2Client {
         private final CompletableFuture<Runnable> sessionOpened = new CompletableFuture<>();
 
-        LateClient() {
+        DeferredSessionClient() {
             super(new ClientConnector());
         }
 
@@ -118,7 +120,7 @@
 
         @Override
         public void granted(UpstreamConnections.Connection connection) {
-            throw new AssertionError("there is no connection");
+            throw new AssertionError("a stream was granted although the dial had timed out");
         }
 
         @Override
--- a/src/test/java/linenring/gateway/UnansweredRequestsTest.java
+++ b/src/test/java/linenring/gateway/UnansweredRequestsTest.java
@@ -27,15 +27,16 @@
 import org.eclipse.jetty.http2.hpack.HpackException;
 import org.junit.jupiter.api.Test;
 
-/** Every request gets an answer, a refusal or the end of its connection, whatever its client or its host does. */
+/** Tests that each request gets a response, a refusal or the end of its connection. */
 class UnansweredRequestsTest {
-    private static final int CONNECTIONS_MAX = 20;
+    private static final int MAX_CONNECTIONS = 20;
 
     private static final int WAIT_MS = 15_000;
 
     /**
-     * The client's GOAWAY means that it begins nothing more; what it has begun is answered. It writes nothing afterwards: Jetty
-     * closes the connection behind the last answer, and the test client stops reading where one of its own writes fails.
+     * A client's GOAWAY announces no more requests, and its earlier requests still get responses. The test client writes
+     * nothing after the GOAWAY, since Jetty closes the connection after the last response and the test client stops reading
+     * when one of its own writes fails.
      */
     @Test
     void answersAllRequestsOfClientThatSendsGoAway() throws IOException {
@@ -57,18 +58,18 @@
         }
     }
 
-    /** Hosts end their connections while nothing runs on them, as a restarted process does. */
+    /** A host closes its idle connections, as a restarted process does. */
     @Test
     void answersRequestsAfterHostResetIdleConnections() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(3)) {
-            fixture.orderAll(RetryPolicy.ONE);
+            fixture.sendTableOfAllHosts(RetryPolicy.ONE);
             LoadClient client = fixture.connect();
             for (int i = 0; i < 30; i++) {
                 assertEquals(200, client.call("GET", "/quote").status());
             }
             fixture.awaitIdle();
             fixture.backends().get(0).close();
-            for (int i = 0; i < 60; i++) { // a third of them would go there
+            for (int i = 0; i < 60; i++) { // a third of the requests would be sent to the closed backend
                 assertEquals(200, client.call("GET", "/quote").status(), "request " + i);
                 int status = client.call("POST", "/assign").status();
                 assertTrue(status == 200 || status == 502, "request " + i + ": " + status);
@@ -77,17 +78,17 @@
         }
     }
 
-    /** The process idles: its connections to hosts and clients are closed meanwhile, and a later request is answered. */
+    /** An idle gateway has closed its connections to hosts and clients; later requests on new connections get responses. */
     @Test
     void answersRequestsAfterIdlingPastAllLimits() throws Exception {
         try (GatewayFixture fixture = new GatewayFixture(2, "hosts idle=\"200ms\"\nclients idle=\"300ms\"")) {
             LoadClient first = fixture.connect();
             assertEquals(200, first.call("GET", "/quote").status());
-            first.await(first::isClosed, "the idle client connection is closed");
-            assertEquals(1, first.goAways().size(), "behind a GOAWAY");
+            first.await(first::isClosed, "the idle client connection is closed by the gateway");
+            assertEquals(1, first.goAways().size(), "number of GOAWAY frames before the close");
             first.await(
                     () -> fixture.backends().stream().allMatch(backend -> backend.connections() == 0),
-                    "those to hosts too");
+                    "the idle connections to hosts are closed by the gateway");
             for (int i = 0; i < 10; i++) {
                 LoadClient next = fixture.connect();
                 assertEquals(200, next.call("POST", "/assign").status());
@@ -95,7 +96,7 @@
         }
     }
 
-    /** Requests that come just as idle connections are closed, on either side. */
+    /** Requests arrive around the moment when idle connections to clients and hosts are closed. */
     @Test
     void answersRequestAtIdleLimitOrEndsConnection() throws Exception {
         try (GatewayFixture fixture = new GatewayFixture(2, "hosts idle=\"30ms\"\nclients idle=\"40ms\"")) {
@@ -109,7 +110,9 @@
                     assertTrue(answer.status() == 200 || answer.isOver() || client.isClosed());
                     answered += answer.status() == 200 ? 1 : 0;
                 } catch (IOException failure) {
-                    client.await(client::isClosed, "its connection ends"); // it was closed before it could be sent
+                    client.await(
+                            client::isClosed,
+                            "the connection ends"); // the connection was closed before the request was sent
                 }
             }
             assertTrue(answered > 0);
@@ -118,46 +121,47 @@
     }
 
     /**
-     * A client whose first request was answered. On a busy machine that request may arrive after the idle limit of its new connection
-     * too: then its connection has ended, and it is sent on another one.
+     * Returns a client whose first request got a response. On a busy machine the first request may arrive after the idle
+     * timeout of its new connection; the request is then sent on another connection.
      */
     private static LoadClient connectAndCall(GatewayFixture fixture) throws Exception {
-        for (int connections = 0; connections < CONNECTIONS_MAX; connections++) {
+        for (int connections = 0; connections < MAX_CONNECTIONS; connections++) {
             LoadClient client = fixture.connect();
             try {
                 int status = client.call("GET", "/quote").status();
                 if (status == 200) {
                     return client;
                 }
-                assertEquals(0, status, "a request is answered, or its connection ends");
+                assertEquals(0, status, "a request without a response has the status 0 of a closed connection");
             } catch (IOException failure) {
-                // it was closed before the request could be sent
+                // the connection was closed before the request was sent
             }
-            client.await(client::isClosed, "its connection ends");
+            client.await(client::isClosed, "the connection ends");
         }
-        return fail("no first request was answered on " + CONNECTIONS_MAX + " connections");
+        return fail("no first request got a response on " + MAX_CONNECTIONS + " connections");
     }
 
     /**
-     * Clients connect and send while the drain begins: accepted or not, each gets an answer or an end well before the
-     * drain's limit.
+     * Clients connect and send requests while a drain begins. Each request gets a response or the end of its connection
+     * well before the drain's time limit.
      */
     @Test
-    void answersOrEndsConnectionsThatMeetBeginOfDrain() throws Exception {
+    void answersOrEndsConnectionsOpenedAtStartOfDrain() throws Exception {
         try (GatewayFixture fixture = new GatewayFixture(2, "drain \"10s\"")) {
             fixture.backends()
                     .forEach(backend ->
                             backend.onPath("/", Reaction.of(Behaviour.ANSWER).after(1500)));
-            LoadClient active = fixture.connect();
-            int activeStream = active.send("GET", "/quote"); // so that the drain takes a while
-            active.await(() -> fixture.executions("/quote") == 1, "the backend executes it");
+            LoadClient activeClient = fixture.connect();
+            int activeStream = activeClient.send("GET", "/quote"); // an active request that makes the drain last longer
+            activeClient.await(() -> fixture.executions("/quote") == 1, "the backend executes the request");
             List<Socket> clients = new ArrayList<>();
             byte[] request = request();
             for (int i = 0; i < 40; i++) {
                 if (i == 20) {
                     fixture.gateway().drain();
                 } else if (i == 30) {
-                    TimeUnit.MILLISECONDS.sleep(100); // those before met its beginning, the others come well after it
+                    // sockets 20 to 29 connect as the drain begins, later sockets well after its beginning
+                    TimeUnit.MILLISECONDS.sleep(100);
                 }
                 Socket socket = new Socket();
                 try {
@@ -166,30 +170,30 @@
                     socket.getOutputStream().write(request);
                     clients.add(socket);
                 } catch (IOException failure) {
-                    socket.close(); // refused or reset: it goes elsewhere
+                    socket.close(); // refused or reset connections tell the client to use another gateway
                 }
             }
-            long from = System.nanoTime();
+            long startNanos = System.nanoTime();
             for (Socket socket : clients) {
                 assertAnsweredOrEnded(socket);
             }
-            long elapsedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
-            assertTrue(elapsedMs < 8000, "answered after " + elapsedMs + " ms");
-            assertEquals(200, active.await(activeStream).status());
+            long elapsedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
+            assertTrue(elapsedMs < 8000, "all clients got a response or an end after " + elapsedMs + " ms");
+            assertEquals(200, activeClient.await(activeStream).status());
             fixture.gateway().awaitDrained();
         }
     }
 
-    /** Our SETTINGS go first (RFC 9113, 3.4), and its requests are proven not to be processed. */
+    /** The gateway's SETTINGS precede its GOAWAY (RFC 9113, 3.4), which announces that no stream was processed. */
     @Test
-    void sendsSettingsThenGoAwayToClientThatComesDuringDrain() throws Exception {
+    void sendsSettingsThenGoAwayToClientConnectingDuringDrain() throws Exception {
         try (GatewayFixture fixture = new GatewayFixture(1, "drain \"10s\"")) {
             fixture.backends()
                     .get(0)
                     .onPath("/quote", Reaction.of(Behaviour.ANSWER).after(1500));
-            LoadClient active = fixture.connect();
-            int activeStream = active.send("GET", "/quote");
-            active.await(() -> fixture.executions("/quote") == 1, "the backend executes it");
+            LoadClient activeClient = fixture.connect();
+            int activeStream = activeClient.send("GET", "/quote");
+            activeClient.await(() -> fixture.executions("/quote") == 1, "the backend executes the request");
             fixture.gateway().drain();
             Socket socket = new Socket(
                     InetAddress.getLoopbackAddress(), fixture.gateway().port());
@@ -201,16 +205,16 @@
                 while (frame.type() != Frame.GOAWAY) {
                     frame = frames.read();
                 }
-                assertEquals(0, frame.uint31(0), "the last stream that may have been processed");
-                assertEquals(0, frame.uint31(4), "NO_ERROR");
+                assertEquals(0, frame.uint31(0), "last stream of the GOAWAY");
+                assertEquals(0, frame.uint31(4), "error code of the GOAWAY is NO_ERROR");
             }
-            assertEquals(200, active.await(activeStream).status());
+            assertEquals(200, activeClient.await(activeStream).status());
             fixture.gateway().awaitDrained();
             assertEquals(0, fixture.executions("/assign"));
         }
     }
 
-    /** An answer, a refusal or a GOAWAY beyond the greeting, or the connection's end. */
+    /** Asserts that stream 1 gets a response, a reset or a GOAWAY below it, or that its connection ends. */
     private static void assertAnsweredOrEnded(Socket socket) throws IOException {
         socket.setSoTimeout(WAIT_MS);
         try (FrameConnection frames = new FrameConnection(socket)) {
@@ -222,28 +226,28 @@
                 }
             }
         } catch (SocketTimeoutException failure) {
-            throw new AssertionError("a client gets no answer", failure);
+            throw new AssertionError("a client got neither a response nor the end of its connection", failure);
         } catch (IOException failure) {
-            // reset: an end
+            // a reset ends the connection
         }
     }
 
     @Test
-    void answersRequestWhereverItsBytesAreSplit() throws Exception {
+    void answersRequestSplitAtAnyByte() throws Exception {
         try (GatewayFixture fixture = new GatewayFixture(1)) {
             byte[] request = request();
             for (int cut = 1; cut < request.length; cut++) {
                 assertEquals(
                         200,
                         status(fixture, Arrays.copyOf(request, cut), Arrays.copyOfRange(request, cut, request.length)),
-                        "cut at " + cut);
+                        "request split at byte " + cut);
             }
             assertEquals(request.length - 1, fixture.executions("/assign"));
         }
     }
 
     @Test
-    void answersRequestThatComesByteByByte() throws Exception {
+    void answersRequestSentByteByByte() throws Exception {
         try (GatewayFixture fixture = new GatewayFixture(1)) {
             byte[] request = request();
             byte[][] pieces = new byte[request.length][];
@@ -255,34 +259,34 @@
         }
     }
 
-    /** The client is gone within its request: it is executed nowhere, and no capacity stays taken. */
+    /** A client closes its connection within a request: no host executes the request, and its capacity is released. */
     @Test
-    void leavesNothingActiveAfterRequestThatBreaksOff() throws Exception {
+    void leavesNothingActiveAfterIncompleteRequest() throws Exception {
         try (GatewayFixture fixture = new GatewayFixture(1)) {
             byte[] request = request();
             for (int cut = 0; cut < request.length; cut++) {
                 try (Socket socket = new Socket(
                         InetAddress.getLoopbackAddress(), fixture.gateway().port())) {
                     socket.getOutputStream().write(Arrays.copyOf(request, cut));
-                    socket.setSoLinger(cut % 2 == 0, 0); // a reset, or an ordinary end
+                    socket.setSoLinger(cut % 2 == 0, 0); // closes by a TCP reset or by an ordinary FIN
                 }
             }
             LoadClient client = fixture.connect();
             assertEquals(200, client.call("GET", "/quote").status());
             fixture.awaitIdle();
-            client.await(() -> fixture.backends().get(0).activeRequests() == 0, "nor at the backend");
+            client.await(() -> fixture.backends().get(0).activeRequests() == 0, "no request is active at the backend");
         }
     }
 
-    /** Sends the pieces with pauses on a connection of its own; the answer's status, or -1. */
+    /** Sends the pieces with pauses on a new connection and returns the response status, or -1 without a response. */
     private static int status(GatewayFixture fixture, byte[]... pieces) throws Exception {
         Socket socket =
                 new Socket(InetAddress.getLoopbackAddress(), fixture.gateway().port());
         socket.setSoTimeout(WAIT_MS);
-        try (FrameConnection frames = new FrameConnection(socket)) { // which sets TCP_NODELAY
+        try (FrameConnection frames = new FrameConnection(socket)) { // FrameConnection sets TCP_NODELAY
             for (byte[] piece : pieces) {
                 frames.sendBytes(piece);
-                TimeUnit.MILLISECONDS.sleep(2); // so that it is read by itself
+                TimeUnit.MILLISECONDS.sleep(2); // a pause, so that the gateway reads each piece separately
             }
             for (Frame frame = frames.read(); frame != null; frame = frames.read()) {
                 if (frame.type() == Frame.HEADERS) {
@@ -293,7 +297,7 @@
         return -1;
     }
 
-    /** All that a client sends: preface, SETTINGS, the request's headers, its body in two frames. */
+    /** Returns the bytes of a complete client connection: preface, SETTINGS, request headers and two DATA frames. */
     private static byte[] request() throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         bytes.write(FrameConnection.preface());
