--- a/src/main/java/linenring/gateway/Attempt.java
+++ b/src/main/java/linenring/gateway/Attempt.java
@@ -32,10 +32,10 @@
     private final ResponseForwarder responseForwarder;
     private UpstreamConnections.Connection connection; // null until the pool has granted a stream
     private Stream stream; // null until the request headers were sent
-    private boolean headersSent; // the request headers were handed to Jetty, which may still be writing them
+    private boolean hasSentHeaders; // the request headers were handed to Jetty, which may still be writing them
     private boolean hasOutcome; // the retry decision knows the attempt's outcome, or the attempt was abandoned
-    private boolean streamReleased; // the attempt's stream was given back to the connection
-    private volatile boolean resetByHost;
+    private boolean hasReleasedStream; // the attempt's stream was given back to the connection
+    private volatile boolean isResetByHost;
     private volatile Stream createdStream; // null until Jetty has created the stream; nothing has been written before
 
     Attempt(ProxiedRequest request, NextStep.Send step) {
@@ -90,7 +90,7 @@
 
     private void openStream() {
         boolean isLast = requestBodyForwarder.startWithHeaders();
-        headersSent = true;
+        hasSentHeaders = true;
         connection.session().newStream(new HeadersFrame(request.headers().getMetaData(), null, isLast), this, this);
     }
 
@@ -181,7 +181,7 @@
     public void onReset(Stream hostStream, ResetFrame frame, Callback callback) {
         boolean isRefused = frame.getError() == ErrorCode.REFUSED_STREAM_ERROR.code;
         boolean hasRespondedEarly = frame.getError() == ErrorCode.NO_ERROR.code;
-        resetByHost = true;
+        isResetByHost = true;
         request.execute(() -> {
             releaseStream();
             // after a reset with NO_ERROR the rest of a complete response is still read (RFC 9113, 8.1)
@@ -218,7 +218,7 @@
      * would get no response until the deadline.
      */
     private void failIfResetByJetty() {
-        if (!resetByHost) {
+        if (!isResetByHost) {
             failed(AttemptFailure.reset(false, responseForwarder.isStarted()));
         }
     }
@@ -229,7 +229,7 @@
 
     private void timedOut() {
         if (!hasOutcome) {
-            boolean wasSent = headersSent;
+            boolean wasSent = hasSentHeaders;
             abandonStream();
             failed(AttemptFailure.timedOut(wasSent));
         }
@@ -246,8 +246,8 @@
         }
     }
 
-    private void recordAttempt(boolean success) {
-        services.statistics().recordAttempt(host, success, services.nowMs() - startedAtMs);
+    private void recordAttempt(boolean isSuccess) {
+        services.statistics().recordAttempt(host, isSuccess, services.nowMs() - startedAtMs);
     }
 
     /** Ends the attempt without an outcome; a client that leaves does not count against the host. */
@@ -277,8 +277,8 @@
     }
 
     private void releaseStream() {
-        if (connection != null && !streamReleased) {
-            streamReleased = true;
+        if (connection != null && !hasReleasedStream) {
+            hasReleasedStream = true;
             connection.streamClosed();
         }
     }
--- a/src/main/java/linenring/gateway/ClientProtocol.java
+++ b/src/main/java/linenring/gateway/ClientProtocol.java
@@ -49,10 +49,11 @@
     }
 
     private static ClientProtocol otherProtocol(ByteBuffer received, int length) {
-        String start = StandardCharsets.ISO_8859_1.decode(received.slice()).toString();
-        if (length >= METHOD_PREFIX_BYTES && METHOD_PREFIXES.contains(start.substring(0, METHOD_PREFIX_BYTES))) {
-            return start.toLowerCase(Locale.ROOT).contains("upgrade: h2c") ? HTTP1_UPGRADE : HTTP1;
+        String receivedText =
+                StandardCharsets.ISO_8859_1.decode(received.slice()).toString();
+        if (length >= METHOD_PREFIX_BYTES && METHOD_PREFIXES.contains(receivedText.substring(0, METHOD_PREFIX_BYTES))) {
+            return receivedText.toLowerCase(Locale.ROOT).contains("upgrade: h2c") ? HTTP1_UPGRADE : HTTP1;
         }
-        return start.charAt(0) == TLS_HANDSHAKE_RECORD_TYPE ? TLS : UNKNOWN;
+        return receivedText.charAt(0) == TLS_HANDSHAKE_RECORD_TYPE ? TLS : UNKNOWN;
     }
 }
--- a/src/main/java/linenring/gateway/ControllerSubscription.java
+++ b/src/main/java/linenring/gateway/ControllerSubscription.java
@@ -51,7 +51,7 @@
     private final SerialExecutor updateTasks;
     private final Log log;
     private volatile Subscription currentStream; // null until the gateway has subscribed again after a lost stream
-    private volatile boolean unsubscribed; // written while holding the lock of this
+    private volatile boolean isUnsubscribed; // written while holding the lock of this
 
     ControllerSubscription(
             GatewaySettings settings,
@@ -70,7 +70,7 @@
     }
 
     synchronized void subscribe() {
-        if (unsubscribed) {
+        if (isUnsubscribed) {
             return; // unsubscribe() was called during the delay before this subscription
         }
         Subscription next = new Subscription();
@@ -84,7 +84,7 @@
     /** Sends load reports now and then periodically. */
     void sendReport() {
         Subscription stream = currentStream;
-        if (unsubscribed) {
+        if (isUnsubscribed) {
             return;
         }
         statistics.drainReport(services.nowMs()).forEach(message -> events.enqueueMessage(stream, message));
@@ -92,7 +92,7 @@
     }
 
     synchronized void unsubscribe() {
-        unsubscribed = true;
+        isUnsubscribed = true;
         if (currentStream != null) { // without a current stream there is nothing to close
             events.enqueueStreamClosed(currentStream);
         }
@@ -118,7 +118,7 @@
     }
 
     private void streamLost(Subscription stream, String reason) {
-        if (stream.equals(currentStream) && !unsubscribed) {
+        if (stream.equals(currentStream) && !isUnsubscribed) {
             log.warn(Http2Gateway.LOG_SUBJECT, "stream to the controller has ended: " + reason + "; subscribing again");
             currentStream = null;
             scheduler().schedule(this::subscribe, RESUBSCRIBE_DELAY_MS, TimeUnit.MILLISECONDS);
--- a/src/main/java/linenring/gateway/Drain.java
+++ b/src/main/java/linenring/gateway/Drain.java
@@ -36,9 +36,9 @@
     private static final class SessionState {
         private int lastAcceptedStream;
         private int activeStreams;
-        private boolean pingUnanswered; // the PING that follows the first GOAWAY
-        private boolean finalGoAwayBegun;
-        private boolean openedDuringDrain; // no stream of such a session is accepted
+        private boolean isPingUnanswered; // the PING that follows the first GOAWAY
+        private boolean hasBegunFinalGoAway;
+        private boolean isOpenedDuringDrain; // no stream of such a session is accepted
     }
 
     private final double maxDrainMs;
@@ -57,14 +57,14 @@
     /** Adds a session; returns false during a drain, when the session's client has to be sent a GOAWAY. */
     synchronized boolean sessionOpened(S session) {
         SessionState state = new SessionState();
-        state.openedDuringDrain = stage != Stage.SERVING;
+        state.isOpenedDuringDrain = stage != Stage.SERVING;
         sessions.put(session, state);
-        return !state.openedDuringDrain;
+        return !state.isOpenedDuringDrain;
     }
 
     synchronized boolean wasOpenedDuringDrain(S session) {
         SessionState state = sessions.get(session);
-        return state != null && state.openedDuringDrain;
+        return state != null && state.isOpenedDuringDrain;
     }
 
     synchronized void sessionClosed(S session) {
@@ -74,7 +74,7 @@
     /** Accepts a new stream and returns true, or returns false if the stream is to be refused as not processed. */
     synchronized boolean acceptStream(S session, int streamId) {
         SessionState state = sessions.get(session);
-        if (state == null || state.openedDuringDrain || state.finalGoAwayBegun || stage == Stage.COMPLETED) {
+        if (state == null || state.isOpenedDuringDrain || state.hasBegunFinalGoAway || stage == Stage.COMPLETED) {
             refused++;
             return false;
         }
@@ -112,23 +112,23 @@
         setPingUnanswered(session, false);
     }
 
-    private void setPingUnanswered(S session, boolean unanswered) {
+    private void setPingUnanswered(S session, boolean isUnanswered) {
         SessionState state = sessions.get(session);
         if (state != null) {
-            state.pingUnanswered = unanswered;
+            state.isPingUnanswered = isUnanswered;
         }
     }
 
     /** Whether the client may still send streams because it has not received the first GOAWAY. */
     private boolean mayStillSendStreams(SessionState state) {
-        return state.pingUnanswered && !state.finalGoAwayBegun && nowMs - startedAtMs < maxDrainMs / 2;
+        return state.isPingUnanswered && !state.hasBegunFinalGoAway && nowMs - startedAtMs < maxDrainMs / 2;
     }
 
     /** Ends the drain and serves again; sessions that were sent a final GOAWAY still refuse new streams. */
     synchronized void cancel() {
         for (SessionState state : sessions.values()) {
-            state.pingUnanswered = false;
-            state.openedDuringDrain = false;
+            state.isPingUnanswered = false;
+            state.isOpenedDuringDrain = false;
         }
         stage = Stage.SERVING;
     }
@@ -156,10 +156,10 @@
      */
     synchronized int beginFinalGoAway(S session) {
         SessionState state = sessions.get(session);
-        if (state == null || state.openedDuringDrain || state.finalGoAwayBegun || mayStillSendStreams(state)) {
+        if (state == null || state.isOpenedDuringDrain || state.hasBegunFinalGoAway || mayStillSendStreams(state)) {
             return NOT_DUE;
         }
-        state.finalGoAwayBegun = true;
+        state.hasBegunFinalGoAway = true;
         return state.lastAcceptedStream;
     }
 
--- a/src/main/java/linenring/gateway/ProxiedRequest.java
+++ b/src/main/java/linenring/gateway/ProxiedRequest.java
@@ -68,10 +68,10 @@
     }
 
     void begin() {
-        execute(() -> applyStep(decision.begin(services.nowMs(), body().isRetained())));
+        execute(() -> executeStep(decision.begin(services.nowMs(), body().isRetained())));
     }
 
-    private void applyStep(NextStep step) {
+    private void executeStep(NextStep step) {
         if (step instanceof NextStep.Send send) {
             currentAttempt = new Attempt(this, send);
             currentAttempt.begin();
@@ -145,7 +145,7 @@
     void attemptFailed(AttemptFailure failure) {
         NextStep step = decision.attemptFailed(failure, services.nowMs(), body().isRetained());
         currentAttempt = null;
-        applyStep(step);
+        executeStep(step);
     }
 
     /** Decides whether a server error of the current attempt's host is forwarded, or followed by {@link #retry}. */
@@ -160,7 +160,7 @@
 
     /** Replaces the current attempt by a new one, without forwarding the current attempt's response. */
     void retry(NextStep.Send step) {
-        applyStep(step);
+        executeStep(step);
     }
 
     /** Ends the request after the client has reset its stream or lost its connection. */
--- a/src/main/java/linenring/gateway/RequestBodyForwarder.java
+++ b/src/main/java/linenring/gateway/RequestBodyForwarder.java
@@ -24,8 +24,8 @@
     private Stream hostStream; // null until the stream to the host is open
     private byte[] replayBytes = {};
     private int replayPosition;
-    private boolean writing;
-    private boolean dataDemanded;
+    private boolean isWriting;
+    private boolean hasDemandedData;
     private boolean endSent; // a frame with END_STREAM was handed to Jetty
 
     /** Creates a forwarder that sends nothing more once {@code isStopped} returns true. */
@@ -55,13 +55,13 @@
     }
 
     void dataAvailable() {
-        dataDemanded = false;
+        hasDemandedData = false;
         sendNext();
     }
 
     /** Sends the next part of the body, if one is available and no write is in progress. */
     void sendNext() {
-        if (isStopped.getAsBoolean() || writing || hostStream == null || hostStream.isReset()) {
+        if (isStopped.getAsBoolean() || isWriting || hostStream == null || hostStream.isReset()) {
             return;
         }
         if (replayPosition < replayBytes.length) {
@@ -70,7 +70,7 @@
             if (body.hasTrailers()) {
                 sendTrailers();
             }
-        } else if (!dataDemanded) {
+        } else if (!hasDemandedData) {
             sendFromClient();
         }
     }
@@ -84,7 +84,7 @@
     }
 
     private void sendTrailers() {
-        writing = true; // the flag stays set, since no frame may follow the trailers
+        isWriting = true; // the flag stays set, since no frame may follow the trailers
         endSent = true;
         MetaData trailers = new MetaData(HttpVersion.HTTP_2, body.trailers());
         hostStream.headers(new HeadersFrame(hostStream.getId(), trailers, null, true), Callback.NOOP);
@@ -93,7 +93,7 @@
     private void sendFromClient() {
         Stream.Data data = body.read();
         if (data == null) {
-            dataDemanded = true;
+            hasDemandedData = true;
             return;
         }
         ByteBuffer bytes = data.frame().getByteBuffer();
@@ -107,7 +107,7 @@
     }
 
     private void write(DataFrame frame, Runnable release) {
-        writing = true;
+        isWriting = true;
         endSent |= frame.isEndStream();
         hostStream.data(
                 frame,
@@ -118,12 +118,12 @@
                         },
                         failure -> { // the attempt, as the stream's listener, handles the stream's end
                             release.run();
-                            request.execute(() -> writing = false);
+                            request.execute(() -> isWriting = false);
                         }));
     }
 
     private void written(DataFrame frame) {
-        writing = false;
+        isWriting = false;
         if (!frame.isEndStream()) {
             sendNext();
         }
--- a/src/main/java/linenring/gateway/ResponseForwarder.java
+++ b/src/main/java/linenring/gateway/ResponseForwarder.java
@@ -22,7 +22,7 @@
     private final StallDetector stallDetector;
     private Stream hostStream; // null until the response headers have arrived
     private boolean started;
-    private boolean writingData;
+    private boolean isWritingData;
     private boolean complete;
     private HttpFields trailers; // Jetty delivers the trailers before the last part of the body has been read
 
@@ -75,7 +75,7 @@
 
     /** Forwards the next part of the body, if one is available and no write is in progress. */
     void forwardNext() {
-        if (request.hasEnded() || !started || writingData || stallDetector.isWritingToClient()) {
+        if (request.hasEnded() || !started || isWritingData || stallDetector.isWritingToClient()) {
             return;
         }
         Stream.Data data = hostStream.readData();
@@ -97,7 +97,7 @@
 
     private void forwardData(Stream.Data data) {
         boolean isLast = data.frame().isEndStream();
-        writingData = true;
+        isWritingData = true;
         stallDetector.clientWriteStarted(System.nanoTime());
         clientStream.data(
                 new DataFrame(clientStream.getId(), data.frame().getByteBuffer(), isLast && trailers == null),
@@ -113,7 +113,7 @@
     }
 
     private void dataWritten(boolean isLast) {
-        writingData = false;
+        isWritingData = false;
         stallDetector.clientWriteEnded();
         if (!isLast) {
             forwardNext();
--- a/src/main/java/linenring/gateway/RetainedBody.java
+++ b/src/main/java/linenring/gateway/RetainedBody.java
@@ -21,9 +21,9 @@
     }
 
     /** Retains a copy of the bytes read, or discards the body if a limit is exceeded. */
-    void add(ByteBuffer read, boolean isLast) {
+    void add(ByteBuffer readBytes, boolean isLast) {
         ended |= isLast;
-        int length = read.remaining();
+        int length = readBytes.remaining();
         if (!complete || length == 0) {
             return;
         }
@@ -33,7 +33,7 @@
         }
         reservedBytes += length;
         byte[] copy = new byte[length];
-        read.duplicate().get(copy);
+        readBytes.duplicate().get(copy);
         bytes.writeBytes(copy);
     }
 
@@ -42,7 +42,7 @@
         return complete;
     }
 
-    /** Whether the end of the body was read. */
+    /** Whether the end of the body was readBytes. */
     boolean hasEnded() {
         return ended;
     }
--- a/src/main/java/linenring/gateway/UpstreamConnections.java
+++ b/src/main/java/linenring/gateway/UpstreamConnections.java
@@ -38,8 +38,8 @@
         private volatile Session session;
         private volatile int lastProcessedStream =
                 Integer.MAX_VALUE; // last stream of the host's GOAWAY (RFC 9113, 6.8)
-        private boolean dialEnded; // guarded by the enclosing object
-        private boolean dialFailed; // guarded by the enclosing object
+        private boolean hasDialEnded; // guarded by the enclosing object
+        private boolean hasDialFailed; // guarded by the enclosing object
 
         Session session() {
             return session;
@@ -70,7 +70,7 @@
             Session openedSession = session;
             boolean hasFailed;
             synchronized (UpstreamConnections.this) {
-                hasFailed = dialFailed;
+                hasFailed = hasDialFailed;
             }
             if (hasFailed && openedSession != null) {
                 closeSession(openedSession, ErrorCode.CANCEL_STREAM_ERROR, "no settings");
@@ -85,11 +85,11 @@
 
         private void failDial() {
             synchronized (UpstreamConnections.this) {
-                if (dialEnded) {
+                if (hasDialEnded) {
                     return;
                 }
-                dialEnded = true;
-                dialFailed = true;
+                hasDialEnded = true;
+                hasDialFailed = true;
             }
             applyToPool(state -> state.dialFailed(clock.getAsDouble()));
             closeIfDialFailed();
@@ -105,8 +105,8 @@
             int streams = Math.min(maxStreams, values.getOrDefault(SettingsFrame.MAX_CONCURRENT_STREAMS, maxStreams));
             boolean isFirstSettings;
             synchronized (UpstreamConnections.this) {
-                isFirstSettings = !dialEnded;
-                dialEnded = true;
+                isFirstSettings = !hasDialEnded;
+                hasDialEnded = true;
             }
             if (isFirstSettings) {
                 applyToPool(state -> state.connectionOpened(this, streams, clock.getAsDouble()));
@@ -198,8 +198,8 @@
     }
 
     /** Sets whether the host is retired, in which case its connections accept no new streams. */
-    void setRetired(boolean retired) {
-        applyToPool(state -> state.setRetired(retired, clock.getAsDouble()));
+    void setRetired(boolean isRetired) {
+        applyToPool(state -> state.setRetired(isRetired, clock.getAsDouble()));
     }
 
     void closeIdle() {
@@ -238,14 +238,14 @@
     }
 
     /** Parses a numeric IP address with a port, without a DNS lookup; returns null if the address is invalid. */
-    private static InetSocketAddress parseAddress(String text) {
-        int colon = text == null ? -1 : text.lastIndexOf(':');
-        if (colon < 0 || !text.substring(0, colon).matches("[0-9.]+|\\[[0-9a-fA-F:.]+]")) {
+    private static InetSocketAddress parseAddress(String address) {
+        int colon = address == null ? -1 : address.lastIndexOf(':');
+        if (colon < 0 || !address.substring(0, colon).matches("[0-9.]+|\\[[0-9a-fA-F:.]+]")) {
             return null;
         }
         try {
             return new InetSocketAddress(
-                    InetAddress.getByName(text.substring(0, colon)), Integer.parseInt(text.substring(colon + 1)));
+                    InetAddress.getByName(address.substring(0, colon)), Integer.parseInt(address.substring(colon + 1)));
         } catch (UnknownHostException | IllegalArgumentException invalid) {
             return null;
         }
--- a/src/test/java/linenring/gateway/GatewayFixture.java
+++ b/src/test/java/linenring/gateway/GatewayFixture.java
@@ -63,22 +63,22 @@
     private volatile ProxyStream stream;
     private int nonce;
 
-    GatewayFixture(int count) throws IOException {
-        this(count, "");
+    GatewayFixture(int backendCount) throws IOException {
+        this(backendCount, "");
     }
 
     /** Starts a gateway with additional lines of settings. */
-    GatewayFixture(int count, String moreSettings) throws IOException {
-        this(count, moreSettings, HTTP2Client::new);
+    GatewayFixture(int backendCount, String moreSettings) throws IOException {
+        this(backendCount, moreSettings, HTTP2Client::new);
     }
 
     /** Starts a gateway with additional settings and with the test's HTTP/2 client for connections to the backends. */
-    GatewayFixture(int count, String moreSettings, Supplier<HTTP2Client> clientFactory) throws IOException {
-        for (int i = 0; i < count; i++) {
+    GatewayFixture(int backendCount, String moreSettings, Supplier<HTTP2Client> clientFactory) throws IOException {
+        for (int i = 0; i < backendCount; i++) {
             backends.add(new TestBackend());
         }
         HostRegistry hosts = new HostRegistry();
-        hosts.apply(hostList(1, true, HostList.State.READY, IntStream.range(0, count), backends));
+        hosts.apply(hostList(1, true, HostList.State.READY, IntStream.range(0, backendCount), backends));
         events.addHostListListener(hosts::apply);
         try {
             gateway = Http2Gateway.start(
--- a/src/test/java/linenring/gateway/GatewayMeasurements.java
+++ b/src/test/java/linenring/gateway/GatewayMeasurements.java
@@ -58,15 +58,16 @@
                 5000,
                 1);
         System.out.print("without stalled clients: " + LoadGenerator.table(LoadGenerator.run(plan)));
-        List<LoadClient> stalled = new ArrayList<>();
+        List<LoadClient> stalledClients = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             LoadClient client = new LoadClient(port).ignoreWindows();
-            stalled.add(client);
+            stalledClients.add(client);
             client.send("GET", "/read/large");
         }
         System.out.print("with " + count + " stalled clients: " + LoadGenerator.table(LoadGenerator.run(plan)));
-        long open =
-                stalled.stream().filter(client -> !client.answer(1).isOver()).count();
+        long open = stalledClients.stream()
+                .filter(client -> !client.answer(1).isOver())
+                .count();
         System.out.println(open + " stalled clients still hold their streams");
     }
 }
--- a/src/test/java/linenring/gateway/Http2GatewayTest.java
+++ b/src/test/java/linenring/gateway/Http2GatewayTest.java
@@ -158,11 +158,11 @@
         try (GatewayFixture fixture = new GatewayFixture(2)) {
             fixture.sendTable(new int[] {0, 1}, 0.5, RetryPolicy.NONE);
             LoadClient client = fixture.connect();
-            int limited = 0;
+            int rateLimited = 0;
             for (int i = 0; i < 200; i++) {
-                limited += client.call("GET", "/quote").status() == 429 ? 1 : 0;
+                rateLimited += client.call("GET", "/quote").status() == 429 ? 1 : 0;
             }
-            assertEquals(100, limited, 40);
+            assertEquals(100, rateLimited, 40);
         }
     }
 
--- a/src/test/java/linenring/gateway/MisbehavingClientsTest.java
+++ b/src/test/java/linenring/gateway/MisbehavingClientsTest.java
@@ -89,10 +89,12 @@
                 assertEquals(ENHANCE_YOUR_CALM, violator.await(1).resetCode());
                 assertTrue(violator.answer(1).bytes() <= 65_535);
             }
-            long sent = fixture.backends().stream()
+            long sentBytes = fixture.backends().stream()
                     .mapToLong(TestBackend::sentBytes)
                     .sum();
-            assertTrue(sent < 50 * 200_000L, "backends sent " + sent + " bytes, more than two windows per stream");
+            assertTrue(
+                    sentBytes < 50 * 200_000L,
+                    "backends sent " + sentBytes + " bytes, more than two windows per stream");
             assertTrue(fixture.log().contains("has accepted no data of a response to quote for 1500 ms"));
             fixture.awaitIdle();
         }
@@ -310,16 +312,16 @@
     @Test
     void closesOldestSilentConnectionsWhenConnectionLimitIsReached() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(1, "clients connections=200")) {
-            List<Socket> silent = new ArrayList<>();
+            List<Socket> silentSockets = new ArrayList<>();
             try {
                 for (int i = 0; i < 300; i++) {
-                    silent.add(new Socket(
+                    silentSockets.add(new Socket(
                             InetAddress.getLoopbackAddress(), fixture.gateway().port()));
                 }
                 // the new connection replaces a silent one
                 assertEquals(200, fixture.connect().call("GET", "/quote").status());
             } finally {
-                for (Socket socket : silent) {
+                for (Socket socket : silentSockets) {
                     socket.close();
                 }
             }
--- a/src/test/java/linenring/gateway/SlowDialsTest.java
+++ b/src/test/java/linenring/gateway/SlowDialsTest.java
@@ -39,14 +39,14 @@
             fixture.sendTable(new int[] {0}, 1, RetryPolicy.ONE);
             LoadClient client = fixture.connect();
             long sentNanos = System.nanoTime();
-            int book = client.send("POST", "/book", "x-mark", "once");
+            int bookingStream = client.send("POST", "/book", "x-mark", "once");
             client.await(() -> fixture.backends().get(0).requests() == 1, "the first host has received the request");
             fixture.sendTable(new int[] {2}, 1, RetryPolicy.ONE);
             while (System.nanoTime() - sentNanos < 2_200_000_000L) {
                 Thread.onSpinWait(); // waits until less than a fifth of the window of 2.5 s is left
             }
             maySendSettings.countDown();
-            assertEquals(502, client.await(book).status());
+            assertEquals(502, client.await(bookingStream).status());
             assertEquals(
                     200, client.call("GET", "/quote").status()); // uses the connection that the retry was waiting for
             assertEquals(0, fixture.backends().get(2).executionsOfKey("once"));
--- a/src/test/java/linenring/gateway/UnansweredRequestsTest.java
+++ b/src/test/java/linenring/gateway/UnansweredRequestsTest.java
@@ -236,11 +236,14 @@
     void answersRequestSplitAtAnyByte() throws Exception {
         try (GatewayFixture fixture = new GatewayFixture(1)) {
             byte[] request = request();
-            for (int cut = 1; cut < request.length; cut++) {
+            for (int splitIndex = 1; splitIndex < request.length; splitIndex++) {
                 assertEquals(
                         200,
-                        status(fixture, Arrays.copyOf(request, cut), Arrays.copyOfRange(request, cut, request.length)),
-                        "request split at byte " + cut);
+                        status(
+                                fixture,
+                                Arrays.copyOf(request, splitIndex),
+                                Arrays.copyOfRange(request, splitIndex, request.length)),
+                        "request split at byte " + splitIndex);
             }
             assertEquals(request.length - 1, fixture.executions("/assign"));
         }
@@ -264,11 +267,11 @@
     void leavesNothingActiveAfterIncompleteRequest() throws Exception {
         try (GatewayFixture fixture = new GatewayFixture(1)) {
             byte[] request = request();
-            for (int cut = 0; cut < request.length; cut++) {
+            for (int splitIndex = 0; splitIndex < request.length; splitIndex++) {
                 try (Socket socket = new Socket(
                         InetAddress.getLoopbackAddress(), fixture.gateway().port())) {
-                    socket.getOutputStream().write(Arrays.copyOf(request, cut));
-                    socket.setSoLinger(cut % 2 == 0, 0); // closes by a TCP reset or by an ordinary FIN
+                    socket.getOutputStream().write(Arrays.copyOf(request, splitIndex));
+                    socket.setSoLinger(splitIndex % 2 == 0, 0); // closes by a TCP reset or by an ordinary FIN
                 }
             }
             LoadClient client = fixture.connect();
