--- a/src/main/java/linenring/gateway/Attempt.java
+++ b/src/main/java/linenring/gateway/Attempt.java
@@ -18,7 +18,7 @@
  * not volatile are accessed only by the request's serialized tasks.
  */
 final class Attempt implements Stream.Listener, UpstreamConnections.StreamWaiter, Promise<Stream> {
-    /** Delay after a stream closed as reset; Jetty reports a reset by the host within the same call, so it arrives first. */
+    /** Time to wait for the report of a reset by the host, which Jetty delivers within the call that closes the stream. */
     private static final double RESET_REPORT_DELAY_MS = 10;
 
     private final ProxiedRequest request;
@@ -36,7 +36,7 @@
     private boolean hasOutcome; // the retry decision knows the attempt's outcome, or the attempt was abandoned
     private boolean hasReleasedStream; // the attempt's stream was given back to the connection
     private volatile boolean isResetByHost;
-    private volatile Stream createdStream; // null until Jetty has created the stream; nothing has been written before
+    private volatile Stream createdStream; // null until Jetty has created the stream; until then nothing was written
 
     Attempt(ProxiedRequest request, NextStep.Send step) {
         this.request = request;
@@ -201,7 +201,7 @@
         callback.succeeded();
     }
 
-    /** Handles the close of the stream; a reset came either from the host, and is then reported next, or from Jetty. */
+    /** Handles the close of the stream; a reset came from the host, which Jetty reports next, or from Jetty itself. */
     @Override
     public void onClosed(Stream hostStream) {
         request.execute(() -> {
--- a/src/main/java/linenring/gateway/GatewayTransport.java
+++ b/src/main/java/linenring/gateway/GatewayTransport.java
@@ -72,7 +72,7 @@
     private void createConnector(ServerSessionListener sessions, ListenOptions options) throws Exception {
         GatewaySettings.Clients clients = settings.clients();
         RawHTTP2ServerConnectionFactory http2 = connectionFactory(sessions);
-        server.addBean(http2); // started and stopped with the server, since the connector does not own the factory
+        server.addBean(http2); // the server starts and stops the factory, since no connector owns it
         PrefaceConnectionFactory acceptor = new PrefaceConnectionFactory(http2, clients.maxConnections(), log);
         connector = new ServerConnector(server, ACCEPTORS, SELECTORS, acceptor);
         connector.setHost(settings.listen().getAddress().getHostAddress());
