--- a/src/main/java/linenring/controller/Clock.java
+++ b/src/main/java/linenring/controller/Clock.java
@@ -2,7 +2,9 @@
 
 import java.time.Instant;
 
-/** A monotonic clock that is set to Unix time once, at its start: no later step of the system's clock moves it. */
+/**
+ * A monotonic clock in Unix time. It reads the system clock once, at its start, so that later clock adjustments have no effect.
+ */
 final class Clock {
     private static final double MILLIS_PER_SECOND = 1e3;
     private static final double NANOS_PER_MILLI = 1e6;
@@ -18,7 +20,7 @@
         startMs = start.getEpochSecond() * MILLIS_PER_SECOND + start.getNano() / NANOS_PER_MILLI;
     }
 
-    /** Milliseconds since the Unix epoch. */
+    /** Returns the current time in milliseconds since the Unix epoch. */
     double nowMs() {
         return startMs + (System.nanoTime() - startNanos) / NANOS_PER_MILLI;
     }
--- a/src/main/java/linenring/controller/ControlLoop.java
+++ b/src/main/java/linenring/controller/ControlLoop.java
@@ -14,14 +14,14 @@
 import linenring.settings.Names;
 
 /**
- * The one thread that owns all state of the controller. Each round takes all events from the queue, hands them to the planner,
- * lets it decide once, and sends what it has commanded. The thread that calls {@link #run} is the owner; nothing here is
- * thread-safe.
+ * The controller's control loop. Each round takes all events from the queue, passes them to the planner, runs one
+ * reconciliation, and sends each affected proxy one update with the planner's commands. Not thread-safe: the thread that calls
+ * {@link #run} owns all state of the controller.
  */
 public final class ControlLoop implements EventQueue.EventHandler {
     /**
-     * The longest wait for an event. After a fault the planner may not have asked for its next call, and without this limit
-     * would wait until something arrives.
+     * Maximum wait for an event. A fault may keep the planner from requesting its next reconciliation; without this limit the
+     * loop would then wait until the next event.
      */
     private static final double MAX_WAIT_MS = 1000;
 
@@ -29,35 +29,37 @@
 
     private final EventQueue eventQueue;
     private final Log log;
-    /** Rounds are no closer together than this. */
-    private final double quantumMs;
+    /** Minimum time between two rounds, so that events that arrive close together are handled in one round. */
+    private final double minRoundIntervalMs;
 
     private final Clock clock;
     private final FleetState fleetState;
     private final Planner planner;
-    /** Whether the last round had no fault; after one the planner may have asked for no call. */
+    /**
+     * Whether the last reconciliation and the sending of its updates succeeded. After a fault the planner may not have requested its next call.
+     */
     private boolean lastRoundSucceeded;
 
     /**
-     * Decides for the first time, on the hosts that are known already.
+     * Creates the control loop and runs the first reconciliation.
      *
-     * @param knownHosts the list of hosts from before the start, or null where there is none
+     * @param initialHosts the host list that was known before the start, or null if there is none
      */
-    public ControlLoop(PlannerSettings settings, Names names, HostList knownHosts, EventQueue eventQueue, Log log) {
-        this(settings, names, knownHosts, eventQueue, log, new Clock());
+    public ControlLoop(PlannerSettings settings, Names names, HostList initialHosts, EventQueue eventQueue, Log log) {
+        this(settings, names, initialHosts, eventQueue, log, new Clock());
     }
 
     ControlLoop(
-            PlannerSettings settings, Names names, HostList knownHosts, EventQueue eventQueue, Log log, Clock clock) {
+            PlannerSettings settings, Names names, HostList initialHosts, EventQueue eventQueue, Log log, Clock clock) {
         this.eventQueue = eventQueue;
         this.log = log;
         this.clock = clock;
-        quantumMs = names.quantumMs();
+        minRoundIntervalMs = names.quantumMs();
         fleetState = new FleetState(names.operations(), names.proxyCount(), log);
         planner = new Planner(settings, fleetState);
         planner.advanceClock(clock.nowMs());
-        if (knownHosts != null) {
-            onHostList(knownHosts);
+        if (initialHosts != null) {
+            onHostList(initialHosts);
         }
         reconcileAndSend();
     }
@@ -69,72 +71,72 @@
                 awaitAndRunRound();
             }
         } catch (InterruptedException interrupt) {
-            log.info("controller", "control loop stopped");
+            log.info("controller", "control loop stopped because its thread was interrupted");
         }
     }
 
     private void awaitAndRunRound() throws InterruptedException {
-        double lastMs = clock.nowMs();
-        double waitMs = Math.min(MAX_WAIT_MS, fleetState.nextCallMs() - lastMs);
+        double waitStartMs = clock.nowMs();
+        double waitMs = Math.min(MAX_WAIT_MS, fleetState.nextCallMs() - waitStartMs);
         boolean hasEvents = eventQueue.await((long) (waitMs * NANOS_PER_MILLI));
         boolean isCallDue = fleetState.nextCallMs() <= clock.nowMs();
         if (!hasEvents && lastRoundSucceeded && !isCallDue) {
             return;
         }
-        long earlyNanos = (long) ((lastMs + quantumMs - clock.nowMs()) * NANOS_PER_MILLI);
-        if (earlyNanos > 0) {
-            LockSupport.parkNanos(earlyNanos);
+        long untilNextRoundNanos = (long) ((waitStartMs + minRoundIntervalMs - clock.nowMs()) * NANOS_PER_MILLI);
+        if (untilNextRoundNanos > 0) {
+            LockSupport.parkNanos(untilNextRoundNanos);
         }
         runRound(clock.nowMs());
     }
 
-    /** Handles all events that are queued, and acts on them; a fault at one event drops that event alone. */
+    /** Handles all queued events, reconciles, and sends updates. A fault in one event drops only that event. */
     void runRound(double nowMs) {
         fleetState.removeCallsUpTo(nowMs);
-        guard(() -> planner.advanceClock(nowMs));
-        long dropped = eventQueue.drainTo(this);
-        if (dropped > 0) {
+        runLoggingFault(() -> planner.advanceClock(nowMs));
+        long droppedReports = eventQueue.drainTo(this);
+        if (droppedReports > 0) {
             log.warn(
                     "controller",
-                    "the " + dropped + " oldest load and request rate reports were dropped, as over "
+                    "dropped the " + droppedReports + " oldest load and request rate reports because more than "
                             + EventQueue.MAX_QUEUED_REPORTS + " were queued");
         }
         reconcileAndSend();
-        guard(this::releaseRemovedHosts);
+        runLoggingFault(this::releaseRemovedHosts);
     }
 
-    /** How many host ids there are, those that are free included. */
+    /** Returns the number of host ids, including free ids. */
     int hostIdCount() {
-        return fleetState.hostIds().limit();
+        return fleetState.hostIds().idLimit();
     }
 
-    /** Forgets removed hosts beyond the limit, the longest removed first, unless the planner still has a use for them. */
+    /** Releases removed hosts beyond the limit in order of removal, except hosts that the planner still uses. */
     private void releaseRemovedHosts() {
-        int surplus = fleetState.hostIds().surplus();
-        if (surplus == 0) {
+        int excessHosts = fleetState.hostIds().countRemovedBeyondLimit();
+        if (excessHosts == 0) {
             return;
         }
-        Iterator<Integer> removed = fleetState.hostIds().removed().iterator();
-        while (surplus > 0 && removed.hasNext()) {
-            int host = removed.next();
+        Iterator<Integer> removedHosts = fleetState.hostIds().removedIds().iterator();
+        while (excessHosts > 0 && removedHosts.hasNext()) {
+            int host = removedHosts.next();
             if (planner.releaseHost(host)) {
-                fleetState.release(host);
-                surplus--;
+                fleetState.releaseHost(host);
+                excessHosts--;
             }
         }
     }
 
     private void reconcileAndSend() {
-        boolean decided = guard(planner::reconcile);
-        boolean sent = guard(fleetState::send);
-        lastRoundSucceeded = decided && sent;
+        boolean hasReconciled = runLoggingFault(planner::reconcile);
+        boolean hasSent = runLoggingFault(fleetState::send);
+        lastRoundSucceeded = hasReconciled && hasSent;
     }
 
     /**
-     * Runs one step so that a fault in it is logged and ends neither the loop nor the steps after it: proxies would go on with
-     * tables that nobody updates, and withdraw no host that leaves. False where there was a fault.
+     * Runs one step and logs a fault in it instead of throwing; returns whether the step succeeded. A fault must not end the
+     * control loop: proxies would keep outdated tables and continue to send requests to removed hosts.
      */
-    private boolean guard(Runnable step) {
+    private boolean runLoggingFault(Runnable step) {
         try {
             step.run();
             return true;
@@ -145,14 +147,14 @@
         }
     }
 
-    // ---- messages
-
     @Override
     public void onMessage(ProxyStream stream, InboundMessage message) {
-        boolean isHandled = guard(() -> handle(stream, message));
+        boolean isHandled = runLoggingFault(() -> handle(stream, message));
         if (!isHandled && message instanceof InboundMessage.Subscribe) {
-            // The proxy would wait for a configuration in vain; closed, it dials again, here or elsewhere.
-            guard(() -> stream.close("its subscription failed"));
+            // Without an update the proxy would wait forever. Closing its stream makes it reconnect, here or to another
+            // controller.
+            runLoggingFault(() -> stream.close(
+                    "subscription failed in the controller; closing the stream so that the proxy reconnects"));
         }
     }
 
@@ -170,26 +172,31 @@
 
     private void subscribe(ProxyStream stream, InboundMessage.Subscribe subscribe) {
         int proxy = subscribe.proxy();
-        if (fleetState.hasNewer(proxy, stream)) { // both were read in one round, in either order
-            log.info("proxy", proxy + " subscribed on an older stream, which is closed; the newer one stays");
-            stream.close("has been replaced before it was read");
+        if (fleetState.hasNewerStream(
+                proxy, stream)) { // one round may read the subscriptions on both streams, in either order
+            log.info(
+                    "proxy", proxy + " subscribed on an older stream; closing it because the proxy has a newer stream");
+            stream.close("replaced by a newer stream of the same proxy before its subscription was read");
             return;
         }
-        log.info("proxy", proxy + " subscribed" + (subscribe.isNew() ? "" : ", holding a configuration"));
+        log.info("proxy", proxy + " subscribed" + (subscribe.isNew() ? "" : "; it already holds a configuration"));
         fleetState.connect(proxy, stream, subscribe.isNew());
         planner.proxyJoined(proxy, subscribe.zone(), subscribe.usualRequestsPerSecond());
     }
 
-    /** An acknowledgement on an old stream says nothing of what was sent on the new one. */
+    /**
+     * Passes an acknowledgement to the planner unless it arrived on an old stream, where it confirms nothing that was sent on the
+     * new one.
+     */
     private void acknowledge(ProxyStream stream, InboundMessage.Acknowledgement acknowledgement) {
         int proxy = acknowledgement.proxy();
-        if (fleetState.isCurrent(proxy, stream)) {
+        if (fleetState.isCurrentStream(proxy, stream)) {
             planner.messageAcknowledged(proxy, acknowledgement.nonce(), acknowledgement.elapsedMs());
         }
     }
 
     private void reportLoad(InboundMessage.LoadReport report) {
-        OptionalInt host = fleetState.hostIds().find(report.host());
+        OptionalInt host = fleetState.hostIds().findId(report.host());
         if (host.isPresent()) {
             planner.hostStatistics(
                     host.getAsInt(),
@@ -203,24 +210,25 @@
 
     @Override
     public void onStreamClosed(ProxyStream stream) {
-        guard(() -> fleetState.proxyOf(stream).ifPresent(proxy -> {
+        runLoggingFault(() -> fleetState.findProxy(stream).ifPresent(proxy -> {
             log.info("proxy", proxy + " disconnected");
             fleetState.disconnect(proxy);
             planner.proxyDisconnected(proxy);
         }));
     }
 
-    // ---- the host list
-
-    /** After a fault at one entry no host is removed for not being named: the list may have named it in that entry. */
+    /**
+     * Applies a host list. After a fault in one entry, hosts missing from a complete list are not removed: the failed entry may
+     * have listed one of them.
+     */
     @Override
     public void onHostList(HostList list) {
-        boolean hasBegun = guard(() -> beginList(list.removesUnnamedHosts()));
-        long faults = list.entries().stream()
-                .filter(entry -> !guard(() -> applyEntry(entry)))
+        boolean hasBegunList = runLoggingFault(() -> beginList(list.removesUnnamedHosts()));
+        long failedEntries = list.entries().stream()
+                .filter(entry -> !runLoggingFault(() -> applyEntry(entry)))
                 .count();
-        if (hasBegun && faults == 0) {
-            guard(() -> endList(list.removesUnnamedHosts()));
+        if (hasBegunList && failedEntries == 0) {
+            runLoggingFault(() -> endList(list.removesUnnamedHosts()));
         }
     }
 
--- a/src/main/java/linenring/controller/EjectedHosts.java
+++ b/src/main/java/linenring/controller/EjectedHosts.java
@@ -3,31 +3,32 @@
 import java.util.BitSet;
 import java.util.stream.IntStream;
 
-/** The hosts that the planner has ejected, and those whose ejection has changed since the last update. */
+/** The hosts that the planner has ejected, and the hosts it has ejected or restored since updates were last sent. */
 final class EjectedHosts {
-    private final BitSet ejected = new BitSet();
-    private final BitSet changed = new BitSet();
+    private final BitSet ejectedHosts = new BitSet();
+    private final BitSet changedHosts = new BitSet();
 
-    void set(int host, boolean isEjected) {
-        ejected.set(host, isEjected);
-        changed.set(host);
+    void setEjected(int host, boolean isEjected) {
+        ejectedHosts.set(host, isEjected);
+        changedHosts.set(host);
     }
 
-    boolean contains(int host) {
-        return ejected.get(host);
+    boolean isEjected(int host) {
+        return ejectedHosts.get(host);
     }
 
-    /** The hosts whose ejection has changed. */
-    IntStream changed() {
-        return changed.stream();
+    /** Returns the hosts that were ejected or restored since updates were last sent. */
+    IntStream changedHosts() {
+        return changedHosts.stream();
     }
 
+    /** Marks the ejections and restorations of all hosts as sent. */
     void markPublished() {
-        changed.clear();
+        changedHosts.clear();
     }
 
-    /** The host's id is free for another host, which is not ejected. */
+    /** Clears the ejection of a removed host, because its id may be reused for another host. */
     void forget(int host) {
-        ejected.clear(host);
+        ejectedHosts.clear(host);
     }
 }
--- a/src/main/java/linenring/controller/EjectionRecord.java
+++ b/src/main/java/linenring/controller/EjectionRecord.java
@@ -4,37 +4,41 @@
 import java.util.BitSet;
 
 /**
- * Which hosts one proxy has ejected, as far as is known. A proxy keeps ejections when its stream ends and when its tables are
- * replaced, so that a host whose ejection it was sent must be restored by name before traffic returns to it.
+ * The ejection status of each host at one proxy, as far as the controller knows it. A proxy keeps its ejections when its stream
+ * ends and when its tables are replaced, so a host that was ejected there gets traffic again only after an explicit restoration.
  *
- * <p>One byte for each host: a thousand proxies with some thousand hosts each need a few megabytes. Owned by the control loop's
- * thread.
+ * <p>The status takes one byte for each host: a thousand proxies with a few thousand hosts each need a few megabytes. Owned by
+ * the control loop's thread.
  */
 final class EjectionRecord {
-    private static final int SPARE_HOSTS = 16;
+    private static final int SPARE_CAPACITY_HOSTS = 16;
 
-    /** Hosts whose ejection this controller ever sent to the proxy. */
-    private final BitSet everEjected = new BitSet();
-    /** Others may have ejected hosts there: those without a status of their own are {@link EjectionStatus#UNKNOWN}. */
+    /** Hosts for which this controller has ever sent the proxy an ejection. */
+    private final BitSet everEjectedHosts = new BitSet();
+    /**
+     * Whether another controller may have ejected hosts at the proxy. Hosts without a recorded status are then {@link
+     * EjectionStatus#UNKNOWN}.
+     */
     private boolean othersMayHaveEjected;
-    /** Hosts were forgotten that the proxy may still have ejected. */
-    private boolean forgotHosts;
-    /** Codes of {@link EjectionStatus} by host id; hosts beyond its end have the default. */
+    /** Whether a host that the proxy may still have ejected was forgotten. */
+    private boolean hasForgottenHosts;
+    /** Codes of {@link EjectionStatus} by host id. Hosts beyond the end of the array have the default status. */
     private byte[] statusByHost = {};
 
     /**
-     * The proxy has subscribed: what was on its way on an old stream may be lost.
+     * Resets the record after the proxy has subscribed, since updates in transit on its old stream may be lost.
      *
-     * @param isNew the proxy holds no configuration
-     * @param isSameStream it has subscribed again on the stream that it had
+     * @param isNew whether the proxy holds no configuration yet
+     * @param isSameStream whether the proxy has subscribed again on its current stream
      */
-    void restart(boolean isNew, boolean isSameStream) {
-        boolean mayHaveBeenElsewhere = !isNew && (othersMayHaveEjected || !isSameStream);
-        othersMayHaveEjected = forgotHosts || mayHaveBeenElsewhere;
+    void resetForSubscription(boolean isNew, boolean isSameStream) {
+        boolean mayHaveUsedOtherController = !isNew && (othersMayHaveEjected || !isSameStream);
+        othersMayHaveEjected = hasForgottenHosts || mayHaveUsedOtherController;
         statusByHost = new byte[0];
-        everEjected.stream().forEach(host -> set(host, EjectionStatus.UNCERTAIN));
+        everEjectedHosts.stream().forEach(host -> set(host, EjectionStatus.UNCERTAIN));
     }
 
+    /** Returns the ejection status of a host at this proxy. */
     EjectionStatus status(int host) {
         return host < statusByHost.length ? EjectionStatus.ofCode(statusByHost[host]) : defaultStatus();
     }
@@ -43,25 +47,29 @@
         growTo(host + 1);
         statusByHost[host] = status.code();
         if (status == EjectionStatus.EJECTED) {
-            everEjected.set(host);
+            everEjectedHosts.set(host);
         }
     }
 
     /**
-     * Forgets a removed host. It may return under any id, so that nothing is known of hosts that are listed from now on.
+     * Forgets a removed host. The host may return under a different id, so any host that is listed later may already be ejected at
+     * the proxy.
      *
-     * @param hostIds how many host ids there are
+     * @param hostIdLimit upper bound of all host ids, exclusive
      */
-    void forget(int host, int hostIds) {
-        growTo(hostIds);
+    void forget(int host, int hostIdLimit) {
+        growTo(hostIdLimit);
         othersMayHaveEjected = true;
-        forgotHosts = true;
-        everEjected.clear(host);
-        Arrays.fill(statusByHost, hostIds, statusByHost.length, EjectionStatus.UNKNOWN.code());
+        hasForgottenHosts = true;
+        everEjectedHosts.clear(host);
+        Arrays.fill(statusByHost, hostIdLimit, statusByHost.length, EjectionStatus.UNKNOWN.code());
         statusByHost[host] = EjectionStatus.UNKNOWN.code();
     }
 
-    /** Whether a table that holds the host must come with its restoration, since this controller once ejected it there. */
+    /**
+     * Whether a table that contains the host must be sent with a restoration of the host, because this controller ejected it at
+     * the proxy.
+     */
     boolean needsRestoration(int host) {
         EjectionStatus status = status(host);
         return status == EjectionStatus.EJECTED || status == EjectionStatus.UNCERTAIN;
@@ -73,10 +81,13 @@
 
     private void growTo(int hosts) {
         if (hosts > statusByHost.length) {
-            int known = statusByHost.length;
-            statusByHost = Arrays.copyOf(statusByHost, hosts + SPARE_HOSTS);
+            int oldLength = statusByHost.length;
+            statusByHost = Arrays.copyOf(statusByHost, hosts + SPARE_CAPACITY_HOSTS);
             Arrays.fill(
-                    statusByHost, known, statusByHost.length, defaultStatus().code());
+                    statusByHost,
+                    oldLength,
+                    statusByHost.length,
+                    defaultStatus().code());
         }
     }
 }
--- a/src/main/java/linenring/controller/EjectionStatus.java
+++ b/src/main/java/linenring/controller/EjectionStatus.java
@@ -1,14 +1,17 @@
 package linenring.controller;
 
-/** Whether a proxy has a host ejected, as far as the controller knows. Stored by its code, one byte a host and proxy. */
+/** Whether a proxy has ejected a host, as far as the controller knows. Stored as a one-byte code for each host and proxy. */
 enum EjectionStatus {
-    /** It has not. */
+    /** The proxy has not ejected the host. */
     NOT_EJECTED(0),
-    /** This controller has sent it an ejection of the host, on its present stream. */
+    /** This controller has sent the proxy an ejection of the host on the proxy's current stream. */
     EJECTED(1),
-    /** This controller sent it an ejection on an earlier stream, with which the update may have been lost. */
+    /**
+     * This controller sent the proxy an ejection of the host on an earlier stream; the update may have been lost with that
+     * stream.
+     */
     UNCERTAIN(2),
-    /** Another controller, or an earlier process of this one, may have sent it an ejection. */
+    /** Another controller, or an earlier process of this controller, may have sent the proxy an ejection of the host. */
     UNKNOWN(3);
 
     private static final EjectionStatus[] ALL_BY_CODE = {NOT_EJECTED, EJECTED, UNCERTAIN, UNKNOWN};
--- a/src/main/java/linenring/controller/FleetState.java
+++ b/src/main/java/linenring/controller/FleetState.java
@@ -12,8 +12,8 @@
 import linenring.protocol.RetryPolicyCode;
 
 /**
- * What the planner has commanded: tables, bindings, ejections, admission. Gathers the commands of one round of the control loop
- * and sends each proxy that they concern one update, at {@link #send}. Owned by the control loop's thread.
+ * The fleet's configuration as commanded by the planner: tables, bindings, ejections and admission policies. Collects the commands
+ * of one round of the control loop; {@link #send} then sends each affected proxy one update. Owned by the control loop's thread.
  */
 final class FleetState implements Commands {
     private final int operationCount;
@@ -23,53 +23,49 @@
     private final ProxySessions sessions;
     private final UpdateBuilder updateBuilder;
     private final Log log;
-    private final PriorityQueue<Double> callTimesMs = new PriorityQueue<>();
-    private int nonce = ConfigurationUpdate.WITHOUT_NONCE;
+    private final PriorityQueue<Double> requestedCallsMs = new PriorityQueue<>();
+    private int requestedNonce = ConfigurationUpdate.WITHOUT_NONCE;
 
-    FleetState(List<String> operations, int proxies, Log log) {
+    FleetState(List<String> operations, int proxyCount, Log log) {
         this.log = log;
         operationCount = operations.size();
         tables = new PublishedTables(operationCount);
-        sessions = new ProxySessions(proxies, operationCount, log);
+        sessions = new ProxySessions(proxyCount, operationCount, log);
         updateBuilder = new UpdateBuilder(operations, hostIds, tables, ejectedHosts);
     }
 
-    // ---- hosts
-
     HostIdAllocator hostIds() {
         return hostIds;
     }
 
-    /** Forgets a removed host that no table has an entry for: its id is free for another, of which nothing is known. */
-    void release(int host) {
+    /** Forgets a removed host that is in no table, and frees its id for another host. */
+    void releaseHost(int host) {
         ejectedHosts.forget(host);
-        sessions.forgetHost(host, hostIds.limit());
+        sessions.forgetHost(host, hostIds.idLimit());
         hostIds.release(host);
     }
 
-    // ---- proxies
-
-    /** Whether this is the stream that the proxy has now. */
-    boolean isCurrent(int proxy, ProxyStream stream) {
-        return sessions.get(proxy).isOn(stream);
+    /** Whether the stream is the proxy's current stream. */
+    boolean isCurrentStream(int proxy, ProxyStream stream) {
+        return sessions.get(proxy).usesStream(stream);
     }
 
-    /** Whether the proxy has a stream that was opened after this one. */
-    boolean hasNewer(int proxy, ProxyStream stream) {
-        return sessions.hasNewer(proxy, stream);
+    /** Whether the proxy's current stream was opened after the given stream. */
+    boolean hasNewerStream(int proxy, ProxyStream stream) {
+        return sessions.hasNewerStream(proxy, stream);
     }
 
-    /** The proxy whose current stream this is; empty for that of a collector and for one that has been replaced. */
-    OptionalInt proxyOf(ProxyStream stream) {
-        return sessions.find(stream);
+    /** Returns the proxy whose current stream this is, or empty for a collector's stream and for a replaced stream. */
+    OptionalInt findProxy(ProxyStream stream) {
+        return sessions.findProxy(stream);
     }
 
-    /** The proxy has subscribed on this stream; another that it had is closed. */
+    /** Makes this stream the proxy's current stream after a subscription, and closes a different previous stream. */
     void connect(int proxy, ProxyStream stream, boolean isNew) {
         sessions.connect(proxy, stream, isNew);
     }
 
-    /** The proxy's stream has ended. */
+    /** Marks the proxy as disconnected after its stream has ended. */
     void disconnect(int proxy) {
         sessions.disconnect(proxy);
     }
@@ -78,13 +74,13 @@
     public void bindProxy(int table, int mask, int proxy) {
         ProxySession session = sessions.get(proxy);
         if (!session.isConnected()) {
-            return; // it left in this round, after the planner had decided
+            return; // the proxy disconnected in this round, after the planner's decision
         }
         forEachOperation(mask, operation -> session.bind(operation, table));
         sessions.markUpdateDue(session);
     }
 
-    /** Calls for each operation in the mask; 0 stands for all of them. */
+    /** Runs the action for each operation in the mask; a mask of 0 stands for all operations. */
     private void forEachOperation(int mask, IntConsumer action) {
         for (int operation = 0; operation < operationCount; operation++) {
             if (mask == 0 || (mask >> operation & 1) != 0) {
@@ -93,28 +89,26 @@
         }
     }
 
-    // ---- tables
-
     @Override
     public void setWeight(int table, int host, double weight) {
         tables.get(table).setWeight(host, weight);
-        markUsersDue(table);
+        markTableUsersDue(table);
     }
 
     @Override
     public void clearTable(int table) {
         tables.get(table).clear();
-        markUsersDue(table);
+        markTableUsersDue(table);
     }
 
     @Override
     public void setAdmission(int table, int mask, double admissionRatio, RetryPolicy retryPolicy) {
-        AdmissionPolicy policy = new AdmissionPolicy(admissionRatio, wireCode(retryPolicy));
+        AdmissionPolicy policy = new AdmissionPolicy(admissionRatio, retryPolicyCode(retryPolicy));
         forEachOperation(mask, operation -> tables.get(table).setPolicy(operation, policy));
-        markUsersDue(table);
+        markTableUsersDue(table);
     }
 
-    private static int wireCode(RetryPolicy policy) {
+    private static int retryPolicyCode(RetryPolicy policy) {
         return switch (policy) {
             case NONE -> RetryPolicyCode.NONE;
             case ONE_IF_NOT_EXECUTED -> RetryPolicyCode.ONE_IF_NOT_EXECUTED;
@@ -123,33 +117,30 @@
         };
     }
 
-    private void markUsersDue(int table) {
-        sessions.markUpdateDue(session -> session.uses(table));
+    private void markTableUsersDue(int table) {
+        sessions.markUpdateDue(session -> session.usesTable(table));
     }
 
-    // ---- ejections
-
     @Override
     public void setEjected(int host, boolean isEjected) {
-        ejectedHosts.set(host, isEjected);
+        ejectedHosts.setEjected(host, isEjected);
         sessions.markUpdateDue(session -> session.isConnected()
                 && session.mayHoldTable(table -> tables.get(table).contains(host)));
     }
 
-    // ---- what an update would cost
-
     @Override
     public int extraEntriesOfBind(int table, int proxy) {
         EjectionRecord ejections = sessions.get(proxy).ejections();
         return (int) tables.get(table).hosts().stream()
-                .filter(host -> !ejectedHosts.contains(host) && ejections.needsRestoration(host))
+                .filter(host -> !ejectedHosts.isEjected(host) && ejections.needsRestoration(host))
                 .count();
     }
 
     @Override
     public int extraEntriesOfWeight(int host, int proxy) {
-        EjectionStatus wanted = ejectedHosts.contains(host) ? EjectionStatus.EJECTED : EjectionStatus.NOT_EJECTED;
-        return sessions.get(proxy).ejections().status(host) == wanted ? 0 : 1;
+        EjectionStatus targetStatus =
+                ejectedHosts.isEjected(host) ? EjectionStatus.EJECTED : EjectionStatus.NOT_EJECTED;
+        return sessions.get(proxy).ejections().status(host) == targetStatus ? 0 : 1;
     }
 
     @Override
@@ -158,63 +149,60 @@
         if (!sessions.isUpdateDue(session)) {
             return estimatedEntries;
         }
-        ConfigurationUpdate update = updateBuilder.build(session, nonce);
+        ConfigurationUpdate update = updateBuilder.build(session, requestedNonce);
         session.prepare(update);
         return update.entryCount();
     }
 
-    // ---- acknowledgements, calls, discovery
-
     @Override
-    public void requestAcknowledgement(int number) {
-        nonce = number;
+    public void requestAcknowledgement(int nonce) {
+        requestedNonce = nonce;
     }
 
     @Override
     public void requestCall(double atMs) {
-        callTimesMs.add(atMs);
+        requestedCallsMs.add(atMs);
     }
 
-    /** When the planner is to be called next; infinity where it has asked for no call. */
+    /** Returns the time of the planner's next requested call, or infinity if none is requested. */
     double nextCallMs() {
-        return callTimesMs.isEmpty() ? Double.POSITIVE_INFINITY : callTimesMs.peek();
+        return requestedCallsMs.isEmpty() ? Double.POSITIVE_INFINITY : requestedCallsMs.peek();
     }
 
     void removeCallsUpTo(double nowMs) {
         while (nextCallMs() <= nowMs) {
-            callTimesMs.poll();
+            requestedCallsMs.poll();
         }
     }
 
     @Override
     public void watchHostList() {
-        // discovery is watched from the start
+        // The control loop receives host lists from the start, without a request.
     }
 
-    // ---- updates
-
-    /** Sends what was commanded since the last time: one update for each proxy concerned. */
+    /** Sends each affected proxy one update with all commands since the previous call. */
     void send() {
-        sessions.updateDue().forEach(this::send);
-        sessions.markUpdated();
-        tables.markPublished(table -> sessions.stream().anyMatch(session -> session.uses(table)));
+        sessions.sessionsDue().forEach(this::send);
+        sessions.markAllUpdated();
+        tables.markPublished(table -> sessions.stream().anyMatch(session -> session.usesTable(table)));
         ejectedHosts.markPublished();
-        nonce = ConfigurationUpdate.WITHOUT_NONCE;
+        requestedNonce = ConfigurationUpdate.WITHOUT_NONCE;
     }
 
     /**
-     * A fault that keeps an update from one proxy must not keep it from the others. Its stream is closed: the proxy subscribes
-     * again and gets its table in full, so that what it missed does no harm.
+     * Sends one proxy its update. A fault must not withhold updates from other proxies, so it is logged and the proxy's stream is
+     * closed; the proxy then subscribes again and receives its complete table, which makes up for the missed update.
      */
     private void send(ProxySession session) {
         try {
-            session.send(session.preparedUpdate().orElseGet(() -> updateBuilder.build(session, nonce)));
+            session.send(session.preparedUpdate().orElseGet(() -> updateBuilder.build(session, requestedNonce)));
         } catch (RuntimeException failure) {
             log.error(
                     "fault",
                     "update for proxy " + session.id() + " failed: " + failure
-                            + "; stream closed, the proxy will reconnect");
-            sessions.close(session.stream(), "can't be written to");
+                            + "; closing its stream so that the proxy reconnects and receives its complete table");
+            sessions.close(
+                    session.stream(), "update could not be sent; closing the stream so that the proxy reconnects");
         }
     }
 }
--- a/src/main/java/linenring/controller/HostIdAllocator.java
+++ b/src/main/java/linenring/controller/HostIdAllocator.java
@@ -10,87 +10,87 @@
 import java.util.TreeSet;
 
 /**
- * Gives the hosts of the catalogue small numbers as ids. A removed host keeps its id while at most as many removed as listed hosts
- * have one, so that a host that returns soon is known by it; then the id is free for another host. Without this limit ids, and all
- * that is kept by id, would grow with every host that ever was. Owned by the control loop's thread.
+ * Assigns small integer ids to the hosts of the catalogue. A removed host keeps its id while there are no more removed than listed
+ * hosts, so that a host that returns soon is recognised. Beyond that limit, ids of removed hosts are reused; otherwise the ids and
+ * all state stored by id would grow with every host that was ever listed. Owned by the control loop's thread.
  */
 final class HostIdAllocator {
-    /** The number of removed hosts that keep their ids at least, in a small fleet too. */
-    private static final int MIN_RETAINED = 1024;
+    /** Number of removed hosts that keep their ids even if fewer hosts are listed. */
+    private static final int MIN_RETAINED_HOSTS = 1024;
 
-    private final Map<String, Integer> ids = new HashMap<>();
-    private final List<String> names = new ArrayList<>(); // by id; null where the id is free
-    private final TreeSet<Integer> free = new TreeSet<>();
-    private final BitSet listed = new BitSet();
-    private final BitSet namedInList = new BitSet(); // by the list that is being applied
-    private final LinkedHashSet<Integer> removed = new LinkedHashSet<>(); // the longest removed first
+    private final Map<String, Integer> idsByName = new HashMap<>();
+    private final List<String> namesById = new ArrayList<>(); // host name by id; null for a free id
+    private final TreeSet<Integer> freeIds = new TreeSet<>();
+    private final BitSet listedIds = new BitSet();
+    private final BitSet idsInCurrentList = new BitSet(); // ids of the hosts in the list that is being applied
+    private final LinkedHashSet<Integer> removedIds = new LinkedHashSet<>(); // in order of removal, oldest first
 
-    /** The id of a host; one that has none gets the lowest that is free. */
+    /** Returns the id of a host, and assigns the lowest free id to a host without one. */
     int assign(String host) {
-        return ids.computeIfAbsent(host, this::nextId);
+        return idsByName.computeIfAbsent(host, this::nextId);
     }
 
     private int nextId(String host) {
-        Integer id = free.pollFirst();
+        Integer id = freeIds.pollFirst();
         if (id != null) {
-            names.set(id, host);
+            namesById.set(id, host);
             return id;
         }
-        names.add(host);
-        return names.size() - 1;
+        namesById.add(host);
+        return namesById.size() - 1;
     }
 
-    /** The id of a host, if it has one. */
-    OptionalInt find(String host) {
-        Integer id = ids.get(host);
+    /** Returns the id of a host, or empty if the host has none. */
+    OptionalInt findId(String host) {
+        Integer id = idsByName.get(host);
         return id == null ? OptionalInt.empty() : OptionalInt.of(id);
     }
 
     String name(int id) {
-        return names.get(id);
+        return namesById.get(id);
     }
 
-    /** All ids are below this number. */
-    int limit() {
-        return names.size();
+    /** Returns the upper bound of all host ids, exclusive. */
+    int idLimit() {
+        return namesById.size();
     }
 
     void beginList() {
-        namedInList.clear();
+        idsInCurrentList.clear();
     }
 
     void markListed(int id) {
-        namedInList.set(id);
-        listed.set(id);
-        removed.remove(id);
+        idsInCurrentList.set(id);
+        listedIds.set(id);
+        removedIds.remove(id);
     }
 
     void markRemoved(int id) {
-        listed.clear(id);
-        removed.add(id);
+        listedIds.clear(id);
+        removedIds.add(id);
     }
 
-    /** The list named every host that there is: others are removed. */
+    /** Ends a complete list: marks all listed hosts that are missing from it as removed. */
     void endCompleteList() {
-        BitSet unnamed = (BitSet) listed.clone();
-        unnamed.andNot(namedInList);
-        unnamed.stream().forEach(this::markRemoved);
+        BitSet unnamedIds = (BitSet) listedIds.clone();
+        unnamedIds.andNot(idsInCurrentList);
+        unnamedIds.stream().forEach(this::markRemoved);
     }
 
-    /** How many removed hosts keep their ids beyond the limit. */
-    int surplus() {
-        return Math.max(0, removed.size() - Math.max(MIN_RETAINED, listed.cardinality()));
+    /** Returns the number of removed hosts that still have ids and exceed the limit. */
+    int countRemovedBeyondLimit() {
+        return Math.max(0, removedIds.size() - Math.max(MIN_RETAINED_HOSTS, listedIds.cardinality()));
     }
 
-    /** The removed hosts, the longest removed first. */
-    List<Integer> removed() {
-        return List.copyOf(removed);
+    /** Returns the ids of removed hosts in order of removal, oldest first. */
+    List<Integer> removedIds() {
+        return List.copyOf(removedIds);
     }
 
     /** Frees the id of a removed host. */
     void release(int id) {
-        removed.remove(id);
-        ids.remove(names.set(id, null));
-        free.add(id);
+        removedIds.remove(id);
+        idsByName.remove(namesById.set(id, null));
+        freeIds.add(id);
     }
 }
--- a/src/main/java/linenring/controller/ProxySession.java
+++ b/src/main/java/linenring/controller/ProxySession.java
@@ -7,21 +7,21 @@
 import linenring.event.ProxyStream;
 import linenring.protocol.ConfigurationUpdate;
 
-/** One proxy: its stream, the tables that it is bound to, and its ejections. Owned by the control loop's thread. */
+/** The session of one proxy: its stream, the tables it is bound to, and its ejections. Owned by the control loop's thread. */
 final class ProxySession {
-    /** Stands for the table that the proxy holds from before it subscribed; any host may be in it. */
+    /** Stands for a table that the proxy already held when it subscribed. This table may contain any host. */
     static final int INHERITED_TABLE = -1;
 
     private final int id;
     private final int[] tableByOperation;
     private final BitSet newlyBoundOperations = new BitSet();
     private final EjectionRecord ejections = new EjectionRecord();
-    private ProxyStream stream; // null while it is disconnected
-    private ConfigurationUpdate preparedUpdate; // null until it is built
+    private ProxyStream stream; // null while the proxy is disconnected
+    private ConfigurationUpdate preparedUpdate; // null until an update is prepared
 
-    ProxySession(int id, int operations) {
+    ProxySession(int id, int operationCount) {
         this.id = id;
-        tableByOperation = new int[operations];
+        tableByOperation = new int[operationCount];
         Arrays.fill(tableByOperation, INHERITED_TABLE);
     }
 
@@ -33,28 +33,28 @@
         return ejections;
     }
 
-    // ---- the stream
-
     boolean isConnected() {
         return stream != null;
     }
 
-    boolean isOn(ProxyStream other) {
+    boolean usesStream(ProxyStream other) {
         return stream == other;
     }
 
-    /** Its stream, or null while it is disconnected. */
+    /** Returns the proxy's stream, or null while the proxy is disconnected. */
     ProxyStream stream() {
         return stream;
     }
 
-    /** The proxy has subscribed on this stream, which may be the one that it had. */
-    void connect(ProxyStream newStream, boolean isNew, ProxyStream previous) {
+    /** Starts a session on the stream of a new subscription, which may be the previous stream. */
+    void connect(ProxyStream newStream, boolean isNew, ProxyStream previousStream) {
         stream = newStream;
-        ejections.restart(isNew, previous == newStream);
+        ejections.resetForSubscription(isNew, previousStream == newStream);
     }
 
-    /** Its stream has ended: it is bound to none of this controller's tables, and what was prepared for it is dropped. */
+    /**
+     * Ends the session with its stream: unbinds the proxy from all tables of this controller and discards its prepared update.
+     */
     void disconnect() {
         stream = null;
         preparedUpdate = null;
@@ -62,28 +62,26 @@
         newlyBoundOperations.clear();
     }
 
-    // ---- its tables
-
     void bind(int operation, int table) {
         tableByOperation[operation] = table;
         newlyBoundOperations.set(operation);
     }
 
-    /** The table of an operation, or {@link #INHERITED_TABLE}. */
+    /** Returns the number of the table bound to an operation, or {@link #INHERITED_TABLE}. */
     int table(int operation) {
         return tableByOperation[operation];
     }
 
-    /** Whether the operation was bound since the last update, so that its table must be sent in full. */
+    /** Whether the operation was bound to its table since the last update, so that the complete table must be sent. */
     boolean isNewlyBound(int operation) {
         return newlyBoundOperations.get(operation);
     }
 
-    boolean uses(int table) {
+    boolean usesTable(int table) {
         return isConnected() && Arrays.stream(tableByOperation).anyMatch(bound -> bound == table);
     }
 
-    /** Whether a table that it holds passes the test, or one does that this controller does not know. */
+    /** Whether any of the proxy's tables passes the test. An inherited table passes, as its contents are unknown. */
     boolean mayHoldTable(IntPredicate test) {
         return Arrays.stream(tableByOperation).anyMatch(table -> table == INHERITED_TABLE || test.test(table));
     }
@@ -92,8 +90,6 @@
         newlyBoundOperations.clear();
     }
 
-    // ---- its next update
-
     void prepare(ConfigurationUpdate update) {
         preparedUpdate = update;
     }
--- a/src/main/java/linenring/controller/ProxySessions.java
+++ b/src/main/java/linenring/controller/ProxySessions.java
@@ -11,18 +11,20 @@
 import linenring.log.Log;
 
 /**
- * The sessions of all proxies by their ids, and those for which an update is due. A proxy that dials again before the end of its
- * old stream is seen has two streams for a while: the one that was opened later counts. Owned by the control loop's thread.
+ * The sessions of all proxies by proxy id, and the sessions that are due an update. A proxy that reconnects before the controller
+ * sees the end of its old stream has two open streams; the stream that was opened later is its current one. Owned by the control
+ * loop's thread.
  */
 final class ProxySessions {
     private final List<ProxySession> sessions = new ArrayList<>();
-    private final Set<ProxySession> updateDue = new LinkedHashSet<>(); // in the order in which the planner named them
+    private final Set<ProxySession> sessionsDue =
+            new LinkedHashSet<>(); // sessions in the order of the planner's commands
     private final Log log;
 
-    ProxySessions(int proxies, int operations, Log log) {
+    ProxySessions(int proxyCount, int operationCount, Log log) {
         this.log = log;
-        for (int id = 0; id < proxies; id++) {
-            sessions.add(new ProxySession(id, operations));
+        for (int id = 0; id < proxyCount; id++) {
+            sessions.add(new ProxySession(id, operationCount));
         }
     }
 
@@ -34,72 +36,68 @@
         return sessions.stream();
     }
 
-    // ---- streams
-
-    /** Whether the proxy has a stream that was opened after this one. */
-    boolean hasNewer(int proxy, ProxyStream stream) {
+    /** Whether the proxy's current stream was opened after the given stream. */
+    boolean hasNewerStream(int proxy, ProxyStream stream) {
         ProxyStream current = get(proxy).stream();
         return current != null && current.number() > stream.number();
     }
 
-    /** The proxy whose current stream this is; empty for that of a collector and for one that has been replaced. */
-    OptionalInt find(ProxyStream stream) {
+    /** Returns the proxy whose current stream this is, or empty for a collector's stream and for a replaced stream. */
+    OptionalInt findProxy(ProxyStream stream) {
         return sessions.stream()
-                .filter(session -> stream != null && session.isOn(stream))
+                .filter(session -> stream != null && session.usesStream(stream))
                 .mapToInt(ProxySession::id)
                 .findFirst();
     }
 
-    /** The proxy has subscribed on this stream; another that it had is closed. */
+    /** Makes this stream the proxy's current stream after a subscription, and closes a different previous stream. */
     void connect(int proxy, ProxyStream stream, boolean isNew) {
-        ProxyStream previous = get(proxy).stream();
+        ProxyStream previousStream = get(proxy).stream();
         disconnect(proxy);
-        get(proxy).connect(stream, isNew, previous);
-        if (previous != null && previous != stream) {
-            close(previous, "has a newer stream");
+        get(proxy).connect(stream, isNew, previousStream);
+        if (previousStream != null && previousStream != stream) {
+            close(previousStream, "replaced by a newer stream of the same proxy");
         }
     }
 
     void disconnect(int proxy) {
         get(proxy).disconnect();
-        updateDue.remove(get(proxy));
+        sessionsDue.remove(get(proxy));
     }
 
-    /** Closes a stream; a failure to do so must not keep the loop from serving the others. */
+    /** Closes a stream and logs a failure to close it, so that the control loop continues to serve other proxies. */
     void close(ProxyStream stream, String reason) {
         try {
             stream.close(reason);
         } catch (RuntimeException failure) {
-            log.error("fault", "a stream can't be closed: " + failure);
+            log.error("fault", "closing the stream of a proxy failed: " + failure);
         }
     }
 
-    // ---- updates
-
     void markUpdateDue(ProxySession session) {
-        updateDue.add(session);
+        sessionsDue.add(session);
     }
 
-    void markUpdateDue(Predicate<ProxySession> isConcerned) {
-        sessions.stream().filter(isConcerned).forEach(updateDue::add);
+    void markUpdateDue(Predicate<ProxySession> isAffected) {
+        sessions.stream().filter(isAffected).forEach(sessionsDue::add);
     }
 
     boolean isUpdateDue(ProxySession session) {
-        return updateDue.contains(session);
+        return sessionsDue.contains(session);
     }
 
-    /** Those for which an update is due, in the order in which the planner named them. */
-    List<ProxySession> updateDue() {
-        return List.copyOf(updateDue);
+    /** Returns the sessions that are due an update, in the order of the planner's commands. */
+    List<ProxySession> sessionsDue() {
+        return List.copyOf(sessionsDue);
     }
 
-    void markUpdated() {
+    void markAllUpdated() {
         sessions.forEach(ProxySession::clearNewlyBound);
-        updateDue.clear();
+        sessionsDue.clear();
     }
 
-    /** Forgets a removed host, whose id may become another's. */
-    void forgetHost(int host, int hostIds) {
-        sessions.forEach(session -> session.ejections().forget(host, hostIds));
+    /** Forgets a removed host in the ejection records of all proxies, because its id may be reused. */
+    void forgetHost(int host, int hostIdLimit) {
+        sessions.forEach(session -> session.ejections().forget(host, hostIdLimit));
     }
 }
--- a/src/main/java/linenring/controller/PublishedTable.java
+++ b/src/main/java/linenring/controller/PublishedTable.java
@@ -10,12 +10,12 @@
 import linenring.protocol.ConfigurationUpdate.AdmissionPolicy;
 
 /**
- * One endpoint table that proxies share: its entries and admission policies, and what of them has changed since they were last
- * published. Owned by the control loop's thread.
+ * One endpoint table shared by proxies: its entries, its admission policies, and their changes since the table was last published.
+ * Owned by the control loop's thread.
  */
 final class PublishedTable {
-    private final TreeMap<Integer, Double> weights = new TreeMap<>(); // by host id
-    private final AdmissionPolicy[] policies; // by operation; null where none is set
+    private final TreeMap<Integer, Double> weights = new TreeMap<>(); // weight by host id
+    private final AdmissionPolicy[] policies; // policy by operation; null if not set
     private final Set<Integer> changedHosts = new TreeSet<>();
     private final BitSet changedPolicies = new BitSet();
     private boolean isCleared;
@@ -24,9 +24,7 @@
         policies = new AdmissionPolicy[operations];
     }
 
-    // ---- changes
-
-    /** Sets the weight of a host; 0 removes its entry. */
+    /** Sets the weight of a host; a weight of 0 removes the host's entry. */
     void setWeight(int host, double weight) {
         if (weight > 0) {
             weights.put(host, weight);
@@ -41,23 +39,21 @@
         changedPolicies.set(operation);
     }
 
-    /** Removes all entries and policies; the table is to be sent in full. */
+    /** Removes all entries and policies, and marks the complete table as due to be sent. */
     void clear() {
         weights.clear();
         Arrays.fill(policies, null);
         isCleared = true;
     }
 
-    /** All proxies that use it have been sent what had changed. */
+    /** Discards the record of changes after they were sent to all proxies that use the table. */
     void markPublished() {
         changedHosts.clear();
         changedPolicies.clear();
         isCleared = false;
     }
 
-    // ---- what it holds
-
-    /** The ids of its hosts, in ascending order. */
+    /** Returns the ids of the hosts in the table, in ascending order. */
     Set<Integer> hosts() {
         return Collections.unmodifiableSet(weights.keySet());
     }
@@ -66,29 +62,27 @@
         return weights.containsKey(host);
     }
 
-    /** The weight of a host; 0 where it has no entry. */
+    /** Returns the weight of a host, or 0 if the table has no entry for the host. */
     double weight(int host) {
         return weights.getOrDefault(host, 0.0);
     }
 
-    /** The admission policy of an operation; null where none is set. */
+    /** Returns the admission policy of an operation, or null if none is set. */
     AdmissionPolicy policy(int operation) {
         return policies[operation];
     }
 
-    /** Whether nothing is set in it. */
+    /** Whether the table has neither entries nor policies. */
     boolean isEmpty() {
         return weights.isEmpty() && Arrays.stream(policies).allMatch(Objects::isNull);
     }
 
-    // ---- what has changed since it was last published
-
     Set<Integer> changedHosts() {
         return Collections.unmodifiableSet(changedHosts);
     }
 
-    /** Whether proxies that use it hold the host, or do once they have applied what has changed. */
-    boolean mayBeHeld(int host) {
+    /** Whether a proxy that uses the table may have the host in its copy, before or after it applies the recorded changes. */
+    boolean mayBeHeldByProxy(int host) {
         return contains(host) || changedHosts.contains(host);
     }
 
--- a/src/main/java/linenring/controller/PublishedTables.java
+++ b/src/main/java/linenring/controller/PublishedTables.java
@@ -4,30 +4,32 @@
 import java.util.function.IntPredicate;
 import java.util.stream.IntStream;
 
-/** The shared tables by their numbers. Owned by the control loop's thread. */
+/** The shared endpoint tables by table number. Owned by the control loop's thread. */
 final class PublishedTables {
-    private final int operations;
+    private final int operationCount;
     private final TreeMap<Integer, PublishedTable> tables = new TreeMap<>();
 
-    PublishedTables(int operations) {
-        this.operations = operations;
+    PublishedTables(int operationCount) {
+        this.operationCount = operationCount;
     }
 
-    /** The table with this number; it is created when it is first named. */
+    /** Returns the table with this number, and creates it on first use. */
     PublishedTable get(int number) {
-        return tables.computeIfAbsent(number, ignored -> new PublishedTable(operations));
+        return tables.computeIfAbsent(number, ignored -> new PublishedTable(operationCount));
     }
 
-    /** The hosts of all tables whose numbers pass the test, each once, by table and id. */
-    IntStream hostsOf(IntPredicate isMeant) {
+    /** Returns the distinct hosts of all tables whose numbers pass the test, in order of table number and host id. */
+    IntStream distinctHosts(IntPredicate isSelected) {
         return tables.entrySet().stream()
-                .filter(entry -> isMeant.test(entry.getKey()))
+                .filter(entry -> isSelected.test(entry.getKey()))
                 .flatMap(entry -> entry.getValue().hosts().stream())
                 .distinct()
                 .mapToInt(Integer::intValue);
     }
 
-    /** All changes have been sent; empty tables that nobody uses are dropped, or each number ever used would keep one. */
+    /**
+     * Marks all changes as sent, and drops empty unused tables; otherwise memory would grow with every table number ever used.
+     */
     void markPublished(IntPredicate isUsed) {
         tables.values().forEach(PublishedTable::markPublished);
         tables.entrySet().removeIf(entry -> entry.getValue().isEmpty() && !isUsed.test(entry.getKey()));
--- a/src/main/java/linenring/controller/UpdateBuilder.java
+++ b/src/main/java/linenring/controller/UpdateBuilder.java
@@ -14,12 +14,13 @@
 import linenring.protocol.ConfigurationUpdate.TableEntry;
 
 /**
- * Builds the update that brings one proxy to what the planner has commanded, and records the ejections and restorations that it
- * carries. An update that was built must be sent, or the proxy's stream closed. Owned by the control loop's thread.
+ * Builds the update that brings one proxy to the configuration commanded by the planner, and records the ejections and
+ * restorations in the update as sent. The caller must therefore send each update it builds, or close the proxy's stream. Owned by
+ * the control loop's thread.
  */
 final class UpdateBuilder {
-    /** At some 40 bytes an entry a part has under half a MiB, which proxies read as one line. */
-    private static final int MAX_ENTRIES_OF_PART = 10_000;
+    /** At about 40 bytes for each entry, a part stays below half a MiB; proxies read a part as one line. */
+    private static final int MAX_ENTRIES_PER_PART = 10_000;
 
     private final List<String> operations;
     private final HostIdAllocator hostIds;
@@ -34,10 +35,10 @@
     }
 
     /**
-     * Operations that one table serves alike.
+     * Operations that are bound to the same table and need the same kind of update, complete or incremental.
      *
-     * @param table null for the one that the proxy holds from before it subscribed
-     * @param isReplaced the table is to be sent in full, as it is new to the proxy or was cleared
+     * @param table the table, or null for a table that the proxy already held when it subscribed
+     * @param isReplaced whether the complete table must be sent, because it is new to the proxy or was cleared
      */
     private record OperationGroup(PublishedTable table, boolean isReplaced, BitSet operations) {
         Set<Integer> hostsToSend() {
@@ -47,7 +48,7 @@
             return isReplaced ? table.hosts() : table.changedHosts();
         }
 
-        /** The policies to send, with the operations that each is for. */
+        /** Returns the admission policies to send, each with its operations. */
         Map<AdmissionPolicy, BitSet> policiesToSend() {
             Map<AdmissionPolicy, BitSet> byPolicy = new LinkedHashMap<>();
             operations.stream()
@@ -60,137 +61,146 @@
         }
     }
 
-    /** The update of all that concerns this proxy and has changed since the last one. */
+    /** Builds an update with all changes that affect this proxy since its last update. */
     ConfigurationUpdate build(ProxySession session, int nonce) {
         List<Part> parts = new ArrayList<>();
-        List<OperationGroup> groups = groups(session);
+        List<OperationGroup> groups = groupOperations(session);
         int unusedPolicyEntries = 0;
         for (OperationGroup group : groups) {
             int policies = addTableParts(parts, group);
             unusedPolicyEntries += group.isReplaced() ? group.operations().cardinality() - policies : 0;
         }
         BitSet hosts = hostsToCheck(session, groups);
-        List<String> ejected = record(session, hosts.stream().filter(ejectedHosts::contains), EjectionStatus.EJECTED);
-        List<String> restored = record(session, hosts.stream().filter(this::isAdmitted), EjectionStatus.NOT_EJECTED);
+        List<String> ejected =
+                recordStatus(session, hosts.stream().filter(ejectedHosts::isEjected), EjectionStatus.EJECTED);
+        List<String> restored =
+                recordStatus(session, hosts.stream().filter(this::isNotEjected), EjectionStatus.NOT_EJECTED);
         boolean replacesTable = groups.stream().anyMatch(OperationGroup::isReplaced);
-        // One restoration beyond what the planner counts is no burden, but for drains, which may have just enough room.
-        int oneBesideChanges = parts.isEmpty() || !ejected.isEmpty() ? 0 : 1;
-        int spareEntries = replacesTable ? unusedPolicyEntries : oneBesideChanges;
-        restored.addAll(record(session, unknownHosts(session).limit(spareEntries), EjectionStatus.NOT_EJECTED));
+        // An update with changes may carry one restoration that the planner has not counted, as one entry costs little.
+        // An update
+        // with
+        // ejections carries none, since a drain may have just enough room in the channel.
+        int uncountedRestorations = parts.isEmpty() || !ejected.isEmpty() ? 0 : 1;
+        int spareEntries = replacesTable ? unusedPolicyEntries : uncountedRestorations;
+        restored.addAll(
+                recordStatus(session, hostsOfUnknownStatus(session).limit(spareEntries), EjectionStatus.NOT_EJECTED));
         addToLastPart(parts, ejected, restored, nonce);
         return new ConfigurationUpdate(parts);
     }
 
-    private boolean isAdmitted(int host) {
-        return !ejectedHosts.contains(host);
+    private boolean isNotEjected(int host) {
+        return !ejectedHosts.isEjected(host);
     }
 
-    /** The operations by the table that they are bound to, and by whether it is to be sent in full. */
-    private List<OperationGroup> groups(ProxySession session) {
+    /** Groups the operations by their table and by whether the complete table must be sent. */
+    private List<OperationGroup> groupOperations(ProxySession session) {
         List<OperationGroup> groups = new ArrayList<>();
-        BitSet open = new BitSet();
-        open.set(0, operations.size());
-        while (!open.isEmpty()) {
-            int first = open.nextSetBit(0);
+        BitSet ungrouped = new BitSet();
+        ungrouped.set(0, operations.size());
+        while (!ungrouped.isEmpty()) {
+            int first = ungrouped.nextSetBit(0);
             int number = session.table(first);
             PublishedTable table = number == ProxySession.INHERITED_TABLE ? null : tables.get(number);
             IntPredicate isReplaced =
                     operation -> table != null && (session.isNewlyBound(operation) || table.isCleared());
             boolean firstIsReplaced = isReplaced.test(first);
-            BitSet alike = new BitSet();
-            open.stream()
+            BitSet groupMembers = new BitSet();
+            ungrouped.stream()
                     .filter(operation ->
                             session.table(operation) == number && isReplaced.test(operation) == firstIsReplaced)
-                    .forEach(alike::set);
-            open.andNot(alike);
-            groups.add(new OperationGroup(table, firstIsReplaced, alike));
+                    .forEach(groupMembers::set);
+            ungrouped.andNot(groupMembers);
+            groups.add(new OperationGroup(table, firstIsReplaced, groupMembers));
         }
         return groups;
     }
 
-    // ---- entries and policies
-
-    /** Adds the parts for one table; returns how many policies they have. */
+    /** Adds the parts of an update that concern one table; returns the number of admission policies in these parts. */
     private int addTableParts(List<Part> parts, OperationGroup group) {
         List<TableEntry> entries = group.hostsToSend().stream()
                 .map(host -> new TableEntry(hostIds.name(host), group.table().weight(host)))
                 .toList();
         Map<AdmissionPolicy, BitSet> policies = group.policiesToSend();
-        AdmissionPolicy common = commonPolicy(policies, group.operations());
-        if (group.isReplaced() || !entries.isEmpty() || common != null) {
-            addEntryParts(parts, group, entries, common);
+        AdmissionPolicy commonPolicy = commonPolicy(policies, group.operations());
+        if (group.isReplaced() || !entries.isEmpty() || commonPolicy != null) {
+            addEntryParts(parts, group, entries, commonPolicy);
         }
-        if (common == null) {
-            policies.forEach((policy, mask) -> parts.add(part(names(mask), false, List.of(), policy)));
+        if (commonPolicy == null) {
+            policies.forEach(
+                    (policy, mask) -> parts.add(partWithoutEjections(operationNames(mask), false, List.of(), policy)));
         }
         return policies.size();
     }
 
-    /** The policy of all these operations, or null where they differ or not all of them change. */
-    private static AdmissionPolicy commonPolicy(Map<AdmissionPolicy, BitSet> policies, BitSet all) {
+    /**
+     * Returns the one policy to send for a group of operations, or null if their policies differ or some of them are not due.
+     */
+    private static AdmissionPolicy commonPolicy(Map<AdmissionPolicy, BitSet> policies, BitSet operations) {
         if (policies.size() != 1) {
             return null;
         }
-        Map.Entry<AdmissionPolicy, BitSet> only = policies.entrySet().iterator().next();
-        return only.getValue().equals(all) ? only.getKey() : null;
+        Map.Entry<AdmissionPolicy, BitSet> onlyPolicy =
+                policies.entrySet().iterator().next();
+        return onlyPolicy.getValue().equals(operations) ? onlyPolicy.getKey() : null;
     }
 
     private void addEntryParts(
             List<Part> parts, OperationGroup group, List<TableEntry> entries, AdmissionPolicy policy) {
-        List<String> names = names(group.operations());
-        int from = 0;
+        List<String> names = operationNames(group.operations());
+        int start = 0;
         do {
-            boolean isFirst = from == 0;
-            int end = Math.min(entries.size(), from + MAX_ENTRIES_OF_PART);
-            parts.add(part(names, isFirst && group.isReplaced(), entries.subList(from, end), isFirst ? policy : null));
-            from = end;
-        } while (from < entries.size());
+            boolean isFirst = start == 0;
+            int end = Math.min(entries.size(), start + MAX_ENTRIES_PER_PART);
+            parts.add(partWithoutEjections(
+                    names, isFirst && group.isReplaced(), entries.subList(start, end), isFirst ? policy : null));
+            start = end;
+        } while (start < entries.size());
     }
 
-    private static Part part(
+    private static Part partWithoutEjections(
             List<String> operations, boolean replacesTable, List<TableEntry> entries, AdmissionPolicy policy) {
         return new Part(
                 operations, replacesTable, entries, policy, List.of(), List.of(), ConfigurationUpdate.WITHOUT_NONCE);
     }
 
-    private List<String> names(BitSet mask) {
+    private List<String> operationNames(BitSet mask) {
         boolean isAll = mask.cardinality() == operations.size();
         return isAll ? List.of() : mask.stream().mapToObj(operations::get).toList();
     }
 
-    // ---- ejections
-
-    /** The hosts whose ejection or restoration the proxy may have to learn of now. */
+    /** Returns the hosts whose ejection or restoration may have to be in this update. */
     private BitSet hostsToCheck(ProxySession session, List<OperationGroup> groups) {
         BitSet hosts = new BitSet();
         for (OperationGroup group : groups) {
             group.hostsToSend().stream()
                     .filter(group.table() == null ? host -> false : group.table()::contains)
-                    .filter(host -> !group.isReplaced() || ejectedHosts.contains(host) || !isUnknown(session, host))
+                    .filter(host ->
+                            !group.isReplaced() || ejectedHosts.isEjected(host) || !isStatusUnknown(session, host))
                     .forEach(hosts::set);
         }
         ejectedHosts
-                .changed()
-                .filter(host -> isAdmitted(host) || mayHold(session, host))
+                .changedHosts()
+                .filter(host -> isNotEjected(host) || mayHoldHost(session, host))
                 .forEach(hosts::set);
         return hosts;
     }
 
-    private boolean mayHold(ProxySession session, int host) {
-        return session.mayHoldTable(table -> tables.get(table).mayBeHeld(host));
+    private boolean mayHoldHost(ProxySession session, int host) {
+        return session.mayHoldTable(table -> tables.get(table).mayBeHeldByProxy(host));
     }
 
-    private static boolean isUnknown(ProxySession session, int host) {
+    private static boolean isStatusUnknown(ProxySession session, int host) {
         return session.ejections().status(host) == EjectionStatus.UNKNOWN;
     }
 
-    /** The hosts in the proxy's tables that others may have ejected there. */
-    private IntStream unknownHosts(ProxySession session) {
-        return tables.hostsOf(session::uses).filter(host -> isAdmitted(host) && isUnknown(session, host));
+    /** Returns the hosts in the proxy's tables that another controller may have ejected at the proxy. */
+    private IntStream hostsOfUnknownStatus(ProxySession session) {
+        return tables.distinctHosts(session::usesTable)
+                .filter(host -> isNotEjected(host) && isStatusUnknown(session, host));
     }
 
-    /** The names of those hosts that the proxy is not known to have in this status already; from now on it is. */
-    private List<String> record(ProxySession session, IntStream hosts, EjectionStatus status) {
+    /** Records the status for all given hosts, and returns the names of the hosts whose recorded status has changed. */
+    private List<String> recordStatus(ProxySession session, IntStream hosts, EjectionStatus status) {
         List<String> names = new ArrayList<>();
         for (int host : hosts.toArray()) {
             if (session.ejections().status(host) != status) {
@@ -201,10 +211,21 @@
         return names;
     }
 
-    /** The last part takes ejections and the nonce: the proxy acknowledges once it has applied the parts before it too. */
+    /**
+     * Adds the ejections, restorations and nonce to the last part. A nonce in the last part makes the proxy acknowledge the
+     * update only after it has applied all parts.
+     */
     private static void addToLastPart(List<Part> parts, List<String> ejected, List<String> restored, int nonce) {
-        Part last = parts.isEmpty() ? part(List.of(), false, List.of(), null) : parts.remove(parts.size() - 1);
+        Part lastPart = parts.isEmpty()
+                ? partWithoutEjections(List.of(), false, List.of(), null)
+                : parts.remove(parts.size() - 1);
         parts.add(new Part(
-                last.operations(), last.replacesTable(), last.entries(), last.admission(), ejected, restored, nonce));
+                lastPart.operations(),
+                lastPart.replacesTable(),
+                lastPart.entries(),
+                lastPart.admission(),
+                ejected,
+                restored,
+                nonce));
     }
 }
--- a/src/main/java/linenring/controller/package-info.java
+++ b/src/main/java/linenring/controller/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The control loop. One thread, that of {@link linenring.controller.ControlLoop}, owns all state of
- * this package and of the planner: it takes events from the queue, hands them to the planner, and sends each proxy that is
- * concerned one update of what the planner has commanded. Other threads reach this state through the event queue only.
+ * The control loop with its single event queue. The thread of {@link linenring.controller.ControlLoop} owns all state of this
+ * package and of the planner. In each round it takes the queued events (subscriptions, acknowledgements, load reports, host
+ * lists), passes them to the planner, runs one reconciliation, and sends each affected proxy one update with the planner's
+ * commands. Other threads act on this state only by enqueueing events.
  */
 package linenring.controller;
--- a/src/test/java/linenring/controller/AppliedConfiguration.java
+++ b/src/test/java/linenring/controller/AppliedConfiguration.java
@@ -12,12 +12,13 @@
 import linenring.protocol.ConfigurationUpdate;
 import linenring.protocol.ConfigurationUpdate.AdmissionPolicy;
 
-/** A proxy's stream in a test: the configuration that its updates add up to, by operation. */
+/** A proxy's stream in a test. It applies each update and holds the resulting configuration by operation. */
 final class AppliedConfiguration implements ProxyStream {
     private static final List<String> OPERATIONS = List.of("lookup", "order");
 
-    private final TreeMap<String, TreeMap<String, Double>> tables = new TreeMap<>(); // weight by host, by operation
-    private final TreeMap<String, AdmissionPolicy> policies = new TreeMap<>(); // by operation
+    private final TreeMap<String, TreeMap<String, Double>> tables =
+            new TreeMap<>(); // for each operation, the weights by host
+    private final TreeMap<String, AdmissionPolicy> policies = new TreeMap<>(); // admission policy by operation
     private final TreeSet<String> ejected = new TreeSet<>();
     private final List<Integer> nonces = new ArrayList<>();
     private String closeReason;
@@ -44,16 +45,16 @@
             table.clear();
             policies.remove(operation);
         }
-        part.entries().forEach(entry -> table.put(entry.host(), rounded(entry.weight())));
+        part.entries().forEach(entry -> table.put(entry.host(), roundAsOnWire(entry.weight())));
         table.values().removeIf(weight -> weight == 0);
         if (part.admission() != null) {
-            double ratio = rounded(part.admission().admissionRatio());
+            double ratio = roundAsOnWire(part.admission().admissionRatio());
             policies.put(operation, new AdmissionPolicy(ratio, part.admission().retryPolicyCode()));
         }
     }
 
-    /** As the codec does. */
-    private static double rounded(double value) {
+    /** Rounds a value to four decimal places, as the codec does. */
+    private static double roundAsOnWire(double value) {
         return Math.round(value * 1e4) / 1e4;
     }
 
@@ -62,7 +63,7 @@
         closeReason = reason;
     }
 
-    /** The weights of an operation's table, by host. */
+    /** Returns the weights in an operation's table, by host. */
     Map<String, Double> table(String operation) {
         return Collections.unmodifiableMap(tables.get(operation));
     }
@@ -75,12 +76,15 @@
         return Collections.unmodifiableList(nonces);
     }
 
-    /** Why the controller closed the stream; null while it has not. */
+    /** Returns the reason for which the controller closed the stream, or null while the stream is open. */
     String closeReason() {
         return closeReason;
     }
 
-    /** The tables, policies and those ejections that matter, since a table holds the host; equal texts are equal configurations. */
+    /**
+     * Returns the tables, policies and ejections as text; equal texts mean equal configurations. Ejections of hosts that are in no
+     * table are left out.
+     */
     String summary() {
         return summary(tables, policies, ejected);
     }
@@ -89,8 +93,8 @@
             SortedMap<String, ? extends Map<String, Double>> tables,
             SortedMap<String, AdmissionPolicy> policies,
             Set<String> ejected) {
-        TreeSet<String> held = new TreeSet<>(ejected);
-        held.removeIf(host -> tables.values().stream().noneMatch(table -> table.containsKey(host)));
-        return tables + " " + policies + " ejected " + held;
+        TreeSet<String> ejectedInTables = new TreeSet<>(ejected);
+        ejectedInTables.removeIf(host -> tables.values().stream().noneMatch(table -> table.containsKey(host)));
+        return tables + " " + policies + " ejected " + ejectedInTables;
     }
 }
--- a/src/test/java/linenring/controller/ChannelModel.java
+++ b/src/test/java/linenring/controller/ChannelModel.java
@@ -15,23 +15,24 @@
 import linenring.protocol.ConfigurationUpdate;
 
 /**
- * The planner and the real fleet state before a channel that is modelled by itself: one message after the other at its own pace; what is
- * lost with a stream makes way for what comes later, and acknowledgements come late or never. Times are milliseconds.
+ * The planner and the fleet state with a model of the channel to the proxies. The channel sends one message after the other at a
+ * limited rate, independently of the planner. Messages that are lost with a stream make room for later ones, and acknowledgements
+ * arrive late or never. Times are milliseconds.
  */
 final class ChannelModel {
     static final double ENTRIES_PER_MS = 1.2;
     static final double TRANSIT_MS = 150;
     static final double STEP_MS = 50;
     static final int MAX_MESSAGES = 30;
-    private static final double MESSAGES_PERIOD_MS = 10_000;
-    /** A head that counts as four entries, and the nonce. */
-    private static final int HEAD_ENTRIES = 5;
+    private static final double MESSAGE_LIMIT_PERIOD_MS = 10_000;
+    /** Entries counted for each message besides its contents: four for the message overhead and one for the nonce. */
+    private static final int OVERHEAD_ENTRIES = 5;
 
     private static final int ZONES = 3;
     private static final List<String> OPERATIONS = List.of("quote", "book");
 
     /** A message in the channel. */
-    private record Message(Stream stream, double entries, double leavesAt, int nonce, double writtenAt) {
+    private record Message(ModelStream stream, double entries, double sentAtMs, int nonce, double writtenAtMs) {
         boolean isLost() {
             return !stream.isOpen;
         }
@@ -40,18 +41,20 @@
     private final FleetState fleetState;
     private final Planner planner;
     private final List<Message> queued = new ArrayList<>();
-    private final List<Message> travelling = new ArrayList<>();
-    private final ArrayDeque<Message> inOrder = new ArrayDeque<>(); // as written, from the first that has not left
-    private final List<ArrayDeque<Double>> writtenAt = new ArrayList<>(); // by proxy
-    private final List<Stream> streams = new ArrayList<>(); // by proxy; null before the first
-    private final Map<String, Double> ejectedAt = new TreeMap<>(); // by host: when the last proxy has the ejection
-    private double now = 1_000_000;
-    private double freeAt;
+    private final List<Message> inTransit = new ArrayList<>();
+    private final ArrayDeque<Message> unsentInWriteOrder = new ArrayDeque<>(); // from the oldest unsent message
+    private final List<ArrayDeque<Double>> recentWritesMs =
+            new ArrayList<>(); // write times of recent messages by proxy
+    private final List<ModelStream> streams =
+            new ArrayList<>(); // current stream by proxy; null before the first subscription
+    private final Map<String, Double> ejectedAtMs = new TreeMap<>(); // arrival of the last ejection by host
+    private double nowMs = 1_000_000;
+    private double idleFromMs;
     private double slowdown = 1;
-    private double maxQueued;
-    private double maxCounted;
-    private int maxWritten;
-    private int acknowledged;
+    private double maxQueuedEntries;
+    private double maxCountedEntries;
+    private int maxMessagesInPeriod;
+    private int acknowledgementCount;
 
     ChannelModel(int operations, double maxQueuedEntries, double graceMs, int maxMessages, int proxies) {
         Log log = new Log(new PrintStream(OutputStream.nullOutputStream()));
@@ -59,7 +62,7 @@
         planner = new Planner(settings(operations, maxQueuedEntries, graceMs, maxMessages), fleetState);
         for (int proxy = 0; proxy < proxies; proxy++) {
             streams.add(null);
-            writtenAt.add(new ArrayDeque<>());
+            recentWritesMs.add(new ArrayDeque<>());
         }
     }
 
@@ -74,7 +77,7 @@
                         4,
                         maxQueuedEntries,
                         maxMessages,
-                        MESSAGES_PERIOD_MS,
+                        MESSAGE_LIMIT_PERIOD_MS,
                         TRANSIT_MS,
                         3 * TRANSIT_MS,
                         graceMs),
@@ -86,102 +89,105 @@
                 6);
     }
 
-    /** One proxy's stream. */
-    private final class Stream implements ProxyStream {
+    /** A proxy's stream in the modelled channel. */
+    private final class ModelStream implements ProxyStream {
         private final int proxy;
         private boolean isOpen = true;
         private boolean isSilent;
 
-        private Stream(int proxy) {
+        private ModelStream(int proxy) {
             this.proxy = proxy;
         }
 
         @Override
         public void write(ConfigurationUpdate update) {
-            double entries = HEAD_ENTRIES + update.entryCount();
-            freeAt = Math.max(now, freeAt) + entries / (ENTRIES_PER_MS / slowdown);
+            double entries = OVERHEAD_ENTRIES + update.entryCount();
+            idleFromMs = Math.max(nowMs, idleFromMs) + entries / (ENTRIES_PER_MS / slowdown);
             update.parts()
-                    .forEach(part ->
-                            part.ejected().forEach(host -> ejectedAt.merge(host, freeAt + TRANSIT_MS, Math::max)));
+                    .forEach(part -> part.ejected()
+                            .forEach(host -> ejectedAtMs.merge(host, idleFromMs + TRANSIT_MS, Math::max)));
             int nonce = update.parts().get(update.parts().size() - 1).nonce();
-            Message message = new Message(this, entries, freeAt, nonce, now);
+            Message message = new Message(this, entries, idleFromMs, nonce, nowMs);
             queued.add(message);
-            inOrder.add(message);
+            unsentInWriteOrder.add(message);
             recordWrite();
         }
 
         private void recordWrite() {
-            ArrayDeque<Double> times = writtenAt.get(proxy);
-            times.removeIf(time -> time <= now - MESSAGES_PERIOD_MS);
-            times.add(now);
-            maxWritten = Math.max(maxWritten, times.size());
-            maxQueued = Math.max(
-                    maxQueued, queued.stream().mapToDouble(Message::entries).sum());
-            maxCounted = Math.max(maxCounted, countedInOrder());
+            ArrayDeque<Double> times = recentWritesMs.get(proxy);
+            times.removeIf(time -> time <= nowMs - MESSAGE_LIMIT_PERIOD_MS);
+            times.add(nowMs);
+            maxMessagesInPeriod = Math.max(maxMessagesInPeriod, times.size());
+            maxQueuedEntries = Math.max(
+                    maxQueuedEntries,
+                    queued.stream().mapToDouble(Message::entries).sum());
+            maxCountedEntries = Math.max(maxCountedEntries, countUnsentInWriteOrder());
         }
 
         @Override
         public void close(String reason) {
-            end();
+            endAndDropQueued();
         }
 
-        private void end() {
+        private void endAndDropQueued() {
             isOpen = false;
             double lost = queued.stream()
                     .filter(message -> message.stream() == this)
                     .mapToDouble(Message::entries)
                     .sum();
-            freeAt -= lost / (ENTRIES_PER_MS / slowdown);
+            idleFromMs -= lost / (ENTRIES_PER_MS / slowdown);
             queued.removeIf(message -> message.stream() == this);
         }
     }
 
-    /** The entries from the first message on that has not left; what overtakes it in the place of lost ones counts until then. */
-    private double countedInOrder() {
-        while (!inOrder.isEmpty() && (inOrder.peek().isLost() || inOrder.peek().leavesAt() <= now)) {
-            inOrder.poll();
+    /**
+     * Returns the entries written since the oldest unsent message, including messages sent before it in the place of lost ones.
+     */
+    private double countUnsentInWriteOrder() {
+        while (!unsentInWriteOrder.isEmpty()
+                && (unsentInWriteOrder.peek().isLost()
+                        || unsentInWriteOrder.peek().sentAtMs() <= nowMs)) {
+            unsentInWriteOrder.poll();
         }
-        return inOrder.stream()
+        return unsentInWriteOrder.stream()
                 .filter(message -> !message.isLost())
                 .mapToDouble(Message::entries)
                 .sum();
     }
 
-    // ---- time
-
-    double now() {
-        return now;
+    double nowMs() {
+        return nowMs;
     }
 
-    /** Time passes, and acknowledgements arrive. */
+    /** Advances the clock by one step and delivers the acknowledgements due by then. */
     void beginRound() {
-        now += STEP_MS;
-        planner.advanceClock(now);
-        deliver();
+        nowMs += STEP_MS;
+        planner.advanceClock(nowMs);
+        deliverMessages();
     }
 
-    /** The planner decides, and updates are written. */
+    /** Runs the planner's reconciliation and writes the updates. */
     void endRound() {
         planner.reconcile();
         fleetState.send();
     }
 
-    void skip(double durationMs) {
-        now += durationMs;
-        planner.advanceClock(now);
+    void advance(double durationMs) {
+        nowMs += durationMs;
+        planner.advanceClock(nowMs);
     }
 
-    private void deliver() {
-        queued.removeIf(message -> message.leavesAt() <= now && travelling.add(message));
-        List<Message> arrived = travelling.stream()
-                .filter(message -> message.leavesAt() + TRANSIT_MS <= now)
+    private void deliverMessages() {
+        queued.removeIf(message -> message.sentAtMs() <= nowMs && inTransit.add(message));
+        List<Message> arrived = inTransit.stream()
+                .filter(message -> message.sentAtMs() + TRANSIT_MS <= nowMs)
                 .toList();
-        travelling.removeAll(arrived);
+        inTransit.removeAll(arrived);
         for (Message message : arrived) {
-            Stream stream = message.stream();
-            if (stream.isOpen && !stream.isSilent && fleetState.isCurrent(stream.proxy, stream)) {
-                planner.messageAcknowledged(stream.proxy, message.nonce(), now - message.writtenAt());
-                acknowledged++;
+            ModelStream stream = message.stream();
+            if (stream.isOpen && !stream.isSilent && fleetState.isCurrentStream(stream.proxy, stream)) {
+                planner.messageAcknowledged(stream.proxy, message.nonce(), nowMs - message.writtenAtMs());
+                acknowledgementCount++;
             }
         }
     }
@@ -190,47 +196,43 @@
         slowdown = factor;
     }
 
-    // ---- proxies
-
     boolean isConnected(int proxy) {
         return streams.get(proxy) != null && streams.get(proxy).isOpen;
     }
 
-    /** The proxy subscribes on a new stream; the end of an earlier one need not have been seen. */
+    /** Subscribes the proxy on a new stream, possibly before the end of its old stream is seen. */
     void connect(int proxy, boolean isNew, double usualRequestsPerSecond) {
-        Stream stream = new Stream(proxy);
+        ModelStream stream = new ModelStream(proxy);
         streams.set(proxy, stream);
         fleetState.connect(proxy, stream, isNew);
         planner.proxyJoined(proxy, proxy % ZONES, usualRequestsPerSecond);
     }
 
-    /** All proxies from the one on up to the other. */
+    /** Subscribes the proxies with ids from {@code from}, inclusive, to {@code end}, exclusive. */
     void connectAll(int from, int end, boolean isNew) {
         IntStream.range(from, end).forEach(proxy -> connect(proxy, isNew, 1));
     }
 
     void disconnect(int proxy) {
-        streams.get(proxy).end();
+        streams.get(proxy).endAndDropQueued();
         fleetState.disconnect(proxy);
         planner.proxyDisconnected(proxy);
     }
 
-    /** A silent proxy acknowledges nothing. */
+    /** Switches a proxy between silent and responsive. A silent proxy acknowledges no message. */
     void toggleSilence(int proxy) {
         streams.get(proxy).isSilent = !streams.get(proxy).isSilent;
     }
 
-    /** The oldest message in the channel is acknowledged, with a time of the proxy's choice. */
-    void acknowledgeFirst(double elapsedMs) {
+    /** Acknowledges the oldest message in the channel with an arbitrary elapsed time. */
+    void acknowledgeOldest(double elapsedMs) {
         Message first = queued.get(0);
         planner.messageAcknowledged(first.stream().proxy, first.nonce(), elapsedMs);
     }
 
-    // ---- hosts
-
-    /** The complete list of the hosts from 0 to {@code hosts} - 1. */
-    void listAll(int hosts, double startedMs) {
-        planner.advanceClock(now);
+    /** Lists the hosts 0 to {@code hosts - 1} as the complete host list. */
+    void listHosts(int hosts, double startedMs) {
+        planner.advanceClock(nowMs);
         planner.beginHostList(true);
         IntStream.range(0, hosts).forEach(number -> ready(number, startedMs));
         planner.endHostList();
@@ -252,38 +254,36 @@
         planner.endHostList();
     }
 
-    /** Of ten requests to the host {@code failed} have failed. */
+    /** Reports ten requests to a host, of which {@code failed} have failed. */
     void report(int number, int failed, double meanLatencyMs) {
         planner.hostStatistics(number, number % ZONES, 10, failed, meanLatencyMs, 1000);
     }
 
-    // ---- what was seen
-
-    /** When the last proxy had the host's ejection; infinity where it was not sent. */
-    double ejectedAt(String host) {
-        return ejectedAt.getOrDefault(host, Double.POSITIVE_INFINITY);
+    /** Returns the time at which the host's ejection reached the last proxy, or infinity if no ejection was sent. */
+    double ejectedAtMs(String host) {
+        return ejectedAtMs.getOrDefault(host, Double.POSITIVE_INFINITY);
     }
 
-    /** The most entries that were queued at once. */
-    double maxQueued() {
-        return maxQueued;
+    /** Returns the highest number of entries queued at once. */
+    double maxQueuedEntries() {
+        return maxQueuedEntries;
     }
 
-    /** The most entries from the first message that had not left, in the order of writing. */
-    double maxCounted() {
-        return maxCounted;
+    /** Returns the highest number of entries written since the oldest unsent message. */
+    double maxCountedEntries() {
+        return maxCountedEntries;
     }
 
-    /** The most messages to one proxy in the period that the limit counts. */
-    int maxWritten() {
-        return maxWritten;
+    /** Returns the highest number of messages to one proxy within the period of the message limit. */
+    int maxMessagesInPeriod() {
+        return maxMessagesInPeriod;
     }
 
-    int acknowledged() {
-        return acknowledged;
+    int acknowledgementCount() {
+        return acknowledgementCount;
     }
 
-    int queuedMessages() {
+    int queuedMessageCount() {
         return queued.size();
     }
 }
--- a/src/test/java/linenring/controller/ColdFleetStartTest.java
+++ b/src/test/java/linenring/controller/ColdFleetStartTest.java
@@ -15,131 +15,134 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A few dozen controllers start at once before hosts that have all just started, and proxies join all of them together: every proxy
- * soon has a host to pick, and no host is sent several times what a cold one can do. Each controller decides by itself.
+ * A few dozen controllers, all hosts and all proxies start at the same time, and each controller plans independently. Every proxy
+ * must soon have a host to pick, and no host may be sent several times the capacity of a host that is still warming up.
  */
 class ColdFleetStartTest {
-    private static final double COLD_SHARE = 0.2;
-    private static final double WARM_AFTER_MS = 18_000; // as the fixture's settings say
-    private static final double PLAYED_MS = WARM_AFTER_MS + 2000;
+    private static final double COLD_CAPACITY = 0.2;
+    private static final double WARM_AFTER_MS = 18_000; // same value as in the fixture's settings
+    private static final double RUN_MS = WARM_AFTER_MS + 2000;
     private static final double JOIN_LIMIT_MS = 1000;
-    /** A cold host falls over where it is sent more than this multiple of its capacity for {@link #OVERLOAD_MS}. */
-    private static final double OVERLOAD = 4;
+    /** A warming-up host fails when it is sent more than this multiple of its capacity for {@link #MAX_OVERLOAD_MS}. */
+    private static final double OVERLOAD_FACTOR = 4;
 
-    private static final double OVERLOAD_MS = 3000;
-    /** What all proxies ask together, of what all hosts can do once they are warm. */
+    private static final double MAX_OVERLOAD_MS = 3000;
+    /** Request rate of all proxies, as a fraction of the capacity of all hosts when warm. */
     private static final double UTILISATION = 0.6;
 
     private final List<ControlLoopFixture> controllers;
-    private final int hosts;
-    private final double[] startedAt;
-    private final double[] overloadedSince;
+    private final int hostCount;
+    private final double[] startedMs;
+    private final double[] overloadedSinceMs;
 
     ColdFleetStartTest() {
         controllers = new ArrayList<>();
-        hosts = 60;
-        startedAt = new double[hosts];
-        overloadedSince = new double[hosts];
-        Arrays.fill(overloadedSince, Double.POSITIVE_INFINITY);
+        hostCount = 60;
+        startedMs = new double[hostCount];
+        overloadedSinceMs = new double[hostCount];
+        Arrays.fill(overloadedSinceMs, Double.POSITIVE_INFINITY);
     }
 
     @ParameterizedTest(name = "{0} controllers of {1} proxies each, the list known beforehand: {2}")
     @CsvSource({"36, 22, true", "36, 22, false", "24, 6, true", "5, 160, true", "5, 160, false"})
-    void leavesNoProxyWithoutAHostAndOverloadsNoColdHost(int count, int proxies, boolean known) {
-        Arrays.fill(startedAt, ControlLoopFixture.START_MS - 200);
+    void everyProxyGetsAHostAndNoColdHostIsOverloaded(int controllerCount, int proxies, boolean isListKnown) {
+        Arrays.fill(startedMs, ControlLoopFixture.START_MS - 200);
         HostList list = new HostList(
                 1,
                 true,
-                IntStream.range(0, hosts)
-                        .mapToObj(number -> host(number, State.READY, startedAt[number]))
+                IntStream.range(0, hostCount)
+                        .mapToObj(number -> host(number, State.READY, startedMs[number]))
                         .toList());
-        for (int s = 0; s < count; s++) {
-            ControlLoopFixture controller = new ControlLoopFixture(known ? list : null, proxies);
-            if (!known) {
+        for (int controllerIndex = 0; controllerIndex < controllerCount; controllerIndex++) {
+            ControlLoopFixture controller = new ControlLoopFixture(isListKnown ? list : null, proxies);
+            if (!isListKnown) {
                 controller.eventQueue().enqueueHostList(list);
             }
             controllers.add(controller.joinAll(proxies, true));
         }
-        play(PLAYED_MS);
+        advanceAndCheck(RUN_MS);
     }
 
-    /** Half of the hosts start five seconds behind the others: neither half is sent too much. */
+    /** Half of the hosts start five seconds after the others. No host of either half may be overloaded. */
     @ParameterizedTest(name = "{0} controllers of {1} proxies each")
     @CsvSource({"36, 22", "24, 6", "5, 160"})
-    void overloadsNoHostIfHalfOfThemStartLater(int count, int proxies) {
-        int first = hosts / 2;
-        Arrays.fill(startedAt, 0, first, ControlLoopFixture.START_MS - 200);
+    void noHostIsOverloadedIfHalfOfThemStartLater(int controllerCount, int proxies) {
+        int earlyHostCount = hostCount / 2;
+        Arrays.fill(startedMs, 0, earlyHostCount, ControlLoopFixture.START_MS - 200);
         HostList list = new HostList(
                 1,
                 true,
-                IntStream.range(0, first)
-                        .mapToObj(number -> host(number, State.READY, startedAt[number]))
+                IntStream.range(0, earlyHostCount)
+                        .mapToObj(number -> host(number, State.READY, startedMs[number]))
                         .toList());
-        for (int s = 0; s < count; s++) {
+        for (int controllerIndex = 0; controllerIndex < controllerCount; controllerIndex++) {
             controllers.add(new ControlLoopFixture(list, proxies).joinAll(proxies, true));
         }
-        Arrays.fill(startedAt, first, hosts, Double.POSITIVE_INFINITY);
-        play(5000);
-        double now = controllers.get(0).now();
-        Arrays.fill(startedAt, first, hosts, now - 200);
-        HostList later = new HostList(
+        Arrays.fill(startedMs, earlyHostCount, hostCount, Double.POSITIVE_INFINITY);
+        advanceAndCheck(5000);
+        double nowMs = controllers.get(0).nowMs();
+        Arrays.fill(startedMs, earlyHostCount, hostCount, nowMs - 200);
+        HostList lateHosts = new HostList(
                 2,
                 false,
-                IntStream.range(first, hosts)
-                        .mapToObj(number -> host(number, State.READY, startedAt[number]))
+                IntStream.range(earlyHostCount, hostCount)
+                        .mapToObj(number -> host(number, State.READY, startedMs[number]))
                         .toList());
-        controllers.forEach(controller -> controller.eventQueue().enqueueHostList(later));
-        play(PLAYED_MS);
+        controllers.forEach(controller -> controller.eventQueue().enqueueHostList(lateHosts));
+        advanceAndCheck(RUN_MS);
     }
 
-    private void play(double durationMs) {
-        for (double step = 0; step < durationMs; step += STEP_MS) {
-            controllers.forEach(controller -> controller.pass(STEP_MS));
-            double now = controllers.get(0).now();
-            if (now - ControlLoopFixture.START_MS >= JOIN_LIMIT_MS) {
+    private void advanceAndCheck(double durationMs) {
+        for (double elapsedMs = 0; elapsedMs < durationMs; elapsedMs += STEP_MS) {
+            controllers.forEach(controller -> controller.advance(STEP_MS));
+            double nowMs = controllers.get(0).nowMs();
+            if (nowMs - ControlLoopFixture.START_MS >= JOIN_LIMIT_MS) {
                 for (ControlLoopFixture controller : controllers) {
                     assertFalse(
                             controller.proxies().stream()
-                                    .anyMatch(proxy -> proxy.pickable().isEmpty()),
-                            "a proxy has no host " + (now - ControlLoopFixture.START_MS) + " ms after the start");
+                                    .anyMatch(proxy -> proxy.pickableWeights().isEmpty()),
+                            "a proxy has no host to pick " + (nowMs - ControlLoopFixture.START_MS)
+                                    + " ms after the start");
                 }
             }
-            assertNoHostIsOverloaded(now);
+            assertNoHostIsOverloaded(nowMs);
         }
     }
 
-    private void assertNoHostIsOverloaded(double now) {
-        double[] load = load();
-        for (int h = 0; h < hosts; h++) {
-            double age = now - startedAt[h];
-            double capacity = Math.min(1, COLD_SHARE + (1 - COLD_SHARE) * Math.max(0, age) / WARM_AFTER_MS);
-            boolean overloaded = load[h] > OVERLOAD * capacity;
-            overloadedSince[h] = overloaded ? Math.min(overloadedSince[h], now) : Double.POSITIVE_INFINITY;
+    private void assertNoHostIsOverloaded(double nowMs) {
+        double[] load = loadByHost();
+        for (int host = 0; host < hostCount; host++) {
+            double ageMs = nowMs - startedMs[host];
+            double capacity = Math.min(1, COLD_CAPACITY + (1 - COLD_CAPACITY) * Math.max(0, ageMs) / WARM_AFTER_MS);
+            boolean isOverloaded = load[host] > OVERLOAD_FACTOR * capacity;
+            overloadedSinceMs[host] =
+                    isOverloaded ? Math.min(overloadedSinceMs[host], nowMs) : Double.POSITIVE_INFINITY;
             assertTrue(
-                    now - overloadedSince[h] < OVERLOAD_MS,
-                    "host " + h + " is sent " + load[h] / capacity + " times what it can do, "
-                            + (now - ControlLoopFixture.START_MS) + " ms after the start");
+                    nowMs - overloadedSinceMs[host] < MAX_OVERLOAD_MS,
+                    "host " + host + " is sent " + load[host] / capacity + " times its capacity, "
+                            + (nowMs - ControlLoopFixture.START_MS) + " ms after the start");
         }
     }
 
-    /** What each host is sent, in units of what a warm one can do: each proxy asks as much as any other. */
-    private double[] load() {
-        double[] load = new double[hosts];
+    /** Returns the load of each host, as a fraction of a warm host's capacity. All proxies have the same request rate. */
+    private double[] loadByHost() {
+        double[] load = new double[hostCount];
         long proxies = controllers.stream()
                 .mapToLong(controller -> controller.proxies().size())
                 .sum();
-        double each = UTILISATION
-                * Arrays.stream(startedAt)
-                        .filter(started -> started < Double.POSITIVE_INFINITY)
+        double requestsPerProxy = UTILISATION
+                * Arrays.stream(startedMs)
+                        .filter(hostStartedMs -> hostStartedMs < Double.POSITIVE_INFINITY)
                         .count()
                 / proxies;
         for (ControlLoopFixture controller : controllers) {
             for (RecordingProxy proxy : controller.proxies()) {
-                double sum = proxy.pickable().values().stream()
+                double totalWeight = proxy.pickableWeights().values().stream()
                         .mapToDouble(Double::doubleValue)
                         .sum();
-                proxy.pickable()
-                        .forEach((host, weight) -> load[Integer.parseInt(host.substring(2))] += each * weight / sum);
+                proxy.pickableWeights()
+                        .forEach((host, weight) ->
+                                load[Integer.parseInt(host.substring(2))] += requestsPerProxy * weight / totalWeight);
             }
         }
         return load;
--- a/src/test/java/linenring/controller/ControlLoopFixture.java
+++ b/src/test/java/linenring/controller/ControlLoopFixture.java
@@ -17,17 +17,17 @@
 import linenring.settings.Names;
 
 /**
- * A complete control loop (planner, fleet state, event queue) on a clock that the test advances, beside proxies that record what
- * they are sent and acknowledge each update after the channel's transit time.
+ * A complete control loop (planner, fleet state and event queue) with a clock that the test advances, and proxies that record their
+ * updates and acknowledge each update after the channel's transit time.
  */
 final class ControlLoopFixture {
     static final double START_MS = 1_700_000_000_000.0;
     static final double STEP_MS = 50;
     static final double TRANSIT_MS = 150;
     static final double GRACE_MS = 2000;
-    static final double LONG_AGO = Double.NEGATIVE_INFINITY;
-    /** The protocol's: limits of rules are longer by this on sockets. */
-    static final double SOCKET_SLACK_MS = 300;
+    static final double STARTED_LONG_AGO = Double.NEGATIVE_INFINITY;
+    /** Tolerance that the protocol grants on time limits when updates travel over sockets. */
+    static final double SOCKET_TOLERANCE_MS = 300;
 
     private static final int MAX_MESSAGES = 30;
     private static final double ENTRIES_PER_SECOND = 1200;
@@ -36,25 +36,28 @@
     private final EventQueue eventQueue = new EventQueue();
     private final List<RecordingProxy> proxies = new ArrayList<>();
     private final ControlLoop controlLoop;
-    private double now = START_MS;
+    private double nowMs = START_MS;
 
-    ControlLoopFixture(HostList known, int proxyCount) {
-        this(known, proxyCount, 22.0 * proxyCount + 1000);
+    ControlLoopFixture(HostList initialHosts, int proxyCount) {
+        this(initialHosts, proxyCount, 22.0 * proxyCount + 1000);
     }
 
-    /** With a channel in which at most {@code maxQueuedEntries} may be queued. */
-    ControlLoopFixture(HostList known, int proxyCount, double maxQueuedEntries) {
+    /** Creates a control loop whose channel may queue at most {@code maxQueuedEntries}. */
+    ControlLoopFixture(HostList initialHosts, int proxyCount, double maxQueuedEntries) {
         Names names = new Names(ZONES, List.of("m1"), List.of("lookup"), proxyCount, 4);
         controlLoop = new ControlLoop(
                 settings(maxQueuedEntries),
                 names,
-                known,
+                initialHosts,
                 eventQueue,
                 new Log(new PrintStream(OutputStream.nullOutputStream())),
                 new Clock(Instant.ofEpochMilli((long) START_MS)));
     }
 
-    /** One operation that is open to all hosts, and a channel in which at most {@code maxQueuedEntries} may be queued. */
+    /**
+     * Returns settings with one operation, which all hosts may run, and a channel that may queue at most {@code
+     * maxQueuedEntries}.
+     */
     static PlannerSettings settings(double maxQueuedEntries) {
         return new PlannerSettings(
                 List.of(new PlannerSettings.Operation(1000, 1, -1, -1, false, ZONES.size())),
@@ -80,24 +83,24 @@
         return eventQueue;
     }
 
-    /** The latest stream of each proxy, by its id. */
+    /** Returns the latest stream of each proxy, by proxy id. */
     List<RecordingProxy> proxies() {
         return Collections.unmodifiableList(proxies);
     }
 
-    double now() {
-        return now;
+    double nowMs() {
+        return nowMs;
     }
 
-    /** All proxies below this number subscribe at once. */
+    /** Subscribes the proxies with ids below {@code count} at once. */
     ControlLoopFixture joinAll(int count, boolean isNew) {
         IntStream.range(0, count).forEach(id -> join(id, isNew));
         return this;
     }
 
-    /** The proxy subscribes on a new stream; the end of an earlier one is not seen. */
+    /** Subscribes the proxy on a new stream, without an event for the end of its earlier stream. */
     RecordingProxy join(int id, boolean isNew) {
-        RecordingProxy proxy = new RecordingProxy(id, eventQueue.nextStreamNumber(), this::now);
+        RecordingProxy proxy = new RecordingProxy(id, eventQueue.nextStreamNumber(), this::nowMs);
         if (id < proxies.size()) {
             proxies.set(id, proxy);
         } else {
@@ -107,24 +110,26 @@
         return proxy;
     }
 
-    /** Lets time pass in steps; whoever is not silent acknowledges its updates. */
-    ControlLoopFixture pass(double durationMs) {
-        for (double end = now + durationMs; now < end; ) {
-            now += STEP_MS;
+    /** Advances the clock in steps; in each step all proxies that are not silent acknowledge their updates. */
+    ControlLoopFixture advance(double durationMs) {
+        for (double end = nowMs + durationMs; nowMs < end; ) {
+            nowMs += STEP_MS;
             proxies.stream().filter(proxy -> !proxy.isSilent()).forEach(this::acknowledge);
-            controlLoop.runRound(now);
+            controlLoop.runRound(nowMs);
         }
         return this;
     }
 
     private void acknowledge(RecordingProxy proxy) {
-        Optional<RecordingProxy.PendingAcknowledgement> due = proxy.takeAcknowledgement(now - TRANSIT_MS);
-        while (due.isPresent()) {
-            double elapsedMs = now - due.get().writtenAtMs();
+        Optional<RecordingProxy.PendingAcknowledgement> dueAcknowledgement =
+                proxy.pollAcknowledgement(nowMs - TRANSIT_MS);
+        while (dueAcknowledgement.isPresent()) {
+            double elapsedMs = nowMs - dueAcknowledgement.get().writtenAtMs();
             eventQueue.enqueueMessage(
                     proxy,
-                    new InboundMessage.Acknowledgement(proxy.id(), due.get().nonce(), elapsedMs));
-            due = proxy.takeAcknowledgement(now - TRANSIT_MS);
+                    new InboundMessage.Acknowledgement(
+                            proxy.id(), dueAcknowledgement.get().nonce(), elapsedMs));
+            dueAcknowledgement = proxy.pollAcknowledgement(nowMs - TRANSIT_MS);
         }
     }
 
@@ -132,8 +137,8 @@
         return controlLoop.hostIdCount();
     }
 
-    /** How the requests of one zone's proxies to a host ended within the last second. */
-    void report(int zone, String host, int requests, int failed, double meanLatencyMs) {
+    /** Reports the outcomes of requests from one zone's proxies to a host within the last second. */
+    void reportLoad(int zone, String host, int requests, int failed, double meanLatencyMs) {
         eventQueue.enqueueMessage(
                 null, new InboundMessage.LoadReport(host, zone, requests, failed, meanLatencyMs, 1000));
     }
@@ -142,13 +147,13 @@
         return new HostList.Entry("s-" + number, number % ZONES.size(), 0, state, 1, startedMs);
     }
 
-    /** Hosts 0 to {@code count - 1}, ready since long ago. */
+    /** Returns a complete list of the hosts 0 to {@code count - 1}, all of which are warm. */
     static HostList warmHosts(long version, int count) {
         return new HostList(
                 version,
                 true,
                 IntStream.range(0, count)
-                        .mapToObj(number -> host(number, State.READY, LONG_AGO))
+                        .mapToObj(number -> host(number, State.READY, STARTED_LONG_AGO))
                         .toList());
     }
 }
--- a/src/test/java/linenring/controller/ControlLoopTest.java
+++ b/src/test/java/linenring/controller/ControlLoopTest.java
@@ -24,18 +24,18 @@
     private static final double START_MS = 1_700_000_000_000.0;
 
     private final EventQueue eventQueue = new EventQueue();
-    private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream logOutput = new ByteArrayOutputStream();
     private final List<AppliedConfiguration> proxies = List.of(new AppliedConfiguration(), new AppliedConfiguration());
     private ControlLoop controlLoop;
 
-    private void start(String settingsText) {
+    private void startControlLoop(String settingsText) {
         ControllerSettings settings = new ControllerSettings(settingsText);
         controlLoop = new ControlLoop(
                 SettingsReader.read(settings),
                 SettingsReader.names(settings),
                 null,
                 eventQueue,
-                new Log(new PrintStream(logged)),
+                new Log(new PrintStream(logOutput)),
                 new Clock(Instant.ofEpochMilli((long) START_MS)));
     }
 
@@ -47,76 +47,84 @@
         return entry(number, State.READY, Double.NEGATIVE_INFINITY);
     }
 
-    /** A proxy dials again before the end of its old stream is seen. Taken as its own, that end would take its table from it. */
+    /**
+     * A proxy reconnects before the controller sees the end of its old stream. If that end were attributed to the new stream, the
+     * proxy would lose its table.
+     */
     @Test
-    void lateEndOfAReplacedStreamDisconnectsNobody() {
-        start(ControllerSettings.TEXT);
+    void lateEndOfAReplacedStreamDisconnectsNoProxy() {
+        startControlLoop(ControllerSettings.DEFAULT_TEXT);
         controlLoop.onHostList(new HostList(1, true, List.of(readyHost(0))));
-        AppliedConfiguration old = proxies.get(0);
-        AppliedConfiguration current = proxies.get(1);
-        eventQueue.enqueueMessage(old, new InboundMessage.Subscribe(0, 0, 1, true));
+        AppliedConfiguration oldStream = proxies.get(0);
+        AppliedConfiguration currentStream = proxies.get(1);
+        eventQueue.enqueueMessage(oldStream, new InboundMessage.Subscribe(0, 0, 1, true));
         controlLoop.runRound(START_MS + 10);
-        assertEquals(1, old.nonces().size());
-        eventQueue.enqueueMessage(current, new InboundMessage.Subscribe(0, 0, 1, false));
-        eventQueue.enqueueStreamClosed(old);
+        assertEquals(1, oldStream.nonces().size());
+        eventQueue.enqueueMessage(currentStream, new InboundMessage.Subscribe(0, 0, 1, false));
+        eventQueue.enqueueStreamClosed(oldStream);
         controlLoop.runRound(START_MS + 20);
-        assertTrue(old.closeReason() != null);
-        assertEquals(1, current.nonces().size()); // bound anew on its new stream
+        assertTrue(oldStream.closeReason() != null);
+        assertEquals(1, currentStream.nonces().size()); // the proxy is bound again on its new stream
         eventQueue.enqueueHostList(new HostList(2, false, List.of(readyHost(1))));
-        for (int i = 3; i < 40; i++) {
-            controlLoop.runRound(START_MS + 100 * i);
+        for (int round = 3; round < 40; round++) {
+            controlLoop.runRound(START_MS + 100 * round);
         }
-        assertTrue(current.table("order").containsKey("s-1")); // and sent changes still
-        assertFalse(old.table("order").containsKey("s-1"));
+        assertTrue(currentStream.table("order").containsKey("s-1")); // the new stream still receives changes
+        assertFalse(oldStream.table("order").containsKey("s-1"));
     }
 
     @Test
-    void reportsOnAHostThatWasNeverListedPutItInNoTable() {
-        start(ControllerSettings.TEXT);
+    void loadReportsOnAnUnlistedHostAddItToNoTable() {
+        startControlLoop(ControllerSettings.DEFAULT_TEXT);
         controlLoop.onHostList(new HostList(1, true, List.of(readyHost(0))));
         eventQueue.enqueueMessage(proxies.get(0), new InboundMessage.Subscribe(0, 0, 1, true));
-        for (int i = 1; i < 60; i++) {
+        for (int round = 1; round < 60; round++) {
             eventQueue.enqueueMessage(proxies.get(1), new InboundMessage.LoadReport("s-9", 0, 50, 50, 0, 500));
-            controlLoop.runRound(START_MS + 100 * i);
+            controlLoop.runRound(START_MS + 100 * round);
         }
         assertEquals("[s-0]", proxies.get(0).table("order").keySet().toString());
         assertTrue(proxies.get(0).ejected().isEmpty());
     }
 
-    /** A proxy that acknowledges nothing seems to fill the channel. Drains must reach the others in time all the same, and it too. */
+    /**
+     * Updates to a proxy that acknowledges nothing seem to fill the channel. Drains must nevertheless reach all proxies in time,
+     * including the silent one.
+     */
     @Test
-    void silentProxyLeavesRoomForDrainsAndGetsThemToo() {
-        start(ControllerSettings.TEXT.replace("MostWaiting=1800.0", "MostWaiting=120.0"));
+    void silentProxyLeavesRoomForDrainsAndIsSentThemToo() {
+        startControlLoop(ControllerSettings.DEFAULT_TEXT.replace("MostWaiting=1800.0", "MostWaiting=120.0"));
         HostList.Entry[] hosts = new HostList.Entry[20];
         for (int number = 0; number < hosts.length; number++) {
             hosts[number] = readyHost(number);
         }
         controlLoop.onHostList(new HostList(1, true, List.of(hosts)));
-        AppliedConfiguration silent = proxies.get(0);
-        AppliedConfiguration healthy = proxies.get(1);
-        eventQueue.enqueueMessage(silent, new InboundMessage.Subscribe(0, 0, 1, true));
-        eventQueue.enqueueMessage(healthy, new InboundMessage.Subscribe(1, 1, 1, true));
+        AppliedConfiguration silentProxy = proxies.get(0);
+        AppliedConfiguration healthyProxy = proxies.get(1);
+        eventQueue.enqueueMessage(silentProxy, new InboundMessage.Subscribe(0, 0, 1, true));
+        eventQueue.enqueueMessage(healthyProxy, new InboundMessage.Subscribe(1, 1, 1, true));
         controlLoop.runRound(START_MS + 10);
         for (int number = 0; number < 16; number++) {
             eventQueue.enqueueHostList(new HostList(2 + number, false, List.of(entry(number, State.TERMINATING, 0))));
-            for (int i = 0; i < 10; i++) {
-                controlLoop.runRound(START_MS + 6000 + 1000 * number + 100 * i);
+            for (int round = 0; round < 10; round++) {
+                controlLoop.runRound(START_MS + 6000 + 1000 * number + 100 * round);
                 eventQueue.enqueueMessage(
-                        healthy,
+                        healthyProxy,
                         new InboundMessage.Acknowledgement(
-                                1, healthy.nonces().get(healthy.nonces().size() - 1), 100));
+                                1,
+                                healthyProxy.nonces().get(healthyProxy.nonces().size() - 1),
+                                100));
             }
-            assertTrue(healthy.ejected().contains("s-" + number), "s-" + number);
+            assertTrue(healthyProxy.ejected().contains("s-" + number), "s-" + number);
         }
-        assertEquals(healthy.ejected(), silent.ejected());
-        assertEquals(healthy.nonces(), silent.nonces()); // and no table anew when it speaks
-        assertEquals(null, silent.closeReason());
+        assertEquals(healthyProxy.ejected(), silentProxy.ejected());
+        assertEquals(healthyProxy.nonces(), silentProxy.nonces()); // the silent proxy is sent no additional table
+        assertEquals(null, silentProxy.closeReason());
     }
 
-    /** The planner fails at one entry of a complete list. The host may serve: it must not go for not being named. */
+    /** The planner fails on one entry of a complete list. The host of that entry may be serving and must not be removed. */
     @Test
     void faultAtOneEntryOfAListSkipsItAndRemovesNoUnnamedHost() {
-        start(ControllerSettings.TEXT);
+        startControlLoop(ControllerSettings.DEFAULT_TEXT);
         controlLoop.onHostList(new HostList(1, true, List.of(readyHost(0), readyHost(1))));
         eventQueue.enqueueHostList(new HostList(2, true, List.of(readyHost(0), entry(1, null, 0), readyHost(2))));
         eventQueue.enqueueMessage(proxies.get(0), new InboundMessage.Subscribe(0, 0, 1, true));
@@ -124,56 +132,67 @@
         assertEquals("[s-0, s-1, s-2]", proxies.get(0).table("order").keySet().toString());
         assertEquals(
                 1,
-                logged.toString(StandardCharsets.UTF_8)
+                logOutput
+                        .toString(StandardCharsets.UTF_8)
                         .lines()
                         .filter(line -> line.contains(" ERROR fault "))
                         .count());
     }
 
-    /** Writing to one proxy throws, and so does closing its stream. The loop must go on and serve the others. */
+    /** Both writing to one proxy and closing its stream throw. The control loop must continue to serve the other proxies. */
     @Test
-    void faultInWritingToOneProxyKeepsNothingFromTheOthers() {
-        start(ControllerSettings.TEXT);
+    void faultInWritingToOneProxyWithholdsNoUpdateFromOthers() {
+        startControlLoop(ControllerSettings.DEFAULT_TEXT);
         controlLoop.onHostList(new HostList(1, true, List.of(readyHost(0))));
-        List<String> closed = new ArrayList<>();
-        ProxyStream broken = new ProxyStream() {
+        List<String> closeReasons = new ArrayList<>();
+        ProxyStream faultyStream = new ProxyStream() {
             @Override
             public void write(ConfigurationUpdate update) {
-                throw new IllegalStateException("a fault in writing");
+                throw new IllegalStateException("simulated fault in write");
             }
 
             @Override
             public void close(String reason) {
-                closed.add(reason);
-                throw new IllegalStateException("a fault in closing");
+                closeReasons.add(reason);
+                throw new IllegalStateException("simulated fault in close");
             }
         };
         eventQueue.enqueueMessage(
-                broken, new InboundMessage.Subscribe(0, 0, 2, true)); // the one of most requests: written to first
+                faultyStream,
+                new InboundMessage.Subscribe(
+                        0, 0, 2, true)); // the proxy with the highest request rate is written to first
         eventQueue.enqueueMessage(proxies.get(1), new InboundMessage.Subscribe(1, 0, 1, true));
         controlLoop.runRound(START_MS + 10);
         assertEquals("[s-0]", proxies.get(1).table("order").keySet().toString());
-        assertEquals(List.of("can't be written to"), closed);
+        assertEquals(
+                List.of("update could not be sent; closing the stream so that the proxy reconnects"), closeReasons);
         eventQueue.enqueueMessage(
-                proxies.get(0), new InboundMessage.Subscribe(0, 0, 2, false)); // its old stream can't be closed either
+                proxies.get(0),
+                new InboundMessage.Subscribe(0, 0, 2, false)); // closing the old stream of this proxy throws as well
         eventQueue.enqueueHostList(new HostList(2, false, List.of(readyHost(1))));
-        for (int i = 1; i < 40; i++) {
-            controlLoop.runRound(START_MS + 100 * i); // and the thread goes on
+        for (int round = 1; round < 40; round++) {
+            controlLoop.runRound(START_MS + 100 * round); // the control loop still handles events
         }
         assertTrue(proxies.get(0).table("order").containsKey("s-0")
                 && proxies.get(1).table("order").containsKey("s-1"));
     }
 
-    /** The planner fails at a subscription. The proxy would wait for a configuration for ever; closed, it dials again. */
+    /**
+     * The planner fails on a subscription. The proxy would wait for a configuration forever; closing its stream makes it
+     * reconnect.
+     */
     @Test
-    void proxyWhoseSubscriptionFailsIsClosed() {
-        start(ControllerSettings.TEXT);
+    void streamIsClosedWhenItsSubscriptionFails() {
+        startControlLoop(ControllerSettings.DEFAULT_TEXT);
         eventQueue.enqueueMessage(
                 proxies.get(0),
-                new InboundMessage.Subscribe(99, 0, 1, true)); // no such proxy: the reader lets none through
+                new InboundMessage.Subscribe(
+                        99, 0, 1, true)); // this proxy id is out of range; in production the decoder rejects it
         eventQueue.enqueueMessage(proxies.get(1), new InboundMessage.Subscribe(1, 0, 1, true));
         controlLoop.runRound(START_MS + 10);
-        assertEquals("its subscription failed", proxies.get(0).closeReason());
+        assertEquals(
+                "subscription failed in the controller; closing the stream so that the proxy reconnects",
+                proxies.get(0).closeReason());
         assertEquals(null, proxies.get(1).closeReason());
     }
 }
--- a/src/test/java/linenring/controller/FleetStateTest.java
+++ b/src/test/java/linenring/controller/FleetStateTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 class FleetStateTest {
-    private static final List<String> NONE = List.of();
+    private static final List<String> EMPTY_LIST = List.of();
 
     private static final class RecordingStream implements ProxyStream {
         private final List<ConfigurationUpdate> updates = new ArrayList<>();
@@ -42,18 +42,18 @@
     private final FleetState fleetState =
             new FleetState(List.of("lookup", "order"), 3, new Log(new PrintStream(OutputStream.nullOutputStream())));
     private final RecordingStream stream = new RecordingStream();
-    private final RecordingStream other = new RecordingStream();
+    private final RecordingStream otherStream = new RecordingStream();
 
-    private FleetState fleet() {
-        for (int h = 0; h < 3; h++) {
-            fleetState.hostIds().assign("s-" + h);
-            fleetState.setWeight(7, h, 1);
+    private FleetState withThreeHosts() {
+        for (int host = 0; host < 3; host++) {
+            fleetState.hostIds().assign("s-" + host);
+            fleetState.setWeight(7, host, 1);
         }
         return fleetState;
     }
 
-    private RecordingStream bound() {
-        fleet().connect(0, stream, true);
+    private RecordingStream connectAndBind() {
+        withThreeHosts().connect(0, stream, true);
         fleetState.bindProxy(7, 0, 0);
         fleetState.requestAcknowledgement(1);
         fleetState.send();
@@ -67,18 +67,18 @@
             List<String> ejected,
             List<String> restored,
             int nonce) {
-        return new Part(NONE, replacesTable, entries, admission, ejected, restored, nonce);
+        return new Part(EMPTY_LIST, replacesTable, entries, admission, ejected, restored, nonce);
     }
 
     @Test
     void bindingSendsTableAdmissionEjectionsAndNonceAsOneUpdate() {
-        fleet().connect(0, stream, true);
+        withThreeHosts().connect(0, stream, true);
         fleetState.setEjected(1, true);
         fleetState.send();
         fleetState.setAdmission(7, 0, 0.8, RetryPolicy.ONE_IF_NOT_EXECUTED);
         fleetState.bindProxy(7, 0, 0);
         fleetState.requestAcknowledgement(905);
-        fleetState.connect(0, stream, true); // the ejection that is on its way may be lost with the stream
+        fleetState.connect(0, stream, true); // an ejection in transit may be lost with the stream
         fleetState.bindProxy(7, 0, 0);
         fleetState.requestAcknowledgement(906);
         fleetState.send();
@@ -89,40 +89,45 @@
                         true,
                         new AdmissionPolicy(0.8, 1),
                         List.of("s-1"),
-                        NONE,
+                        EMPTY_LIST,
                         906)),
                 stream.lastParts());
     }
 
     @Test
     void changesAreSentOnlyToProxiesBoundToTheTable() {
-        bound();
-        fleetState.connect(1, other, true);
+        connectAndBind();
+        fleetState.connect(1, otherStream, true);
         fleetState.setWeight(7, 1, 0);
         fleetState.setWeight(7, 2, 0.5);
         fleetState.requestAcknowledgement(2);
         fleetState.send();
         assertEquals(
                 List.of(part(
-                        List.of(new TableEntry("s-1", 0), new TableEntry("s-2", 0.5)), false, null, NONE, NONE, 2)),
+                        List.of(new TableEntry("s-1", 0), new TableEntry("s-2", 0.5)),
+                        false,
+                        null,
+                        EMPTY_LIST,
+                        EMPTY_LIST,
+                        2)),
                 stream.lastParts());
-        assertEquals(0, other.updates.size());
+        assertEquals(0, otherStream.updates.size());
     }
 
     @Test
     void ejectionIsSentToProxiesWithInheritedTablesToo() {
-        bound();
-        fleetState.connect(1, other, true);
+        connectAndBind();
+        fleetState.connect(1, otherStream, true);
         fleetState.setEjected(1, true);
         fleetState.requestAcknowledgement(2);
         fleetState.send();
-        List<Part> expected = List.of(part(List.of(), false, null, List.of("s-1"), NONE, 2));
+        List<Part> expected = List.of(part(List.of(), false, null, List.of("s-1"), EMPTY_LIST, 2));
         assertEquals(expected, stream.lastParts());
-        assertEquals(expected, other.lastParts());
+        assertEquals(expected, otherStream.lastParts());
     }
 
     @Test
-    void operationsOnDifferentTablesGetPartsOfTheirOwn() {
+    void operationsOnDifferentTablesGetSeparateParts() {
         fleetState.hostIds().assign("s-0");
         fleetState.setWeight(7, 0, 1);
         fleetState.setWeight(8, 0, 0.5);
@@ -139,16 +144,23 @@
                                 true,
                                 List.of(new TableEntry("s-0", 1)),
                                 new AdmissionPolicy(0.7, 0),
-                                NONE,
-                                NONE,
+                                EMPTY_LIST,
+                                EMPTY_LIST,
                                 ConfigurationUpdate.WITHOUT_NONCE),
-                        new Part(List.of("order"), true, List.of(new TableEntry("s-0", 0.5)), null, NONE, NONE, 3)),
+                        new Part(
+                                List.of("order"),
+                                true,
+                                List.of(new TableEntry("s-0", 0.5)),
+                                null,
+                                EMPTY_LIST,
+                                EMPTY_LIST,
+                                3)),
                 stream.lastParts());
     }
 
     @Test
-    void admissionThatDiffersByOperationGoesWithTheEntriesInOneUpdate() {
-        bound();
+    void admissionThatDiffersByOperationIsSentInOneUpdateWithTheEntries() {
+        connectAndBind();
         fleetState.setWeight(7, 0, 0.5);
         fleetState.setAdmission(7, 1, 0.4, RetryPolicy.ONE_IF_NOT_EXECUTED);
         fleetState.setAdmission(7, 2, 1, RetryPolicy.ONE_IF_NOT_EXECUTED);
@@ -160,24 +172,31 @@
                                 List.of(new TableEntry("s-0", 0.5)),
                                 false,
                                 null,
-                                NONE,
-                                NONE,
+                                EMPTY_LIST,
+                                EMPTY_LIST,
                                 ConfigurationUpdate.WITHOUT_NONCE),
                         new Part(
                                 List.of("lookup"),
                                 false,
                                 List.of(),
                                 new AdmissionPolicy(0.4, 1),
-                                NONE,
-                                NONE,
+                                EMPTY_LIST,
+                                EMPTY_LIST,
                                 ConfigurationUpdate.WITHOUT_NONCE),
-                        new Part(List.of("order"), false, List.of(), new AdmissionPolicy(1, 1), NONE, NONE, 4)),
+                        new Part(
+                                List.of("order"),
+                                false,
+                                List.of(),
+                                new AdmissionPolicy(1, 1),
+                                EMPTY_LIST,
+                                EMPTY_LIST,
+                                4)),
                 stream.lastParts());
     }
 
     @Test
     void newProxyGetsTheAdmissionRatioAndRetryPolicyOfEachOperation() {
-        bound();
+        connectAndBind();
         fleetState.setAdmission(7, 1, 0.4, RetryPolicy.NONE);
         fleetState.setAdmission(7, 2, 0.6, RetryPolicy.ONE);
         fleetState.send();
@@ -188,45 +207,45 @@
                                 false,
                                 List.of(),
                                 new AdmissionPolicy(0.4, 0),
-                                NONE,
-                                NONE,
+                                EMPTY_LIST,
+                                EMPTY_LIST,
                                 ConfigurationUpdate.WITHOUT_NONCE),
                         new Part(
                                 List.of("order"),
                                 false,
                                 List.of(),
                                 new AdmissionPolicy(0.6, 2),
-                                NONE,
-                                NONE,
+                                EMPTY_LIST,
+                                EMPTY_LIST,
                                 ConfigurationUpdate.WITHOUT_NONCE)),
                 stream.lastParts());
-        fleetState.connect(1, other, true);
+        fleetState.connect(1, otherStream, true);
         fleetState.bindProxy(7, 0, 1);
         fleetState.send();
-        assertEquals(new AdmissionPolicy(0.4, 0), other.lastParts().get(1).admission());
-        assertEquals(new AdmissionPolicy(0.6, 2), other.lastParts().get(2).admission());
+        assertEquals(new AdmissionPolicy(0.4, 0), otherStream.lastParts().get(1).admission());
+        assertEquals(new AdmissionPolicy(0.6, 2), otherStream.lastParts().get(2).admission());
     }
 
     @Test
     void hostEjectedBeforeADisconnectIsRestoredWithTheNextTable() {
-        bound();
+        connectAndBind();
         fleetState.setEjected(1, true);
         fleetState.send();
         fleetState.disconnect(0);
-        fleetState.setEjected(1, false); // sent to nobody: the proxy still has it ejected
+        fleetState.setEjected(1, false); // this restoration reaches no proxy, so the proxy keeps the host ejected
         fleetState.send();
-        fleetState.connect(0, other, false);
+        fleetState.connect(0, otherStream, false);
         fleetState.bindProxy(7, 0, 0);
         fleetState.send();
-        assertTrue(other.lastParts().get(0).restored().contains("s-1"));
+        assertTrue(otherStream.lastParts().get(0).restored().contains("s-1"));
     }
 
     @Test
-    void proxyThatResubscribesOnTheSameStreamIsSentOnlyWhatMayBeLost() {
-        bound();
+    void proxyThatResubscribesOnTheSameStreamIsSentOnlyUncertainRestorations() {
+        connectAndBind();
         fleetState.setEjected(1, true);
         fleetState.send();
-        fleetState.connect(0, stream, false); // on the very same stream
+        fleetState.connect(0, stream, false); // resubscribes on the same stream
         fleetState.setEjected(1, false);
         fleetState.bindProxy(7, 0, 0);
         fleetState.send();
@@ -235,13 +254,13 @@
     }
 
     @Test
-    void hostsThatOthersMayHaveEjectedAreRestoredAFewAtATime() {
-        bound();
+    void hostsThatOtherControllersMayHaveEjectedAreRestoredAFewAtATime() {
+        connectAndBind();
         fleetState.setEjected(0, true);
         fleetState.send();
         fleetState.disconnect(0);
         fleetState.connect(
-                0, other, false); // meanwhile another controller, or an earlier process of this one, was in charge
+                0, otherStream, false); // another controller or an earlier process may have sent ejections meanwhile
         fleetState.setEjected(0, false);
         fleetState.setAdmission(7, 0, 1, RetryPolicy.ONE_IF_NOT_EXECUTED);
         assertEquals(1, fleetState.extraEntriesOfBind(7, 0)); // the planner must count the restoration of s-0
@@ -249,28 +268,33 @@
         fleetState.send();
         assertEquals(
                 List.of("s-0", "s-1"),
-                other.lastParts().get(0).restored()); // two policies are sent as one, which leaves room for one
+                otherStream
+                        .lastParts()
+                        .get(0)
+                        .restored()); // two equal policies are sent as one, which leaves room for one restoration
         fleetState.setWeight(7, 0, 0.5);
-        assertEquals(2, fleetState.entriesInMessage(0, 1)); // the planner sees it
+        assertEquals(2, fleetState.entriesInMessage(0, 1)); // the planner counts the additional restoration
         fleetState.send();
-        assertEquals(List.of("s-2"), other.lastParts().get(0).restored()); // one with each update
+        assertEquals(
+                List.of("s-2"),
+                otherStream.lastParts().get(0).restored()); // each update carries one additional restoration
         fleetState.setWeight(7, 0, 0.6);
         fleetState.send();
-        assertEquals(NONE, other.lastParts().get(0).restored());
+        assertEquals(EMPTY_LIST, otherStream.lastParts().get(0).restored());
     }
 
     @Test
-    void hostThatOthersMayHaveEjectedIsRestoredWithItsNextEntryButNotWithADrain() {
-        fleet().connect(0, stream, false);
+    void hostThatOtherControllersMayHaveEjectedIsRestoredWithItsNextEntryButNotWithADrain() {
+        withThreeHosts().connect(0, stream, false);
         fleetState.setAdmission(7, 1, 0.9, RetryPolicy.NONE);
         fleetState.setAdmission(7, 2, 0.8, RetryPolicy.NONE);
         fleetState.bindProxy(7, 0, 0);
         fleetState.send();
-        assertEquals(NONE, stream.lastParts().get(2).restored());
+        assertEquals(EMPTY_LIST, stream.lastParts().get(2).restored());
         fleetState.setEjected(1, true);
         fleetState.send();
         assertEquals(
-                List.of(part(List.of(), false, null, List.of("s-1"), NONE, ConfigurationUpdate.WITHOUT_NONCE)),
+                List.of(part(List.of(), false, null, List.of("s-1"), EMPTY_LIST, ConfigurationUpdate.WITHOUT_NONCE)),
                 stream.lastParts());
         assertEquals(
                 List.of(1, 0, 1),
@@ -286,14 +310,14 @@
 
     @Test
     void newProxyIsSentNoRestoration() {
-        assertEquals(NONE, bound().lastParts().get(0).restored());
+        assertEquals(EMPTY_LIST, connectAndBind().lastParts().get(0).restored());
     }
 
     @Test
     void tableOfTensOfThousandsOfHostsIsSentInSeveralParts() {
-        for (int h = 0; h < 25_000; h++) {
-            fleetState.hostIds().assign("s-" + h);
-            fleetState.setWeight(7, h, 1);
+        for (int host = 0; host < 25_000; host++) {
+            fleetState.hostIds().assign("s-" + host);
+            fleetState.setWeight(7, host, 1);
         }
         fleetState.connect(0, stream, true);
         fleetState.bindProxy(7, 0, 0);
@@ -309,12 +333,12 @@
     }
 
     @Test
-    void entryForAHostEjectedWhileInNoTableEjectsItToo() {
-        bound();
+    void firstEntryOfAnEjectedHostCarriesItsEjection() {
+        connectAndBind();
         fleetState.hostIds().assign("s-3");
         fleetState.setEjected(3, true);
         fleetState.send();
-        assertEquals(1, stream.updates.size()); // its table has no entry for it
+        assertEquals(1, stream.updates.size()); // no update is sent, as the proxy's table has no entry for s-3
         fleetState.setWeight(7, 3, 0.2);
         fleetState.send();
         assertEquals(List.of("s-3"), stream.lastParts().get(0).ejected());
@@ -325,27 +349,27 @@
 
     @Test
     void sendsNoMessageForAnAcknowledgementRequestAlone() {
-        bound();
-        fleetState.connect(1, other, true);
+        connectAndBind();
+        fleetState.connect(1, otherStream, true);
         fleetState.requestAcknowledgement(9);
         fleetState.send();
         assertEquals(1, stream.updates.size());
-        assertEquals(List.of(), other.updates);
+        assertEquals(List.of(), otherStream.updates);
     }
 
     @Test
-    void newStreamClosesTheOldOneWhoseEndIsNoDisconnect() {
-        bound();
-        fleetState.connect(0, other, false);
-        assertTrue(stream.closeReason != null && other.closeReason == null);
-        assertEquals(OptionalInt.empty(), fleetState.proxyOf(stream));
-        assertEquals(OptionalInt.of(0), fleetState.proxyOf(other));
-        assertTrue(fleetState.isCurrent(0, other) && !fleetState.isCurrent(0, stream));
+    void newStreamClosesTheOldOneWithoutDisconnectingTheProxy() {
+        connectAndBind();
+        fleetState.connect(0, otherStream, false);
+        assertTrue(stream.closeReason != null && otherStream.closeReason == null);
+        assertEquals(OptionalInt.empty(), fleetState.findProxy(stream));
+        assertEquals(OptionalInt.of(0), fleetState.findProxy(otherStream));
+        assertTrue(fleetState.isCurrentStream(0, otherStream) && !fleetState.isCurrentStream(0, stream));
     }
 
     @Test
     void sendsNothingToADisconnectedProxy() {
-        bound();
+        connectAndBind();
         fleetState.disconnect(0);
         fleetState.setWeight(7, 0, 0.1);
         fleetState.bindProxy(7, 0, 0);
@@ -356,12 +380,12 @@
     }
 
     @Test
-    void clearingATableSendsAnEmptyOne() {
-        bound();
+    void clearingATableSendsAnEmptyTable() {
+        connectAndBind();
         fleetState.clearTable(7);
         fleetState.send();
         assertEquals(
-                List.of(part(List.of(), true, null, NONE, NONE, ConfigurationUpdate.WITHOUT_NONCE)),
+                List.of(part(List.of(), true, null, EMPTY_LIST, EMPTY_LIST, ConfigurationUpdate.WITHOUT_NONCE)),
                 stream.lastParts());
     }
 }
--- a/src/test/java/linenring/controller/HostIdAllocatorTest.java
+++ b/src/test/java/linenring/controller/HostIdAllocatorTest.java
@@ -9,70 +9,70 @@
 import org.junit.jupiter.api.Test;
 
 class HostIdAllocatorTest {
-    private static final int RETAINED = 1024;
+    private static final int MIN_RETAINED_HOSTS = 1024;
 
-    private final HostIdAllocator ids = new HostIdAllocator();
+    private final HostIdAllocator hostIds = new HostIdAllocator();
 
-    private int list(String host) {
-        int id = ids.assign(host);
-        ids.markListed(id);
+    private int assignAndList(String host) {
+        int id = hostIds.assign(host);
+        hostIds.markListed(id);
         return id;
     }
 
     @Test
     void keepsTheIdOfAHostThatReturnsSoon() {
-        int id = list("s-1");
-        ids.markRemoved(id);
-        assertEquals(0, ids.surplus());
-        assertEquals(id, list("s-1"));
-        assertEquals(List.of(), ids.removed());
+        int id = assignAndList("s-1");
+        hostIds.markRemoved(id);
+        assertEquals(0, hostIds.countRemovedBeyondLimit());
+        assertEquals(id, assignAndList("s-1"));
+        assertEquals(List.of(), hostIds.removedIds());
     }
 
     @Test
-    void namesTheLongestRemovedHostFirst() {
-        for (int host = 0; host <= RETAINED; host++) {
-            ids.markRemoved(list("s-" + host));
+    void returnsTheLongestRemovedHostFirst() {
+        for (int host = 0; host <= MIN_RETAINED_HOSTS; host++) {
+            hostIds.markRemoved(assignAndList("s-" + host));
         }
-        assertEquals(1, ids.surplus());
-        assertEquals(0, ids.removed().get(0));
-        ids.release(0);
-        assertEquals(0, ids.surplus());
-        assertEquals(1, ids.removed().get(0));
+        assertEquals(1, hostIds.countRemovedBeyondLimit());
+        assertEquals(0, hostIds.removedIds().get(0));
+        hostIds.release(0);
+        assertEquals(0, hostIds.countRemovedBeyondLimit());
+        assertEquals(1, hostIds.removedIds().get(0));
     }
 
     @Test
     void keepsAsManyRemovedHostsAsAreListed() {
-        for (int host = 0; host < 2 * RETAINED; host++) {
-            list("alive-" + host);
+        for (int host = 0; host < 2 * MIN_RETAINED_HOSTS; host++) {
+            assignAndList("alive-" + host);
         }
-        for (int host = 0; host < 2 * RETAINED; host++) {
-            ids.markRemoved(list("gone-" + host));
+        for (int host = 0; host < 2 * MIN_RETAINED_HOSTS; host++) {
+            hostIds.markRemoved(assignAndList("gone-" + host));
         }
-        assertEquals(0, ids.surplus());
+        assertEquals(0, hostIds.countRemovedBeyondLimit());
     }
 
     @Test
-    void givesAReleasedIdToTheNextHostAndForgetsTheFormer() {
-        int former = list("s-1");
-        list("s-2");
-        ids.markRemoved(former);
-        ids.release(former);
-        assertEquals(OptionalInt.empty(), ids.find("s-1"));
-        assertEquals(former, list("s-3"));
-        assertEquals("s-3", ids.name(former));
-        assertNotEquals(former, list("s-1"));
+    void assignsAReleasedIdToTheNextHostAndForgetsTheFormerHost() {
+        int formerId = assignAndList("s-1");
+        assignAndList("s-2");
+        hostIds.markRemoved(formerId);
+        hostIds.release(formerId);
+        assertEquals(OptionalInt.empty(), hostIds.findId("s-1"));
+        assertEquals(formerId, assignAndList("s-3"));
+        assertEquals("s-3", hostIds.name(formerId));
+        assertNotEquals(formerId, assignAndList("s-1"));
     }
 
     @Test
-    void takesWhomAWholeListDoesNotNameAsRemoved() {
-        for (int host = 0; host <= RETAINED; host++) {
-            list("s-" + host);
+    void marksHostsMissingFromACompleteListAsRemoved() {
+        for (int host = 0; host <= MIN_RETAINED_HOSTS; host++) {
+            assignAndList("s-" + host);
         }
-        ids.beginList();
-        int other = list("other");
-        ids.endCompleteList();
-        assertEquals(1, ids.surplus());
-        assertEquals(RETAINED + 1, ids.removed().size());
-        assertFalse(ids.removed().contains(other));
+        hostIds.beginList();
+        int newId = assignAndList("other");
+        hostIds.endCompleteList();
+        assertEquals(1, hostIds.countRemovedBeyondLimit());
+        assertEquals(MIN_RETAINED_HOSTS + 1, hostIds.removedIds().size());
+        assertFalse(hostIds.removedIds().contains(newId));
     }
 }
--- a/src/test/java/linenring/controller/FaultAtRestTest.java
+++ b/src/test/java/linenring/controller/IdleControlLoopFaultTest.java
@@ -1,6 +1,6 @@
 package linenring.controller;
 
-import static linenring.controller.ControlLoopFixture.LONG_AGO;
+import static linenring.controller.ControlLoopFixture.STARTED_LONG_AGO;
 import static linenring.controller.ControlLoopFixture.warmHosts;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -17,45 +17,46 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A fault in the planner, at a controller that no event reaches any more: the planner may have asked for no further call, and the loop
- * would wait until something arrives. Proxies would go on with an old table.
+ * A fault in the planner at a controller that receives no further events. The planner may not have requested its next call, so the
+ * control loop would wait indefinitely and proxies would keep an outdated table.
  */
-class FaultAtRestTest {
+class IdleControlLoopFaultTest {
     private static final int HOSTS = 4;
-    private static final int INVALID_KIND = -1; // no list can name it; it makes each reconciliation fail
-    private static final int ATTEMPTS = 3;
+    private static final int INVALID_KIND = -1; // index that no real list contains; it makes every reconciliation fail
+    private static final int EXPECTED_FAULTS = 3;
     private static final long WAIT_SECONDS = 10;
 
     private final EventQueue eventQueue = new EventQueue();
-    private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream logOutput = new ByteArrayOutputStream();
 
     @Test
-    void decidesAgainAfterAFaultThoughNothingArrives() throws InterruptedException {
+    void reconcilesAgainAfterAFaultWithoutNewEvents() throws InterruptedException {
         ControlLoop controlLoop = new ControlLoop(
                 ControlLoopFixture.settings(1000),
                 names(),
                 warmHosts(1, HOSTS),
                 eventQueue,
-                new Log(new PrintStream(logged, true)));
+                new Log(new PrintStream(logOutput, true)));
         Thread thread = new Thread(controlLoop::run, "controller");
         thread.start();
         try {
-            TimeUnit.SECONDS.sleep(1); // it has come to rest
+            TimeUnit.SECONDS.sleep(1); // the control loop becomes idle
             eventQueue.enqueueHostList(new HostList(
-                    2, false, List.of(new HostList.Entry("s-9", 0, INVALID_KIND, State.READY, 1, LONG_AGO))));
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
-            while (faults() < ATTEMPTS && System.nanoTime() < end) {
+                    2, false, List.of(new HostList.Entry("s-9", 0, INVALID_KIND, State.READY, 1, STARTED_LONG_AGO))));
+            long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
+            while (countLoggedFaults() < EXPECTED_FAULTS && System.nanoTime() < deadlineNanos) {
                 TimeUnit.MILLISECONDS.sleep(50);
             }
-            assertTrue(faults() >= ATTEMPTS, logged.toString(StandardCharsets.UTF_8));
+            assertTrue(countLoggedFaults() >= EXPECTED_FAULTS, logOutput.toString(StandardCharsets.UTF_8));
         } finally {
             thread.interrupt();
             thread.join();
         }
     }
 
-    private long faults() {
-        return logged.toString(StandardCharsets.UTF_8)
+    private long countLoggedFaults() {
+        return logOutput
+                .toString(StandardCharsets.UTF_8)
                 .lines()
                 .filter(line -> line.contains("ERROR fault"))
                 .count();
--- a/src/test/java/linenring/controller/RecordingProxy.java
+++ b/src/test/java/linenring/controller/RecordingProxy.java
@@ -15,32 +15,32 @@
 import linenring.event.ProxyStream;
 import linenring.protocol.ConfigurationUpdate;
 
-/** A proxy's stream in a test: applies each update at once and records when hosts were ejected and restored. */
+/** A proxy's stream in a test. It applies each update immediately and records the times of ejections and restorations. */
 final class RecordingProxy implements ProxyStream {
-    /** An update that asks for an acknowledgement, and when it was written. */
+    /** The nonce and write time of an update that has not been acknowledged yet. */
     record PendingAcknowledgement(int nonce, double writtenAtMs) {}
 
     private final int id;
-    private final long number;
+    private final long streamNumber;
     private final DoubleSupplier clock;
-    private final TreeMap<String, Double> weights = new TreeMap<>(); // by host
+    private final TreeMap<String, Double> weights = new TreeMap<>(); // weight by host
     private final TreeSet<String> ejected = new TreeSet<>();
-    private final Map<String, List<Double>> ejectedAt = new HashMap<>(); // by host
-    private final Map<String, List<Double>> restoredAt = new HashMap<>(); // by host
+    private final Map<String, List<Double>> ejectionTimesMs = new HashMap<>(); // ejection times by host
+    private final Map<String, List<Double>> restorationTimesMs = new HashMap<>(); // restoration times by host
     private final Deque<PendingAcknowledgement> pendingAcknowledgements = new ArrayDeque<>();
-    private int updates;
+    private int updateCount;
     private boolean isSilent;
     private String closeReason;
 
     RecordingProxy(int id, long number, DoubleSupplier clock) {
         this.id = id;
-        this.number = number;
+        this.streamNumber = number;
         this.clock = clock;
     }
 
     @Override
     public void write(ConfigurationUpdate update) {
-        updates++;
+        updateCount++;
         update.parts().forEach(this::apply);
     }
 
@@ -50,8 +50,8 @@
         }
         part.entries().forEach(entry -> weights.put(entry.host(), entry.weight()));
         weights.values().removeIf(weight -> weight == 0);
-        part.ejected().forEach(host -> recordTime(ejectedAt, host));
-        part.restored().forEach(host -> recordTime(restoredAt, host));
+        part.ejected().forEach(host -> recordTime(ejectionTimesMs, host));
+        part.restored().forEach(host -> recordTime(restorationTimesMs, host));
         ejected.addAll(part.ejected());
         ejected.removeAll(part.restored());
         if (part.nonce() != ConfigurationUpdate.WITHOUT_NONCE) {
@@ -70,14 +70,14 @@
 
     @Override
     public long number() {
-        return number;
+        return streamNumber;
     }
 
     int id() {
         return id;
     }
 
-    /** While it is silent it acknowledges nothing, but takes what it is sent. */
+    /** Sets whether the proxy is silent. A silent proxy applies updates but does not acknowledge them. */
     void setSilent(boolean silent) {
         isSilent = silent;
     }
@@ -86,24 +86,24 @@
         return isSilent;
     }
 
-    /** The oldest acknowledgement that is due by its nonce, if it was written by then; it counts as given from now on. */
-    Optional<PendingAcknowledgement> takeAcknowledgement(double writtenByMs) {
+    /** Removes and returns the oldest pending acknowledgement if its update was written by {@code writtenByMs}, or empty. */
+    Optional<PendingAcknowledgement> pollAcknowledgement(double writtenByMs) {
         PendingAcknowledgement oldest = pendingAcknowledgements.peek();
         return oldest != null && oldest.writtenAtMs() <= writtenByMs
                 ? Optional.of(pendingAcknowledgements.poll())
                 : Optional.empty();
     }
 
-    int updates() {
-        return updates;
+    int updateCount() {
+        return updateCount;
     }
 
-    /** Why the controller closed the stream; null while it has not. */
+    /** Returns the reason for which the controller closed the stream, or null while the stream is open. */
     String closeReason() {
         return closeReason;
     }
 
-    /** The weights of its table, by host. */
+    /** Returns the weights in the proxy's table, by host. */
     Map<String, Double> weights() {
         return Collections.unmodifiableMap(weights);
     }
@@ -112,20 +112,20 @@
         return Collections.unmodifiableSet(ejected);
     }
 
-    /** The times of each host's ejections. */
-    Map<String, List<Double>> ejectedAt() {
-        return Collections.unmodifiableMap(ejectedAt);
+    /** Returns the ejection times of each host. */
+    Map<String, List<Double>> ejectionTimesMs() {
+        return Collections.unmodifiableMap(ejectionTimesMs);
     }
 
-    /** The times of each host's restorations. */
-    Map<String, List<Double>> restoredAt() {
-        return Collections.unmodifiableMap(restoredAt);
+    /** Returns the restoration times of each host. */
+    Map<String, List<Double>> restorationTimesMs() {
+        return Collections.unmodifiableMap(restorationTimesMs);
     }
 
-    /** The hosts that it can pick, with their weights. */
-    Map<String, Double> pickable() {
-        TreeMap<String, Double> open = new TreeMap<>(weights);
-        open.keySet().removeAll(ejected);
-        return open;
+    /** Returns the weights of the hosts that the proxy can pick, by host. */
+    Map<String, Double> pickableWeights() {
+        TreeMap<String, Double> pickable = new TreeMap<>(weights);
+        pickable.keySet().removeAll(ejected);
+        return pickable;
     }
 }
--- a/src/test/java/linenring/controller/ReloadDuringDrainsTest.java
+++ b/src/test/java/linenring/controller/ReloadDuringDrainsTest.java
@@ -1,8 +1,8 @@
 package linenring.controller;
 
 import static linenring.controller.ControlLoopFixture.GRACE_MS;
-import static linenring.controller.ControlLoopFixture.LONG_AGO;
-import static linenring.controller.ControlLoopFixture.SOCKET_SLACK_MS;
+import static linenring.controller.ControlLoopFixture.SOCKET_TOLERANCE_MS;
+import static linenring.controller.ControlLoopFixture.STARTED_LONG_AGO;
 import static linenring.controller.ControlLoopFixture.TRANSIT_MS;
 import static linenring.controller.ControlLoopFixture.host;
 import static linenring.controller.ControlLoopFixture.warmHosts;
@@ -38,34 +38,34 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * SIGHUP moves discovery (as {@code ControllerLauncher.reload} does, by {@link HostWatch#moveTo}) while drains are being sent: lists come over
- * loopback from two agents, the control loop's clock is the test's.
+ * A reload on SIGHUP moves discovery to another address while drains are being sent. Like {@code ControllerLauncher.reload}, the test
+ * calls {@link HostWatch#moveTo}. Two agents send host lists over loopback, and the test advances the control loop's clock.
  */
 class ReloadDuringDrainsTest {
-    private static final String ANSWER_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private static final String RESPONSE_HEADER = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final int HOSTS = 24;
     private static final int PROXIES = 40;
     private static final int DRAINS = 6;
-    private static final double MAX_QUEUED_ENTRIES = 280; // the drains find no room together, so that some wait
+    private static final double MAX_QUEUED_ENTRIES = 280; // too small for all drains at once, so that some are deferred
 
     private final QueuedThreadPool threads = new QueuedThreadPool(8, 2);
     private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
     private final ControlLoopFixture fixture = new ControlLoopFixture(warmHosts(41, HOSTS), PROXIES, MAX_QUEUED_ENTRIES)
             .joinAll(PROXIES, true)
-            .pass(20_000);
+            .advance(20_000);
     private ServerSocket oldAgent;
     private ServerSocket newAgent;
     private HostWatch watch;
     private double announcedMs;
 
     @BeforeEach
-    void watchTheOldAgent() throws Exception {
+    void startWatchingOldAgent() throws Exception {
         threads.start();
         scheduler.start();
         oldAgent = listen();
         newAgent = listen();
-        WatchConfig config = new WatchConfig(address(oldAgent), ServiceScope.ALL, warmHosts(41, HOSTS), why -> {
-            throw new AssertionError(why);
+        WatchConfig config = new WatchConfig(address(oldAgent), ServiceScope.ALL, warmHosts(41, HOSTS), reason -> {
+            throw new AssertionError(reason);
         });
         watch = new HostWatch(
                 config,
@@ -86,146 +86,178 @@
         scheduler.stop();
     }
 
-    /** The new address goes on with changes from the version held. */
+    /** The new address continues with changes from the current version of the host list. */
     @Test
-    void drainsAreSentOnceAndInTimeIfTheNewAddressGoesOnWithChanges() throws Exception {
-        try (Socket old = accept(oldAgent, 41)) {
-            announceDrains(old);
+    void drainsAreSentOnceAndInTimeIfTheNewAddressContinuesWithChanges() throws Exception {
+        try (Socket oldConnection = accept(oldAgent, 41)) {
+            announceDrainsAndCheckSomeAreDeferred(oldConnection);
             watch.moveTo(address(newAgent), ServiceScope.ALL);
-            try (Socket moved = accept(newAgent, 42)) {
-                write(moved, ANSWER_HEAD + "1\r\n\n\r\n");
-                fixture.pass(150);
-                write(moved, list(43, false, IntStream.range(DRAINS, DRAINS + 1), State.TERMINATING));
+            try (Socket newConnection = accept(newAgent, 42)) {
+                write(newConnection, RESPONSE_HEADER + "1\r\n\n\r\n");
+                fixture.advance(150);
+                write(newConnection, listChunk(43, false, IntStream.range(DRAINS, DRAINS + 1), State.TERMINATING));
                 awaitList();
-                fixture.pass(10_000);
+                fixture.advance(10_000);
             }
         }
-        assertSentOnceAndInGrace(DRAINS + 1);
+        assertEjectedOnceAndInGrace(DRAINS + 1);
     }
 
-    /** The new address begins with its complete list, newer than what is held, in which the same hosts drain. */
+    /** The new address starts with a complete list that is newer than the current one, with the same hosts draining. */
     @Test
     void drainsAreSentOnceAndInTimeIfTheNewAddressBeginsWithACompleteList() throws Exception {
-        try (Socket old = accept(oldAgent, 41)) {
-            announceDrains(old);
+        try (Socket oldConnection = accept(oldAgent, 41)) {
+            announceDrainsAndCheckSomeAreDeferred(oldConnection);
             watch.moveTo(address(newAgent), ServiceScope.ALL);
-            try (Socket moved = accept(newAgent, 42)) {
-                write(moved, ANSWER_HEAD + completeWithDrains(44, DRAINS));
+            try (Socket newConnection = accept(newAgent, 42)) {
+                write(newConnection, RESPONSE_HEADER + completeListChunk(44, DRAINS));
                 awaitList();
-                fixture.pass(10_000);
+                fixture.advance(10_000);
             }
         }
-        assertSentOnceAndInGrace(DRAINS);
+        assertEjectedOnceAndInGrace(DRAINS);
     }
 
-    /** Its complete list is from before the drains: what is older than what is held restores none of them. */
+    /** The complete list of the new address is older than the drains. An outdated list must not restore any draining host. */
     @Test
-    void drainsStayIfTheNewAddressIsBehind() throws Exception {
-        try (Socket old = accept(oldAgent, 41)) {
-            announceDrains(old);
+    void drainsAreKeptIfTheNewAddressHasAnOlderList() throws Exception {
+        try (Socket oldConnection = accept(oldAgent, 41)) {
+            announceDrainsAndCheckSomeAreDeferred(oldConnection);
             watch.moveTo(address(newAgent), ServiceScope.ALL);
-            try (Socket moved = accept(newAgent, 42)) {
-                write(moved, ANSWER_HEAD + completeWithDrains(41, 0));
-                assertEquals(-1, old.getInputStream().read(), "it has spoken");
-                fixture.pass(1000);
-                write(moved, list(42, false, IntStream.range(0, DRAINS), State.TERMINATING)); // it catches up
-                write(moved, list(43, false, IntStream.range(DRAINS, DRAINS + 1), State.TERMINATING));
-                double lastAnnouncedMs = fixture.now();
+            try (Socket newConnection = accept(newAgent, 42)) {
+                write(newConnection, RESPONSE_HEADER + completeListChunk(41, 0));
+                assertEquals(
+                        -1,
+                        oldConnection.getInputStream().read(),
+                        "the old connection must be closed after the first list from the new address");
+                fixture.advance(1000);
+                write(
+                        newConnection,
+                        listChunk(
+                                42,
+                                false,
+                                IntStream.range(0, DRAINS),
+                                State.TERMINATING)); // the new address catches up
+                write(newConnection, listChunk(43, false, IntStream.range(DRAINS, DRAINS + 1), State.TERMINATING));
+                double lastAnnouncedMs = fixture.nowMs();
                 awaitList();
-                fixture.pass(10_000);
+                fixture.advance(10_000);
                 assertEquals(DRAINS + 1, fixture.proxies().get(0).ejected().size());
-                assertTrue(
-                        fixture.proxies().get(0).ejectedAt().get("s-" + DRAINS).get(0) - lastAnnouncedMs <= GRACE_MS);
+                assertTrue(fixture.proxies()
+                                        .get(0)
+                                        .ejectionTimesMs()
+                                        .get("s-" + DRAINS)
+                                        .get(0)
+                                - lastAnnouncedMs
+                        <= GRACE_MS);
             }
         }
-        assertSentOnce(DRAINS + 1);
+        assertEjectedOnce(DRAINS + 1);
     }
 
-    /** Two reloads in a row, the first to an address that accepts and says nothing: the old one goes on to announce drains. */
+    /**
+     * Two reloads follow each other. The first address accepts the connection but sends nothing, so the old address continues to
+     * announce drains.
+     */
     @Test
     void drainsOfTheOldAddressBetweenTwoReloadsAreInTime() throws Exception {
-        try (Socket old = accept(oldAgent, 41);
-                ServerSocket muteAgent = listen()) {
-            watch.moveTo(address(muteAgent), ServiceScope.ALL);
-            try (Socket mute = accept(muteAgent, 41)) {
-                announceDrains(old);
+        try (Socket oldConnection = accept(oldAgent, 41);
+                ServerSocket silentAgent = listen()) {
+            watch.moveTo(address(silentAgent), ServiceScope.ALL);
+            try (Socket silentConnection = accept(silentAgent, 41)) {
+                announceDrainsAndCheckSomeAreDeferred(oldConnection);
                 watch.moveTo(address(newAgent), ServiceScope.ALL);
-                assertEquals(-1, mute.getInputStream().read(), "the first reload's address is left");
-                try (Socket moved = accept(newAgent, 42)) {
-                    write(old, list(43, false, IntStream.range(DRAINS, DRAINS + 1), State.TERMINATING));
+                assertEquals(
+                        -1,
+                        silentConnection.getInputStream().read(),
+                        "the connection to the first reload's address must be closed");
+                try (Socket newConnection = accept(newAgent, 42)) {
+                    write(oldConnection, listChunk(43, false, IntStream.range(DRAINS, DRAINS + 1), State.TERMINATING));
                     awaitList();
-                    fixture.pass(100);
-                    write(moved, ANSWER_HEAD + list(43, false, IntStream.range(DRAINS, DRAINS + 1), State.TERMINATING));
-                    write(moved, list(44, false, IntStream.range(DRAINS + 1, DRAINS + 2), State.TERMINATING));
+                    fixture.advance(100);
+                    write(
+                            newConnection,
+                            RESPONSE_HEADER
+                                    + listChunk(43, false, IntStream.range(DRAINS, DRAINS + 1), State.TERMINATING));
+                    write(
+                            newConnection,
+                            listChunk(44, false, IntStream.range(DRAINS + 1, DRAINS + 2), State.TERMINATING));
                     awaitList();
-                    fixture.pass(10_000);
+                    fixture.advance(10_000);
                 }
             }
         }
-        assertSentOnceAndInGrace(DRAINS + 2);
+        assertEjectedOnceAndInGrace(DRAINS + 2);
     }
 
-    private void announceDrains(Socket old) throws Exception {
-        write(old, ANSWER_HEAD + list(42, false, IntStream.range(0, DRAINS), State.TERMINATING));
+    private void announceDrainsAndCheckSomeAreDeferred(Socket oldConnection) throws Exception {
+        write(oldConnection, RESPONSE_HEADER + listChunk(42, false, IntStream.range(0, DRAINS), State.TERMINATING));
         awaitList();
-        announcedMs = fixture.now();
-        fixture.pass(ControlLoopFixture.STEP_MS);
+        announcedMs = fixture.nowMs();
+        fixture.advance(ControlLoopFixture.STEP_MS);
         assertTrue(
                 fixture.proxies().stream().anyMatch(proxy -> proxy.ejected().size() < DRAINS),
-                "some of the drains wait while discovery moves");
+                "expected some drains to be deferred while discovery moves");
     }
 
-    private void assertSentOnce(int drains) {
+    private void assertEjectedOnce(int drains) {
         TreeSet<String> expected = IntStream.range(0, drains)
                 .mapToObj(number -> "s-" + number)
                 .collect(Collectors.toCollection(TreeSet::new));
         for (RecordingProxy proxy : fixture.proxies()) {
             assertEquals(expected, proxy.ejected(), "proxy " + proxy.id());
-            expected.forEach(host -> assertEquals(1, proxy.ejectedAt().get(host).size(), host + " is ejected once"));
-            assertTrue(proxy.restoredAt().isEmpty(), "none is restored: " + proxy.restoredAt());
+            expected.forEach(host ->
+                    assertEquals(1, proxy.ejectionTimesMs().get(host).size(), host + " must be ejected exactly once"));
+            assertTrue(
+                    proxy.restorationTimesMs().isEmpty(),
+                    "no host may be restored, but were: " + proxy.restorationTimesMs());
         }
     }
 
-    /** All drains are announced within 200 ms of {@link #announcedMs}, so that one limit does for all. */
-    private void assertSentOnceAndInGrace(int drains) {
-        assertSentOnce(drains);
+    /** Checks all drains against one time limit, since all are announced within 200 ms of {@link #announcedMs}. */
+    private void assertEjectedOnceAndInGrace(int drains) {
+        assertEjectedOnce(drains);
         for (RecordingProxy proxy : fixture.proxies()) {
-            proxy.ejectedAt().forEach((host, times) -> {
-                double late = times.get(0) + TRANSIT_MS - announcedMs;
-                assertTrue(late <= GRACE_MS + SOCKET_SLACK_MS, host + " at proxy " + proxy.id() + " after " + late);
+            proxy.ejectionTimesMs().forEach((host, times) -> {
+                double delayMs = times.get(0) + TRANSIT_MS - announcedMs;
+                assertTrue(
+                        delayMs <= GRACE_MS + SOCKET_TOLERANCE_MS,
+                        host + " was ejected at proxy " + proxy.id() + " after " + delayMs);
             });
         }
     }
 
     private void awaitList() throws InterruptedException {
         assertTrue(
-                fixture.eventQueue().await(TimeUnit.SECONDS.toNanos(WAIT_SECONDS)), "the list reaches the event queue");
+                fixture.eventQueue().await(TimeUnit.SECONDS.toNanos(WAIT_SECONDS)),
+                "the host list did not reach the event queue");
     }
 
-    private static String completeWithDrains(long version, int drains) {
-        return list(
+    private static String completeListChunk(long version, int drains) {
+        return listChunk(
                 version,
                 true,
                 IntStream.range(0, HOSTS)
-                        .mapToObj(number -> host(number, number < drains ? State.TERMINATING : State.READY, LONG_AGO))
+                        .mapToObj(number ->
+                                host(number, number < drains ? State.TERMINATING : State.READY, STARTED_LONG_AGO))
                         .toList());
     }
 
-    private static String list(long version, boolean whole, IntStream hosts, State state) {
-        return list(
+    private static String listChunk(long version, boolean isComplete, IntStream hosts, State state) {
+        return listChunk(
                 version,
-                whole,
-                hosts.mapToObj(number -> host(number, state, LONG_AGO)).toList());
+                isComplete,
+                hosts.mapToObj(number -> host(number, state, STARTED_LONG_AGO)).toList());
     }
 
-    /** One line of a watch, as a chunk. */
-    private static String list(long version, boolean whole, List<HostList.Entry> entries) {
+    /** Returns one line of a host watch response as an HTTP chunk. */
+    private static String listChunk(long version, boolean isComplete, List<HostList.Entry> entries) {
         String servers = entries.stream()
                 .map(entry -> "{\"id\":\"" + entry.host() + "\",\"zone\":\"" + "abc".charAt(entry.zone())
                         + "\",\"kind\":\"m1\",\"state\":\"" + (entry.state() == State.READY ? "Ready" : "Terminating")
                         + "\",\"weight\":1,\"started_ms\":0}")
                 .collect(Collectors.joining(","));
-        String line = "{\"version\":" + version + ",\"full\":" + whole + ",\"servers\":[" + servers + "]}\n";
+        String line = "{\"version\":" + version + ",\"full\":" + isComplete + ",\"servers\":[" + servers + "]}\n";
         return Integer.toHexString(line.length()) + "\r\n" + line + "\r\n";
     }
 }
--- a/src/test/java/linenring/controller/ReplacedHostsTest.java
+++ b/src/test/java/linenring/controller/ReplacedHostsTest.java
@@ -1,6 +1,6 @@
 package linenring.controller;
 
-import static linenring.controller.ControlLoopFixture.LONG_AGO;
+import static linenring.controller.ControlLoopFixture.STARTED_LONG_AGO;
 import static linenring.controller.ControlLoopFixture.host;
 import static linenring.controller.ControlLoopFixture.warmHosts;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -18,100 +18,104 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Hosts are replaced all day, each under a name that was never seen before. State that is kept for each of them would fill the heap in
- * some weeks; it must be bounded by the hosts that are alive, with the ids of removed hosts used again.
+ * Hosts are replaced continuously, each by a host with a new name. State kept for each host ever listed would fill the heap within
+ * weeks. The state must be bounded by the number of listed hosts, and the ids of removed hosts must be reused.
  */
 class ReplacedHostsTest {
-    private static final int ALIVE = 100;
-    private static final int TURNS = 1000;
-    private static final int REPLACEMENTS = ALIVE * TURNS;
-    private static final int RETAINED = 1024;
+    private static final int LISTED_HOSTS = 100;
+    private static final int ROUNDS = 1000;
+    private static final int REPLACEMENTS = LISTED_HOSTS * ROUNDS;
+    private static final int RETAINED_HOSTS = 1024;
     private static final int PROXIES = 2;
-    private static final double TURN_MS = 1200;
-    /** The number of turns after which a host's id belongs to another. */
-    private static final int FORGOTTEN_AFTER = 2 * RETAINED / ALIVE;
+    private static final double ROUND_MS = 1200;
+    /** Number of rounds after which a removed host's id is reused for another host. */
+    private static final int ROUNDS_UNTIL_ID_REUSE = 2 * RETAINED_HOSTS / LISTED_HOSTS;
 
     private long version = 1;
 
     @Test
     void keepsBoundedStateThroughAHundredThousandReplacements() {
-        ControlLoopFixture fixture = started();
-        RecordingProxy late = fixture.proxies().get(1);
-        for (int turn = 1; turn <= TURNS; turn++) {
-            late.setSilent(turn % 100 < 30); // its acknowledgements come when the hosts of these updates are forgotten
-            replaceAll(fixture, turn);
-            if (turn > FORGOTTEN_AFTER) {
-                reportFailures(fixture, turn - FORGOTTEN_AFTER);
+        ControlLoopFixture fixture = startFixture();
+        RecordingProxy slowProxy = fixture.proxies().get(1);
+        for (int round = 1; round <= ROUNDS; round++) {
+            slowProxy.setSilent(round % 100 < 30); // late acknowledgements refer to hosts that are already forgotten
+            replaceAll(fixture, round);
+            if (round > ROUNDS_UNTIL_ID_REUSE) {
+                reportFailures(fixture, round - ROUNDS_UNTIL_ID_REUSE);
             }
-            fixture.pass(TURN_MS);
+            fixture.advance(ROUND_MS);
         }
-        late.setSilent(false);
-        fixture.pass(10_000);
-        assertTrue(fixture.hostIdCount() <= 3 * ALIVE + RETAINED, fixture.hostIdCount() + " ids after " + REPLACEMENTS);
-        Set<String> alive = names(TURNS);
+        slowProxy.setSilent(false);
+        fixture.advance(10_000);
+        assertTrue(
+                fixture.hostIdCount() <= 3 * LISTED_HOSTS + RETAINED_HOSTS,
+                fixture.hostIdCount() + " host ids, replaced hosts: " + REPLACEMENTS);
+        Set<String> currentHosts = hostNames(ROUNDS);
         for (RecordingProxy proxy : fixture.proxies()) {
-            assertEquals(alive, proxy.pickable().keySet());
+            assertEquals(currentHosts, proxy.pickableWeights().keySet());
             assertTrue(
-                    Collections.disjoint(proxy.ejectedAt().keySet(), alive),
-                    "reports on former hosts count for nobody");
+                    Collections.disjoint(proxy.ejectionTimesMs().keySet(), currentHosts),
+                    "load reports on removed hosts must not eject current hosts");
         }
     }
 
     @Test
-    void restoresAForgottenHostThatReturns() {
-        ControlLoopFixture fixture = started();
-        int turns = FORGOTTEN_AFTER + 1;
-        for (int turn = 1; turn <= turns; turn++) {
-            replaceAll(fixture, turn);
-            fixture.pass(TURN_MS);
+    void restoresAReleasedHostThatReturns() {
+        ControlLoopFixture fixture = startFixture();
+        int rounds = ROUNDS_UNTIL_ID_REUSE + 1;
+        for (int round = 1; round <= rounds; round++) {
+            replaceAll(fixture, round);
+            fixture.advance(ROUND_MS);
         }
         RecordingProxy proxy = fixture.proxies().get(0);
-        assertTrue(proxy.ejected().contains("s-0"), "the proxy keeps the ejection");
-        List<HostList.Entry> entries = new ArrayList<>(entries(turns));
-        entries.add(host(0, State.READY, LONG_AGO));
+        assertTrue(proxy.ejected().contains("s-0"), "the proxy must keep the ejection of a removed host");
+        List<HostList.Entry> entries = new ArrayList<>(entries(rounds));
+        entries.add(host(0, State.READY, STARTED_LONG_AGO));
         fixture.eventQueue().enqueueHostList(new HostList(++version, true, entries));
-        fixture.pass(TURN_MS);
-        assertTrue(proxy.pickable().containsKey("s-0"));
+        fixture.advance(ROUND_MS);
+        assertTrue(proxy.pickableWeights().containsKey("s-0"));
         assertFalse(proxy.ejected().contains("s-0"));
     }
 
     @Test
     void keepsTheIdOfAHostThatReturnsSoon() {
-        ControlLoopFixture fixture = started();
-        int before = fixture.hostIdCount();
-        for (int turn = 0; turn < 50; turn++) {
-            State state = turn % 2 == 0 ? State.GONE : State.READY;
-            fixture.eventQueue().enqueueHostList(new HostList(++version, false, List.of(host(7, state, LONG_AGO))));
-            fixture.pass(TURN_MS);
+        ControlLoopFixture fixture = startFixture();
+        int initialIdCount = fixture.hostIdCount();
+        for (int round = 0; round < 50; round++) {
+            State state = round % 2 == 0 ? State.GONE : State.READY;
+            fixture.eventQueue()
+                    .enqueueHostList(new HostList(++version, false, List.of(host(7, state, STARTED_LONG_AGO))));
+            fixture.advance(ROUND_MS);
         }
-        assertEquals(before, fixture.hostIdCount());
-        assertTrue(fixture.proxies().get(0).pickable().containsKey("s-7"));
+        assertEquals(initialIdCount, fixture.hostIdCount());
+        assertTrue(fixture.proxies().get(0).pickableWeights().containsKey("s-7"));
     }
 
-    private static ControlLoopFixture started() {
-        ControlLoopFixture fixture = new ControlLoopFixture(warmHosts(1, ALIVE), PROXIES, 4000).joinAll(PROXIES, true);
-        fixture.pass(2000);
+    private static ControlLoopFixture startFixture() {
+        ControlLoopFixture fixture =
+                new ControlLoopFixture(warmHosts(1, LISTED_HOSTS), PROXIES, 4000).joinAll(PROXIES, true);
+        fixture.advance(2000);
         return fixture;
     }
 
-    /** All hosts of the turn before are gone and others have come, in one list. */
-    private void replaceAll(ControlLoopFixture fixture, int turn) {
-        fixture.eventQueue().enqueueHostList(new HostList(++version, true, entries(turn)));
+    /** Replaces all hosts of the previous round by new hosts, in one complete list. */
+    private void replaceAll(ControlLoopFixture fixture, int round) {
+        fixture.eventQueue().enqueueHostList(new HostList(++version, true, entries(round)));
     }
 
-    private static List<HostList.Entry> entries(int turn) {
-        return IntStream.range(turn * ALIVE, (turn + 1) * ALIVE)
-                .mapToObj(number -> host(number, State.READY, LONG_AGO))
+    private static List<HostList.Entry> entries(int round) {
+        return IntStream.range(round * LISTED_HOSTS, (round + 1) * LISTED_HOSTS)
+                .mapToObj(number -> host(number, State.READY, STARTED_LONG_AGO))
                 .toList();
     }
 
-    private static Set<String> names(int turn) {
-        return entries(turn).stream().map(HostList.Entry::host).collect(Collectors.toSet());
+    private static Set<String> hostNames(int round) {
+        return entries(round).stream().map(HostList.Entry::host).collect(Collectors.toSet());
     }
 
-    private static void reportFailures(ControlLoopFixture fixture, int turn) {
-        for (HostList.Entry entry : entries(turn)) {
-            fixture.report(entry.zone(), entry.host(), 50, 50, 0);
+    private static void reportFailures(ControlLoopFixture fixture, int round) {
+        for (HostList.Entry entry : entries(round)) {
+            fixture.reportLoad(entry.zone(), entry.host(), 50, 50, 0);
         }
     }
 }
--- a/src/test/java/linenring/controller/SimulatorParityTest.java
+++ b/src/test/java/linenring/controller/SimulatorParityTest.java
@@ -22,33 +22,35 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What the simulator scores must be what proxies are sent. The same events go over the simulator's wire and over the event queue, at
- * the same times; after each of them the proxies must hold the same configuration on both.
+ * The decisions that the simulator scores must be the same as those sent to proxies. The test feeds the same events at the same times
+ * to the simulator's adapter and to the event queue of a control loop. After each batch of events, the proxies must hold the same
+ * configuration on both sides.
  */
 class SimulatorParityTest {
     private static final double START_MS = 1_700_000_000_000.0;
-    private static final double LONG_AGO = Double.NEGATIVE_INFINITY;
+    private static final double STARTED_LONG_AGO = Double.NEGATIVE_INFINITY;
     private static final int PROXIES = 2;
     private static final int HOSTS = 4;
 
     private final EventQueue eventQueue = new EventQueue();
-    private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream logOutput = new ByteArrayOutputStream();
     private final List<AppliedConfiguration> proxies = List.of(new AppliedConfiguration(), new AppliedConfiguration());
-    private final StringBuilder wire = new StringBuilder();
-    private final List<String> configurations = new ArrayList<>(); // of the proxies on the event queue, by batch
-    private final ControllerSettings settings = new ControllerSettings(ControllerSettings.TEXT);
+    private final StringBuilder simulatorInput = new StringBuilder();
+    private final List<String> configurations =
+            new ArrayList<>(); // configuration sent by the control loop after each batch
+    private final ControllerSettings settings = new ControllerSettings(ControllerSettings.DEFAULT_TEXT);
     private final ControlLoop controlLoop = new ControlLoop(
             SettingsReader.read(settings),
             SettingsReader.names(settings),
             null,
             eventQueue,
-            new Log(new PrintStream(logged)),
+            new Log(new PrintStream(logOutput)),
             new Clock(Instant.ofEpochMilli((long) START_MS)));
     private int version = 1;
 
     @Test
-    void sameEventsOnBothWiresLeadToTheSameConfiguration() throws IOException {
-        batch(0, "provision StewardId=0 Entropy=7 " + ControllerSettings.TEXT + "\n");
+    void sameEventsOnSimulatorAndEventQueueLeadToTheSameConfiguration() throws IOException {
+        appendBatch(0, "provision StewardId=0 Entropy=7 " + ControllerSettings.DEFAULT_TEXT + "\n");
         configurations.add(configuration());
         listHosts(10, true, host(0, State.READY), host(1, State.READY), host(2, State.READY), host(3, State.READY));
         for (int proxy = 0; proxy < PROXIES; proxy++) {
@@ -57,26 +59,26 @@
         for (double offsetMs = 150; offsetMs < 16_000; offsetMs += 100) {
             acknowledgeAndReport(offsetMs);
             if (offsetMs == 3050) {
-                HostList.Entry started = new HostList.Entry("s-4", 0, 0, State.READY, 1, START_MS + 2500);
-                listHosts(offsetMs + 50, false, host(0, State.TERMINATING), started);
+                HostList.Entry startedHost = new HostList.Entry("s-4", 0, 0, State.READY, 1, START_MS + 2500);
+                listHosts(offsetMs + 50, false, host(0, State.TERMINATING), startedHost);
             } else if (offsetMs == 4050) {
                 listHosts(offsetMs + 50, false, host(0, State.GONE));
             }
         }
-        SimulatedProxies fleet = assertSameConfigurations();
-        assertTrue(fleet.hasReducedAdmission(), "the events did reduce admission");
+        SimulatedProxies simulatedProxies = assertSameConfigurations();
+        assertTrue(simulatedProxies.hasReducedAdmission(), "the events must have reduced admission");
         assertFalse(
-                logged.toString(StandardCharsets.UTF_8).matches("(?s).*(WARN|ERROR).*"),
-                logged.toString(StandardCharsets.UTF_8));
+                logOutput.toString(StandardCharsets.UTF_8).matches("(?s).*(WARN|ERROR).*"),
+                logOutput.toString(StandardCharsets.UTF_8));
     }
 
-    private static HostList.Entry host(int number, State state) {
-        return new HostList.Entry("s-" + number, number % 2, 0, state, 1, LONG_AGO);
+    private static HostList.Entry host(int hostNumber, State state) {
+        return new HostList.Entry("s-" + hostNumber, hostNumber % 2, 0, state, 1, STARTED_LONG_AGO);
     }
 
     private void subscribe(double offsetMs, int proxy) {
         eventQueue.enqueueMessage(proxies.get(proxy), new InboundMessage.Subscribe(proxy, proxy, 6.5, true));
-        play(offsetMs, "joined StewardId=0 Sidecar=" + proxy + " Flag=1 Dc=" + proxy + " Heft=6.5\n");
+        playOnBoth(offsetMs, "joined StewardId=0 Sidecar=" + proxy + " Flag=1 Dc=" + proxy + " Heft=6.5\n");
     }
 
     private void acknowledgeAndReport(double offsetMs) {
@@ -88,10 +90,10 @@
                     .append(proxy)
                     .append(" Qos=0 Total=40 Bad=0 Elapsed=100000\n");
         }
-        for (int number = 0; number < HOSTS; number++) {
-            reportLoad(offsetMs, number, events);
+        for (int hostNumber = 0; hostNumber < HOSTS; hostNumber++) {
+            reportLoad(offsetMs, hostNumber, events);
         }
-        play(offsetMs, events.toString());
+        playOnBoth(offsetMs, events.toString());
     }
 
     private void acknowledge(int proxy, StringBuilder events) {
@@ -107,14 +109,14 @@
         }
     }
 
-    /** One host fails for a while; later all are slow, so that admission is reduced. */
-    private void reportLoad(double offsetMs, int number, StringBuilder events) {
-        int failed = number == 1 && offsetMs > 5000 && offsetMs < 8000 ? 4 : 0;
+    /** Reports failures of one host for some seconds, and later high latency of all hosts, which reduces admission. */
+    private void reportLoad(double offsetMs, int hostNumber, StringBuilder events) {
+        int failed = hostNumber == 1 && offsetMs > 5000 && offsetMs < 8000 ? 4 : 0;
         double meanMs = offsetMs > 10_000 ? 900 : 100;
         eventQueue.enqueueMessage(
-                proxies.get(0), new InboundMessage.LoadReport("s-" + number, 0, 5, failed, meanMs, 500));
+                proxies.get(0), new InboundMessage.LoadReport("s-" + hostNumber, 0, 5, failed, meanMs, 500));
         events.append("tally StewardId=0 Host=s-")
-                .append(number)
+                .append(hostNumber)
                 .append(" Dc=0 Total=5 Bad=")
                 .append(failed)
                 .append(" Rtt=")
@@ -130,7 +132,7 @@
                     .append(" Dc=")
                     .append(entry.zone())
                     .append(" Model=0 Heft=1 Mode=")
-                    .append(mode(entry.state()))
+                    .append(modeName(entry.state()))
                     .append(entry.startedMs() > 0 ? " StartTime=" + Math.round(entry.startedMs() * 1000) : "")
                     .append('\n');
         }
@@ -141,10 +143,10 @@
                 .append('\n');
         version++;
         eventQueue.enqueueHostList(new HostList(version, isComplete, List.of(entries)));
-        play(offsetMs, events.toString());
+        playOnBoth(offsetMs, events.toString());
     }
 
-    private static String mode(State state) {
+    private static String modeName(State state) {
         return switch (state) {
             case READY -> "Running";
             case TERMINATING -> "Stopping";
@@ -152,16 +154,21 @@
         };
     }
 
-    /** The events go over the wire, while those that are queued are handled. */
-    private void play(double offsetMs, String events) {
-        batch(offsetMs, events);
+    /** Appends the events to the simulator's input, and runs a round of the control loop for the queued events. */
+    private void playOnBoth(double offsetMs, String events) {
+        appendBatch(offsetMs, events);
         controlLoop.runRound(START_MS + offsetMs);
         configurations.add(configuration());
     }
 
-    private void batch(double offsetMs, String events) {
+    private void appendBatch(double offsetMs, String events) {
         long nowMicros = Math.round((START_MS + offsetMs) * 1000);
-        wire.append("batch Now=").append(nowMicros).append('\n').append(events).append("eob\n");
+        simulatorInput
+                .append("batch Now=")
+                .append(nowMicros)
+                .append('\n')
+                .append(events)
+                .append("eob\n");
     }
 
     private String configuration() {
@@ -171,21 +178,21 @@
     private SimulatedProxies assertSameConfigurations() throws IOException {
         ByteArrayOutputStream replies = new ByteArrayOutputStream();
         SimulatorAdapter.run(
-                new ByteArrayInputStream(wire.toString().getBytes(StandardCharsets.UTF_8)),
+                new ByteArrayInputStream(simulatorInput.toString().getBytes(StandardCharsets.UTF_8)),
                 new PrintStream(replies),
                 System.err);
-        SimulatedProxies fleet = new SimulatedProxies();
+        SimulatedProxies simulatedProxies = new SimulatedProxies();
         int batch = 0;
         for (String line : replies.toString(StandardCharsets.UTF_8).lines().toList()) {
             if (line.equals("next")) {
-                String onWire = fleet.summary(0) + "\n" + fleet.summary(1);
-                assertEquals(onWire, configurations.get(batch), "after batch " + batch);
+                String simulatedConfiguration = simulatedProxies.summary(0) + "\n" + simulatedProxies.summary(1);
+                assertEquals(simulatedConfiguration, configurations.get(batch), "after batch " + batch);
                 batch++;
             } else {
-                fleet.apply(line);
+                simulatedProxies.apply(line);
             }
         }
         assertEquals(configurations.size(), batch);
-        return fleet;
+        return simulatedProxies;
     }
 }
