--- a/src/main/java/linenring/controller/ControlLoop.java
+++ b/src/main/java/linenring/controller/ControlLoop.java
@@ -36,7 +36,8 @@
     private final FleetState fleetState;
     private final Planner planner;
     /**
-     * Whether the last reconciliation and the sending of its updates succeeded. After a fault the planner may not have requested its next call.
+     * Whether the last reconciliation and the sending of its updates succeeded. After a fault the planner may not have requested its
+     * next call.
      */
     private boolean lastRoundSucceeded;
 
@@ -151,8 +152,8 @@
     public void onMessage(ProxyStream stream, InboundMessage message) {
         boolean isHandled = runLoggingFault(() -> handle(stream, message));
         if (!isHandled && message instanceof InboundMessage.Subscribe) {
-            // Without an update the proxy would wait forever. Closing its stream makes it reconnect, here or to another
-            // controller.
+            // Without an update the proxy would wait forever. Closing its stream makes it reconnect, possibly to
+            // another controller.
             runLoggingFault(() -> stream.close(
                     "subscription failed in the controller; closing the stream so that the proxy reconnects"));
         }
@@ -172,8 +173,7 @@
 
     private void subscribe(ProxyStream stream, InboundMessage.Subscribe subscribe) {
         int proxy = subscribe.proxy();
-        if (fleetState.hasNewerStream(
-                proxy, stream)) { // one round may read the subscriptions on both streams, in either order
+        if (fleetState.hasNewerStream(proxy, stream)) { // a round may handle both subscriptions in either order
             log.info(
                     "proxy", proxy + " subscribed on an older stream; closing it because the proxy has a newer stream");
             stream.close("replaced by a newer stream of the same proxy before its subscription was read");
--- a/src/main/java/linenring/controller/EjectedHosts.java
+++ b/src/main/java/linenring/controller/EjectedHosts.java
@@ -3,7 +3,7 @@
 import java.util.BitSet;
 import java.util.stream.IntStream;
 
-/** The hosts that the planner has ejected, and the hosts it has ejected or restored since updates were last sent. */
+/** The hosts that the planner has ejected, and the hosts whose ejection has changed since updates were last sent. */
 final class EjectedHosts {
     private final BitSet ejectedHosts = new BitSet();
     private final BitSet changedHosts = new BitSet();
--- a/src/main/java/linenring/controller/HostIdAllocator.java
+++ b/src/main/java/linenring/controller/HostIdAllocator.java
@@ -23,7 +23,7 @@
     private final TreeSet<Integer> freeIds = new TreeSet<>();
     private final BitSet listedIds = new BitSet();
     private final BitSet idsInCurrentList = new BitSet(); // ids of the hosts in the list that is being applied
-    private final LinkedHashSet<Integer> removedIds = new LinkedHashSet<>(); // in order of removal, oldest first
+    private final LinkedHashSet<Integer> removedIds = new LinkedHashSet<>(); // ids in order of removal, oldest first
 
     /** Returns the id of a host, and assigns the lowest free id to a host without one. */
     int assign(String host) {
--- a/src/main/java/linenring/controller/ProxySessions.java
+++ b/src/main/java/linenring/controller/ProxySessions.java
@@ -17,8 +17,9 @@
  */
 final class ProxySessions {
     private final List<ProxySession> sessions = new ArrayList<>();
-    private final Set<ProxySession> sessionsDue =
-            new LinkedHashSet<>(); // sessions in the order of the planner's commands
+    /** Sessions in the order of the planner's commands. */
+    private final Set<ProxySession> sessionsDue = new LinkedHashSet<>();
+
     private final Log log;
 
     ProxySessions(int proxyCount, int operationCount, Log log) {
--- a/src/main/java/linenring/controller/UpdateBuilder.java
+++ b/src/main/java/linenring/controller/UpdateBuilder.java
@@ -76,10 +76,8 @@
         List<String> restored =
                 recordStatus(session, hosts.stream().filter(this::isNotEjected), EjectionStatus.NOT_EJECTED);
         boolean replacesTable = groups.stream().anyMatch(OperationGroup::isReplaced);
-        // An update with changes may carry one restoration that the planner has not counted, as one entry costs little.
-        // An update
-        // with
-        // ejections carries none, since a drain may have just enough room in the channel.
+        // An update with changes may carry one restoration that the planner has not counted, as one entry costs
+        // little. An update with ejections carries none: a drain may have only just enough room in the channel.
         int uncountedRestorations = parts.isEmpty() || !ejected.isEmpty() ? 0 : 1;
         int spareEntries = replacesTable ? unusedPolicyEntries : uncountedRestorations;
         restored.addAll(
@@ -98,16 +96,16 @@
         BitSet ungrouped = new BitSet();
         ungrouped.set(0, operations.size());
         while (!ungrouped.isEmpty()) {
-            int first = ungrouped.nextSetBit(0);
-            int number = session.table(first);
-            PublishedTable table = number == ProxySession.INHERITED_TABLE ? null : tables.get(number);
+            int firstOperation = ungrouped.nextSetBit(0);
+            int tableNumber = session.table(firstOperation);
+            PublishedTable table = tableNumber == ProxySession.INHERITED_TABLE ? null : tables.get(tableNumber);
             IntPredicate isReplaced =
                     operation -> table != null && (session.isNewlyBound(operation) || table.isCleared());
-            boolean firstIsReplaced = isReplaced.test(first);
+            boolean firstIsReplaced = isReplaced.test(firstOperation);
             BitSet groupMembers = new BitSet();
             ungrouped.stream()
                     .filter(operation ->
-                            session.table(operation) == number && isReplaced.test(operation) == firstIsReplaced)
+                            session.table(operation) == tableNumber && isReplaced.test(operation) == firstIsReplaced)
                     .forEach(groupMembers::set);
             ungrouped.andNot(groupMembers);
             groups.add(new OperationGroup(table, firstIsReplaced, groupMembers));
--- a/src/test/java/linenring/controller/AppliedConfiguration.java
+++ b/src/test/java/linenring/controller/AppliedConfiguration.java
@@ -16,8 +16,9 @@
 final class AppliedConfiguration implements ProxyStream {
     private static final List<String> OPERATIONS = List.of("lookup", "order");
 
-    private final TreeMap<String, TreeMap<String, Double>> tables =
-            new TreeMap<>(); // for each operation, the weights by host
+    /** For each operation, the weights by host. */
+    private final TreeMap<String, TreeMap<String, Double>> tables = new TreeMap<>();
+
     private final TreeMap<String, AdmissionPolicy> policies = new TreeMap<>(); // admission policy by operation
     private final TreeSet<String> ejected = new TreeSet<>();
     private final List<Integer> nonces = new ArrayList<>();
--- a/src/test/java/linenring/controller/ChannelLimitsTest.java
+++ b/src/test/java/linenring/controller/ChannelLimitsTest.java
@@ -55,7 +55,7 @@
         Random random = new Random(seed);
         channel.listHosts(hosts, STARTED_LONG_AGO);
         int nextHost = hosts;
-        for (int round = 0; round < 900; round++) { // 45 s
+        for (int round = 0; round < 900; round++) { // the run takes 45 s of modelled time
             channel.beginRound();
             channel.setSlowdown(round % 300 < 200 ? 1 : 3); // the planner is not notified of the slowdown
             boolean isMassJoin = round < 10 || round % 250 < 10;
@@ -78,8 +78,8 @@
         boolean isConnected = channel.isConnected(proxy);
         if (isConnected && random.nextDouble() < endChance) {
             channel.disconnect(proxy);
-        } else if (random.nextDouble()
-                < (isConnected ? 0.0005 : joinChance)) { // some reconnect before the end of their old stream is seen
+        } else if (random.nextDouble() < (isConnected ? 0.0005 : joinChance)) {
+            // Some proxies reconnect before the planner sees the end of their old stream.
             channel.connect(proxy, random.nextInt(3) == 0, 1 + proxy % 5);
         } else if (isConnected && random.nextDouble() < 0.001) {
             channel.toggleSilence(proxy);
@@ -107,7 +107,7 @@
         channel.listHosts(60, STARTED_LONG_AGO);
         channel.connectAll(0, 160, true);
         Map<String, Double> announcedAtMs = new TreeMap<>();
-        for (int round = 0; round < 700; round++) { // 35 s
+        for (int round = 0; round < 700; round++) { // the run takes 35 s of modelled time
             channel.beginRound();
             channel.beginChanges();
             if (round == 400) {
@@ -124,7 +124,7 @@
     }
 
     /**
-     * A release announces its draining hosts one by one. One message to each proxy for each host would exceed the message limit.
+     * A release announces its draining hosts one by one. A separate message to each proxy for each host would exceed the message limit.
      */
     @Test
     void drainsAnnouncedOneByOneKeepTheGraceUnderTheMessageLimit() {
@@ -134,7 +134,7 @@
         channel.listHosts(90, STARTED_LONG_AGO);
         channel.connectAll(0, 20, true);
         Map<String, Double> announcedAtMs = new TreeMap<>();
-        for (int round = 0; round < 700; round++) { // 35 s
+        for (int round = 0; round < 700; round++) { // the run takes 35 s of modelled time
             channel.beginRound();
             channel.beginChanges();
             if (round > 400 && round % 5 == 0 && announcedAtMs.size() < 50) { // list changes may arrive every 250 ms
@@ -163,7 +163,7 @@
         channel.connectAll(0, 30, true);
         Map<String, Double> announcedAtMs = new TreeMap<>();
         int nextHost = hosts;
-        for (int round = 0; round < 700; round++) { // 35 s
+        for (int round = 0; round < 700; round++) { // the run takes 35 s of modelled time
             channel.beginRound();
             if (round == 20) {
                 channel.connectAll(30, 56, true);
@@ -222,9 +222,9 @@
         ChannelModel channel = new ChannelModel(1, limit, 16_000, MAX_MESSAGES, 49);
         channel.listHosts(hosts, channel.nowMs());
         channel.connectAll(0, 49, false);
-        for (int round = 0; round < 400; round++) { // 20 s
+        for (int round = 0; round < 400; round++) { // the run takes 20 s of modelled time
             channel.beginRound();
-            if (round == 81) { // while entries of the previous slow start step are still queued
+            if (round == 81) { // entries of the previous slow start step are still queued in this round
                 IntStream.range(0, hosts).forEach(number -> channel.report(number, 8, 100));
             }
             channel.endRound();
--- a/src/test/java/linenring/controller/ChannelModel.java
+++ b/src/test/java/linenring/controller/ChannelModel.java
@@ -42,12 +42,15 @@
     private final Planner planner;
     private final List<Message> queued = new ArrayList<>();
     private final List<Message> inTransit = new ArrayList<>();
-    private final ArrayDeque<Message> unsentInWriteOrder = new ArrayDeque<>(); // from the oldest unsent message
-    private final List<ArrayDeque<Double>> recentWritesMs =
-            new ArrayList<>(); // write times of recent messages by proxy
-    private final List<ModelStream> streams =
-            new ArrayList<>(); // current stream by proxy; null before the first subscription
-    private final Map<String, Double> ejectedAtMs = new TreeMap<>(); // arrival of the last ejection by host
+    /** Messages in the order of writing, starting with the oldest unsent message. */
+    private final ArrayDeque<Message> unsentInWriteOrder = new ArrayDeque<>();
+    /** Write times of recent messages by proxy. */
+    private final List<ArrayDeque<Double>> recentWritesMs = new ArrayList<>();
+    /** Current stream by proxy; null before the first subscription. */
+    private final List<ModelStream> streams = new ArrayList<>();
+    /** Time at which the last proxy receives the ejection, by host. */
+    private final Map<String, Double> ejectedAtMs = new TreeMap<>();
+
     private double nowMs = 1_000_000;
     private double idleFromMs;
     private double slowdown = 1;
--- a/src/test/java/linenring/controller/ColdFleetStartTest.java
+++ b/src/test/java/linenring/controller/ColdFleetStartTest.java
@@ -20,7 +20,7 @@
  */
 class ColdFleetStartTest {
     private static final double COLD_CAPACITY = 0.2;
-    private static final double WARM_AFTER_MS = 18_000; // same value as in the fixture's settings
+    private static final double WARM_AFTER_MS = 18_000; // warm-up time in the settings of ControlLoopFixture
     private static final double RUN_MS = WARM_AFTER_MS + 2000;
     private static final double JOIN_LIMIT_MS = 1000;
     /** A warming-up host fails when it is sent more than this multiple of its capacity for {@link #MAX_OVERLOAD_MS}. */
--- a/src/test/java/linenring/controller/ControlLoopTest.java
+++ b/src/test/java/linenring/controller/ControlLoopTest.java
@@ -157,21 +157,18 @@
                 throw new IllegalStateException("simulated fault in close");
             }
         };
-        eventQueue.enqueueMessage(
-                faultyStream,
-                new InboundMessage.Subscribe(
-                        0, 0, 2, true)); // the proxy with the highest request rate is written to first
+        // The proxy with the highest request rate is written to first.
+        eventQueue.enqueueMessage(faultyStream, new InboundMessage.Subscribe(0, 0, 2, true));
         eventQueue.enqueueMessage(proxies.get(1), new InboundMessage.Subscribe(1, 0, 1, true));
         controlLoop.runRound(START_MS + 10);
         assertEquals("[s-0]", proxies.get(1).table("order").keySet().toString());
         assertEquals(
                 List.of("update could not be sent; closing the stream so that the proxy reconnects"), closeReasons);
-        eventQueue.enqueueMessage(
-                proxies.get(0),
-                new InboundMessage.Subscribe(0, 0, 2, false)); // closing the old stream of this proxy throws as well
+        // Closing the old stream of this proxy throws as well.
+        eventQueue.enqueueMessage(proxies.get(0), new InboundMessage.Subscribe(0, 0, 2, false));
         eventQueue.enqueueHostList(new HostList(2, false, List.of(readyHost(1))));
         for (int round = 1; round < 40; round++) {
-            controlLoop.runRound(START_MS + 100 * round); // the control loop still handles events
+            controlLoop.runRound(START_MS + 100 * round); // the control loop still runs rounds after the faults
         }
         assertTrue(proxies.get(0).table("order").containsKey("s-0")
                 && proxies.get(1).table("order").containsKey("s-1"));
@@ -184,10 +181,8 @@
     @Test
     void streamIsClosedWhenItsSubscriptionFails() {
         startControlLoop(ControllerSettings.DEFAULT_TEXT);
-        eventQueue.enqueueMessage(
-                proxies.get(0),
-                new InboundMessage.Subscribe(
-                        99, 0, 1, true)); // this proxy id is out of range; in production the decoder rejects it
+        // This proxy id is out of range; in production the decoder rejects it.
+        eventQueue.enqueueMessage(proxies.get(0), new InboundMessage.Subscribe(99, 0, 1, true));
         eventQueue.enqueueMessage(proxies.get(1), new InboundMessage.Subscribe(1, 0, 1, true));
         controlLoop.runRound(START_MS + 10);
         assertEquals(
--- a/src/test/java/linenring/controller/FleetStateTest.java
+++ b/src/test/java/linenring/controller/FleetStateTest.java
@@ -245,7 +245,7 @@
         connectAndBind();
         fleetState.setEjected(1, true);
         fleetState.send();
-        fleetState.connect(0, stream, false); // resubscribes on the same stream
+        fleetState.connect(0, stream, false); // the proxy resubscribes on the stream it already has
         fleetState.setEjected(1, false);
         fleetState.bindProxy(7, 0, 0);
         fleetState.send();
@@ -259,25 +259,21 @@
         fleetState.setEjected(0, true);
         fleetState.send();
         fleetState.disconnect(0);
-        fleetState.connect(
-                0, otherStream, false); // another controller or an earlier process may have sent ejections meanwhile
+        // Another controller or an earlier process may have sent ejections meanwhile.
+        fleetState.connect(0, otherStream, false);
         fleetState.setEjected(0, false);
         fleetState.setAdmission(7, 0, 1, RetryPolicy.ONE_IF_NOT_EXECUTED);
         assertEquals(1, fleetState.extraEntriesOfBind(7, 0)); // the planner must count the restoration of s-0
         fleetState.bindProxy(7, 0, 0);
         fleetState.send();
-        assertEquals(
-                List.of("s-0", "s-1"),
-                otherStream
-                        .lastParts()
-                        .get(0)
-                        .restored()); // two equal policies are sent as one, which leaves room for one restoration
+        // Two equal policies are sent as one, which leaves room for one restoration.
+        assertEquals(List.of("s-0", "s-1"), otherStream.lastParts().get(0).restored());
         fleetState.setWeight(7, 0, 0.5);
-        assertEquals(2, fleetState.entriesInMessage(0, 1)); // the planner counts the additional restoration
+        // The planner must count the restoration that the update carries besides its entry.
+        assertEquals(2, fleetState.entriesInMessage(0, 1));
         fleetState.send();
-        assertEquals(
-                List.of("s-2"),
-                otherStream.lastParts().get(0).restored()); // each update carries one additional restoration
+        // Each update carries one additional restoration.
+        assertEquals(List.of("s-2"), otherStream.lastParts().get(0).restored());
         fleetState.setWeight(7, 0, 0.6);
         fleetState.send();
         assertEquals(EMPTY_LIST, otherStream.lastParts().get(0).restored());
--- a/src/test/java/linenring/controller/ReloadDuringDrainsTest.java
+++ b/src/test/java/linenring/controller/ReloadDuringDrainsTest.java
@@ -46,7 +46,7 @@
     private static final int HOSTS = 24;
     private static final int PROXIES = 40;
     private static final int DRAINS = 6;
-    private static final double MAX_QUEUED_ENTRIES = 280; // too small for all drains at once, so that some are deferred
+    private static final double MAX_QUEUED_ENTRIES = 280; // too few for all drains at once, so that some are deferred
 
     private final QueuedThreadPool threads = new QueuedThreadPool(8, 2);
     private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
@@ -131,13 +131,8 @@
                         oldConnection.getInputStream().read(),
                         "the old connection must be closed after the first list from the new address");
                 fixture.advance(1000);
-                write(
-                        newConnection,
-                        listChunk(
-                                42,
-                                false,
-                                IntStream.range(0, DRAINS),
-                                State.TERMINATING)); // the new address catches up
+                // The new address catches up with the drains.
+                write(newConnection, listChunk(42, false, IntStream.range(0, DRAINS), State.TERMINATING));
                 write(newConnection, listChunk(43, false, IntStream.range(DRAINS, DRAINS + 1), State.TERMINATING));
                 double lastAnnouncedMs = fixture.nowMs();
                 awaitList();
--- a/src/test/java/linenring/controller/SilentPeersTest.java
+++ b/src/test/java/linenring/controller/SilentPeersTest.java
@@ -28,8 +28,9 @@
 
     private final ControlLoopFixture fixture =
             new ControlLoopFixture(warmHosts(1, HOSTS), PROXIES).joinAll(PROXIES, true);
-    private final Map<String, Double> drainAnnouncedMs =
-            new TreeMap<>(); // time at which discovery listed a host as draining, by host
+    /** Time at which discovery announced the drain, by host. */
+    private final Map<String, Double> drainAnnouncedMs = new TreeMap<>();
+
     private long version = 1;
     private int nextHost = HOSTS;
     private int oldestHost;
--- a/src/test/java/linenring/controller/SimulatorParityTest.java
+++ b/src/test/java/linenring/controller/SimulatorParityTest.java
@@ -36,8 +36,9 @@
     private final ByteArrayOutputStream logOutput = new ByteArrayOutputStream();
     private final List<AppliedConfiguration> proxies = List.of(new AppliedConfiguration(), new AppliedConfiguration());
     private final StringBuilder simulatorInput = new StringBuilder();
-    private final List<String> configurations =
-            new ArrayList<>(); // configuration sent by the control loop after each batch
+    /** Resulting configuration of the control loop's proxies, by batch. */
+    private final List<String> configurations = new ArrayList<>();
+
     private final ControllerSettings settings = new ControllerSettings(ControllerSettings.DEFAULT_TEXT);
     private final ControlLoop controlLoop = new ControlLoop(
             SettingsReader.read(settings),
