--- a/src/test/java/linenring/controller/ChannelLimitsTest.java
+++ b/src/test/java/linenring/controller/ChannelLimitsTest.java
@@ -28,10 +28,12 @@
     void keepsQueueAndMessageLimitsUnderRandomEvents(int seed, int proxies, int hosts) {
         double limit = 22.0 * proxies + 200;
         ChannelModel channel = applyRandomEvents(seed, proxies, hosts, limit);
-        assertTrue(channel.maxQueuedEntries() <= limit, channel.maxQueuedEntries() + " entries queued of " + limit);
+        assertTrue(
+                channel.maxQueuedEntries() <= limit,
+                channel.maxQueuedEntries() + " entries queued, the limit is " + limit);
         assertTrue(
                 channel.maxMessagesInPeriod() <= MAX_MESSAGES,
-                channel.maxMessagesInPeriod() + " messages to one proxy");
+                channel.maxMessagesInPeriod() + " messages to one proxy exceed the limit");
         assertTrue(
                 channel.acknowledgementCount() > proxies && channel.maxQueuedEntries() > 0.1 * limit,
                 "expected many acknowledgements and queued entries, found " + channel.acknowledgementCount() + " and "
@@ -47,7 +49,9 @@
     void countsEntriesInWriteOrderWhenLostMessagesFreeTheirPlace(int seed, int proxies, int hosts) {
         double limit = 22.0 * proxies + 200;
         ChannelModel channel = applyRandomEvents(seed, proxies, hosts, limit);
-        assertTrue(channel.maxCountedEntries() <= limit, channel.maxCountedEntries() + " entries counted of " + limit);
+        assertTrue(
+                channel.maxCountedEntries() <= limit,
+                channel.maxCountedEntries() + " entries counted, the limit is " + limit);
     }
 
     private static ChannelModel applyRandomEvents(int seed, int proxies, int hosts, double limit) {
@@ -144,7 +148,8 @@
             channel.endRound();
         }
         assertTrue(
-                channel.maxMessagesInPeriod() <= maxMessages, channel.maxMessagesInPeriod() + " messages to one proxy");
+                channel.maxMessagesInPeriod() <= maxMessages,
+                channel.maxMessagesInPeriod() + " messages to one proxy exceed the limit");
         assertEjectedWithinGrace(channel, announcedAtMs, graceMs);
     }
 
@@ -229,7 +234,9 @@
             }
             channel.endRound();
         }
-        assertTrue(channel.maxQueuedEntries() <= limit, channel.maxQueuedEntries() + " entries queued of " + limit);
+        assertTrue(
+                channel.maxQueuedEntries() <= limit,
+                channel.maxQueuedEntries() + " entries queued, the limit is " + limit);
         assertTrue(
                 channel.maxQueuedEntries() > 0.7 * limit,
                 "the weights were not reduced at once; most entries queued: " + channel.maxQueuedEntries());
--- a/src/test/java/linenring/controller/ReloadDuringDrainsTest.java
+++ b/src/test/java/linenring/controller/ReloadDuringDrainsTest.java
@@ -217,7 +217,7 @@
                 double delayMs = times.get(0) + TRANSIT_MS - announcedMs;
                 assertTrue(
                         delayMs <= GRACE_MS + SOCKET_TOLERANCE_MS,
-                        host + " was ejected at proxy " + proxy.id() + " after " + delayMs);
+                        host + " was ejected at proxy " + proxy.id() + " " + delayMs + " ms after its announcement");
             });
         }
     }
