--- a/src/main/java/linenring/controller/FleetState.java
+++ b/src/main/java/linenring/controller/FleetState.java
@@ -80,7 +80,7 @@
         sessions.markUpdateDue(session);
     }
 
-    /** Runs the action for each operation in the mask; a mask of 0 stands for all operations. */
+    /** Runs the action for each operation in the mask; a mask of 0 means all operations. */
     private void forEachOperation(int mask, IntConsumer action) {
         for (int operation = 0; operation < operationCount; operation++) {
             if (mask == 0 || (mask >> operation & 1) != 0) {
--- a/src/main/java/linenring/controller/ProxySession.java
+++ b/src/main/java/linenring/controller/ProxySession.java
@@ -9,7 +9,7 @@
 
 /** The session of one proxy: its stream, the tables it is bound to, and its ejections. Owned by the control loop's thread. */
 final class ProxySession {
-    /** Stands for a table that the proxy already held when it subscribed. This table may contain any host. */
+    /** Table number that represents a table the proxy already held when it subscribed. This table may contain any host. */
     static final int INHERITED_TABLE = -1;
 
     private final int id;
