--- a/src/main/java/linenring/planner/AdmissionController.java
+++ b/src/main/java/linenring/planner/AdmissionController.java
@@ -10,127 +10,151 @@
 import linenring.planner.PlannerSettings.Operation;
 
 /**
- * Decides how much of each operation proxies admit, and whether they retry. Inputs: the usual and the high lateness (in
- * objectives), attempts that ended and failed, requests a second, objective (ms) and priority weight of each operation.
+ * Decides which share of each operation's requests the proxies admit, and whether proxies may retry. Inputs: the
+ * baseline and the high relative latency (latency divided by its objective), the attempts that ended and failed,
+ * and the request rate, latency objective (ms) and priority weight of each operation.
  *
- * <p>Failure guarded against: a fleet too small for what is asked, whatever made it so. It shows as lateness at the best third
- * of the hosts and at the 62nd percentile host alike; in the end nothing is answered in time, as work is spent on answers that
- * come too late. The guard holds because what is admitted follows what ends well: it is cut once, then judged again when reports
- * tell of what was admitted after the cut. What is shed is what earns least for a unit of work. Nothing is cut while the best
- * third is unhurried: then hosts or links are at fault and not load. It could do harm where all hosts are slow for a cause
- * that less load does not mend.
+ * <p>Failure guarded against: demand above the capacity of the fleet, for any cause. The relative latency then
+ * rises at the best third of the hosts and at the 62nd percentile host alike. Without load shedding, in the end no
+ * request is answered in time, because hosts spend their work on answers that come too late. The control loop is
+ * stable because the admission ratio follows the ratio of successful attempts: after a cut, admission is evaluated
+ * again only from reports on traffic that was admitted after the cut. Load is shed first from the operation with
+ * the least priority weight per unit of work. Nothing is cut while the latency of the best third is low, since then
+ * hosts or network paths are at fault and not the load. Shedding could do harm where all hosts are slow for a cause
+ * that less load does not remove.
  *
- * <p>Retries: one, on proof that the attempt was not executed, so that nothing that proxies repeat takes effect twice. None in a
- * retry storm under lowered admission, where each full host would forward to the next.
+ * <p>Retries: a proxy may retry once, and only with proof that the attempt was not executed, so that no retried
+ * request takes effect twice. Retries are switched off in a retry storm under reduced admission, since a request
+ * rejected by one full host would only move on to the next full host.
  */
 final class AdmissionController {
-    /** Admission is cut when the 62nd percentile host takes more than this part of the objective... */
-    private static final double OVERLOAD_LATENESS = 0.5;
-    /** ... and the best third more than this: below it they are unhurried. */
-    private static final double UNHURRIED_LATENESS = 0.35;
-    /** A cut aims at this lateness. No reason is recorded for the value. */
-    private static final double CUT_TARGET_LATENESS = 0.55;
-    /** A cut aims a little under what ends well. No reason is recorded for the value. */
-    private static final double CUT_TARGET_SUCCESS = 0.95;
-    /** One step keeps at least this part of the admission ratio. No reason is recorded for the value. */
+    /** Relative latency of the 62nd percentile host above which admission may be cut. */
+    private static final double OVERLOAD_RELATIVE_LATENCY = 0.5;
+    /**
+     * Admission is cut only if the relative latency of the best third of the hosts is above this value: below it,
+     * load is not the cause.
+     */
+    private static final double MAX_BASELINE_LATENCY_WITHOUT_OVERLOAD = 0.35;
+    /** Relative latency that a cut of admission aims at. */
+    private static final double CUT_TARGET_RELATIVE_LATENCY = 0.55;
+    /** A cut of admission aims a little below the ratio of successful attempts. */
+    private static final double CUT_TARGET_SUCCESS_FACTOR = 0.95;
+    /** Smallest factor by which one cut multiplies the admission ratio. */
     private static final double MIN_FACTOR_PER_CUT = 0.6;
-    /** The admission ratio never falls below this. No reason is recorded for the value. */
+    /** Lower bound of the admission ratio. */
     private static final double MIN_ADMISSION_RATIO = 0.1;
-    /** Admission rises while the 62nd percentile host takes less than this part of the objective... */
-    private static final double RECOVERY_LATENESS = 0.4;
+    /** Relative latency of the 62nd percentile host below which the admission ratio recovers. */
+    private static final double RECOVERY_RELATIVE_LATENCY = 0.4;
+    /**
+     * A recovery step multiplies the admission ratio by 1 + (this gain - relative latency), so that admission
+     * recovers faster at lower latency.
+     */
+    private static final double RECOVERY_GAIN_AT_ZERO_LATENCY = 0.45;
+    /**
+     * Time for the queues of hosts to empty after a cut of admission; the outcomes reported until then are
+     * discarded, as they come from traffic admitted before the cut.
+     */
+    private static final double QUEUE_DRAIN_MS = 2000;
+    /** Shortest wait for load reports after the queues of hosts have emptied. */
+    private static final double MIN_REPORT_WAIT_MS = 1000;
+    /** Interval between two evaluations of admission, in which new load reports arrive. */
+    private static final double REEVALUATION_INTERVAL_MS = 1500;
     /**
-     * ... and each step multiplies the ratio by 1 + (this - lateness): it rises faster the quicker answers are. No reason is
-     * recorded for the value.
+     * The first phase of load shedding lowers each operation to this ratio at most, so that no operation is
+     * sacrificed early.
      */
-    private static final double RECOVERY_GAIN_AT_ZERO_LATENESS = 0.45;
-    /** Time in which queues empty after a cut; then reports of what was admitted before it are dropped. */
-    private static final double QUEUES_EMPTY_MS = 2000;
-    /** Shortest wait for reports after that. */
-    private static final double MIN_REPORT_SPAN_MS = 1000;
-    /** Wait before admission is judged again, in which new reports come in. */
-    private static final double JUDGE_AGAIN_MS = 1500;
-    /** Phase 1 sheds each operation down to this ratio, so that none is given up early. */
     private static final double FIRST_PHASE_FLOOR = 0.4;
-    /** Phase 2 sheds each operation down to this ratio. No reason is recorded for the value. */
+    /** The second phase of load shedding lowers each operation to this ratio at most. */
     private static final double SECOND_PHASE_FLOOR = 0.05;
 
     private static final double[] SHEDDING_FLOORS = {FIRST_PHASE_FLOOR, SECOND_PHASE_FLOOR};
-    /** A smaller change of admission is not worth a message. */
-    private static final double MIN_CHANGE = 0.02;
-    /** No retries in a storm under this admission. No reason is recorded for the value. */
+    /** A smaller change of an admission ratio is not worth a message. */
+    private static final double MIN_ADMISSION_CHANGE = 0.02;
+    /** Retries are switched off in a retry storm while the admission ratio is below this value. */
     private static final double MIN_RATIO_FOR_RETRIES = 0.9;
-    /** In requests a second: more than any proxy is asked. */
-    private static final double UNLIMITED_PER_SECOND = 1e6;
+    /** Admission value of an operation that is not limited; above the request rate of any proxy. */
+    private static final double UNLIMITED_REQUESTS_PER_SECOND = 1e6;
 
     private final PlannerContext context;
-    private final RetryStormGuard storm;
+    private final RetryStormGuard retryStormGuard;
     private final List<Operation> operations;
-    private final double[] admissionRatios = new double[Integer.SIZE];
+    private final double[] ratioByOperation = new double[Integer.SIZE];
     private double admissionRatio = 1;
-    private double judgeAtMs;
-    private double forgetAtMs = Double.POSITIVE_INFINITY;
+    private double nextEvaluationAtMs;
+    private double discardOutcomesAtMs = Double.POSITIVE_INFINITY;
 
-    AdmissionController(PlannerContext context, RetryStormGuard storm) {
+    AdmissionController(PlannerContext context, RetryStormGuard retryStormGuard) {
         this.context = context;
-        this.storm = storm;
+        this.retryStormGuard = retryStormGuard;
         operations = context.settings().operations();
-        Arrays.fill(admissionRatios, 1);
+        Arrays.fill(ratioByOperation, 1);
     }
 
-    /** Judges load and storm by the latest reports; whether it changed what is admitted or known. */
-    boolean adjust() {
+    /**
+     * Evaluates overload and retry storms by the latest load reports; returns whether the admission ratio or the
+     * outcomes of hosts changed.
+     */
+    boolean adjustAdmission() {
         FleetStatistics statistics = context.statistics();
         double workPerSecond = statistics.refreshDemand();
         statistics.refresh();
-        storm.observe();
-        if (context.nowMs() >= forgetAtMs) {
-            forgetAtMs = Double.POSITIVE_INFINITY;
-            context.fleet().hosts().forEach(statistics::forgetOutcomes); // they show what was admitted before the cut
+        retryStormGuard.updateStormState();
+        if (context.nowMs() >= discardOutcomesAtMs) {
+            discardOutcomesAtMs = Double.POSITIVE_INFINITY;
+            // the outcomes so far come from traffic admitted before the cut
+            context.fleet().hosts().forEach(statistics::forgetOutcomes);
             return true;
         }
-        boolean isKnown =
-                statistics.ended() >= FleetStatistics.MIN_FLEET_ATTEMPTS && statistics.requestsPerSecond() > 0;
-        if (!isKnown || context.nowMs() < judgeAtMs) {
+        boolean hasEnoughReports =
+                statistics.endedAttempts() >= FleetStatistics.MIN_FLEET_ATTEMPTS && statistics.requestsPerSecond() > 0;
+        if (!hasEnoughReports || context.nowMs() < nextEvaluationAtMs) {
             return false;
         }
-        double before = admissionRatio;
+        double previousRatio = admissionRatio;
         admissionRatio = nextRatio(statistics);
-        boolean isCut = admissionRatio < before;
+        boolean isCut = admissionRatio < previousRatio;
         if (isCut) {
-            forgetAtMs = context.nowMs() + QUEUES_EMPTY_MS + Math.max(MIN_REPORT_SPAN_MS, statistics.reportSpanMs());
+            discardOutcomesAtMs =
+                    context.nowMs() + QUEUE_DRAIN_MS + Math.max(MIN_REPORT_WAIT_MS, statistics.reportSpanMs());
         }
-        judgeAtMs = (isCut ? forgetAtMs : context.nowMs()) + JUDGE_AGAIN_MS;
+        nextEvaluationAtMs = (isCut ? discardOutcomesAtMs : context.nowMs()) + REEVALUATION_INTERVAL_MS;
         shed((1 - admissionRatio) * workPerSecond);
-        return admissionRatio != before;
+        return admissionRatio != previousRatio;
     }
 
     private double nextRatio(FleetStatistics statistics) {
-        double lateness = statistics.highLateness();
-        if (lateness > OVERLOAD_LATENESS && statistics.usualLateness() > UNHURRIED_LATENESS) {
-            double bySuccess = CUT_TARGET_SUCCESS * statistics.succeeded() / statistics.ended();
-            double cut = Math.max(MIN_FACTOR_PER_CUT, Math.min(CUT_TARGET_LATENESS / lateness, bySuccess));
-            return Math.max(MIN_ADMISSION_RATIO, admissionRatio * cut);
+        double highLatency = statistics.highRelativeLatency();
+        if (highLatency > OVERLOAD_RELATIVE_LATENCY
+                && statistics.baselineRelativeLatency() > MAX_BASELINE_LATENCY_WITHOUT_OVERLOAD) {
+            double successFactor =
+                    CUT_TARGET_SUCCESS_FACTOR * statistics.succeededAttempts() / statistics.endedAttempts();
+            double cutFactor =
+                    Math.max(MIN_FACTOR_PER_CUT, Math.min(CUT_TARGET_RELATIVE_LATENCY / highLatency, successFactor));
+            return Math.max(MIN_ADMISSION_RATIO, admissionRatio * cutFactor);
         }
-        if (lateness < RECOVERY_LATENESS && admissionRatio < 1) {
-            return Math.min(1, admissionRatio * (1 + (RECOVERY_GAIN_AT_ZERO_LATENESS - lateness)));
+        if (highLatency < RECOVERY_RELATIVE_LATENCY && admissionRatio < 1) {
+            return Math.min(1, admissionRatio * (1 + (RECOVERY_GAIN_AT_ZERO_LATENCY - highLatency)));
         }
         return admissionRatio;
     }
 
-    /** Spreads what is shed: taken where a unit of work, by its objective, earns least. */
+    /**
+     * Distributes the work to shed over the operations, starting with the least priority weight per unit of work
+     * (request rate times objective).
+     */
     private void shed(double workPerSecond) {
-        List<Integer> cheapestFirst = IntStream.range(0, operations.size())
+        List<Integer> leastValuableFirst = IntStream.range(0, operations.size())
                 .boxed()
                 .sorted(Comparator.comparingDouble(this::valuePerWork))
                 .toList();
-        Arrays.fill(admissionRatios, 1);
-        double left = workPerSecond;
+        Arrays.fill(ratioByOperation, 1);
+        double remainingWork = workPerSecond;
         for (double floor : SHEDDING_FLOORS) {
-            for (int operation : cheapestFirst) {
+            for (int operation : leastValuableFirst) {
                 double work = context.statistics().workPerSecond(operation);
-                double taken = Math.min(left, Math.max(0, admissionRatios[operation] - floor) * work);
-                admissionRatios[operation] -= work > 0 ? taken / work : 0;
-                left -= taken;
+                double shedWork = Math.min(remainingWork, Math.max(0, ratioByOperation[operation] - floor) * work);
+                ratioByOperation[operation] -= work > 0 ? shedWork / work : 0;
+                remainingWork -= shedWork;
             }
         }
     }
@@ -139,56 +163,61 @@
         return operations.get(operation).value() / operations.get(operation).objectiveMs();
     }
 
-    /** How proxies retry now. */
+    /** Retry policy that proxies should follow now. */
     RetryPolicy retryPolicy() {
-        return storm.isStorm() && admissionRatio < MIN_RATIO_FOR_RETRIES
+        return retryStormGuard.isStormActive() && admissionRatio < MIN_RATIO_FOR_RETRIES
                 ? RetryPolicy.NONE
                 : RetryPolicy.ONE_IF_NOT_EXECUTED;
     }
 
-    /** Whether this operation's admission must be written to the table. */
+    /** Whether the admission ratio of this operation must be written to the table. */
     boolean isDue(EndpointTable table, int operation) {
         return !context.registry().isSharded()
                 && table.isFor(operation)
                 && (table.retryPolicy() != retryPolicy()
-                        || Math.abs(table.admissionRatio(operation) - admissionRatios[operation]) > MIN_CHANGE);
+                        || Math.abs(table.admissionRatio(operation) - ratioByOperation[operation])
+                                > MIN_ADMISSION_CHANGE);
     }
 
-    /** Operations whose admission must be written to the table. */
+    /** Returns the operations whose admission ratio must be written to the table. */
     IntStream due(EndpointTable table) {
         return IntStream.range(0, operations.size()).filter(operation -> isDue(table, operation));
     }
 
-    /** Whether the table admits more than it should: as urgent as an ejection, as each moment of overload lengthens it. */
+    /**
+     * Whether the table admits more than the current admission ratios. Writing the cut is as urgent as an ejection,
+     * since each moment of excess load prolongs the overload.
+     */
     boolean isCutDue(EndpointTable table) {
-        return due(table).anyMatch(operation -> admissionRatios[operation] < table.admissionRatio(operation));
+        return due(table).anyMatch(operation -> ratioByOperation[operation] < table.admissionRatio(operation));
     }
 
-    /** Writes what is due of admission and retry policy. */
+    /** Writes the changed admission ratios and the retry policy to the table. */
     void write(EndpointTable table) {
         due(table).forEach(operation -> write(table, operation));
         table.setRetryPolicy(retryPolicy());
     }
 
     private void write(EndpointTable table, int operation) {
-        double ratio = admissionRatios[operation];
+        double ratio = ratioByOperation[operation];
         table.setAdmissionRatio(operation, ratio);
-        double admission = context.settings().measure() == Measure.PER_SECOND ? perSecond(table, operation) : ratio;
+        double admission =
+                context.settings().measure() == Measure.PER_SECOND ? admittedPerSecond(table, operation) : ratio;
         context.writer().writeAdmission(table, operation, admission, retryPolicy());
     }
 
-    private double perSecond(EndpointTable table, int operation) {
-        Collection<ProxyState> users = context.registry().usersOf(table);
-        double requestsPerUser = users.stream()
+    private double admittedPerSecond(EndpointTable table, int operation) {
+        Collection<ProxyState> proxies = context.registry().usersOf(table);
+        double requestsPerUser = proxies.stream()
                         .mapToDouble(proxy -> proxy.requestsPerSecond(operation))
                         .sum()
-                / Math.max(1, users.size());
-        double ratio = admissionRatios[operation];
-        return ratio < 1 ? ratio * requestsPerUser : UNLIMITED_PER_SECOND;
+                / Math.max(1, proxies.size());
+        double ratio = ratioByOperation[operation];
+        return ratio < 1 ? ratio * requestsPerUser : UNLIMITED_REQUESTS_PER_SECOND;
     }
 
-    /** When time alone next changes what is known, or infinity. */
+    /** Time at which the outcomes from before a cut must be discarded, or infinity. */
     double nextDueMs() {
-        return forgetAtMs;
+        return discardOutcomesAtMs;
     }
 }
--- a/src/main/java/linenring/planner/DecisionTime.java
+++ b/src/main/java/linenring/planner/DecisionTime.java
@@ -1,6 +1,6 @@
 package linenring.planner;
 
-/** The time that all decisions of one reconciliation are taken at: that of the latest input, in milliseconds. */
+/** Time at which all decisions of one reconciliation are taken: the time of the latest input, in milliseconds. */
 final class DecisionTime {
     private double nowMs;
 
--- a/src/main/java/linenring/planner/Fleet.java
+++ b/src/main/java/linenring/planner/Fleet.java
@@ -7,7 +7,10 @@
 import java.util.function.IntFunction;
 import java.util.function.Predicate;
 
-/** The hosts, proxies and zones by their ids, and the proxies that are joined. Each is created when its id is first named. */
+/**
+ * The hosts, proxies and zones by their ids, and the proxies that have joined. Each object is created when its id
+ * is first used.
+ */
 final class Fleet {
     private final List<Host> hosts = new ArrayList<>();
     private final List<Zone> zones = new ArrayList<>();
@@ -15,18 +18,18 @@
     private final List<ProxyState> joined = new ArrayList<>();
 
     Host host(int id) {
-        return grown(hosts, id, Host::new);
+        return getOrCreate(hosts, id, Host::new);
     }
 
     ProxyState proxy(int id) {
-        return grown(proxies, id, ProxyState::new);
+        return getOrCreate(proxies, id, ProxyState::new);
     }
 
     Zone zone(int id) {
-        return grown(zones, id, Zone::new);
+        return getOrCreate(zones, id, Zone::new);
     }
 
-    /** All hosts by their id, released places included; a live view. */
+    /** All hosts by their ids, as a live view; a released id has a placeholder. */
     List<Host> hosts() {
         return Collections.unmodifiableList(hosts);
     }
@@ -35,27 +38,30 @@
         return Collections.unmodifiableList(zones);
     }
 
-    /** Joined proxies, those of most requests first; a live view. */
+    /** Proxies that have joined, in descending order of their usual request rate, as a live view. */
     List<ProxyState> joined() {
         return Collections.unmodifiableList(joined);
     }
 
-    /** Whether a host has this id. */
-    boolean isKnown(int id) {
+    /** Whether a host with this id exists and has not been released. */
+    boolean hasHost(int id) {
         return id < hosts.size() && !hosts.get(id).isReleased();
     }
 
-    /** Whether the host is gone and proxies were notified of it. */
+    /** Whether the host with this id is drained or removed and the proxies were notified of it. */
     boolean isRemoved(int id) {
-        return isKnown(id) && !hosts.get(id).isRunning() && !hosts.get(id).mustDrain();
+        return hasHost(id) && !hosts.get(id).isRunning() && !hosts.get(id).mustDrain();
     }
 
-    /** Forgets the host with this id; that host. */
+    /** Replaces the host with this id by a placeholder and returns the replaced host. */
     Host release(int id) {
         return hosts.set(id, Host.released(id));
     }
 
-    /** Acts on each host for which the condition holds when its turn comes; whether there was one. */
+    /**
+     * Applies the action to each host that satisfies the condition at its turn; returns whether there was any such
+     * host.
+     */
     boolean forEachHost(Predicate<Host> condition, Consumer<Host> action) {
         boolean any = false;
         for (Host host : hosts) {
@@ -68,11 +74,12 @@
     }
 
     void join(ProxyState proxy) {
-        int place = 0;
-        while (place < joined.size() && joined.get(place).usualRequestsPerSecond() >= proxy.usualRequestsPerSecond()) {
-            place++;
+        int position = 0;
+        while (position < joined.size()
+                && joined.get(position).usualRequestsPerSecond() >= proxy.usualRequestsPerSecond()) {
+            position++;
         }
-        joined.add(place, proxy);
+        joined.add(position, proxy);
     }
 
     void leave(ProxyState proxy) {
@@ -84,7 +91,7 @@
         return joined.stream().anyMatch(ProxyState::isNewcomer);
     }
 
-    private static <T> T grown(List<T> list, int index, IntFunction<T> create) {
+    private static <T> T getOrCreate(List<T> list, int index, IntFunction<T> create) {
         while (list.size() <= index) {
             list.add(create.apply(list.size()));
         }
--- a/src/main/java/linenring/planner/FleetMembership.java
+++ b/src/main/java/linenring/planner/FleetMembership.java
@@ -1,33 +1,34 @@
 package linenring.planner;
 
 /**
- * Applies the host lists: which hosts are ready, drain or are gone. Inputs: entries of lists, complete ones or changes, with the start
- * times of hosts (ms on the planner's clock).
+ * Applies the host lists, which tell which hosts are ready, draining or removed. Inputs: entries of complete lists
+ * or of list changes, with the start times of hosts (ms on the planner's clock).
  *
- * <p>Failure guarded against: a wrong list names hosts that do not exist, and requests to them fail. So a host first met in a
- * change of the list that claims to be old, and should have been in the first list, is tried with little before it gets its
- * weight. It could do harm where lists are very late: a sound host serves little for some seconds.
+ * <p>Failure guarded against: a wrong list names hosts that do not exist, and requests to them fail. A host is
+ * unverified if it first appears in a list change although its start time says that the first complete list should
+ * have named it. An unverified host starts on probation with a small share of its weight. The probation could do
+ * harm where lists are very late: a sound host then gets little traffic for some seconds.
  */
 final class FleetMembership {
-    /** Lists are late: a host that started within this time before the first one may be missing there. */
+    /** Delay of host lists: a host that started within this time before the first list may be missing in that list. */
     private static final double LIST_DELAY_MS = 20_000;
 
-    private static final double NOT_STARTED = -1;
+    private static final double BEFORE_FIRST_INPUT = -1;
 
     private final PlannerContext context;
-    private final OutlierDetector outliers;
-    private double startedAtMs = NOT_STARTED;
+    private final OutlierDetector outlierDetector;
+    private double firstInputAtMs = BEFORE_FIRST_INPUT;
     private boolean isCompleteList;
 
-    FleetMembership(PlannerContext context, OutlierDetector outliers) {
+    FleetMembership(PlannerContext context, OutlierDetector outlierDetector) {
         this.context = context;
-        this.outliers = outliers;
+        this.outlierDetector = outlierDetector;
     }
 
-    /** Notes the time of the first input; later calls do nothing. */
-    void start() {
-        if (startedAtMs < 0) {
-            startedAtMs = context.nowMs();
+    /** Records the time of the first input; later calls do nothing. */
+    void recordFirstInput() {
+        if (firstInputAtMs < 0) {
+            firstInputAtMs = context.nowMs();
         }
     }
 
@@ -36,26 +37,29 @@
         context.fleet().hosts().forEach(Host::beginList);
     }
 
-    void ready(int id, int zone, int kind, double weight, double startedMs) {
-        boolean isFirstMetInChange = !isCompleteList && !context.fleet().isKnown(id);
+    void hostReady(int id, int zone, int kind, double weight, double startedMs) {
+        boolean isFirstSeenInChange = !isCompleteList && !context.fleet().hasHost(id);
         Host host = update(id, zone, kind, weight);
         host.markReady(startedMs);
-        boolean shouldHaveBeenListed = context.warmUp().isWarm(host) && startedMs < startedAtMs - LIST_DELAY_MS;
-        if (isFirstMetInChange && shouldHaveBeenListed) {
-            outliers.startProbationOfUnverified(host);
+        boolean shouldHaveBeenListed = context.warmUp().isWarm(host) && startedMs < firstInputAtMs - LIST_DELAY_MS;
+        if (isFirstSeenInChange && shouldHaveBeenListed) {
+            outlierDetector.startProbationOfUnverified(host);
         }
     }
 
-    void draining(int id, int zone, int kind, double weight) {
-        markLeaving(update(id, zone, kind, weight));
+    void hostDraining(int id, int zone, int kind, double weight) {
+        markDraining(update(id, zone, kind, weight));
     }
 
-    /** A removed host is ejected, unless the settings say that such hosts need not stop. */
-    void removed(int id) {
+    /**
+     * Marks a removed host as draining, so that proxies eject it, unless the settings say that removed hosts keep
+     * running.
+     */
+    void hostRemoved(int id) {
         Host host = context.fleet().host(id);
         host.markListed();
         if (!context.settings().removedHostsKeepRunning() || !host.isRunning()) {
-            markLeaving(host);
+            markDraining(host);
         }
     }
 
@@ -66,21 +70,24 @@
         return host;
     }
 
-    private void markLeaving(Host host) {
-        // a newcomer was not there when the host was ejected for its health
-        host.markLeaving(!context.fleet().hasNewcomer());
+    private void markDraining(Host host) {
+        // a proxy that has just joined was not notified when the host was ejected for its health
+        host.markDraining(!context.fleet().hasNewcomer());
         context.statistics().markStale();
     }
 
-    /** Hosts that a complete list does not name are gone. */
+    /** Ends the host list; each host that a complete list did not name is removed. */
     void endList() {
         context.fleet().hosts().stream()
                 .filter(host -> isCompleteList && !host.isListed() && !host.isReleased())
-                .forEach(host -> removed(host.id()));
+                .forEach(host -> hostRemoved(host.id()));
     }
 
-    /** Forgets a removed host, whose id may then be another's; false while a table has an entry for it. */
-    boolean release(int id) {
+    /**
+     * Releases the id of a removed host for use by another host; returns false while a table still has an entry for
+     * the host.
+     */
+    boolean releaseHost(int id) {
         TableRegistry registry = context.registry();
         boolean isFree = !registry.isSharded()
                 && context.fleet().isRemoved(id)
--- a/src/main/java/linenring/planner/FleetStatistics.java
+++ b/src/main/java/linenring/planner/FleetStatistics.java
@@ -10,37 +10,51 @@
 import linenring.planner.PlannerSettings.Operation;
 
 /**
- * What the rules need to know of the whole fleet: totals of attempts, the usual and the high lateness, the usual failure ratio,
- * the demand, and the capacity of each table. They are recomputed by {@link #refresh}, which each rule calls where it needs them:
- * at most once for each input that changes them. Lateness is in latency objectives: 1 is an answer that takes just as long as
- * its operation may.
+ * Statistics of the whole fleet that the rules share: totals of attempts, the baseline and the high relative
+ * latency, the baseline failure ratio, the demand, and the capacity of each table. {@link #refresh} recomputes
+ * them; each rule calls it where it needs them, and it recomputes at most once for each input that changes them.
+ * Relative latency is latency divided by the latency objective: at 1, an answer takes as long as its operation
+ * allows.
  *
- * <p>Health is compared with the best third of the hosts and not with the mean: in an overload all are bad, and none must be
- * ejected; beside broken or unreachable hosts the best third stays good.
+ * <p>The health of a host is compared with the best third of the hosts (the baseline) and not with the mean: in an
+ * overload all hosts are bad and none may be ejected, while the best third stays good when other hosts are broken
+ * or unreachable.
  */
 final class FleetStatistics {
-    /** Fewer attempts than this in the whole fleet say nothing about it. No reason is recorded for the value. */
+    /** Fewest attempts in the whole fleet from which its statistics are used. */
     static final double MIN_FLEET_ATTEMPTS = 20;
 
-    /** Time in which attempts decay by half, unless a report covers a longer time, which then counts. */
+    /** Half-life of the totals of attempts, unless load reports cover a longer time, which is then the half-life. */
     private static final double HALF_LIFE_MS = 1500;
 
-    private static final double LEFT_AFTER_HALF_LIFE = 0.5;
-    /** Reports cover times that change from one to the next: smoothed over about the last 20. */
+    private static final double DECAY_PER_HALF_LIFE = 0.5;
+    /**
+     * Smoothing factor of the time that load reports cover; it varies, and the average spans about the last 20
+     * reports.
+     */
     private static final double REPORT_SPAN_SMOOTHING = 0.05;
-    /** Request rates are smoothed over about the last three reports. */
+    /** Smoothing factor of request rates; the average spans about the last three load reports. */
     private static final double REQUEST_RATE_SMOOTHING = 0.3;
-    /** A failed attempt counts as an answer that is late by half an objective. */
-    private static final double LATENESS_OF_FAILURE = 1.5;
-    /** Hosts with fewer attempts are left out of the quantiles. No reason is recorded for the value. */
+    /** Relative latency counted for a failed attempt: as an answer half an objective too late. */
+    private static final double RELATIVE_LATENCY_OF_FAILURE = 1.5;
+    /** Hosts with fewer attempts are left out of the quantiles. */
     private static final double MIN_HOST_ATTEMPTS = 3;
-    /** The best third of the hosts: good even where others are broken or cut off. */
-    private static final double USUAL_QUANTILE = 0.33;
-    /** The 62nd percentile host: a third of the hosts broken or cut off does not move it. */
+    /**
+     * The host at the 33rd percentile gives the baseline: the best third is good even where other hosts are broken
+     * or cut off.
+     */
+    private static final double BASELINE_QUANTILE = 0.33;
+    /**
+     * The host at the 62nd percentile gives the high relative latency: a third of the hosts broken or cut off does
+     * not move it.
+     */
     private static final double HIGH_QUANTILE = 0.62;
-    /** Requests a second for each host from which on a proxy meets a failing one often enough to avoid it by itself. */
-    private static final double REQUESTS_PER_HOST_TO_AVOID_IT = 0.25;
-    /** The objective until the first demand is known. */
+    /**
+     * Request rate per proxy and host (requests a second) from which a proxy meets a failing host often enough to
+     * eject the host by itself.
+     */
+    private static final double MIN_REQUESTS_PER_HOST_FOR_PROXY_EJECTION = 0.25;
+    /** Mean latency objective assumed until the first request rates are reported. */
     private static final double INITIAL_OBJECTIVE_MS = 1000;
 
     private static final int MILLIS_PER_SECOND = 1000;
@@ -50,16 +64,16 @@
     private final WarmUp warmUp;
     private final DecisionTime time;
     private final List<Operation> operations;
-    /** Outcomes of the warm hosts that are not ejected, by their kind. */
+    /** Outcomes of the warm hosts that are not ejected, by kind. */
     private final List<Outcomes> outcomesByKind = new ArrayList<>();
 
     private boolean stale = true;
     private double refreshedAtMs;
-    private double ended;
-    private double failed;
-    private double usualLateness;
-    private double highLateness;
-    private double usualFailureRatio;
+    private double endedAttempts;
+    private double failedAttempts;
+    private double baselineRelativeLatency;
+    private double highRelativeLatency;
+    private double baselineFailureRatio;
     private double requestsPerSecond;
     private double objectiveMs = INITIAL_OBJECTIVE_MS;
     private double reportSpanMs;
@@ -72,18 +86,17 @@
         this.operations = operations;
     }
 
-    // ---- inputs
-
-    /** Adds a report: attempts at one host by proxies of one zone, and the time that the report covers. */
-    void addReport(Host host, int proxyZone, int attempts, int failedAttempts, double meanSuccessMs, double spanMs) {
+    /** Adds a load report: attempts at one host by the proxies of one zone, and the time that the report covers. */
+    void addReport(Host host, int proxyZone, int attempts, int failures, double meanSuccessMs, double spanMs) {
         reportSpanMs += REPORT_SPAN_SMOOTHING * (spanMs - reportSpanMs);
-        Zone from = fleet.zone(proxyZone);
+        Zone zoneOfProxies = fleet.zone(proxyZone);
         boolean isSameZone = proxyZone == host.zone();
-        boolean saysSomethingOfHost = isSameZone || !from.isPartitioned(time.nowMs());
-        double spentMs = (attempts - failedAttempts) * meanSuccessMs;
-        (isSameZone ? from.sameZone() : from.otherZones()).add(attempts, failedAttempts, spentMs);
-        if (saysSomethingOfHost) {
-            host.outcomes().add(attempts, failedAttempts, spentMs);
+        boolean isEvidenceOnHost = isSameZone || !zoneOfProxies.isPartitioned(time.nowMs());
+        double successLatencyMs = (attempts - failures) * meanSuccessMs;
+        (isSameZone ? zoneOfProxies.sameZoneOutcomes() : zoneOfProxies.otherZonesOutcomes())
+                .add(attempts, failures, successLatencyMs);
+        if (isEvidenceOnHost) {
+            host.outcomes().add(attempts, failures, successLatencyMs);
         }
         stale = true;
     }
@@ -92,28 +105,35 @@
         proxy.smoothRequestRate(operation, MILLIS_PER_SECOND * total / Math.max(1, spanMs), REQUEST_RATE_SMOOTHING);
     }
 
-    /** Lets all outcomes decay over the time that has passed; about as fast as reports are late. */
+    /**
+     * Decays the outcomes of all hosts and zones by the time that has passed; the half-life is about the delay of
+     * load reports.
+     */
     void decay(double elapsedMs) {
-        double factor = Math.pow(LEFT_AFTER_HALF_LIFE, elapsedMs / Math.max(HALF_LIFE_MS, reportSpanMs));
+        double factor = Math.pow(DECAY_PER_HALF_LIFE, elapsedMs / Math.max(HALF_LIFE_MS, reportSpanMs));
         stale |= !fleet.hosts().isEmpty();
         fleet.hosts().forEach(host -> host.outcomes().decay(factor));
         fleet.zones().forEach(zone -> zone.decay(factor));
     }
 
-    /** Hosts or their states have changed: the next refresh recomputes all. */
+    /**
+     * Marks the statistics as outdated after a change of hosts or their states, so that the next refresh recomputes
+     * all of them.
+     */
     void markStale() {
         stale = true;
     }
 
-    /** Forgets what was seen at the host, as it says nothing about what comes. */
+    /** Clears the outcomes of a host that say nothing about its future attempts. */
     void forgetOutcomes(Host host) {
         stale = true;
         host.outcomes().clear();
     }
 
-    // ---- recomputing
-
-    /** Recomputes what has changed: nothing at all, the capacities with the time alone, and all after an input. */
+    /**
+     * Recomputes the outdated statistics: all of them after an input, the totals and the capacities when only the
+     * time has changed, and none otherwise.
+     */
     void refresh() {
         if (!stale && refreshedAtMs == time.nowMs()) {
             return;
@@ -121,62 +141,66 @@
         refreshTotals();
         registry.tables().forEach(this::refreshCapacity);
         if (stale) {
-            double[] lateness = sorted(host -> lateness(host.outcomes()));
-            usualLateness = quantile(USUAL_QUANTILE, lateness);
-            highLateness = quantile(HIGH_QUANTILE, lateness);
-            usualFailureRatio = quantile(
-                    USUAL_QUANTILE,
-                    sorted(host -> host.outcomes().failed() / host.outcomes().ended()));
+            double[] relativeLatencies = sortedMetric(host -> relativeLatency(host.outcomes()));
+            baselineRelativeLatency = quantile(BASELINE_QUANTILE, relativeLatencies);
+            highRelativeLatency = quantile(HIGH_QUANTILE, relativeLatencies);
+            baselineFailureRatio = quantile(
+                    BASELINE_QUANTILE,
+                    sortedMetric(
+                            host -> host.outcomes().failed() / host.outcomes().ended()));
         }
         stale = false;
         refreshedAtMs = time.nowMs();
     }
 
     private void refreshTotals() {
-        ended = 0;
-        failed = 0;
+        endedAttempts = 0;
+        failedAttempts = 0;
         outcomesByKind.forEach(Outcomes::clear);
         for (Host host : fleet.hosts()) {
             if (host.isRunning()) {
-                ended += host.outcomes().ended();
-                failed += host.outcomes().failed();
+                endedAttempts += host.outcomes().ended();
+                failedAttempts += host.outcomes().failed();
                 if (!host.isEjected() && warmUp.isWarm(host)) {
-                    ofKind(host.kind()).addAll(host.outcomes());
+                    outcomesOfKind(host.kind()).addAll(host.outcomes());
                 }
             }
         }
     }
 
     private void refreshCapacity(EndpointTable table) {
-        double listed = 0;
-        double admitted = 0;
-        double warm = 0;
-        double able = 0;
+        double listedWeight = 0;
+        double admittedWeight = 0;
+        double warmWeight = 0;
+        double ableWeight = 0;
         double demand = usualRequestsPerSecond(fleet.joined().stream()
                 .filter(proxy -> table.servesZone(proxy.zone()))
                 .toList());
         for (Host host : table.members()) {
             double weight = host.isRunning() && table.accepts(host) ? host.weight() : 0;
-            listed += weight;
-            admitted += host.isEjected() ? 0 : weight;
-            warm += host.isEjected() || !warmUp.isWarm(host) ? 0 : weight;
-            able += host.isEjected() ? 0 : weight * warmUp.leastAbility(host);
+            listedWeight += weight;
+            admittedWeight += host.isEjected() ? 0 : weight;
+            warmWeight += host.isEjected() || !warmUp.isWarm(host) ? 0 : weight;
+            ableWeight += host.isEjected() ? 0 : weight * warmUp.guaranteedCapacity(host);
         }
-        table.setCapacity(new TableCapacity(demand, listed, admitted, warm, able));
+        table.setCapacity(new TableCapacity(demand, listedWeight, admittedWeight, warmWeight, ableWeight));
     }
 
-    private double[] sorted(ToDoubleFunction<Host> metric) {
-        Stream<Host> judged = fleet.hosts().stream()
+    private double[] sortedMetric(ToDoubleFunction<Host> metric) {
+        Stream<Host> hosts = fleet.hosts().stream()
                 .filter(host ->
                         host.isRunning() && !host.isEjected() && host.outcomes().ended() >= MIN_HOST_ATTEMPTS);
-        return judged.mapToDouble(metric).sorted().toArray();
+        return hosts.mapToDouble(metric).sorted().toArray();
     }
 
-    private static double quantile(double part, double[] sorted) {
-        return sorted.length > 0 ? sorted[(int) (sorted.length * part)] : 0;
+    private static double quantile(double quantile, double[] sortedValues) {
+        return sortedValues.length > 0 ? sortedValues[(int) (sortedValues.length * quantile)] : 0;
     }
 
-    /** Recomputes the demand and the objective, which is the mean over what is asked; objectives' worth of work in ms a second. */
+    /**
+     * Recomputes the request rate and the mean latency objective over all requests; returns the demanded work in
+     * milliseconds of objective a second.
+     */
     double refreshDemand() {
         requestsPerSecond = IntStream.range(0, operations.size())
                 .mapToDouble(this::requestsPerSecond)
@@ -195,21 +219,19 @@
                 .sum();
     }
 
-    /** What is asked of one operation, in milliseconds of its objective a second. */
+    /** Demand for one operation: its request rate times its latency objective, in milliseconds a second. */
     double workPerSecond(int operation) {
         return requestsPerSecond(operation) * operations.get(operation).objectiveMs();
     }
 
-    // ---- results
-
-    /** Mean lateness in objectives. */
-    double lateness(Outcomes outcomes) {
-        return (outcomes.spentMs() / objectiveMs + LATENESS_OF_FAILURE * outcomes.failed())
+    /** Mean relative latency of the attempts, with failed attempts counted as late. */
+    double relativeLatency(Outcomes outcomes) {
+        return (outcomes.successLatencyMs() / objectiveMs + RELATIVE_LATENCY_OF_FAILURE * outcomes.failed())
                 / Math.max(1, outcomes.ended());
     }
 
-    /** Outcomes at the warm hosts of one kind that are not ejected. */
-    Outcomes ofKind(int kind) {
+    /** Outcomes of the warm hosts of one kind that are not ejected. */
+    Outcomes outcomesOfKind(int kind) {
         while (outcomesByKind.size() <= kind) {
             outcomesByKind.add(new Outcomes());
         }
@@ -220,53 +242,56 @@
         return Collections.unmodifiableList(outcomesByKind);
     }
 
-    /** Attempts that have ended at running hosts. */
-    double ended() {
-        return ended;
+    /** Attempts that have ended at running hosts (a decaying total). */
+    double endedAttempts() {
+        return endedAttempts;
     }
 
-    /** Attempts that have failed at running hosts. */
-    double failed() {
-        return failed;
+    /** Attempts that have failed at running hosts (a decaying total). */
+    double failedAttempts() {
+        return failedAttempts;
     }
 
-    double succeeded() {
-        return ended - failed;
+    double succeededAttempts() {
+        return endedAttempts - failedAttempts;
     }
 
-    /** Lateness where the best third of the hosts ends. */
-    double usualLateness() {
-        return usualLateness;
+    /** Relative latency of the 33rd percentile host, which bounds the best third of the hosts. */
+    double baselineRelativeLatency() {
+        return baselineRelativeLatency;
     }
 
-    /** Lateness of the 62nd percentile host. */
-    double highLateness() {
-        return highLateness;
+    /** Relative latency of the 62nd percentile host. */
+    double highRelativeLatency() {
+        return highRelativeLatency;
     }
 
-    /** Share of attempts that fail where the best third of the hosts ends. */
-    double usualFailureRatio() {
-        return usualFailureRatio;
+    /** Failure ratio at the 33rd percentile of the hosts, which bounds the best third. */
+    double baselineFailureRatio() {
+        return baselineFailureRatio;
     }
 
-    /** Requests of all operations at all proxies, as of the last {@link #refreshDemand}. */
+    /** Request rate of all operations at all proxies, as of the last {@link #refreshDemand}. */
     double requestsPerSecond() {
         return requestsPerSecond;
     }
 
-    /** Mean latency objective over what is asked, in milliseconds. */
+    /** Mean latency objective over all requests, in milliseconds. */
     double objectiveMs() {
         return objectiveMs;
     }
 
-    /** The time that a report covers, smoothed. */
+    /** Smoothed time that a load report covers. */
     double reportSpanMs() {
         return reportSpanMs;
     }
 
-    /** The demand on all proxies from which on each meets every host often enough to avoid a failing one by itself. */
-    double requestsPerSecondToMeetEveryHost() {
-        return REQUESTS_PER_HOST_TO_AVOID_IT
+    /**
+     * Request rate of all proxies from which each proxy meets every host often enough to eject a failing host by
+     * itself.
+     */
+    double minRequestsPerSecondForProxyEjection() {
+        return MIN_REQUESTS_PER_HOST_FOR_PROXY_EJECTION
                 * fleet.joined().size()
                 * fleet.hosts().size();
     }
--- a/src/main/java/linenring/planner/Host.java
+++ b/src/main/java/linenring/planner/Host.java
@@ -1,8 +1,8 @@
 package linenring.planner;
 
-/** What the planner knows of one host. Times are milliseconds on the planner's clock. */
+/** State of one host. Times are milliseconds on the planner's clock. */
 final class Host {
-    /** A host that is in no subset. */
+    /** Value of {@link #subset()} for a host that is in no subset. */
     static final int WITHOUT_SUBSET = -1;
 
     private final int id;
@@ -13,7 +13,7 @@
     private double weight = 1;
     private double startedMs = Double.NEGATIVE_INFINITY;
     private boolean running;
-    private boolean leaving;
+    private boolean draining;
     private boolean listed;
     private boolean released;
     private boolean ejected;
@@ -23,11 +23,11 @@
         this.id = id;
     }
 
-    /** A place for an id whose host is forgotten and that no other host has yet. */
+    /** Returns a placeholder for an id whose host has been released and that no other host uses yet. */
     static Host released(int id) {
-        Host blank = new Host(id);
-        blank.released = true;
-        return blank;
+        Host placeholder = new Host(id);
+        placeholder.released = true;
+        return placeholder;
     }
 
     int id() {
@@ -38,12 +38,12 @@
         return zone;
     }
 
-    /** The kind of machine. */
+    /** Kind of the host (machine type). */
     int kind() {
         return kind;
     }
 
-    /** The weight that the host list gives it. */
+    /** Weight of the host according to the host list. */
     double weight() {
         return weight;
     }
@@ -56,17 +56,17 @@
         return health;
     }
 
-    /** Outcomes of attempts at it, decaying. */
+    /** Decaying totals of the attempts at this host. */
     Outcomes outcomes() {
         return outcomes;
     }
 
-    /** Listed as ready. */
+    /** Whether the host list names the host as ready. */
     boolean isRunning() {
         return running;
     }
 
-    /** Named in the list that is being read. */
+    /** Whether the host list that is being read has named the host. */
     boolean isListed() {
         return listed;
     }
@@ -75,16 +75,19 @@
         return released;
     }
 
-    /** Ejected at the proxies: for its health, because it leaves, or because it is cold in a retry storm. */
+    /**
+     * Whether the host is ejected at the proxies: as unhealthy, because it drains, or because it is cold in a retry
+     * storm.
+     */
     boolean isEjected() {
         return ejected;
     }
 
-    void setEjected(boolean eject) {
-        ejected = eject;
+    void setEjected(boolean newEjected) {
+        ejected = newEjected;
     }
 
-    /** The subset of the fleet that it is assigned to, or {@link #WITHOUT_SUBSET}. */
+    /** Subset that the host is assigned to, or {@link #WITHOUT_SUBSET}. */
     int subset() {
         return subset;
     }
@@ -93,18 +96,18 @@
         subset = newSubset;
     }
 
-    /** Another list is being read, which has not named it yet. */
+    /** Starts to read a host list, which has not named this host yet. */
     void beginList() {
         listed = false;
     }
 
-    /** The list that is being read names it. */
+    /** Records that the host list being read names this host. */
     void markListed() {
         listed = true;
         released = false;
     }
 
-    /** Takes what the list says of it; a weight of 0 or under stands for none given. */
+    /** Updates the host from its list entry; a weight of 0 or less means that the list gives none, and counts as 1. */
     void update(int newZone, int newKind, double newWeight) {
         markListed();
         zone = newZone;
@@ -112,32 +115,35 @@
         weight = newWeight > 0 ? newWeight : 1;
     }
 
-    /** The list says that it is ready. What was seen of an earlier process says nothing about a new one. */
+    /**
+     * Marks the host as ready. The outcomes and the health of an earlier process are discarded, since they say
+     * nothing about a new process.
+     */
     void markReady(double newStartedMs) {
         if (!running || newStartedMs > startedMs) {
-            health.forget();
+            health.reset();
             outcomes.clear();
         }
         startedMs = newStartedMs;
         running = true;
-        leaving = false;
+        draining = false;
     }
 
-    /** The list says that it drains or is gone; whether proxies know that it is ejected, if it is. */
-    void markLeaving(boolean ejectionIsKnown) {
+    /** Marks the host as draining or removed; an ejection stays on record only if all proxies know of it. */
+    void markDraining(boolean isEjectionKnownToProxies) {
         running = false;
-        ejected &= ejectionIsKnown;
-        leaving = true;
+        ejected &= isEjectionKnownToProxies;
+        draining = true;
     }
 
-    /** Whether it drains or is gone and proxies have yet to be notified. */
+    /** Whether the host is draining or removed and the proxies have yet to be notified. */
     boolean mustDrain() {
-        return leaving && !ejected;
+        return draining && !ejected;
     }
 
     /**
-     * When time alone may next change what is decided for it: now while it warms up, is judged or waits to be written, and
-     * infinity where time changes nothing.
+     * Time at which a decision about the host may next change without an input: now while the host warms up, has
+     * outcomes, is on probation or waits for a write, and infinity if time changes nothing.
      */
     double nextDueMs(double nowMs, double rampMs) {
         boolean isUnsettled = running && (nowMs - startedMs < rampMs || ejected != health.isUnhealthy());
--- a/src/main/java/linenring/planner/HostHealth.java
+++ b/src/main/java/linenring/planner/HostHealth.java
@@ -1,37 +1,46 @@
 package linenring.planner;
 
 /**
- * What the planner has concluded about the health of one host: healthy, unhealthy until its next probation, or on probation with a share
- * of its weight. Times are milliseconds on the planner's clock.
+ * Health of one host by outlier detection: healthy, unhealthy until its next probation, or on probation with a
+ * share of its weight. Times are milliseconds on the planner's clock.
  */
 final class HostHealth {
-    /** Wait from the first ejection to its probation. No reason is recorded for the value. */
+    /** Time from the first ejection of a host to its probation. */
     private static final double FIRST_PROBATION_AFTER_MS = 3000;
-    /** Each failed probation in a row lengthens the next wait by this factor. No reason is recorded for the value. */
+    /** Factor by which each further failed probation in a row lengthens the wait for the next one. */
     private static final double PROBATION_BACKOFF = 1.5;
-    /** Failed probations after which the wait grows no further: up to 15 s for what stays bad. */
+    /**
+     * Failed probations after which the wait for the next one grows no further; a host that stays bad waits up to
+     * 15 s.
+     */
     private static final int MAX_BACKOFF_STEPS = 4;
-    /** A probation that is passed lets the share grow fourfold: two steps at most, so that few messages are spent. */
+    /**
+     * Factor by which the weight share grows when a probation step is passed: two steps at most reach the full
+     * weight, so that few messages are sent.
+     */
     private static final double PROBATION_GROWTH = 4;
-    /** After a change of weight the host's queue empties, late attempts end and reports of them come in. */
-    private static final double REST_AFTER_CHANGE_MS = 8000;
+    /**
+     * Time after a weight change in which the host's queue empties, late attempts end and reports of these attempts
+     * arrive.
+     */
+    private static final double SETTLING_TIME_MS = 8000;
 
     private static final double NOT_ON_PROBATION = -1;
 
     private boolean unhealthy;
     private double probationDueAtMs;
     private double probationSinceMs = NOT_ON_PROBATION;
-    private double restUntilMs;
-    private int consecutiveFailures;
-    private double share = 1;
-    private double shareLimit = 1;
+    private double settlesAtMs;
+    private int consecutiveEjections;
+    private double weightShare = 1;
+    private double weightShareLimit = 1;
 
-    /** Whether it is to be ejected for its health. */
+    /** Whether the host should be ejected for its health. */
     boolean isUnhealthy() {
         return unhealthy;
     }
 
-    /** When the probation of an unhealthy host is due. */
+    /** Time at which the probation of an unhealthy host is due. */
     double probationDueAtMs() {
         return probationDueAtMs;
     }
@@ -40,31 +49,34 @@
         return probationSinceMs >= 0;
     }
 
-    /** Start of the current step of the probation; only on probation. */
+    /** Start of the current probation step; only valid on probation. */
     double probationSinceMs() {
         return probationSinceMs;
     }
 
-    /** The part of its listed weight that its health allows now. */
-    double share() {
-        return share;
+    /** Share of the listed weight that the host's health allows now. */
+    double weightShare() {
+        return weightShare;
     }
 
-    /** What its share may grow to by probation. */
-    double shareLimit() {
-        return shareLimit;
+    /** Upper limit for the weight share when probation steps are passed. */
+    double weightShareLimit() {
+        return weightShareLimit;
     }
 
-    /** Until then its lateness is not judged. */
-    double restUntilMs() {
-        return restUntilMs;
+    /** Time until which the host's latency is not evaluated after a weight change. */
+    double settlesAtMs() {
+        return settlesAtMs;
     }
 
-    /** Its process is a new one, about which nothing is known; what its id has failed before still lengthens the backoff. */
-    void forget() {
+    /**
+     * Resets the health for a new process of the host. The count of ejections is kept, so that failures of earlier
+     * processes still lengthen the backoff.
+     */
+    void reset() {
         unhealthy = false;
-        share = 1;
-        shareLimit = 1;
+        weightShare = 1;
+        weightShareLimit = 1;
         probationSinceMs = NOT_ON_PROBATION;
     }
 
@@ -73,39 +85,39 @@
         probationSinceMs = NOT_ON_PROBATION;
         probationDueAtMs = nowMs
                 + FIRST_PROBATION_AFTER_MS
-                        * Math.pow(PROBATION_BACKOFF, Math.min(MAX_BACKOFF_STEPS, consecutiveFailures));
-        consecutiveFailures++;
+                        * Math.pow(PROBATION_BACKOFF, Math.min(MAX_BACKOFF_STEPS, consecutiveEjections));
+        consecutiveEjections++;
     }
 
-    /** Begins a probation with this share of the weight. */
+    /** Starts a probation with this share of the weight. */
     void startProbation(double nowMs, double initialShare) {
         unhealthy = false;
         probationSinceMs = nowMs;
-        share = initialShare;
+        weightShare = initialShare;
     }
 
-    /** Its next probation waits as after this number of failed ones. */
-    void presumeFailures(int failures) {
-        consecutiveFailures = failures;
+    /** Sets the backoff of the next probation as after this number of failed probations. */
+    void presumeFailedProbations(int failedProbations) {
+        consecutiveEjections = failedProbations;
     }
 
-    /** One step of the probation is passed: a larger share, or the end of it. */
-    void passProbationStep(double nowMs) {
-        share = Math.min(shareLimit, PROBATION_GROWTH * share);
-        boolean goesOn = share < shareLimit;
-        probationSinceMs = goesOn ? nowMs : NOT_ON_PROBATION;
-        consecutiveFailures = goesOn ? consecutiveFailures : Math.max(0, consecutiveFailures - 1);
+    /** Passes a probation step: the weight share grows, and at its limit the probation ends. */
+    void advanceProbation(double nowMs) {
+        weightShare = Math.min(weightShareLimit, PROBATION_GROWTH * weightShare);
+        boolean isStillOnProbation = weightShare < weightShareLimit;
+        probationSinceMs = isStillOnProbation ? nowMs : NOT_ON_PROBATION;
+        consecutiveEjections = isStillOnProbation ? consecutiveEjections : Math.max(0, consecutiveEjections - 1);
     }
 
-    /** Gives it this share and no more, and judges its lateness again after a rest. */
-    void setShare(double nowMs, double newShare) {
-        limitShare(newShare);
-        restUntilMs = nowMs + REST_AFTER_CHANGE_MS;
+    /** Sets the weight share and its limit, and pauses the evaluation of latency until the host has settled. */
+    void setWeightShare(double nowMs, double newShare) {
+        limitWeightShare(newShare);
+        settlesAtMs = nowMs + SETTLING_TIME_MS;
     }
 
-    /** Gives it this share and no more. */
-    void limitShare(double newShare) {
-        share = newShare;
-        shareLimit = newShare;
+    /** Sets the weight share and its limit. */
+    void limitWeightShare(double newShare) {
+        weightShare = newShare;
+        weightShareLimit = newShare;
     }
 }
--- a/src/main/java/linenring/planner/Outcomes.java
+++ b/src/main/java/linenring/planner/Outcomes.java
@@ -1,17 +1,18 @@
 package linenring.planner;
 
 /**
- * Decaying totals of attempts: how many ended, how many of these failed, and the time that the others took, in milliseconds.
+ * Decaying totals of attempts: how many ended, how many of these failed, and the total latency of the successful
+ * ones in milliseconds.
  */
 final class Outcomes {
-    /** So few attempts count as none, so that totals which only decay reach zero and the planner comes to rest. */
+    /** Totals below this number of attempts are set to zero, so that a planner without new reports becomes idle. */
     private static final double NEGLIGIBLE_ATTEMPTS = 1e-9;
 
     private double ended;
     private double failed;
-    private double spentMs;
+    private double successLatencyMs;
 
-    /** Attempts that have ended, failed ones included. */
+    /** Attempts that have ended, including failed ones. */
     double ended() {
         return ended;
     }
@@ -20,28 +21,28 @@
         return failed;
     }
 
-    /** The time that the attempts which did not fail took in all. */
-    double spentMs() {
-        return spentMs;
+    /** Total latency of the successful attempts, in milliseconds. */
+    double successLatencyMs() {
+        return successLatencyMs;
     }
 
-    void add(double endedAttempts, double failedAttempts, double spent) {
+    void add(double endedAttempts, double failedAttempts, double latencyMs) {
         ended += endedAttempts;
         failed += failedAttempts;
-        spentMs += spent;
+        successLatencyMs += latencyMs;
     }
 
     void addAll(Outcomes other) {
-        add(other.ended, other.failed, other.spentMs);
+        add(other.ended, other.failed, other.successLatencyMs);
     }
 
     void clear() {
         ended = 0;
         failed = 0;
-        spentMs = 0;
+        successLatencyMs = 0;
     }
 
-    /** Multiplies all totals by the factor. */
+    /** Multiplies the totals by the factor, and clears them when they become negligible. */
     void decay(double factor) {
         if (ended * factor < NEGLIGIBLE_ATTEMPTS) {
             clear();
@@ -49,6 +50,6 @@
         }
         ended *= factor;
         failed *= factor;
-        spentMs *= factor;
+        successLatencyMs *= factor;
     }
 }
--- a/src/main/java/linenring/planner/OutlierDetector.java
+++ b/src/main/java/linenring/planner/OutlierDetector.java
@@ -3,76 +3,95 @@
 import java.util.stream.Stream;
 
 /**
- * Ejects, for all proxies, hosts at which attempts fail, tries them again by a probation with a small share of their weight, and halves the weight
- * of hosts and kinds of machines that are clearly late. Inputs: each host's outcomes (attempts, lateness in objectives), the usual
- * lateness and failure ratio of the fleet, the capacity of tables (weight).
+ * Detects outliers by the outcomes that all proxies report. Ejects a host at which attempts fail, restores it by a
+ * probation with a small share of its weight, and halves the weight of hosts and kinds that are clearly slow.
+ * Inputs: each host's outcomes (attempts, failures, relative latency), the baseline relative latency and failure
+ * ratio of the fleet, and the capacity of tables (weight).
  *
- * <p>Failure guarded against: the host list knows only of processes. A host that fails, is unreachable or too weak for its
- * weight stays in it; it shows as attempts that fail or are late there and not at the best third of the hosts. The guard holds
- * because it compares with that third: in an overload all are bad and none is ejected. It could do harm where a passing
- * overload of some hosts looks like weakness, and where the network path and not the host is at fault: so half of the weight that each
- * table can use stays in, attempts over a cut path do not count ({@link PartitionDetector}), and each verdict is tried again.
+ * <p>Failure guarded against: the host list only shows which processes exist. A host that fails, is unreachable or
+ * is too weak for its weight stays in the list; its attempts fail or are slow while those at the best third of the
+ * hosts do not. Since each host is compared with the best third, no host is ejected in an overload, where all hosts
+ * are bad. Detection could do harm where a short overload of some hosts looks like weakness, or where the network
+ * path is at fault and not the host. So half of the weight that each table can use always stays admitted, attempts
+ * over a partitioned path do not count ({@link PartitionDetector}), and each ejection or weight reduction is later
+ * reversed on trial.
  *
- * <p>A halved weight is a verdict on health: no weight follows a load or a speed.
+ * <p>Halving a weight is a decision about health; weights are not adjusted to load or speed otherwise.
  *
- * <p>Beside it each proxy ejects hosts for itself, by its own consecutive failures: {@code linenring.routing.OutlierEjection}.
+ * <p>In addition each proxy ejects hosts on its own by consecutive failures: {@code
+ * linenring.routing.OutlierEjection}.
  */
 final class OutlierDetector {
-    /** Failed attempts that prove enough; like all outcomes they are decaying totals. No reason is recorded for the value. */
+    /** Fewest failed attempts (a decaying total) for which a host is ejected. */
     private static final double MIN_FAILURES = 4;
-    /** Failed attempts (a decaying total) that prove enough on probation, where few attempts come. */
+    /** Fewest failed attempts (a decaying total) for which a host on probation is ejected, as it gets few attempts. */
     private static final double MIN_FAILURES_ON_PROBATION = 2;
-    /** A host fails where this part of its attempts does; no reason is recorded for the value. */
+    /** Failure ratio from which a host counts as failing. */
     private static final double FAILING_RATIO = 0.3;
-    /** A host that is also slow fails only where nearly all its attempts do; no reason is recorded for the value. */
+    /** Failure ratio from which a slow host counts as failing: nearly all its attempts must fail. */
     private static final double FAILING_RATIO_OF_SLOW_HOST = 0.97;
-    /** Also slow: its lateness is at least this multiple of the usual one. No reason is recorded for the value. */
-    private static final double SLOW_FACTOR_VS_USUAL = 1.3;
-    /** A failing host's ratio is over this and some times the usual failure ratio; no reason is recorded for the values. */
+    /** Multiple of the baseline relative latency from which a host with failures also counts as slow. */
+    private static final double SLOW_FACTOR_VS_BASELINE = 1.3;
+    /**
+     * Added to a multiple of the baseline failure ratio, see {@link #FAILING_FACTOR_VS_BASELINE}, to get the
+     * failure ratio that a failing host must reach.
+     */
     private static final double FAILING_RATIO_MARGIN = 0.15;
 
-    /** See {@link #FAILING_RATIO_MARGIN}. */
-    private static final double FAILING_TIMES_USUAL = 2.2;
-    /** Share of the weight on probation: an attempt a second or so, which is enough to judge by. */
+    /**
+     * Multiple of the baseline failure ratio that, together with {@link #FAILING_RATIO_MARGIN}, a failing host must
+     * reach.
+     */
+    private static final double FAILING_FACTOR_VS_BASELINE = 2.2;
+    /** Initial share of the weight on probation: about one attempt a second, which is enough to evaluate the host. */
     private static final double PROBATION_SHARE = 0.15;
-    /** Shortest step of the probation, as reports are up to 1.6 s late... */
-    private static final double MIN_PROBATION_MS = 1500;
-    /** ... and the fewest attempts that it takes... */
+    /** Shortest duration of a probation step, since load reports are up to 1.6 s late. */
+    private static final double MIN_PROBATION_STEP_MS = 1500;
+    /** Fewest attempts in a probation step before it is passed. */
     private static final double MIN_PROBATION_ATTEMPTS = 2;
-    /** ... but after this time the step passes without attempts. */
-    private static final double SILENT_PROBATION_MS = 6000;
-    /** Failed probations assumed of a host that may not exist: its first probation after an ejection starts after 10 s. */
-    private static final int PRESUMED_FAILURES = 3;
-
-    /** A slow host, or kind of machine, and each further verdict, halves the share of the weight. */
-    private static final double WEIGHT_REDUCTION = 0.5;
-    /** A share is halved twice at most: one under this is not halved again. */
+    /** Time after which a probation step without attempts is passed. */
+    private static final double MAX_PROBATION_STEP_MS = 6000;
+    /** Failed probations assumed of a host that may not exist: after an ejection its first probation waits 10 s. */
+    private static final int PRESUMED_FAILED_PROBATIONS = 3;
+
+    /**
+     * Factor for the weight of a slow host or of the hosts of a slow kind, applied again at each further detection.
+     */
+    private static final double WEIGHT_REDUCTION_FACTOR = 0.5;
+    /** A weight share below this value is not halved again, so that a share is halved twice at most. */
     private static final double MIN_REDUCIBLE_SHARE = 0.3;
-    /** A slow host takes more than this part of the objective (no reason is recorded for the value)... */
-    private static final double SLOW_LATENESS = 0.55;
-    /** ... and than this multiple of the best third's lateness (likewise)... */
-    private static final double SLOW_TIMES_USUAL = 1.6;
-    /** ... whose own lateness is under half: else there is an overload. */
-    private static final double MAX_USUAL_LATENESS = 0.5;
-    /** Lateness has its full weight from this number of attempts; below it in proportion. */
+    /** Relative latency above which a host counts as slow. */
+    private static final double SLOW_RELATIVE_LATENCY = 0.55;
+    /** Multiple of the baseline relative latency above which a host counts as slow. */
+    private static final double SLOW_LATENCY_FACTOR_VS_BASELINE = 1.6;
+    /** Baseline relative latency from which no host counts as slow, because the whole fleet is overloaded. */
+    private static final double MAX_BASELINE_RELATIVE_LATENCY = 0.5;
+    /**
+     * Number of attempts from which a host's relative latency counts in full; with fewer it is scaled down in
+     * proportion.
+     */
     private static final double FULL_EVIDENCE_ATTEMPTS = 8;
-    /** Fewer attempts say nothing of a host's lateness. No reason is recorded for the value. */
-    private static final double MIN_ATTEMPTS = 4;
+    /** Fewest attempts for which the latency of a host is evaluated. */
+    private static final double MIN_ATTEMPTS_FOR_LATENCY = 4;
     /**
-     * Shortest time that a reduced weight is kept after its rest, 48 s in all; it is kept until the host is quicker than usual.
+     * Shortest time that a reduced weight is kept after the host has settled, 48 s in all. After this time the
+     * weight stays reduced until the host is faster than the baseline.
      */
-    private static final double REDUCTION_LASTS_MS = 40_000;
+    private static final double MIN_REDUCTION_DURATION_MS = 40_000;
 
-    /** Fewest attempts by which a kind of machine is judged: at full size a host alone shows two in a report. */
+    /**
+     * Fewest attempts by which a kind is evaluated; in a full-size fleet a single host has only about two attempts
+     * in a load report.
+     */
     private static final double MIN_KIND_ATTEMPTS = 50;
-    /** A slow kind takes more than half the objective... */
-    private static final double SLOW_KIND_LATENESS = 0.5;
-    /** ... and twice that of another kind... */
-    private static final double SLOW_KIND_TIMES_OTHER = 2;
-    /** ... which is unhurried. */
-    private static final double MAX_OTHER_KIND_LATENESS = 0.35;
-
-    /** Half of the weight that each table can use stays in, however many hosts look bad. */
+    /** Relative latency above which a kind counts as slow. */
+    private static final double SLOW_KIND_RELATIVE_LATENCY = 0.5;
+    /** Multiple of another kind's relative latency above which a kind counts as slow. */
+    private static final double SLOW_KIND_FACTOR_VS_OTHER = 2;
+    /** Relative latency below which another kind may serve as the comparison for a slow kind. */
+    private static final double MAX_OTHER_KIND_RELATIVE_LATENCY = 0.35;
+
+    /** Share of the weight that each table can use that stays admitted, however many hosts look bad. */
     private static final double MIN_ADMITTED_WEIGHT_SHARE = 0.5;
 
     private final PlannerContext context;
@@ -81,41 +100,40 @@
         this.context = context;
     }
 
-    // ---- failing hosts
-
     /**
-     * Whether attempts fail at the host, and not at the best third; a host that is also slow is ejected only if at least 97%
-     * fail.
+     * Whether attempts fail at the host and not at the best third of the hosts; a host that is also slow counts as
+     * failing only if at least 97% of its attempts fail.
      */
     boolean isFailing(Host host) {
         FleetStatistics statistics = context.statistics();
-        double failed = host.outcomes().failed();
-        double succeeded = host.outcomes().ended() - failed;
+        double failures = host.outcomes().failed();
+        double successes = host.outcomes().ended() - failures;
         statistics.refresh();
-        boolean isQuick = host.outcomes().spentMs()
-                < SLOW_FACTOR_VS_USUAL * succeeded * statistics.objectiveMs() * statistics.usualLateness();
-        double byItself = isQuick ? FAILING_RATIO : FAILING_RATIO_OF_SLOW_HOST;
-        double besideOthers = FAILING_RATIO_MARGIN + FAILING_TIMES_USUAL * statistics.usualFailureRatio();
+        boolean isFast = host.outcomes().successLatencyMs()
+                < SLOW_FACTOR_VS_BASELINE * successes * statistics.objectiveMs() * statistics.baselineRelativeLatency();
+        double ratioThreshold = isFast ? FAILING_RATIO : FAILING_RATIO_OF_SLOW_HOST;
+        double thresholdVsBaseline =
+                FAILING_RATIO_MARGIN + FAILING_FACTOR_VS_BASELINE * statistics.baselineFailureRatio();
         return host.isRunning()
                 && !host.health().isUnhealthy()
-                && failed >= (host.health().isOnProbation() ? MIN_FAILURES_ON_PROBATION : MIN_FAILURES)
-                && failed >= (succeeded + failed) * Math.max(byItself, besideOthers);
+                && failures >= (host.health().isOnProbation() ? MIN_FAILURES_ON_PROBATION : MIN_FAILURES)
+                && failures >= (successes + failures) * Math.max(ratioThreshold, thresholdVsBaseline);
     }
 
     void markUnhealthy(Host host) {
         host.health().markUnhealthy(context.nowMs());
     }
 
-    /** Whether an unhealthy host is to be ejected now. */
+    /** Whether an unhealthy host should be ejected now. */
     boolean mustEject(Host host) {
         return host.isRunning()
                 && host.health().isUnhealthy()
                 && !host.isEjected()
                 && context.flow().mayInterrupt(host)
-                && canBeSpared(host);
+                && leavesEnoughAdmittedWeight(host);
     }
 
-    private boolean canBeSpared(Host host) {
+    private boolean leavesEnoughAdmittedWeight(Host host) {
         context.statistics().refresh();
         return tablesInUse(host)
                 .allMatch(table -> table.capacity().admittedWeight() - host.weight()
@@ -127,8 +145,11 @@
                 .filter(table -> context.registry().isInUse(table) && table.accepts(host));
     }
 
-    /** Whether the host is ejected and a table in use has none but unhealthy hosts: then these serve, rather than nobody. */
-    boolean isNeededThoughUnhealthy(Host host) {
+    /**
+     * Whether the host is ejected as unhealthy and a table in use has no healthy host. Unhealthy hosts then serve
+     * the table, because the table would otherwise have no host at all.
+     */
+    boolean isLastResort(Host host) {
         return host.health().isUnhealthy()
                 && host.isEjected()
                 && host.isRunning()
@@ -140,100 +161,111 @@
                 .noneMatch(other -> other.isRunning() && !other.health().isUnhealthy() && table.accepts(other));
     }
 
-    /** Gives the host its whole weight at once, on probation. */
-    void restoreInFull(Host host) {
-        startProbationWithShare(host, 1);
+    /** Restores the host at its full weight at once, on probation. */
+    void restoreAtFullWeight(Host host) {
+        startProbationAtShare(host, 1);
     }
 
-    // ---- probation
-
     boolean mayStartProbation(Host host) {
         return host.health().isUnhealthy()
                 && host.isRunning()
                 && context.nowMs() >= host.health().probationDueAtMs();
     }
 
-    /** Tries a host again with a small share of its weight, or with the half that it was given for being slow. */
+    /**
+     * Starts the probation of an ejected host with a small share of its weight, or with the reduced share of a slow
+     * host.
+     */
     void startProbation(Host host) {
-        double limit = host.health().shareLimit();
-        startProbationWithShare(host, limit < 1 ? limit : PROBATION_SHARE);
+        double shareLimit = host.health().weightShareLimit();
+        startProbationAtShare(host, shareLimit < 1 ? shareLimit : PROBATION_SHARE);
     }
 
-    /** Tries a host that may not exist with a small share; if it fails, it stays ejected 10 s or more. */
+    /**
+     * Starts the probation of a host that may not exist with a small share of its weight; if the host fails, it
+     * stays ejected for 10 s or more.
+     */
     void startProbationOfUnverified(Host host) {
-        startProbationWithShare(host, PROBATION_SHARE);
-        host.health().presumeFailures(PRESUMED_FAILURES);
+        startProbationAtShare(host, PROBATION_SHARE);
+        host.health().presumeFailedProbations(PRESUMED_FAILED_PROBATIONS);
     }
 
-    private void startProbationWithShare(Host host, double share) {
+    private void startProbationAtShare(Host host, double share) {
         host.health().startProbation(context.nowMs(), share);
         context.statistics().forgetOutcomes(host);
     }
 
-    boolean passesProbationStep(Host host) {
-        double sinceMs = context.nowMs() - host.health().probationSinceMs();
-        boolean isJudged = host.outcomes().ended() >= MIN_PROBATION_ATTEMPTS || sinceMs > SILENT_PROBATION_MS;
-        return host.health().isOnProbation() && sinceMs > MIN_PROBATION_MS && isJudged;
+    boolean isProbationStepPassed(Host host) {
+        double elapsedMs = context.nowMs() - host.health().probationSinceMs();
+        boolean hasEnoughEvidence =
+                host.outcomes().ended() >= MIN_PROBATION_ATTEMPTS || elapsedMs > MAX_PROBATION_STEP_MS;
+        return host.health().isOnProbation() && elapsedMs > MIN_PROBATION_STEP_MS && hasEnoughEvidence;
     }
 
-    void passProbationStep(Host host) {
-        host.health().passProbationStep(context.nowMs());
+    void advanceProbation(Host host) {
+        host.health().advanceProbation(context.nowMs());
     }
 
-    // ---- slow hosts and kinds
-
-    /** Whether the host is clearly too weak for its share; with fewer than 8 attempts lateness is scaled by n/8. */
+    /**
+     * Whether the host is clearly too slow for its weight; with fewer than 8 attempts the relative latency is
+     * scaled by n/8.
+     */
     boolean isSlow(Host host) {
-        return isSteady(host, MIN_ATTEMPTS)
-                && context.nowMs() > host.health().restUntilMs()
-                && host.health().share() > MIN_REDUCIBLE_SHARE
-                && context.statistics().usualLateness() < MAX_USUAL_LATENESS
-                && lateness(host) * Math.min(1, host.outcomes().ended() / FULL_EVIDENCE_ATTEMPTS)
+        return hasStableOutcomes(host, MIN_ATTEMPTS_FOR_LATENCY)
+                && context.nowMs() > host.health().settlesAtMs()
+                && host.health().weightShare() > MIN_REDUCIBLE_SHARE
+                && context.statistics().baselineRelativeLatency() < MAX_BASELINE_RELATIVE_LATENCY
+                && relativeLatency(host) * Math.min(1, host.outcomes().ended() / FULL_EVIDENCE_ATTEMPTS)
                         > Math.max(
-                                SLOW_LATENESS,
-                                SLOW_TIMES_USUAL * context.statistics().usualLateness());
+                                SLOW_RELATIVE_LATENCY,
+                                SLOW_LATENCY_FACTOR_VS_BASELINE
+                                        * context.statistics().baselineRelativeLatency());
     }
 
-    void halveShare(Host host) {
-        setShare(host, WEIGHT_REDUCTION * host.health().share());
+    void halveWeight(Host host) {
+        setWeightShare(host, WEIGHT_REDUCTION_FACTOR * host.health().weightShare());
     }
 
-    /** Whether the host is of a kind that is clearly late beside an unhurried one, where hosts alone show too little. */
+    /**
+     * Whether the host is of a kind that is clearly slow beside another kind with low latency, where single hosts
+     * have too few attempts to be evaluated.
+     */
     boolean isOfSlowKind(Host host) {
-        Outcomes kind = context.statistics().ofKind(host.kind());
-        double lateness = context.statistics().lateness(kind);
-        return lateness > SLOW_KIND_LATENESS
-                && kind.ended() >= MIN_KIND_ATTEMPTS
-                && isSteady(host, 0)
-                && host.health().share() == 1
-                && context.nowMs() > host.health().restUntilMs()
-                && context.statistics().outcomesByKind().stream().anyMatch(other -> isUnhurried(other, lateness));
+        Outcomes kindOutcomes = context.statistics().outcomesOfKind(host.kind());
+        double kindLatency = context.statistics().relativeLatency(kindOutcomes);
+        return kindLatency > SLOW_KIND_RELATIVE_LATENCY
+                && kindOutcomes.ended() >= MIN_KIND_ATTEMPTS
+                && hasStableOutcomes(host, 0)
+                && host.health().weightShare() == 1
+                && context.nowMs() > host.health().settlesAtMs()
+                && context.statistics().outcomesByKind().stream()
+                        .anyMatch(otherKind -> hasLowLatency(otherKind, kindLatency));
     }
 
-    private boolean isUnhurried(Outcomes kind, double latenessOfOther) {
-        return kind.ended() >= MIN_KIND_ATTEMPTS
-                && context.statistics().lateness(kind)
-                        < Math.min(MAX_OTHER_KIND_LATENESS, latenessOfOther / SLOW_KIND_TIMES_OTHER);
+    private boolean hasLowLatency(Outcomes kindOutcomes, double latencyOfSlowKind) {
+        return kindOutcomes.ended() >= MIN_KIND_ATTEMPTS
+                && context.statistics().relativeLatency(kindOutcomes)
+                        < Math.min(MAX_OTHER_KIND_RELATIVE_LATENCY, latencyOfSlowKind / SLOW_KIND_FACTOR_VS_OTHER);
     }
 
-    /** Gives a host of a slow kind half; what was seen of it stays, as it speaks for the kind. */
-    void halveForKind(Host host) {
-        host.health().limitShare(WEIGHT_REDUCTION);
+    /** Halves the weight of a host of a slow kind; the host's outcomes are kept, as they count for the kind. */
+    void halveWeightForKind(Host host) {
+        host.health().limitWeightShare(WEIGHT_REDUCTION_FACTOR);
     }
 
-    /** Whether a host with a reduced weight is quicker than usual again. */
+    /** Whether a host with a reduced weight is faster than the baseline again. */
     boolean hasRecovered(Host host) {
-        return isSteady(host, MIN_ATTEMPTS)
-                && host.health().share() < 1
-                && context.nowMs() > host.health().restUntilMs() + REDUCTION_LASTS_MS
-                && lateness(host) < context.statistics().usualLateness();
+        return hasStableOutcomes(host, MIN_ATTEMPTS_FOR_LATENCY)
+                && host.health().weightShare() < 1
+                && context.nowMs() > host.health().settlesAtMs() + MIN_REDUCTION_DURATION_MS
+                && relativeLatency(host) < context.statistics().baselineRelativeLatency();
     }
 
-    void raiseShare(Host host) {
-        setShare(host, Math.min(1, host.health().share() / WEIGHT_REDUCTION));
+    void raiseWeight(Host host) {
+        setWeightShare(host, Math.min(1, host.health().weightShare() / WEIGHT_REDUCTION_FACTOR));
     }
 
-    private boolean isSteady(Host host, double minAttempts) {
+    private boolean hasStableOutcomes(Host host, double minAttempts) {
         context.statistics().refresh();
         return host.isRunning()
                 && !host.health().isUnhealthy()
@@ -242,12 +274,12 @@
                 && host.outcomes().ended() >= minAttempts;
     }
 
-    private double lateness(Host host) {
-        return context.statistics().lateness(host.outcomes());
+    private double relativeLatency(Host host) {
+        return context.statistics().relativeLatency(host.outcomes());
     }
 
-    private void setShare(Host host, double share) {
-        host.health().setShare(context.nowMs(), share);
+    private void setWeightShare(Host host, double share) {
+        host.health().setWeightShare(context.nowMs(), share);
         context.statistics().forgetOutcomes(host);
     }
 }
--- a/src/main/java/linenring/planner/Planner.java
+++ b/src/main/java/linenring/planner/Planner.java
@@ -5,23 +5,30 @@
 import java.util.function.Predicate;
 
 /**
- * Every decision of one controller. Called with what is seen: {@link #advanceClock}, then any of the other inputs, then
- * {@link #reconcile}, which goes through the rules until none changes anything. It acts through {@link Commands} and is given
- * {@link PlannerSettings} at its start. All times are milliseconds on the clock of the inputs; hosts, proxies, zones, kinds of
- * machines, operations and tables are small indices. One thread owns it.
+ * Takes all decisions of one controller. The caller passes its inputs in this order: {@link #advanceClock}, then
+ * any other inputs, then {@link #reconcile}, which applies the rules until no rule changes anything. The planner
+ * acts through {@link Commands} and receives {@link PlannerSettings} at its start. All times are milliseconds on
+ * the clock of the inputs; hosts, proxies, zones, kinds, operations and tables are small indices. The planner is
+ * confined to one thread.
  *
- * <p>The design is ESPRES (see docs/design.md): {@link UpdateScheduler} sends the pending changes of tables, and beside it stand
- * the mechanisms that decide what these changes are. Each keeps its state to itself; what several need is in the
- * {@link PlannerContext}.
+ * <p>The design is ESPRES (see docs/design.md): {@link UpdateScheduler} sends the pending changes of tables, and
+ * further mechanisms decide what these changes are. Each mechanism keeps its own state; what several mechanisms
+ * need is in the {@link PlannerContext}.
  */
 public final class Planner {
-    /** Shortest interval between timed calls: shorter than any report interval or message transit here. */
+    /** Shortest interval between timed calls; it is shorter than any report interval or message transit here. */
     private static final double TICK_MS = 100;
-    /** An unacknowledged message counts as gone after 5 times the time in which a full queue is sent. */
-    private static final double SLOWEST_CHANNEL = 5;
-    /** The host list is polled three times within the allowed time: two polls may fail. */
-    private static final double POLLS_PER_ALLOWED_TIME = 3;
-    /** Guards against rules that undo each other for ever; a reconciliation takes a few passes. */
+    /**
+     * An unacknowledged message is assumed to have left the channel after this multiple of the time that a full
+     * queue takes to be sent.
+     */
+    private static final double MESSAGE_LOSS_TIMEOUT_FACTOR = 5;
+    /** Polls of the host list within the allowed time, so that two of the polls may fail. */
+    private static final double POLLS_PER_LIMIT = 3;
+    /**
+     * Upper limit of passes in a reconciliation, which guards against rules that undo each other endlessly; a
+     * reconciliation normally takes a few passes.
+     */
     private static final int MAX_PASSES = 1000;
 
     private final Commands commands;
@@ -31,27 +38,28 @@
     private final ChannelLedger ledger;
     private final PlannerContext context;
     private final FleetMembership membership;
-    private final PartitionDetector partitions;
-    private final RetryStormGuard storm;
+    private final PartitionDetector partitionDetector;
+    private final RetryStormGuard retryStormGuard;
     private final SlowStart slowStart;
-    private final AdmissionController admission;
-    private final PendingChanges changes;
-    private final SubsetAssigner subsets;
-    private final ProxyBinder binder;
-    private final DrainScheduler drains;
-    private final OutlierDetector outliers;
-    private final ShardPlacement shards;
-    private final UpdateScheduler updates;
-    private final List<Rule> rules;
+    private final AdmissionController admissionController;
+    private final PendingChanges pendingChanges;
+    private final SubsetAssigner subsetAssigner;
+    private final ProxyBinder proxyBinder;
+    private final DrainScheduler drainScheduler;
+    private final OutlierDetector outlierDetector;
+    private final ShardPlacement shardPlacement;
+    private final UpdateScheduler updateScheduler;
+    private final List<Rule> orderedRules;
     private final double listPollIntervalMs;
     private double nextListPollAtMs;
     private double decayedAtMs;
 
-    /** A planner that knows of no host and no proxy yet. */
+    /** Creates a planner without any hosts or proxies. */
     public Planner(PlannerSettings settings, Commands commands) {
         this.commands = commands;
         PlannerSettings.Channel channel = settings.channel();
-        ledger = new ChannelLedger(channel, SLOWEST_CHANNEL * channel.maxQueuedEntries() / channel.entriesPerMs());
+        ledger = new ChannelLedger(
+                channel, MESSAGE_LOSS_TIMEOUT_FACTOR * channel.maxQueuedEntries() / channel.entriesPerMs());
         WarmUp warmUp = new WarmUp(settings.coldStart(), time);
         boolean isSharded = settings.shards().count() > 0;
         TableRegistry registry = new TableRegistry(fleet, settings.operations(), isSharded);
@@ -60,70 +68,73 @@
         FlowControl flow = new FlowControl(channel, ledger, fleet, registry, time, commands);
         TableWriter writer = new TableWriter(commands, flow, registry, statistics, time);
         context = new PlannerContext(settings, time, fleet, registry, warmUp, statistics, flow, writer);
-        partitions = new PartitionDetector(context);
-        storm = new RetryStormGuard(context);
+        partitionDetector = new PartitionDetector(context);
+        retryStormGuard = new RetryStormGuard(context);
         slowStart = new SlowStart(context);
-        admission = new AdmissionController(context, storm);
-        changes = new PendingChanges(context, slowStart, storm, admission);
-        subsets = new SubsetAssigner(context, changes, partitions);
-        binder = new ProxyBinder(context, partitions, subsets);
-        drains = new DrainScheduler(context, binder);
-        outliers = new OutlierDetector(context);
-        shards = new ShardPlacement(context);
-        updates = new UpdateScheduler(context, changes, admission, binder);
-        membership = new FleetMembership(context, outliers);
-        listPollIntervalMs = settings.pollListWithinMs() / POLLS_PER_ALLOWED_TIME;
+        admissionController = new AdmissionController(context, retryStormGuard);
+        pendingChanges = new PendingChanges(context, slowStart, retryStormGuard, admissionController);
+        subsetAssigner = new SubsetAssigner(context, pendingChanges, partitionDetector);
+        proxyBinder = new ProxyBinder(context, partitionDetector, subsetAssigner);
+        drainScheduler = new DrainScheduler(context, proxyBinder);
+        outlierDetector = new OutlierDetector(context);
+        shardPlacement = new ShardPlacement(context);
+        updateScheduler = new UpdateScheduler(context, pendingChanges, admissionController, proxyBinder);
+        membership = new FleetMembership(context, outlierDetector);
+        listPollIntervalMs = settings.pollListWithinMs() / POLLS_PER_LIMIT;
         nextListPollAtMs = settings.listMustBePolled() ? 0 : Double.POSITIVE_INFINITY;
-        rules = rules();
+        orderedRules = orderedRules();
     }
 
     /**
-     * The rules in the order in which each pass applies them; each sees what those before it did. First comes which tables there
-     * are, as all else goes by them; then what must not wait, by urgency: newcomers, drains, verdicts on health, cut weights;
-     * then the ordinary sub-updates and moves, in the room that is left; and last what only later inputs make use of.
+     * Returns the rules in the order in which each pass applies them; a rule sees the effects of the rules before
+     * it. The rules that decide which tables exist come first, since all others depend on them. Then come the
+     * urgent rules by urgency: joining proxies, drains, health decisions and weight cuts. The ordinary sub-updates
+     * and moves follow within the remaining channel capacity, and the last rule affects only later passes and
+     * inputs.
      */
-    private List<Rule> rules() {
+    private List<Rule> orderedRules() {
         return List.of(
-                // which tables there are, and which hosts and proxies they are for
-                Rule.preparing(partitions::detect),
-                Rule.preparing(subsets::assign),
-                // newcomers before drains: a bind replaces the old table, drained hosts and all
-                binder::bindNewcomers,
-                drains::drain,
-                // verdicts on health, before the ejections that follow from them
-                eachHost(outliers::isFailing, outliers::markUnhealthy),
-                eachHost(outliers::isSlow, outliers::halveShare),
-                eachHost(outliers::isOfSlowKind, outliers::halveForKind),
-                eachHost(outliers::hasRecovered, outliers::raiseShare),
-                eachHost(outliers::mustEject, context.writer()::eject),
-                eachHost(outliers::mayStartProbation, outliers::startProbation),
-                eachHost(outliers::passesProbationStep, outliers::passProbationStep),
-                // after the ejections, which may have left a table without healthy hosts
-                eachHost(outliers::isNeededThoughUnhealthy, outliers::restoreInFull),
-                // cold hosts, by the health just judged
-                eachHost(storm::mustEject, context.writer()::eject),
-                eachHost(slowStart::mustCut, slowStart::cut),
-                // owners before the entries that name them
-                Rule.preparing(shards::place),
-                updates::sendSubUpdate,
-                // moves and restores after the entries that they need
-                binder::moveBound,
-                eachHost(changes::mayRestore, context.writer()::restore),
-                // by the reports as a whole; what it decides goes with the next pass
-                admission::adjust);
+                // the first rules decide which tables exist, and which hosts and proxies each table serves
+                Rule.preparing(partitionDetector::detectPartitions),
+                Rule.preparing(subsetAssigner::updateSubsets),
+                // joining proxies are bound before drains, since a bind replaces the old table together with its
+                // draining hosts
+                proxyBinder::bindNewcomers,
+                drainScheduler::drain,
+                // health decisions come before the ejections that follow from them
+                eachHost(outlierDetector::isFailing, outlierDetector::markUnhealthy),
+                eachHost(outlierDetector::isSlow, outlierDetector::halveWeight),
+                eachHost(outlierDetector::isOfSlowKind, outlierDetector::halveWeightForKind),
+                eachHost(outlierDetector::hasRecovered, outlierDetector::raiseWeight),
+                eachHost(outlierDetector::mustEject, context.writer()::eject),
+                eachHost(outlierDetector::mayStartProbation, outlierDetector::startProbation),
+                eachHost(outlierDetector::isProbationStepPassed, outlierDetector::advanceProbation),
+                // a last resort comes after the ejections, which may have left a table without healthy hosts
+                eachHost(outlierDetector::isLastResort, outlierDetector::restoreAtFullWeight),
+                // cold hosts come after the health decisions, which affect their weights
+                eachHost(retryStormGuard::mustEject, context.writer()::eject),
+                eachHost(slowStart::mustCutWeight, slowStart::cutWeight),
+                // shard owners come before the entries that name them
+                Rule.preparing(shardPlacement::placeShards),
+                updateScheduler::sendSubUpdate,
+                // moves and restores come after the entries that they need
+                proxyBinder::moveBound,
+                eachHost(pendingChanges::mayRestore, context.writer()::restore),
+                // admission comes last, as it needs the statistics of the whole fleet; the next pass writes its
+                // result
+                // result
+                admissionController::adjustAdmission);
     }
 
     private Rule eachHost(Predicate<Host> condition, Consumer<Host> action) {
         return Rule.forEachHost(fleet, condition, action);
     }
 
-    // ---- inputs
-
-    /** It is now this time; comes before all else that is seen then. */
+    /** Sets the current time; called before all other inputs of that time. */
     public void advanceClock(double nowMs) {
         time.advanceTo(nowMs);
-        storm.start();
-        membership.start();
+        retryStormGuard.assumeStormAtFirstInput();
+        membership.recordFirstInput();
         if (nowMs - decayedAtMs >= TICK_MS) {
             context.statistics().decay(nowMs - decayedAtMs);
             decayedAtMs = timer.lastTickBy(nowMs);
@@ -131,39 +142,42 @@
         }
     }
 
-    /** A host list begins: a complete one, or a change. */
+    /** Begins a host list, either a complete list or a list change. */
     public void beginHostList(boolean isComplete) {
         membership.beginList(isComplete);
     }
 
-    /** The list names a host as ready; a weight of 0 or under stands for none given. */
+    /** Adds a ready host of the host list; a weight of 0 or less means that the list gives no weight. */
     public void hostReady(int id, int zone, int kind, double weight, double startedMs) {
-        membership.ready(id, zone, kind, weight, startedMs);
+        membership.hostReady(id, zone, kind, weight, startedMs);
     }
 
-    /** The list names a host as draining. */
+    /** Adds a draining host of the host list. */
     public void hostDraining(int id, int zone, int kind, double weight) {
-        membership.draining(id, zone, kind, weight);
+        membership.hostDraining(id, zone, kind, weight);
     }
 
-    /** The list names a host as gone. */
+    /** Adds a removed host of the host list. */
     public void hostRemoved(int id) {
-        membership.removed(id);
+        membership.hostRemoved(id);
     }
 
-    /** The host list ends; hosts that a complete one does not name are gone. */
+    /** Ends the host list; each host that a complete list does not name counts as removed. */
     public void endHostList() {
         membership.endList();
     }
 
-    /** Forgets a removed host, whose id may then be another's; false while a table has an entry for it. */
+    /**
+     * Releases the id of a removed host for use by another host; returns false while a table still has an entry for
+     * the host.
+     */
     public boolean releaseHost(int id) {
-        return membership.release(id);
+        return membership.releaseHost(id);
     }
 
     /**
-     * A proxy has a new stream, on which it is bound to none of this controller's tables; its usual requests a second are as it
-     * states them.
+     * Registers a proxy that has opened a stream, on which it is not yet bound to any table of this controller; the
+     * proxy states its usual request rate.
      */
     public void proxyJoined(int id, int zone, double usualRequestsPerSecond) {
         proxyDisconnected(id);
@@ -173,49 +187,51 @@
     }
 
     /**
-     * A proxy's stream has ended. Freed at once: its flow-control window, as no acknowledgement can come ({@link
-     * FlowControl#hasRoomInWindow}). What was on its way to it still counts against the channel queue, until the channel had
-     * time to send it ({@link ChannelLedger}). When the proxy returns, {@link #proxyJoined} makes it a newcomer: {@link
-     * ProxyBinder} binds it anew, which sends the complete table with its admissions and ejections.
+     * Records that a proxy's stream has ended. Its flow-control window is freed at once, as no acknowledgement can
+     * arrive any more ({@link FlowControl#hasRoomInWindow}). Entries in transit to the proxy still count against
+     * the channel queue until the channel had time to send them ({@link ChannelLedger}). When the proxy returns,
+     * {@link #proxyJoined} treats it as a new proxy: {@link ProxyBinder} binds it again, which sends the complete
+     * table with its admission ratios and ejections.
      */
     public void proxyDisconnected(int id) {
         fleet.leave(fleet.proxy(id));
     }
 
-    /** A proxy has applied the message with this nonce, and so all that was sent to it before. */
-    public void messageAcknowledged(int id, int nonce, double tookMs) {
-        context.flow().acknowledged(fleet.proxy(id), nonce, tookMs);
+    /** Records that a proxy has applied the message with this nonce, and thereby all messages sent to it before. */
+    public void messageAcknowledged(int id, int nonce, double roundTripMs) {
+        context.flow().acknowledged(fleet.proxy(id), nonce, roundTripMs);
     }
 
     /**
-     * Attempts at a host by proxies of one zone in the last span: how many ended, how many of these failed, and the mean time
-     * of those that succeeded.
+     * Adds a load report on the attempts at a host by proxies of one zone in the last span: how many ended, how
+     * many of these failed, and the mean latency of the successful ones.
      */
     public void hostStatistics(int id, int zone, int attempts, int failed, double meanSuccessMs, double spanMs) {
         context.statistics().addReport(fleet.host(id), zone, attempts, failed, meanSuccessMs, spanMs);
     }
 
-    /** Requests for an operation at a proxy in the last span. */
+    /** Adds a load report on the requests for one operation at a proxy in the last span. */
     public void requestRate(int id, int operation, double spanMs, int total) {
         context.statistics().addRequestRate(fleet.proxy(id), operation, spanMs, total);
     }
 
-    /** This controller is in charge of the shard from now on, or no more. */
+    /** Sets whether this controller is in charge of the shard from now on. */
     public void setShardInCharge(int shard, boolean inCharge) {
-        shards.setInCharge(shard, inCharge);
+        shardPlacement.setInCharge(shard, inCharge);
     }
 
-    /** The shard is owned by the host, whose entry its proxies have with this weight. */
+    /** Sets the host that owns the shard; the entry of the host at the shard's proxies has this weight. */
     public void setShardOwner(int shard, int id, double weight) {
-        shards.setOwner(shard, fleet.host(id), weight);
+        shardPlacement.setOwner(shard, fleet.host(id), weight);
     }
 
-    // ---- reconciliation
-
-    /** Applies the rules until none changes anything, then closes the messages written and asks for the next call. */
+    /**
+     * Applies the rules until no rule changes anything, then requests acknowledgements of the written messages and
+     * schedules the next call.
+     */
     public void reconcile() {
         for (int pass = 0; pass < MAX_PASSES && applyRules(); pass++) {
-            // the next pass sees what this one changed
+            // the next pass sees the changes of this pass
         }
         context.flow().requestAcknowledgements();
         if (time.nowMs() >= nextListPollAtMs) {
@@ -230,23 +246,27 @@
 
     private boolean applyRules() {
         boolean any = false;
-        for (Rule rule : rules) {
+        for (Rule rule : orderedRules) {
             any |= rule.apply();
         }
         return any;
     }
 
-    /** When time alone may next change what is decided: now while anything is under way, or infinity. */
+    /**
+     * Returns the time at which a decision may next change without an input: now while any work is in progress, or
+     * infinity.
+     */
     private double nextDueMs() {
         double nowMs = time.nowMs();
         boolean isQuiet = !context.registry().isSharded()
-                && !subsets.isJoinSurge()
+                && !subsetAssigner.isJoinSurge()
                 && ledger.isEmpty()
-                && fleet.zones().stream().allMatch(zone -> zone.isQuiet(nowMs));
-        if (!isQuiet || updates.isAnythingPending()) {
+                && fleet.zones().stream().allMatch(zone -> zone.isIdle(nowMs));
+        if (!isQuiet || updateScheduler.isAnythingPending()) {
             return nowMs;
         }
-        double dueMs = Math.min(Math.min(nextListPollAtMs, admission.nextDueMs()), storm.nextDueMs());
+        double dueMs =
+                Math.min(Math.min(nextListPollAtMs, admissionController.nextDueMs()), retryStormGuard.nextDueMs());
         double rampMs = context.warmUp().rampMs();
         return fleet.hosts().stream()
                 .mapToDouble(host -> host.nextDueMs(nowMs, rampMs))
--- a/src/main/java/linenring/planner/PlannerContext.java
+++ b/src/main/java/linenring/planner/PlannerContext.java
@@ -1,8 +1,8 @@
 package linenring.planner;
 
 /**
- * What all mechanisms are handed: the settings, the time of the decision, the state, and the two ways to act on it. Each keeps
- * its own state to itself.
+ * Context shared by all mechanisms: the settings, the time of the decision, the shared state, and the flow control
+ * and table writer through which the mechanisms act. Each mechanism keeps its own state to itself.
  */
 record PlannerContext(
         PlannerSettings settings,
--- a/src/main/java/linenring/planner/PlannerSettings.java
+++ b/src/main/java/linenring/planner/PlannerSettings.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * What a controller is given at its start and decides by.
+ * Settings that a controller receives at its start.
  *
- * @param operations what proxies request, by index
- * @param coldStart what a host can do before it is warm
+ * @param operations operations that proxies request, by index
+ * @param coldStart capacity of a host before it is warm
  * @param channel the channel that carries updates to proxies
- * @param shards the shards of keys, where there are any
+ * @param shards the shards of keys, if there are any
  * @param measure unit of an admission value
- * @param listMustBePolled whether the host list comes only when it is asked for
- * @param pollListWithinMs how often it must be asked for then
- * @param removedHostsKeepRunning whether a host that is gone from the list goes on serving
+ * @param listMustBePolled whether the host list arrives only when it is polled
+ * @param pollListWithinMs longest interval between two polls of the host list
+ * @param removedHostsKeepRunning whether a host that is removed from the list continues to serve
  * @param defaultTableEntries entries of the default table, which a proxy holds when it starts
  */
 public record PlannerSettings(
@@ -26,7 +26,7 @@
         boolean removedHostsKeepRunning,
         int defaultTableEntries) {
 
-    /** Mask of the operations that are open to the same hosts as this one. */
+    /** Returns the mask of the operations that are open to the same hosts as the given operation. */
     int operationsOpenToSameHosts(int operation) {
         int mask = 0;
         for (int i = 0; i < operations.size(); i++) {
@@ -38,23 +38,27 @@
     /**
      * One operation.
      *
-     * @param objectiveMs its latency objective
-     * @param value its priority weight: what an answer in time counts beside those of other operations; relative, no unit
-     * @param zones mask of the zones whose hosts may run it; -1 for all
-     * @param kinds mask of the kinds of machines that may run it; -1 for all
-     * @param homeZoneOnly whether only hosts of the proxy's own zone may run it
+     * @param objectiveMs latency objective of the operation
+     * @param value priority weight of the operation: relative value of an answer within the objective, without a
+     *     unit
+     * @param zones mask of the zones whose hosts may run the operation; -1 for all
+     * @param kinds mask of the kinds (machine types) that may run the operation; -1 for all
+     * @param homeZoneOnly whether only hosts of the proxy's own zone may run the operation
      * @param zoneCount number of zones
      */
     public record Operation(
             double objectiveMs, double value, long zones, long kinds, boolean homeZoneOnly, int zoneCount) {
         private static final long ALL = -1;
 
-        /** Whether the other is open to the very same hosts. */
+        /** Whether the other operation is open to exactly the same hosts as this operation. */
         boolean isOpenToSameHosts(Operation other) {
             return zones == other.zones && kinds == other.kinds && homeZoneOnly == other.homeZoneOnly;
         }
 
-        /** Whether hosts of this zone and kind may run it; a mask other than all knows the first 64 of them. */
+        /**
+         * Whether hosts of this zone and kind may run the operation; a mask other than -1 covers the first 64 zones
+         * or kinds.
+         */
         boolean isOpenTo(int zone, int kind) {
             return hasBit(zones, zone) && hasBit(kinds, kind);
         }
@@ -65,24 +69,24 @@
     }
 
     /**
-     * A host that has just started.
+     * Capacity of a host that has just started.
      *
-     * @param initialCapacity what it can do at its start at least, as a share of what it can do when warm
-     * @param warmAfterMs when it is warm
+     * @param initialCapacity guaranteed capacity of a host at its start, as a share of its warm capacity
+     * @param warmAfterMs time from a host's start until it is warm
      */
     public record ColdStart(double initialCapacity, double warmAfterMs) {}
 
     /**
      * The channel that carries updates to proxies, with its costs and its limits.
      *
-     * @param entriesPerSecond its rate
-     * @param headEntries entries that the head of a message counts as
-     * @param maxQueuedEntries entries that may wait in it
+     * @param entriesPerSecond send rate of the channel
+     * @param headEntries overhead of a message, in entries
+     * @param maxQueuedEntries entries that may wait in the channel
      * @param maxMessages messages that one proxy may be sent within the span; 0 for no limit
-     * @param messageLimitSpanMs the span of that limit
-     * @param transitMs how long a message usually takes beside its wait
-     * @param longestTransitMs how long it takes at most
-     * @param drainGraceMs how long a host that drains still answers
+     * @param messageLimitSpanMs span of the limit on messages
+     * @param transitMs usual transit time of a message, without its wait in the queue
+     * @param longestTransitMs longest transit time of a message
+     * @param drainGraceMs time for which a draining host still answers requests
      */
     public record Channel(
             double entriesPerSecond,
@@ -99,22 +103,25 @@
             return entriesPerSecond / MILLIS_PER_SECOND;
         }
 
-        /** Entries that a message takes beside those it holds: its head, and one for the acknowledgement request. */
+        /**
+         * Cost of a message in entries beside the entries that it holds: its overhead, and one entry for the
+         * acknowledgement request.
+         */
         double messageCost() {
             return headEntries + 1;
         }
     }
 
     /**
-     * Shards of keys, where there are any (count above 0).
+     * Shards of keys, if there are any (count above 0).
      *
      * @param count number of shards
      * @param singleOwner whether two hosts must never write the same shard
-     * @param leaseMs for how long an owner may write after its controller has lost the shard
-     * @param lingeringMs for how long writes may go on after the lease
+     * @param leaseMs time for which an owner may write after its controller has lost the shard
+     * @param lingeringMs time for which writes may continue after the lease
      */
     public record Shards(int count, boolean singleOwner, double leaseMs, double lingeringMs) {
-        /** How long after a controller has lost a shard proxies may go on writing to its owner. */
+        /** Time for which proxies may continue to write to a shard's owner after the controller has lost the shard. */
         double writesEndWithinMs() {
             return leaseMs + lingeringMs;
         }
@@ -122,11 +129,11 @@
 
     /** Unit of an admission value. */
     public enum Measure {
-        /** The share of requests that is admitted. */
+        /** Admission values are the share of requests that a proxy admits. */
         SHARE,
-        /** Requests a second that a proxy admits. */
+        /** Admission values are the requests a second that a proxy admits. */
         PER_SECOND,
-        /** Nothing: proxies admit all. */
+        /** Admission values are not used: proxies admit all requests. */
         NONE
     }
 }
--- a/src/main/java/linenring/planner/RetryStormGuard.java
+++ b/src/main/java/linenring/planner/RetryStormGuard.java
@@ -1,87 +1,96 @@
 package linenring.planner;
 
 /**
- * Detects a retry storm and keeps cold hosts out of it. Inputs: attempts that ended and failed in the fleet, the lateness of the
- * 62nd percentile host (in objectives), requests a second, the age of hosts (ms).
+ * Detects a retry storm and keeps cold hosts out of it. Inputs: the attempts that ended and failed in the fleet,
+ * the relative latency of the 62nd percentile host, the request rate, and the age of hosts (ms).
  *
- * <p>Failure guarded against: most attempts fail, and proxies avoid the hosts that failed them. The one cold host that has
- * not failed yet is then sent everything, whatever its weight, and fails too; it shows as each new host that answers nothing
- * from its first second on. The guard holds because a cold host that waits outside until the storm is over cannot be chosen.
- * It does harm where no proxy meets a host often enough to avoid it: there cold hosts that were kept out left 48 of 120 to
- * carry all. So it acts only where proxies are asked often enough, and while every table in use has a warm host.
+ * <p>Failure guarded against: most attempts fail, and proxies avoid the hosts at which their attempts failed. A
+ * cold host without failures yet then receives all the traffic, regardless of its weight, and fails too: each new host
+ * answers no request from its first second. The guard holds because a proxy cannot pick a cold host that is kept
+ * out of the tables until the storm has ended. It would do harm where no proxy meets a host often enough to avoid
+ * it: in one such fleet the exclusion of cold hosts left 48 of 120 hosts to carry the whole load. So the guard acts
+ * only at a sufficient request rate per proxy, and while every table in use has a warm host.
  *
- * <p>Retries in a storm are stopped elsewhere, in {@link AdmissionController#retryPolicy}.
+ * <p>{@link AdmissionController#retryPolicy} stops the retries in a storm.
  */
 final class RetryStormGuard {
-    /** Time for which a storm is assumed at the start, when nothing is known: the first reports come within it. */
-    private static final double ASSUMED_AT_START_MS = 4000;
-    /** Time that a storm lasts after its last sign. */
-    private static final double STORM_LASTS_MS = 3000;
-    /** A storm is on where a larger part of all attempts failed; a fifth of the hosts dead makes less. */
+    /**
+     * Time for which a retry storm is assumed after the first input, when there are no statistics; the first load
+     * reports arrive within this time.
+     */
+    private static final double ASSUMED_STORM_AT_START_MS = 4000;
+    /** Time for which a retry storm is assumed to last after its last sign. */
+    private static final double STORM_DURATION_MS = 3000;
+    /**
+     * Failure ratio of all attempts above which there is a retry storm; the loss of a fifth of the hosts causes
+     * less.
+     */
     private static final double STORM_FAILURE_RATIO = 0.3;
-    /** A storm is on where the lateness of the 62nd percentile host is over this multiple of the unhurried lateness... */
-    private static final double STORM_SLOWDOWN = 4;
-    /** ... and over this many latency objectives. No reason is recorded for either. */
-    private static final double STORM_LATENESS = 0.45;
-    /** The usual lateness of an unhurried fleet until reports show it. */
-    private static final double INITIAL_UNHURRIED_LATENESS = 0.2;
+    /** Multiple of the unloaded relative latency above which the 62nd percentile host shows a retry storm. */
+    private static final double STORM_SLOWDOWN_FACTOR = 4;
+    /** Relative latency above which the 62nd percentile host shows a retry storm. */
+    private static final double STORM_RELATIVE_LATENCY = 0.45;
+    /** Baseline relative latency assumed of a fleet without load until load reports show a lower one. */
+    private static final double INITIAL_UNLOADED_RELATIVE_LATENCY = 0.2;
 
-    private static final double NOT_STARTED = -1;
+    private static final double BEFORE_FIRST_INPUT = -1;
 
     private final PlannerContext context;
-    private double stormUntilMs = NOT_STARTED;
-    /** The lowest usual lateness seen: it only ever falls. */
-    private double unhurriedLateness = INITIAL_UNHURRIED_LATENESS;
+    private double stormUntilMs = BEFORE_FIRST_INPUT;
+    /** Lowest baseline relative latency seen so far; it only ever falls. */
+    private double unloadedRelativeLatency = INITIAL_UNLOADED_RELATIVE_LATENCY;
 
     RetryStormGuard(PlannerContext context) {
         this.context = context;
     }
 
-    /** Assumes a storm at the first input; later calls do nothing. */
-    void start() {
+    /** Assumes a retry storm at the first input; later calls do nothing. */
+    void assumeStormAtFirstInput() {
         if (stormUntilMs < 0) {
-            stormUntilMs = context.nowMs() + ASSUMED_AT_START_MS;
+            stormUntilMs = context.nowMs() + ASSUMED_STORM_AT_START_MS;
         }
     }
 
-    /** Looks for signs of a storm in the refreshed statistics. */
-    void observe() {
+    /** Updates the state of the retry storm from the refreshed statistics. */
+    void updateStormState() {
         FleetStatistics statistics = context.statistics();
-        double ended = statistics.ended();
-        if (ended >= FleetStatistics.MIN_FLEET_ATTEMPTS && statistics.usualLateness() != 0) {
-            unhurriedLateness = Math.min(unhurriedLateness, statistics.usualLateness());
+        double endedAttempts = statistics.endedAttempts();
+        if (endedAttempts >= FleetStatistics.MIN_FLEET_ATTEMPTS && statistics.baselineRelativeLatency() != 0) {
+            unloadedRelativeLatency = Math.min(unloadedRelativeLatency, statistics.baselineRelativeLatency());
         }
-        double attempts = Math.max(FleetStatistics.MIN_FLEET_ATTEMPTS, ended);
-        boolean mostFail = statistics.succeeded() < ended - STORM_FAILURE_RATIO * attempts;
-        boolean mostAreLate = statistics.highLateness() > Math.max(STORM_LATENESS, STORM_SLOWDOWN * unhurriedLateness);
-        if (mostFail || mostAreLate) {
-            stormUntilMs = context.nowMs() + STORM_LASTS_MS;
+        double countedAttempts = Math.max(FleetStatistics.MIN_FLEET_ATTEMPTS, endedAttempts);
+        boolean isFailureRatioHigh =
+                statistics.succeededAttempts() < endedAttempts - STORM_FAILURE_RATIO * countedAttempts;
+        boolean isLatencyHigh = statistics.highRelativeLatency()
+                > Math.max(STORM_RELATIVE_LATENCY, STORM_SLOWDOWN_FACTOR * unloadedRelativeLatency);
+        if (isFailureRatioHigh || isLatencyHigh) {
+            stormUntilMs = context.nowMs() + STORM_DURATION_MS;
         }
     }
 
-    boolean isStorm() {
+    boolean isStormActive() {
         return context.nowMs() < stormUntilMs;
     }
 
-    /** When the storm ends by time alone, or infinity where there is none. */
+    /** Time at which the retry storm ends without further signs, or infinity where there is none. */
     double nextDueMs() {
-        return isStorm() ? stormUntilMs : Double.POSITIVE_INFINITY;
+        return isStormActive() ? stormUntilMs : Double.POSITIVE_INFINITY;
     }
 
-    /** Whether the cold host stays out of tables, or outside if it is in one. */
+    /** Whether the cold host should be kept out of all tables, or ejected if a table has it already. */
     boolean holdsBack(Host host) {
         context.statistics().refresh();
-        return isStorm()
+        return isStormActive()
                 && !context.warmUp().isWarm(host)
                 && FleetStatistics.usualRequestsPerSecond(context.fleet().joined())
-                        >= context.statistics().requestsPerSecondToMeetEveryHost()
+                        >= context.statistics().minRequestsPerSecondForProxyEjection()
                 && context.registry().tables().stream()
                         .allMatch(table -> !context.registry().isInUse(table)
                                 || !table.accepts(host)
                                 || table.capacity().warmWeight() > 0);
     }
 
-    /** Whether the cold host is in a table and has to be ejected for the storm. */
+    /** Whether the cold host is in a table and must be ejected because of the retry storm. */
     boolean mustEject(Host host) {
         return host.isRunning()
                 && !host.isEjected()
--- a/src/main/java/linenring/planner/Rule.java
+++ b/src/main/java/linenring/planner/Rule.java
@@ -3,13 +3,13 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** One step of a reconciliation. */
+/** One rule of a reconciliation. */
 @FunctionalInterface
 interface Rule {
-    /** Acts where it has to; whether it did, and so whether other rules may now find something to do. */
+    /** Applies the rule; returns whether it changed anything that other rules may react to. */
     boolean apply();
 
-    /** A rule that prepares what later ones work with, which alone is no reason for another pass. */
+    /** Returns a rule that prepares the work of later rules; its changes alone cause no further pass. */
     static Rule preparing(Runnable action) {
         return () -> {
             action.run();
@@ -17,7 +17,7 @@
         };
     }
 
-    /** A rule that acts on each host for which the condition holds when its turn comes. */
+    /** Returns a rule that applies the action to each host that satisfies the condition at its turn. */
     static Rule forEachHost(Fleet fleet, Predicate<Host> condition, Consumer<Host> action) {
         return () -> fleet.forEachHost(condition, action);
     }
--- a/src/main/java/linenring/planner/ShardPlacement.java
+++ b/src/main/java/linenring/planner/ShardPlacement.java
@@ -4,56 +4,58 @@
 import java.util.List;
 
 /**
- * Gives each shard of the keys its owner, the one host of its table. Inputs: the shards that this controller is in charge of,
- * their owners, the lease and the time that writes may linger after it (ms), the drain grace (ms).
+ * Assigns each shard of the keys to its owner, the only host of the shard's table. Inputs: the shards that this
+ * controller is in charge of, their owners, the lease and the time for which writes may continue after it (ms), and
+ * the drain grace (ms).
  *
- * <p>Failure guarded against: two hosts write the same shard. It shows as lost writes. The guard holds because a shard whose
- * owner is lost gets the next one only once no write can be in the hands of the last, the time that another controller's owner may
- * go on included. It costs that the shard has no owner during that time.
+ * <p>Failure guarded against: two hosts that write the same shard, which loses writes. A shard that has lost its
+ * owner gets the next owner only when no write to the last owner can be in progress. The wait includes the time for
+ * which an owner assigned by another controller may continue to write. The cost is that the shard has no owner
+ * during the wait.
  */
 final class ShardPlacement {
-    /** Where a shard may have several writers the next owner comes at once. */
-    private static final double WITHOUT_WAIT_MS = -1;
+    /** Wait before the next owner of a shard where several hosts may write it: none. */
+    private static final double IMMEDIATE_CHANGE_MS = -1;
 
     private final PlannerContext context;
-    private final double ownerlessForMs;
+    private final double ownerChangeWaitMs;
 
     ShardPlacement(PlannerContext context) {
         this.context = context;
         PlannerSettings settings = context.settings();
-        ownerlessForMs = settings.shards().singleOwner()
+        ownerChangeWaitMs = settings.shards().singleOwner()
                 ? settings.shards().writesEndWithinMs() + settings.channel().drainGraceMs()
-                : WITHOUT_WAIT_MS;
+                : IMMEDIATE_CHANGE_MS;
     }
 
-    /** This controller is in charge of the shard from now on, or no more. */
+    /** Sets whether this controller is in charge of the shard from now on. */
     void setInCharge(int shard, boolean inCharge) {
-        // another controller's owner may still be writing
+        // the owner that another controller has assigned may still be writing
         context.registry().ofShard(shard).resetOwner(inCharge ? context.nowMs() : Double.POSITIVE_INFINITY);
     }
 
-    /** The shard is owned by the host, whose entry its proxies have. */
+    /** Sets the owner of the shard; the shard's proxies already have an entry for the owner. */
     void setOwner(int shard, Host owner, double weight) {
         EndpointTable table = context.registry().ofShard(shard);
         table.setOwner(owner);
         table.setWeight(owner, weight);
     }
 
-    /** Takes shards from lost owners and gives those that may have one their next. */
-    void place() {
+    /** Takes the shards of lost owners away and assigns each shard whose wait has passed to its next owner. */
+    void placeShards() {
         List<EndpointTable> shards =
                 context.registry().isSharded() ? context.registry().tables() : List.of();
         for (EndpointTable shard : shards) {
             if (shard.owner() != null && !shard.owner().isRunning()) {
                 shard.loseOwner(context.nowMs());
             }
-            if (shard.owner() == null && context.nowMs() - shard.ownerlessSinceMs() > ownerlessForMs) {
-                shard.setOwner(leastOwning());
+            if (shard.owner() == null && context.nowMs() - shard.ownerlessSinceMs() > ownerChangeWaitMs) {
+                shard.setOwner(hostWithFewestShards());
             }
         }
     }
 
-    private Host leastOwning() {
+    private Host hostWithFewestShards() {
         return context.fleet().hosts().stream()
                 .filter(host -> host.isRunning() && !host.isEjected())
                 .min(Comparator.comparingDouble(this::shardsPerWeight))
--- a/src/main/java/linenring/planner/SubsetAssigner.java
+++ b/src/main/java/linenring/planner/SubsetAssigner.java
@@ -6,86 +6,112 @@
 import java.util.stream.IntStream;
 
 /**
- * Assigns the hosts to subsets and decides how many of these each proxy's table is made of. Inputs: the channel's rate (entries a second)
- * and what waits in it, the number of proxies and entries, the size of a default table (entries), usual requests a second.
+ * Assigns the hosts to subsets and decides how many subsets make up the table of each proxy. Inputs: the channel's
+ * rate (entries a second) and queue, the number of proxies and entries, the size of a default table (entries), and
+ * the usual request rates.
  *
- * <p>Failure guarded against: tables that the channel cannot carry. A full table for each of 160 proxies takes 28 s of 1,200
- * entries a second; until then newcomers hold a few hosts of old tables, which drains and losses empty. Where full tables for all
- * proxies take over a third of the ramp of 10 s, by which tables change anyway, each proxy gets what can be sent in that
- * time; newcomers that would wait over a second for it first get a default table's size. It could do harm by uneven load, and
- * a proxy whose few hosts are all slow has no others: so new hosts go where least can be done, and an overloaded subset is
- * left by some of its proxies.
+ * <p>Failure guarded against: tables that exceed the capacity of the channel. Full tables for 160 proxies take 28 s
+ * at 1,200 entries a second; until then joining proxies use a few hosts from old tables, which drains and host
+ * losses empty. Where full tables for all proxies take more than a third of the slow start ramp of 10 s, in which
+ * tables change anyway, each proxy gets as many entries as can be sent in that time. Joining proxies that would
+ * wait more than a second for such a table first get one of the default table's size.
+ *
+ * <p>Subsetting could do harm by uneven load, and a proxy whose few hosts are all slow has no others. So new hosts
+ * join the subset with the least capacity, and some proxies of an overloaded subset move to another.
  */
 final class SubsetAssigner {
-    /** A table for each proxy may take the channel a third of the ramp of 10 s. */
-    private static final double TABLES_SENT_WITHIN_MS = 3300;
-    /** Full tables are given up only when a quarter too large, which keeps the choice from going back and forth. */
-    private static final double MARGIN_BEFORE_SUBSETS = 1.25;
-    /** Newcomers that would wait longer for their tables get one subset first. */
-    private static final double JOIN_SURGE_MS = 1000;
-    /** Fewest hosts in a subset. No reason is recorded for the value. */
+    /**
+     * Longest time for which the channel may be busy sending a table to each proxy: a third of the slow start ramp
+     * of 10 s.
+     */
+    private static final double MAX_TABLE_SEND_TIME_MS = 3300;
+    /**
+     * Factor by which full tables must exceed the channel's capacity before subsets replace them; the margin avoids
+     * switching back and forth.
+     */
+    private static final double SUBSETTING_HYSTERESIS = 1.25;
+    /** Wait above which joining proxies first get a table of one subset. */
+    private static final double MAX_JOIN_WAIT_MS = 1000;
+    /** Fewest hosts in a subset. */
     private static final int MIN_HOSTS_PER_SUBSET = 2;
-    /** Proxies are shared out among two tables at least, as it may be that one has to be left. */
-    private static final int MIN_TABLES = 2;
-    /** The number of subsets per table changes only when it is twice too large or too small, as each change moves proxies. */
+    /**
+     * Fewest tables among which the proxies are distributed, so that proxies can move away from an overloaded
+     * table.
+     */
+    private static final int MIN_SUBSET_TABLES = 2;
+    /**
+     * Factor by which the number of subsets per table must be too large or too small before it changes, as each
+     * change moves proxies.
+     */
     private static final double MIN_CHANGE_FACTOR = 2;
-    /** A table is left when this many times the fleet's load per capacity is asked of it: it can do two thirds of what others can for it. */
-    private static final double OVERLOAD = 1.5;
-    /** Stands for the load of a table with no users, so that the weight decides among such. */
-    private static final double IDLE_LOAD = 1e-6;
-    /** Ranks a subset without a warm host after all others: requests would have cold hosts alone. */
-    private static final double WITHOUT_WARM_HOST = 1e6;
+    /**
+     * Multiple of the fleet's mean load per capacity from which proxies leave a table: its hosts can then serve two
+     * thirds of the demand that other hosts could.
+     */
+    private static final double OVERLOAD_FACTOR = 1.5;
+    /** Load added to each table, so that capacity decides among tables without users. */
+    private static final double MIN_LOAD = 1e-6;
+    /**
+     * Added to the capacity rank of a subset without a warm host, so that new hosts go to all other subsets first:
+     * a table of this subset would send requests to cold hosts alone.
+     */
+    private static final double PENALTY_WITHOUT_WARM_HOST = 1e6;
 
     private final PlannerContext context;
-    private final PendingChanges changes;
-    private final PartitionDetector partitions;
-    /** Number of subsets that hosts are assigned to; 0 for none. */
-    private int subsets;
-    /** Number of subsets that a table is made of, or 0 for full tables. */
+    private final PendingChanges pendingChanges;
+    private final PartitionDetector partitionDetector;
+    /** Number of subsets that hosts are assigned to, or 0 if there are none. */
+    private int subsetCount;
+    /** Number of subsets that make up a table, or 0 for full tables. */
     private int subsetsPerTable;
 
     private boolean joinSurge;
 
-    SubsetAssigner(PlannerContext context, PendingChanges changes, PartitionDetector partitions) {
+    SubsetAssigner(PlannerContext context, PendingChanges pendingChanges, PartitionDetector partitionDetector) {
         this.context = context;
-        this.changes = changes;
-        this.partitions = partitions;
+        this.pendingChanges = pendingChanges;
+        this.partitionDetector = partitionDetector;
     }
 
-    /** Whether more proxies join than the channel has tables for. */
+    /** Whether more proxies join than the channel can send tables to in time. */
     boolean isJoinSurge() {
         return joinSurge;
     }
 
-    /** Decides on subsets and how many a table has, assigns new hosts, and clears tables that nobody needs any more. */
-    void assign() {
+    /**
+     * Decides on the number of subsets and of subsets per table, assigns new hosts to subsets, and clears unused
+     * tables.
+     */
+    void updateSubsets() {
         context.statistics().refresh();
         int hostsPerSubset = Math.max(MIN_HOSTS_PER_SUBSET, context.settings().defaultTableEntries());
-        double affordable = affordableEntries();
-        double entries = context.registry().fullTables().stream()
+        double affordableEntries = affordableEntries();
+        double entriesOfFullTables = context.registry().fullTables().stream()
                 .mapToDouble(table -> table.entryCount() / table.zoneTables())
                 .sum();
-        boolean tooLarge = !isSharded() && entries > (subsetsPerTable > 0 ? 1 : MARGIN_BEFORE_SUBSETS) * affordable;
-        joinSurge = isJoinSurge(Math.min(entries, Math.max(hostsPerSubset, affordable)));
-        if ((joinSurge || tooLarge) && subsets == 0) {
-            assignAll(hostsPerSubset);
+        boolean isTooLarge = !isSharded()
+                && entriesOfFullTables > (subsetsPerTable > 0 ? 1 : SUBSETTING_HYSTERESIS) * affordableEntries;
+        joinSurge = isJoinSurge(Math.min(entriesOfFullTables, Math.max(hostsPerSubset, affordableEntries)));
+        if ((joinSurge || isTooLarge) && subsetCount == 0) {
+            createSubsets(hostsPerSubset);
         }
-        updateSubsetsPerTable(tooLarge && subsets > 1 ? subsetsThatFit(affordable / entries) : 0);
-        context.fleet().forEachHost(this::mustBeAssigned, this::assignNew);
+        updateSubsetsPerTable(
+                isTooLarge && subsetCount > 1 ? subsetsThatFit(affordableEntries / entriesOfFullTables) : 0);
+        context.fleet().forEachHost(this::needsSubset, this::assignNewHost);
         clearUnusedTables();
-        if (!joinSurge && !tooLarge) {
-            dissolveUnlessUsed();
+        if (!joinSurge && !isTooLarge) {
+            removeSubsetsUnlessUsed();
         }
     }
 
-    private boolean mustBeAssigned(Host host) {
-        return subsets > 0 && host.isRunning() && host.subset() == Host.WITHOUT_SUBSET;
+    private boolean needsSubset(Host host) {
+        return subsetCount > 0 && host.isRunning() && host.subset() == Host.WITHOUT_SUBSET;
     }
 
-    private void dissolveUnlessUsed() {
+    private void removeSubsetsUnlessUsed() {
         if (context.registry().tables().stream().noneMatch(EndpointTable::isOfSubsets)) {
             context.fleet().hosts().forEach(host -> host.assignTo(Host.WITHOUT_SUBSET));
-            subsets = 0;
+            subsetCount = 0;
         }
     }
 
@@ -93,10 +119,10 @@
         return context.registry().isSharded();
     }
 
-    /** Entries of a table that the channel can send to each proxy in time. */
+    /** Largest number of table entries that the channel can send to each proxy in time. */
     private double affordableEntries() {
         int proxies = Math.max(1, context.fleet().joined().size());
-        return TABLES_SENT_WITHIN_MS * channel().entriesPerMs() / proxies
+        return MAX_TABLE_SEND_TIME_MS * channel().entriesPerMs() / proxies
                 - channel().messageCost()
                 - 1
                 - context.operationCount();
@@ -106,41 +132,47 @@
         return context.settings().channel();
     }
 
-    private boolean isJoinSurge(double entriesOfNewcomer) {
-        double newcomers =
+    private boolean isJoinSurge(double entriesPerJoiningProxy) {
+        double joiningProxies =
                 context.fleet().joined().stream().filter(ProxyState::isNewcomer).count();
         return !isSharded()
-                && context.flow().waitingEntries() + newcomers * entriesOfNewcomer
-                        > JOIN_SURGE_MS * channel().entriesPerMs();
+                && context.flow().waitingEntries() + joiningProxies * entriesPerJoiningProxy
+                        > MAX_JOIN_WAIT_MS * channel().entriesPerMs();
     }
 
-    /** Assigns hosts that can serve in turn, by zone and kind, so that each subset has some of all. */
-    private void assignAll(int hostsPerSubset) {
-        List<Host> serving = context.fleet().hosts().stream()
+    /** Assigns the warm hosts to subsets in turn, ordered by zone and kind, so that each subset has hosts of each. */
+    private void createSubsets(int hostsPerSubset) {
+        List<Host> servingHosts = context.fleet().hosts().stream()
                 .filter(host -> host.isRunning()
                         && !host.isEjected()
                         && context.warmUp().isWarm(host))
                 .sorted(Comparator.comparingInt(Host::zone).thenComparingInt(Host::kind))
                 .toList();
-        subsets = serving.isEmpty() ? 0 : Math.max(1, serving.size() / hostsPerSubset);
-        IntStream.range(0, serving.size()).forEach(index -> serving.get(index).assignTo(index % subsets));
+        subsetCount = servingHosts.isEmpty() ? 0 : Math.max(1, servingHosts.size() / hostsPerSubset);
+        IntStream.range(0, servingHosts.size())
+                .forEach(index -> servingHosts.get(index).assignTo(index % subsetCount));
     }
 
-    /** Number of subsets that fit into a table, at least 1; 0 if all fit, as the remainder is 0 only then. */
+    /**
+     * Number of subsets that fit into a table, at least 1; 0 if all subsets fit, since only then is the remainder
+     * 0.
+     */
     private int subsetsThatFit(double affordableShare) {
-        return (int) Math.max(1, subsets * Math.min(1, affordableShare)) % subsets;
+        return (int) Math.max(1, subsetCount * Math.min(1, affordableShare)) % subsetCount;
     }
 
-    private void updateSubsetsPerTable(int fitting) {
-        boolean isFar = fitting > MIN_CHANGE_FACTOR * subsetsPerTable || MIN_CHANGE_FACTOR * fitting < subsetsPerTable;
-        subsetsPerTable = fitting == 0 || subsetsPerTable == 0 || isFar ? fitting : subsetsPerTable;
+    private void updateSubsetsPerTable(int fittingSubsets) {
+        boolean isLargeChange = fittingSubsets > MIN_CHANGE_FACTOR * subsetsPerTable
+                || MIN_CHANGE_FACTOR * fittingSubsets < subsetsPerTable;
+        subsetsPerTable =
+                fittingSubsets == 0 || subsetsPerTable == 0 || isLargeChange ? fittingSubsets : subsetsPerTable;
     }
 
-    /** Assigns a new host to the subset that can do least. */
-    private void assignNew(Host host) {
-        host.assignTo(IntStream.range(0, subsets)
+    /** Assigns a new host to the subset with the least capacity. */
+    private void assignNewHost(Host host) {
+        host.assignTo(IntStream.range(0, subsetCount)
                 .boxed()
-                .min(Comparator.comparing(this::ability))
+                .min(Comparator.comparing(this::capacityRank))
                 .orElse(0));
         context.registry().tables().stream()
                 .filter(table -> table.isOfSubsets() && table.accepts(host))
@@ -148,68 +180,74 @@
         context.statistics().markStale();
     }
 
-    /** What a subset's hosts can do; more than that of any other where no warm one is in. */
-    private double ability(int subset) {
+    /**
+     * Returns the guaranteed capacity of a subset's hosts, by which the subset for a new host is picked; a subset
+     * without a warm host ranks above all others.
+     */
+    private double capacityRank(int subset) {
         List<Host> hosts = context.fleet().hosts().stream()
                 .filter(host -> host.isRunning() && host.subset() == subset)
                 .toList();
         return hosts.stream()
-                        .mapToDouble(host -> host.weight() * context.warmUp().leastAbility(host))
+                        .mapToDouble(host -> host.weight() * context.warmUp().guaranteedCapacity(host))
                         .sum()
-                + (hosts.stream().anyMatch(context.warmUp()::isWarm) ? 0 : WITHOUT_WARM_HOST);
+                + (hosts.stream().anyMatch(context.warmUp()::isWarm) ? 0 : PENALTY_WITHOUT_WARM_HOST);
     }
 
     private void clearUnusedTables() {
-        List<EndpointTable> unused =
+        List<EndpointTable> unusedTables =
                 context.registry().tables().stream().filter(this::isUnused).toList();
-        unused.forEach(context.writer()::clear);
-        context.registry().removeAll(unused);
+        unusedTables.forEach(context.writer()::clear);
+        context.registry().removeAll(unusedTables);
     }
 
     private boolean isUnused(EndpointTable table) {
         boolean isOutdated = !table.isOfSubsets()
                 || (!joinSurge && (subsetsPerTable == 0 || Math.abs(table.subsetCount() - subsetsPerTable) > 1));
-        return !context.registry().isInUse(table) && isOutdated && !partitions.isAnyZonePartitioned();
+        return !context.registry().isInUse(table) && isOutdated && !partitionDetector.isAnyZonePartitioned();
     }
 
     /**
-     * Creates the tables that share out the subsets in place of a full one, where they are missing, and writes those that are
-     * empty; returns them, or none for full tables.
+     * Returns the subset tables that replace a full table, or none where the full table is used; missing tables are
+     * created, and empty ones written.
      */
-    List<EndpointTable> ensureSubsetTables(EndpointTable full, boolean isNewcomer) {
-        int wantedSubsetsPerTable = isNewcomer && joinSurge ? 1 : subsetsPerTable;
-        int count = wantedSubsetsPerTable == 0
+    List<EndpointTable> ensureSubsetTables(EndpointTable fullTable, boolean isJoining) {
+        int targetSubsetsPerTable = isJoining && joinSurge ? 1 : subsetsPerTable;
+        int tableCount = targetSubsetsPerTable == 0
                 ? 0
-                : Math.min(subsets, Math.max(MIN_TABLES, subsets / wantedSubsetsPerTable));
-        List<EndpointTable> tables = IntStream.range(0, count)
-                .mapToObj(index -> subsetTable(full, index * subsets / count, (index + 1) * subsets / count))
+                : Math.min(subsetCount, Math.max(MIN_SUBSET_TABLES, subsetCount / targetSubsetsPerTable));
+        List<EndpointTable> tables = IntStream.range(0, tableCount)
+                .mapToObj(index -> subsetTable(
+                        fullTable, index * subsetCount / tableCount, (index + 1) * subsetCount / tableCount))
                 .toList();
         context.statistics().refresh();
-        tables.stream().filter(EndpointTable::isEmpty).forEach(changes::write);
+        tables.stream().filter(EndpointTable::isEmpty).forEach(pendingChanges::write);
         return tables;
     }
 
-    private EndpointTable subsetTable(EndpointTable full, int from, int end) {
-        EndpointTable known = context.registry().findSubsetTable(full, from, end - from);
-        if (known != null) {
-            return known;
+    private EndpointTable subsetTable(EndpointTable fullTable, int firstSubset, int endSubset) {
+        EndpointTable existingTable =
+                context.registry().findSubsetTable(fullTable, firstSubset, endSubset - firstSubset);
+        if (existingTable != null) {
+            return existingTable;
         }
         context.statistics().markStale();
-        return context.registry().addSubsetTable(full, from, end - from);
+        return context.registry().addSubsetTable(fullTable, firstSubset, endSubset - firstSubset);
     }
 
-    /** The table of which least is asked for what its hosts can do, or the full one where none has a warm host. */
-    EndpointTable leastLoaded(List<EndpointTable> tables, EndpointTable full) {
+    /** Returns the table with the least load per capacity, or the full table where no table has a warm host. */
+    EndpointTable leastLoaded(List<EndpointTable> tables, EndpointTable fullTable) {
         return tables.stream()
                 .filter(table -> table.capacity().warmWeight() > 0)
                 .min(Comparator.comparingDouble(table ->
-                        (load(table.users()) + IDLE_LOAD) / table.capacity().ableWeight()))
-                .orElse(full);
+                        (load(table.users()) + MIN_LOAD) / table.capacity().ableWeight()))
+                .orElse(fullTable);
     }
 
     /**
-     * Whether a proxy on this table of subsets must move to another: there are full tables again, tables are made of over twice as many subsets,
-     * or hosts have left the subsets so that more is asked of them than of others.
+     * Whether a proxy must move from this table to another: full tables are used again, tables are made of more
+     * than twice as many subsets, or the table's hosts are overloaded beside others because hosts have left its
+     * subsets.
      */
     boolean mustLeave(EndpointTable table) {
         return subsetsPerTable == 0
@@ -219,9 +257,11 @@
     }
 
     private boolean isOverloaded(EndpointTable table) {
-        TableCapacity full = context.registry().fullTableOf(table).capacity();
-        return load(table.users()) * full.ableWeight()
-                > OVERLOAD * full.requestsPerSecond() * table.capacity().ableWeight();
+        TableCapacity fullCapacity = context.registry().fullTableOf(table).capacity();
+        return load(table.users()) * fullCapacity.ableWeight()
+                > OVERLOAD_FACTOR
+                        * fullCapacity.requestsPerSecond()
+                        * table.capacity().ableWeight();
     }
 
     private static double load(Collection<ProxyState> proxies) {
--- a/src/main/java/linenring/planner/WarmUp.java
+++ b/src/main/java/linenring/planner/WarmUp.java
@@ -2,10 +2,13 @@
 
 import linenring.planner.PlannerSettings.ColdStart;
 
-/** What a host can do by the time since its start, as the settings state it. */
+/** Computes the guaranteed capacity of a host by the time since its start, from the settings. */
 final class WarmUp {
-    /** The design's ramp: a new host has its full weight after 10 s, or when it is warm if that is later. */
-    private static final double SHORTEST_RAMP_MS = 10_000;
+    /**
+     * Shortest duration of the slow start ramp: a new host has its full weight after 10 s, or when it is warm if
+     * that is later.
+     */
+    private static final double MIN_RAMP_MS = 10_000;
 
     private final ColdStart settings;
     private final DecisionTime time;
@@ -14,10 +17,10 @@
     WarmUp(ColdStart settings, DecisionTime time) {
         this.settings = settings;
         this.time = time;
-        rampMs = Math.max(SHORTEST_RAMP_MS, settings.warmAfterMs());
+        rampMs = Math.max(MIN_RAMP_MS, settings.warmAfterMs());
     }
 
-    /** How long after its start a host's weight is below the listed one. */
+    /** Time after its start for which a host's weight stays below its listed weight. */
     double rampMs() {
         return rampMs;
     }
@@ -30,13 +33,13 @@
         return Math.max(0, time.nowMs() - host.startedMs());
     }
 
-    /** How much of its warming time has passed, 1 at most. */
+    /** Share of the host's warming time that has passed, 1 at most. */
     double progress(Host host) {
         return Math.min(1, ageMs(host) / settings.warmAfterMs());
     }
 
-    /** The least that it can do now, as a share of what it can do when warm. */
-    double leastAbility(Host host) {
+    /** Guaranteed capacity of the host now, as a share of its warm capacity. */
+    double guaranteedCapacity(Host host) {
         return isWarm(host)
                 ? 1
                 : settings.initialCapacity() + (1 - settings.initialCapacity()) * ageMs(host) / settings.warmAfterMs();
--- a/src/main/java/linenring/planner/Zone.java
+++ b/src/main/java/linenring/planner/Zone.java
@@ -1,10 +1,13 @@
 package linenring.planner;
 
-/** What the proxies of one zone met at hosts of the same zone and of others, and whether the zone is cut off from the others. */
+/**
+ * Outcomes of the proxies of one zone at hosts of the same zone and of other zones, and whether the zone is
+ * partitioned from the others.
+ */
 final class Zone {
     private final int id;
-    private final Outcomes sameZone = new Outcomes();
-    private final Outcomes otherZones = new Outcomes();
+    private final Outcomes sameZoneOutcomes = new Outcomes();
+    private final Outcomes otherZonesOutcomes = new Outcomes();
     private double partitionedUntilMs;
 
     Zone(int id) {
@@ -15,34 +18,34 @@
         return id;
     }
 
-    /** Outcomes of this zone's proxies at hosts of the zone. */
-    Outcomes sameZone() {
-        return sameZone;
+    /** Outcomes of this zone's proxies at hosts of the same zone. */
+    Outcomes sameZoneOutcomes() {
+        return sameZoneOutcomes;
     }
 
     /** Outcomes of this zone's proxies at hosts of other zones. */
-    Outcomes otherZones() {
-        return otherZones;
+    Outcomes otherZonesOutcomes() {
+        return otherZonesOutcomes;
     }
 
-    /** Whether its proxies keep to hosts of the zone. */
+    /** Whether the zone is partitioned, so that its proxies use only hosts of the same zone. */
     boolean isPartitioned(double nowMs) {
         return nowMs < partitionedUntilMs;
     }
 
-    /** Its proxies keep to their zone until then, and what they met elsewhere is forgotten. */
-    void partitionUntil(double untilMs) {
+    /** Marks the zone as partitioned until the given time, and clears the outcomes at hosts of other zones. */
+    void markPartitionedUntil(double untilMs) {
         partitionedUntilMs = untilMs;
-        otherZones.clear();
+        otherZonesOutcomes.clear();
     }
 
     void decay(double factor) {
-        sameZone.decay(factor);
-        otherZones.decay(factor);
+        sameZoneOutcomes.decay(factor);
+        otherZonesOutcomes.decay(factor);
     }
 
-    /** Whether time alone changes nothing here: no totals that decay, no partition that ends. */
-    boolean isQuiet(double nowMs) {
-        return sameZone.ended() == 0 && otherZones.ended() == 0 && !isPartitioned(nowMs);
+    /** Whether the state of the zone does not change with time alone: no total decays and no partition ends. */
+    boolean isIdle(double nowMs) {
+        return sameZoneOutcomes.ended() == 0 && otherZonesOutcomes.ended() == 0 && !isPartitioned(nowMs);
     }
 }
