--- a/src/main/java/linenring/planner/FleetStatistics.java
+++ b/src/main/java/linenring/planner/FleetStatistics.java
@@ -281,7 +281,7 @@
         return objectiveMs;
     }
 
-    /** Smoothed time that a load report covers. */
+    /** Mean time that a load report covers, smoothed over the last reports. */
     double reportSpanMs() {
         return reportSpanMs;
     }
--- a/src/main/java/linenring/planner/OutlierDetector.java
+++ b/src/main/java/linenring/planner/OutlierDetector.java
@@ -88,7 +88,7 @@
     private static final double SLOW_KIND_RELATIVE_LATENCY = 0.5;
     /** Multiple of another kind's relative latency above which a kind counts as slow. */
     private static final double SLOW_KIND_FACTOR_VS_OTHER = 2;
-    /** Relative latency below which another kind may serve as the comparison for a slow kind. */
+    /** Relative latency below which a kind counts as fast enough to compare a slow kind with it. */
     private static final double MAX_OTHER_KIND_RELATIVE_LATENCY = 0.35;
 
     /** Share of the weight that each table can use that stays admitted, however many hosts look bad. */
@@ -149,7 +149,7 @@
      * Whether the host is ejected as unhealthy and a table in use has no healthy host. Unhealthy hosts then serve
      * the table, because the table would otherwise have no host at all.
      */
-    boolean isLastResort(Host host) {
+    boolean isNeededAsLastResort(Host host) {
         return host.health().isUnhealthy()
                 && host.isEjected()
                 && host.isRunning()
--- a/src/main/java/linenring/planner/Planner.java
+++ b/src/main/java/linenring/planner/Planner.java
@@ -110,7 +110,7 @@
                 eachHost(outlierDetector::mayStartProbation, outlierDetector::startProbation),
                 eachHost(outlierDetector::isProbationStepPassed, outlierDetector::advanceProbation),
                 // a last resort comes after the ejections, which may have left a table without healthy hosts
-                eachHost(outlierDetector::isLastResort, outlierDetector::restoreAtFullWeight),
+                eachHost(outlierDetector::isNeededAsLastResort, outlierDetector::restoreAtFullWeight),
                 // cold hosts come after the health decisions, which affect their weights
                 eachHost(retryStormGuard::mustEject, context.writer()::eject),
                 eachHost(slowStart::mustCutWeight, slowStart::cutWeight),
@@ -258,11 +258,11 @@
      */
     private double nextDueMs() {
         double nowMs = time.nowMs();
-        boolean isQuiet = !context.registry().isSharded()
+        boolean isIdle = !context.registry().isSharded()
                 && !subsetAssigner.isJoinSurge()
                 && ledger.isEmpty()
                 && fleet.zones().stream().allMatch(zone -> zone.isIdle(nowMs));
-        if (!isQuiet || updateScheduler.isAnythingPending()) {
+        if (!isIdle || updateScheduler.isAnythingPending()) {
             return nowMs;
         }
         double dueMs =
--- a/src/main/java/linenring/planner/ShardPlacement.java
+++ b/src/main/java/linenring/planner/ShardPlacement.java
@@ -41,7 +41,7 @@
         table.setWeight(owner, weight);
     }
 
-    /** Takes the shards of lost owners away and assigns each shard whose wait has passed to its next owner. */
+    /** Removes lost owners from their shards, and assigns the next owner to each shard whose wait has passed. */
     void placeShards() {
         List<EndpointTable> shards =
                 context.registry().isSharded() ? context.registry().tables() : List.of();
--- a/src/main/java/linenring/planner/SlowStart.java
+++ b/src/main/java/linenring/planner/SlowStart.java
@@ -55,7 +55,7 @@
         double capacityLimit = context.warmUp().guaranteedCapacity(host)
                 * (INITIAL_SHARE_OF_GUARANTEED_CAPACITY
                         + (1 - INITIAL_SHARE_OF_GUARANTEED_CAPACITY)
-                                * context.warmUp().progress(host));
+                                * context.warmUp().warmUpProgress(host));
         double ramp = INITIAL_RAMP_WEIGHT + ageMs / RAMP_MS_PER_WEIGHT;
         return healthyWeight * Math.min(ramp, capacityLimit) * Math.max(MIN_SUCCESS_FACTOR, successRatio);
     }
--- a/src/main/java/linenring/planner/SubsetAssigner.java
+++ b/src/main/java/linenring/planner/SubsetAssigner.java
@@ -32,7 +32,7 @@
     private static final double SUBSETTING_HYSTERESIS = 1.25;
     /** Wait above which joining proxies first get a table of one subset. */
     private static final double MAX_JOIN_WAIT_MS = 1000;
-    /** Fewest hosts in a subset. */
+
     private static final int MIN_HOSTS_PER_SUBSET = 2;
     /**
      * Fewest tables among which the proxies are distributed, so that proxies can move away from an overloaded
@@ -140,7 +140,10 @@
                         > MAX_JOIN_WAIT_MS * channel().entriesPerMs();
     }
 
-    /** Assigns the warm hosts to subsets in turn, ordered by zone and kind, so that each subset has hosts of each. */
+    /**
+     * Assigns the warm hosts that are not ejected to subsets in turn, ordered by zone and kind, so that each subset
+     * has hosts of each.
+     */
     private void createSubsets(int hostsPerSubset) {
         List<Host> servingHosts = context.fleet().hosts().stream()
                 .filter(host -> host.isRunning()
--- a/src/main/java/linenring/planner/WarmUp.java
+++ b/src/main/java/linenring/planner/WarmUp.java
@@ -34,7 +34,7 @@
     }
 
     /** Share of the host's warming time that has passed, 1 at most. */
-    double progress(Host host) {
+    double warmUpProgress(Host host) {
         return Math.min(1, ageMs(host) / settings.warmAfterMs());
     }
 
--- a/src/test/java/linenring/planner/AdmissionControllerTest.java
+++ b/src/test/java/linenring/planner/AdmissionControllerTest.java
@@ -10,12 +10,14 @@
 import linenring.planner.Commands.RetryPolicy;
 import org.junit.jupiter.api.Test;
 
-/** What is admitted follows what ends well, and retries stop in a storm. */
+/**
+ * Checks that the admission ratio follows the ratio of successful attempts, and that retries stop in a retry storm.
+ */
 class AdmissionControllerTest {
     private static final Set<Integer> NONE = Set.of();
 
     @Test
-    void retriesOnlyWhatWasNotExecuted() {
+    void retriesOnlyAttemptsThatWereNotExecuted() {
         FakeProxies fleet = new FakeProxies(settings(0, operation(1, ALL), operation(1, ALL), operation(1, ALL)));
         fleet.start(4, 1);
         assertEquals(Set.of(1, 2, 4), fleet.retryPolicyByMask().keySet());
@@ -24,9 +26,12 @@
                 Set.copyOf(fleet.retryPolicyByMask().values()));
     }
 
-    /** More is asked than the fleet can do. Without a cut all answers come too late, those that earn most too. */
+    /**
+     * Guards against overload, in which the demand exceeds the fleet's capacity. Without load shedding all answers
+     * come too late, including those of the operation with the highest priority weight.
+     */
     @Test
-    void shedsWhatEarnsLeastInOverloadAndAdmitsItAgain() {
+    void shedsLowestPriorityOperationInOverloadAndAdmitsItAgain() {
         FakeProxies fleet = new FakeProxies(settings(0, operation(1, ALL), operation(3, ALL))).start(4, 1);
         for (int second = 0; second < 4; second++) {
             fleet.planner().requestRate(0, 0, 1000, 50);
@@ -42,39 +47,43 @@
     }
 
     /**
-     * The intake of reports is narrow, and each covers five seconds. After a cut they still tell of what was admitted
-     * before; judged by them, admission would be cut again and again.
+     * Guards against repeated cuts by outdated reports. Load reports that each cover five seconds still show
+     * traffic admitted before a cut for some time; if they were evaluated, admission would be cut again and again.
      */
     @Test
     void doesNotCutAgainForReportsFromBeforeTheCut() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 2);
-        fleet.setReportSpanMs(5000); // the intake is narrow: each report has waited while it grew
+        // each load report covers the time that it waited for the controller's limited intake
+        fleet.setReportSpanMs(5000);
         for (int second = 0; second < 20; second++) {
             fleet.planner().requestRate(0, 0, 1000, 100);
             fleet.passSecond(6, 0, 20, 200, 0, NONE);
         }
-        double once = 1;
-        for (int second = 0; second < 12 && once == 1; second++) {
+        double ratioAfterCut = 1;
+        for (int second = 0; second < 12 && ratioAfterCut == 1; second++) {
             fleet.passSecond(6, 0, 20, 900, 0, NONE);
-            once = fleet.admissionByMask().getOrDefault(1, 1.0);
+            ratioAfterCut = fleet.admissionByMask().getOrDefault(1, 1.0);
         }
-        assertTrue(once < 1);
+        assertTrue(ratioAfterCut < 1);
         for (int second = 0; second < 6; second++) {
-            fleet.passSecond(6, 0, 20, 900, 0, NONE); // they still show what was admitted before
-            assertEquals(once, fleet.admissionByMask().get(1));
+            fleet.passSecond(6, 0, 20, 900, 0, NONE); // these reports still show traffic from before the cut
+            assertEquals(ratioAfterCut, fleet.admissionByMask().get(1));
         }
     }
 
-    /** Every host is full and rejects. A retry goes to the next full host: each request becomes two, and nothing ends. */
+    /**
+     * Guards against retries while every host is full and rejects requests. Each retry goes to the next full host,
+     * so that the number of attempts doubles and no request succeeds.
+     */
     @Test
-    void stopsRetriesInStormUnderLoweredAdmission() {
+    void stopsRetriesInRetryStormUnderReducedAdmission() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 2);
         for (int second = 0; second < 5; second++) {
             fleet.planner().requestRate(0, 0, 1000, 100);
             fleet.passSecond(6, 0, 30, 800, 20, Set.of(0, 1, 2, 3, 4, 5));
         }
         assertEquals(RetryPolicy.NONE, fleet.retryPolicyByMask().get(1));
-        assertEquals(NONE, fleet.ejected()); // all are as bad: none is ejected
+        assertEquals(NONE, fleet.ejected()); // no host is ejected, since all hosts fail alike
         for (int second = 0; second < 30; second++) {
             fleet.passSecond(6, 0, 20, 100, 0, NONE);
         }
--- a/src/test/java/linenring/planner/ColdHostsTest.java
+++ b/src/test/java/linenring/planner/ColdHostsTest.java
@@ -8,11 +8,11 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Hosts that have just started get what they can bear, and stay out of retry storms. */
+/** Checks that cold hosts get no more weight than their guaranteed capacity, and are kept out of retry storms. */
 class ColdHostsTest {
     private static final Set<Integer> NONE = Set.of();
 
-    /** Most attempts have failed for three seconds; then a host starts. */
+    /** Returns a fleet in which most attempts have failed for three seconds and a host has then started. */
     private static FakeProxies startHostInRetryStorm(double requestsPerSecondOfProxy) {
         FakeProxies fleet = new FakeProxies(settings(0))
                 .withRequestsPerSecond(requestsPerSecondOfProxy)
@@ -24,9 +24,12 @@
         return fleet.reconcile().pass(500);
     }
 
-    /** A host drains and starts again. It can do a fifth of what it could; with its old weight it would jam at once. */
+    /**
+     * Guards against the overload of a host that drains and restarts: it has a fifth of its former capacity, and at
+     * its old weight its queue would fill at once.
+     */
     @Test
-    void givesReturningHostWeightOfColdOne() {
+    void givesRestartedHostWeightOfColdHost() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 2);
         fleet.drainHost(0);
         fleet.reconcile();
@@ -41,37 +44,41 @@
     }
 
     /**
-     * A host restarts between two lists and is cold while tables have it at its full weight. It cannot bear that
-     * until the next sub-update may go.
+     * Guards against the overload of a host that restarts between two host lists: it is cold while tables still
+     * have its full weight, which it cannot handle until the next sub-update is due.
      */
     @Test
     void cutsWeightOfRestartedHostAtOnce() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 2);
         fleet.startHost(6);
         fleet.reconcile();
-        fleet.startHost(3); // the table's last sub-update went a moment ago: an ordinary entry would wait
+        // the table's last sub-update was sent just now, so that an ordinary entry would have to wait
+        fleet.startHost(3);
         fleet.reconcile();
         assertTrue(fleet.weight(0, 3) <= 0.2);
     }
 
-    /** Most of the fleet restarts at once. The cold hosts must not share out what the warm ones did. */
+    /**
+     * Guards against the restart of most of the fleet: the cold hosts must not take over the share of the warm
+     * ones.
+     */
     @Test
-    void givesEachOfManyColdHostsWhatOneCanDo() {
-        FakeProxies one = new FakeProxies(settings(0)).start(6, 2);
-        one.startHost(0);
-        one.reconcile().pass(300);
-        FakeProxies many = new FakeProxies(settings(0)).start(6, 2);
+    void limitsEachOfManyColdHostsToItsGuaranteedCapacity() {
+        FakeProxies fleetWithOneColdHost = new FakeProxies(settings(0)).start(6, 2);
+        fleetWithOneColdHost.startHost(0);
+        fleetWithOneColdHost.reconcile().pass(300);
+        FakeProxies fleetWithManyColdHosts = new FakeProxies(settings(0)).start(6, 2);
         for (int host = 0; host < 4; host++) {
-            many.startHost(host);
+            fleetWithManyColdHosts.startHost(host);
         }
-        many.reconcile().pass(300);
-        assertTrue(one.weight(0, 0) > 0 && one.weight(0, 0) <= 0.2);
-        assertEquals(one.weight(0, 0), many.weight(0, 0), 0.03);
+        fleetWithManyColdHosts.reconcile().pass(300);
+        assertTrue(fleetWithOneColdHost.weight(0, 0) > 0 && fleetWithOneColdHost.weight(0, 0) <= 0.2);
+        assertEquals(fleetWithOneColdHost.weight(0, 0), fleetWithManyColdHosts.weight(0, 0), 0.03);
     }
 
     /**
-     * Most attempts fail and proxies avoid the hosts that failed them. The one cold host that has not failed yet
-     * would be sent everything, whatever its weight.
+     * Guards against a retry storm that overloads a cold host. Proxies avoid the hosts at which their attempts
+     * failed, so the only host without failures would get all requests, regardless of its weight.
      */
     @Test
     void keepsColdHostOutUntilRetryStormEnds() {
@@ -84,24 +91,25 @@
     }
 
     /**
-     * Most attempts fail, but proxies are asked so seldom that none avoids a host. Cold hosts that were kept out left
-     * 48 of 120 to carry all.
+     * Guards against the exclusion of cold hosts where it does harm. At a low request rate no proxy has enough
+     * attempts to avoid a host; cold hosts that were kept out once left 48 of 120 hosts to carry the whole load.
      */
     @Test
-    void admitsColdHostInRetryStormWhereProxiesAvoidNobody() {
+    void admitsColdHostInRetryStormWhereProxiesAvoidNoHost() {
         FakeProxies fleet = startHostInRetryStorm(1);
         assertTrue(fleet.weight(0, 6) > 0 && fleet.weight(0, 6) < 0.2); // at most its guaranteed capacity
     }
 
     /**
-     * The first reports have too few attempts of each host to say what is usual. Taken as zero, this made every later
-     * answer look slow, and new hosts waited outside for a storm that was none.
+     * Guards against a false retry storm after the first load reports, which have too few attempts per host for a
+     * baseline. A baseline of zero made every later answer look slow, and new hosts were kept out although there
+     * was no storm.
      */
     @Test
-    void seesNoStormAfterFirstReportsTooThinToJudgeBy() {
+    void detectsNoStormAfterFirstReportsWithFewAttempts() {
         FakeProxies fleet =
                 new FakeProxies(settings(0)).withRequestsPerSecond(10).start(12, 2);
-        fleet.passSecond(12, 0, 2, 100, 0, NONE); // 24 in all, but none has three
+        fleet.passSecond(12, 0, 2, 100, 0, NONE); // 24 attempts in total, but no host has three
         fleet.passSecond(12, 0, 30, 500, 0, NONE);
         fleet.startHost(12);
         fleet.reconcile();
--- a/src/test/java/linenring/planner/FleetMembershipTest.java
+++ b/src/test/java/linenring/planner/FleetMembershipTest.java
@@ -6,10 +6,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Host lists, complete ones and changes, and what is doubtful in them. */
+/** Checks complete host lists, list changes, and the handling of doubtful entries. */
 class FleetMembershipTest {
     @Test
-    void ejectsHostMissingFromWholeList() {
+    void ejectsHostMissingFromCompleteList() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 2);
         fleet.planner().beginHostList(true);
         for (int host = 0; host < 5; host++) {
@@ -21,11 +21,12 @@
     }
 
     /**
-     * A wrong change of the list names a host that does not exist, as one that is long warm. Full weight would send
-     * it requests that nobody answers. A host that is new and warm when the list at last names it is sound, and gets all.
+     * Guards against a wrong list change that names a host which does not exist as one that has been warm for long.
+     * At full weight this host would get requests that no process answers. In contrast, a new host that is already
+     * warm when a late list first names it is sound, and gets its full weight.
      */
     @Test
-    void triesHostThatFirstListShouldHaveNamed() {
+    void startsProbationOfHostMissingFromFirstList() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 2);
         fleet.planner().beginHostList(false);
         fleet.planner()
--- a/src/test/java/linenring/planner/IdlePlannerTest.java
+++ b/src/test/java/linenring/planner/IdlePlannerTest.java
@@ -10,32 +10,35 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** A planner that is called only when something arrives or is due takes the decisions of one that is called at every tick. */
+/**
+ * Checks that a planner which is called only for inputs and at due times takes the same decisions as a planner
+ * that is called at every tick.
+ */
 class IdlePlannerTest {
     private static final int HOSTS = 12;
     private static final int PROXIES = 6;
     private static final int HOUR_MS = 3_600_000;
 
     @Property(tries = 60)
-    void decidesAsOneThatIsCalledAtEveryTick(@ForAll long seed) {
-        PlannerHistory swept = history(seed, true);
+    void decidesLikePlannerCalledAtEveryTick(@ForAll long seed) {
+        PlannerHistory everyTick = history(seed, true);
         PlannerHistory onDemand = history(seed, false);
-        assertSame(swept.decisions(), onDemand.decisions());
-        assertTrue(onDemand.calls() <= swept.calls());
+        assertSameDecisions(everyTick.decisions(), onDemand.decisions());
+        assertTrue(onDemand.calls() <= everyTick.calls());
     }
 
     @Test
     void isNotCalledWhileNothingIsDue() {
         PlannerHistory history = new PlannerHistory(false, false);
         startFleet(history);
-        history.passTo(120_000); // joins are acknowledged, the first admission is written
-        int before = history.calls();
+        history.passTo(120_000); // by this time the joins are acknowledged and the first admission ratios are written
+        int callsBeforeIdleHour = history.calls();
         history.passTo(120_000 + HOUR_MS);
-        assertEquals(before, history.calls());
+        assertEquals(callsBeforeIdleHour, history.calls());
     }
 
     @Test
-    void retriesAnUnhealthyHostWithoutAnyReport() {
+    void startsProbationOfUnhealthyHostWithoutReports() {
         PlannerHistory history = new PlannerHistory(false, false);
         startFleet(history);
         history.passTo(20_000);
@@ -46,12 +49,14 @@
         });
         history.passTo(40_000);
         assertTrue(
-                history.decisions().stream().anyMatch(decision -> decision.endsWith("eject 3 true")), "it was ejected");
+                history.decisions().stream().anyMatch(decision -> decision.endsWith("eject 3 true")),
+                "host 3 was ejected");
         assertTrue(
-                history.decisions().stream().anyMatch(decision -> decision.endsWith("eject 3 false")), "and is back");
+                history.decisions().stream().anyMatch(decision -> decision.endsWith("eject 3 false")),
+                "host 3 was restored after its ejection");
     }
 
-    private static void assertSame(List<String> expected, List<String> actual) {
+    private static void assertSameDecisions(List<String> expected, List<String> actual) {
         for (int i = 0; i < Math.min(expected.size(), actual.size()); i++) {
             assertEquals(
                     expected.get(i),
@@ -74,7 +79,10 @@
         });
     }
 
-    /** Some minutes of lists, joins, ends and reports at random, with pauses of up to two minutes among them. */
+    /**
+     * Creates a history of some minutes with random host lists, joins, disconnections and load reports, and with
+     * pauses of up to two minutes.
+     */
     private static PlannerHistory history(long seed, boolean everyTick) {
         Random random = new Random(seed);
         PlannerHistory history = new PlannerHistory(everyTick, random.nextBoolean());
@@ -83,7 +91,7 @@
         for (int event = 0; event < 40; event++) {
             elapsedMs += random.nextInt(4) == 0 ? random.nextInt(120_000) : random.nextInt(400);
             elapsedMs +=
-                    elapsedMs % 100 == 99 ? 1 : 0; // in the millisecond before a tick an arrival counts as the tick
+                    elapsedMs % 100 == 99 ? 1 : 0; // an input in the millisecond before a tick would count as the tick
             addEvent(history, elapsedMs, random);
         }
         history.passTo(elapsedMs + 200_000);
@@ -93,20 +101,21 @@
     private static void addEvent(PlannerHistory history, int elapsedMs, Random random) {
         int host = random.nextInt(HOSTS + 4);
         int proxy = random.nextInt(PROXIES);
-        int unmetHost = HOSTS + 4 + random.nextInt(8);
+        int unlistedHost = HOSTS + 4 + random.nextInt(8);
         int requests = random.nextInt(50);
         int failed = random.nextInt(3) == 0 ? random.nextInt(20) : 0;
         double meanMs = 50 + random.nextInt(1500);
         Consumer<Planner> event = switch (random.nextInt(9)) {
             case 0 -> planner -> startHost(planner, host, history.now());
             case 1 -> planner -> drainHost(planner, host);
-            case 2 -> planner -> readWholeList(planner, host);
+            case 2 -> planner -> readCompleteList(planner, host);
             case 3 -> planner -> planner.proxyJoined(proxy, proxy % 2, 1 + proxy);
             case 4 -> planner -> planner.proxyDisconnected(proxy);
             case 5 -> planner -> planner.requestRate(proxy, 0, 1000, requests);
             case 6 -> planner -> planner.hostStatistics(host, proxy % 2, 20, failed, meanMs, 1000);
-            case 7 -> planner -> startHost(planner, unmetHost, Double.NEGATIVE_INFINITY); // on probation
-            default -> planner -> reportAll(planner, host, failed, meanMs);
+            // the unlisted host starts on probation
+            case 7 -> planner -> startHost(planner, unlistedHost, Double.NEGATIVE_INFINITY);
+            default -> planner -> reportAllHosts(planner, host, failed, meanMs);
         };
         history.at(elapsedMs, event);
     }
@@ -123,7 +132,7 @@
         planner.endHostList();
     }
 
-    private static void readWholeList(Planner planner, int host) {
+    private static void readCompleteList(Planner planner, int host) {
         planner.beginHostList(true);
         for (int listed : List.of(0, 1, 2, 3, 4, host)) {
             planner.hostReady(listed, listed % 2, 0, 1, Double.NEGATIVE_INFINITY);
@@ -131,7 +140,7 @@
         planner.endHostList();
     }
 
-    private static void reportAll(Planner planner, int failingHost, int failed, double meanMs) {
+    private static void reportAllHosts(Planner planner, int failingHost, int failed, double meanMs) {
         for (int host = 0; host < HOSTS; host++) {
             planner.hostStatistics(host, host % 2, 20, host == failingHost ? failed : 0, meanMs, 1000);
         }
--- a/src/test/java/linenring/planner/OutlierDetectorTest.java
+++ b/src/test/java/linenring/planner/OutlierDetectorTest.java
@@ -8,13 +8,16 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Failing hosts are ejected and tried again, slow ones get less; never so that too few are left. */
+/**
+ * Checks that failing hosts are ejected and later put on probation, that slow hosts get less weight, and that
+ * enough hosts always stay admitted.
+ */
 class OutlierDetectorTest {
     private static final Set<Integer> NONE = Set.of();
 
     /**
-     * One host is too weak for its weight: its answers are late while all others are quick. At full weight it jams and
-     * takes its part of the traffic with it.
+     * Guards against a host that is too weak for its weight: its answers are late while all other hosts are fast.
+     * At full weight its queue would fill, and its share of the traffic would fail.
      */
     @Test
     void halvesWeightOfSlowHostAndKeepsItHalved() {
@@ -32,12 +35,16 @@
         assertEquals(NONE, fleet.ejected());
     }
 
-    /** A host is so slow that it never has as many attempts as a verdict needs. How late they are must make up for it. */
+    /**
+     * Guards against a host so slow that it never has the number of attempts that outlier detection needs. Its high
+     * latency has to compensate for the few attempts.
+     */
     @Test
-    void halvesFarTooSlowHostTwiceByFewAttempts() {
+    void halvesWeightOfVerySlowHostTwiceByFewAttempts() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(12, 2);
         fleet.planner().requestRate(0, 0, 1000, 50);
-        for (int second = 0; second < 25; second++) { // two attempts a second: never eight before they decay
+        // at two attempts a second, the decaying total of a host never reaches eight
+        for (int second = 0; second < 25; second++) {
             fleet.planner().hostStatistics(2, 0, 2, 0, 2500, 1000);
             for (int host = 3; host < 12; host++) {
                 fleet.planner().hostStatistics(host, 0, 2, 0, 200, 1000);
@@ -49,11 +56,11 @@
     }
 
     /**
-     * One kind of machine is far weaker than the other at equal weights. In a large fleet each host has few attempts,
-     * too few to judge it by; the kind has enough.
+     * Guards against a kind that is far weaker than another at equal weights. In a large fleet each host has too
+     * few attempts to be evaluated, but the kind as a whole has enough.
      */
     @Test
-    void halvesSlowKindThoughEachHostHasFewAttempts() {
+    void halvesWeightOfSlowKindThoughEachHostHasFewAttempts() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(40, 2);
         fleet.planner().beginHostList(false);
         for (int host = 20; host < 40; host++) {
@@ -69,9 +76,9 @@
         assertEquals(1, fleet.weight(0, 10));
     }
 
-    /** Nine in ten attempts at one host fail while the list still calls it ready. */
+    /** Guards against a host at which nine of ten attempts fail while the host list still names it as ready. */
     @Test
-    void ejectsFailingHostAndRetriesItWithSmallWeight() {
+    void ejectsFailingHostAndStartsProbationWithSmallWeight() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 2);
         fleet.passSecond(6, 0, 10, 100, 0, NONE).passSecond(6, 0, 10, 100, 9, Set.of(3));
         assertEquals(Set.of(3), fleet.ejected());
@@ -82,27 +89,30 @@
     }
 
     /**
-     * Another host fails every half second. Were each ejected at once, the limit on messages would be used up when a
-     * host drains.
+     * Guards against ejections that use up the limit on messages. A further host fails every half second; with an
+     * immediate ejection of each, no message would be left when a host drains.
      */
     @Test
     void leavesRoomForDrainUnderMessageLimitWhileHostsFail() {
         FakeProxies fleet = new FakeProxies(settings(10)).start(30, 1);
-        int before = fleet.acknowledgementRequests();
-        for (int host = 0; host < 12; host++) { // another one fails every half second
-            for (int all = 0; all < 30; all++) {
-                fleet.planner().hostStatistics(all, 0, 10, all <= host ? 10 : 0, 100, 1000);
+        int requestsBefore = fleet.acknowledgementRequests();
+        for (int host = 0; host < 12; host++) { // one more host fails every half second
+            for (int reportedHost = 0; reportedHost < 30; reportedHost++) {
+                fleet.planner().hostStatistics(reportedHost, 0, 10, reportedHost <= host ? 10 : 0, 100, 1000);
             }
             fleet.pass(500);
         }
-        assertTrue(fleet.acknowledgementRequests() - before <= 8);
+        assertTrue(fleet.acknowledgementRequests() - requestsBefore <= 8);
         fleet.drainHost(29);
         fleet.reconcile();
         assertTrue(fleet.ejected().contains(29));
-        assertTrue(fleet.acknowledgementRequests() - before <= 10);
+        assertTrue(fleet.acknowledgementRequests() - requestsBefore <= 10);
     }
 
-    /** Four of six hosts fail at once. All ejected, the other two would carry everything and fail as well. */
+    /**
+     * Guards against too many ejections: if four of six hosts fail at once and all four were ejected, the other two
+     * would carry the whole load and fail too.
+     */
     @Test
     void keepsHalfOfTableThoughMostHostsFail() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 2);
@@ -110,9 +120,12 @@
         assertTrue(fleet.ejected().size() <= 3);
     }
 
-    /** One host is ejected, then all others drain. A sick host is better than none. */
+    /**
+     * Guards against a table without hosts: one host is ejected, then all others drain. An unhealthy host is better
+     * than none.
+     */
     @Test
-    void restoresUnhealthyHostWhenItIsTheLast() {
+    void restoresUnhealthyHostWhenNoOtherIsLeft() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 2);
         fleet.passSecond(6, 0, 10, 100, 0, NONE).passSecond(6, 0, 10, 100, 9, Set.of(3));
         assertEquals(Set.of(3), fleet.ejected());
--- a/src/test/java/linenring/planner/PlannerPlayer.java
+++ b/src/test/java/linenring/planner/PlannerPlayer.java
@@ -4,22 +4,25 @@
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
 
-/** Plays a planner on a clock of its own: it is called when an input is due, and when a call was requested. */
+/**
+ * Plays a planner on a simulated clock: calls the planner when an input is due and when the planner has requested a
+ * call.
+ */
 final class PlannerPlayer {
     static final double START_MS = 1_000_000;
 
-    private record Input(double timeMs, long number, Consumer<Planner> action) {}
+    private record Input(double timeMs, long sequenceNumber, Consumer<Planner> action) {}
 
     private final Planner planner;
     private final Runnable afterCall;
     private final PriorityQueue<Input> inputs =
-            new PriorityQueue<>(Comparator.comparingDouble(Input::timeMs).thenComparingLong(Input::number));
+            new PriorityQueue<>(Comparator.comparingDouble(Input::timeMs).thenComparingLong(Input::sequenceNumber));
     private final PriorityQueue<Double> callTimesMs = new PriorityQueue<>();
     private double nowMs = START_MS;
     private long inputCount;
     private int callCount;
 
-    /** The action runs after each reconciliation. */
+    /** Creates a player that runs the action after each reconciliation. */
     PlannerPlayer(PlannerSettings settings, Commands commands, Runnable afterCall) {
         planner = new Planner(settings, commands);
         this.afterCall = afterCall;
@@ -29,17 +32,17 @@
         return nowMs;
     }
 
-    /** How often the planner was called. */
+    /** Number of calls of the planner so far. */
     int callCount() {
         return callCount;
     }
 
-    /** Has something arrive this number of milliseconds after the start. */
+    /** Schedules an input for this number of milliseconds after the start. */
     void at(double elapsedMs, Consumer<Planner> action) {
         atTime(START_MS + elapsedMs, action);
     }
 
-    /** Has something arrive at this time of the clock. */
+    /** Schedules an input for this time of the clock. */
     void atTime(double timeMs, Consumer<Planner> action) {
         inputs.add(new Input(timeMs, inputCount++, action));
     }
@@ -48,7 +51,7 @@
         callTimesMs.add(timeMs);
     }
 
-    /** Plays until this number of milliseconds after the start. */
+    /** Plays until this number of milliseconds after the start has passed. */
     void playTo(double elapsedMs) {
         double endMs = START_MS + elapsedMs;
         for (double nextMs = nextCallMs(); nextMs <= endMs; nextMs = nextCallMs()) {
--- a/src/test/java/linenring/planner/RandomFleet.java
+++ b/src/test/java/linenring/planner/RandomFleet.java
@@ -7,15 +7,22 @@
 import java.util.function.Consumer;
 
 /**
- * A fleet whose hosts, proxies and traffic change at random, as one recorded history meets them: hosts fail, slow down, drain,
- * start cold and are replaced; proxies join and are lost; a zone is cut off; load rises and falls.
+ * Simulates a fleet whose hosts, proxies and traffic change at random, and records the planner's commands as one
+ * history. Hosts fail, slow down, drain, start cold and are replaced; proxies join and disconnect; a zone is
+ * partitioned; load rises and falls.
  */
 final class RandomFleet {
     private static final double REPORT_MS = 1000;
-    private static final double PROBE_SHARE = 0.02;
+    private static final double PROBE_PROBABILITY = 0.02;
 
-    /** What a history is about. Rates are chances a second; {@code pressure} is latency in objectives, low and high; of {@code silentEvery} proxies
-     * one does not acknowledge at times (0: none). */
+    /**
+     * Parameters of a random history. Probabilities are per second; relative latencies are multiples of the latency
+     * objective.
+     *
+     * @param partitionedTimeShare share of the time in which one zone is partitioned from the others
+     * @param silentProxyInterval one of this number of proxies does not acknowledge messages at times; 0 for none
+     * @param requestRatesFromMs time after the start from which proxies report request rates
+     */
     record Shape(
             PlannerSettings settings,
             int hosts,
@@ -23,60 +30,60 @@
             int zones,
             int kinds,
             double requestsPerSecond,
-            double pressureLow,
-            double pressureHigh,
-            double failChance,
-            double slowChance,
-            double replaceChance,
-            double joinChance,
-            double cutShare,
-            int silentEvery,
-            double seconds,
-            double ratesFromMs) {}
+            double minRelativeLatency,
+            double maxRelativeLatency,
+            double failureProbability,
+            double slowdownProbability,
+            double replacementProbability,
+            double joinProbability,
+            double partitionedTimeShare,
+            int silentProxyInterval,
+            double durationSeconds,
+            double requestRatesFromMs) {}
 
     private final Shape shape;
     private final Random random;
     private final RecordedHistory history;
     private final List<Boolean> running = new ArrayList<>();
-    private final double[] failing;
-    private final double[] slowness;
-    private final double[] kindSlowness;
+    private final double[] failureRatio;
+    private final double[] latencyFactor;
+    private final double[] kindLatencyFactor;
     private final int[] zoneOf;
     private final int[] kindOf;
     private final double[] weightOf;
     private final boolean[] isJoined;
     private final List<Integer> freeIds = new ArrayList<>();
-    private double pressure;
-    private double pressureTarget;
-    private int hostLimit;
-    private int cutZone = -1;
+    private double relativeLatency;
+    private double targetRelativeLatency;
+    private int hostIdLimit;
+    private int partitionedZone = -1;
 
     private RandomFleet(Shape shape, long seed) {
         this.shape = shape;
         random = new Random(seed);
         history = new RecordedHistory(
-                shape.settings(), proxy -> shape.silentEvery() > 0 && proxy % shape.silentEvery() == 0);
-        int most = 1000;
-        failing = new double[most];
-        slowness = new double[most];
-        zoneOf = new int[most];
-        kindOf = new int[most];
-        weightOf = new double[most];
-        kindSlowness = new double[shape.kinds()];
-        java.util.Arrays.fill(kindSlowness, 1);
+                shape.settings(), proxy -> shape.silentProxyInterval() > 0 && proxy % shape.silentProxyInterval() == 0);
+        int maxHosts = 1000;
+        failureRatio = new double[maxHosts];
+        latencyFactor = new double[maxHosts];
+        zoneOf = new int[maxHosts];
+        kindOf = new int[maxHosts];
+        weightOf = new double[maxHosts];
+        kindLatencyFactor = new double[shape.kinds()];
+        java.util.Arrays.fill(kindLatencyFactor, 1);
         isJoined = new boolean[shape.proxies()];
-        pressure = shape.pressureLow();
-        pressureTarget = pressure;
+        relativeLatency = shape.minRelativeLatency();
+        targetRelativeLatency = relativeLatency;
     }
 
-    /** All commands that the planner gives in this history. */
+    /** Plays a random history and returns all commands that the planner gives in it. */
     static List<String> play(Shape shape, long seed) {
         RandomFleet fleet = new RandomFleet(shape, seed);
         fleet.start();
-        for (double second = 1; second < shape.seconds(); second++) {
+        for (double second = 1; second < shape.durationSeconds(); second++) {
             fleet.planSecond(second * REPORT_MS);
         }
-        fleet.history.playTo(shape.seconds() * REPORT_MS);
+        fleet.history.playTo(shape.durationSeconds() * REPORT_MS);
         return fleet.history.commands();
     }
 
@@ -96,13 +103,13 @@
             }
         });
         for (int proxy = 0; proxy < shape.proxies(); proxy++) {
-            int joining = proxy;
-            history.at(50 + random.nextInt(400), planner -> join(planner, joining));
+            int joiningProxy = proxy;
+            history.at(50 + random.nextInt(400), planner -> join(planner, joiningProxy));
         }
     }
 
     private int newHost() {
-        int host = freeIds.isEmpty() ? hostLimit++ : freeIds.remove(0);
+        int host = freeIds.isEmpty() ? hostIdLimit++ : freeIds.remove(0);
         while (running.size() <= host) {
             running.add(false);
         }
@@ -110,8 +117,8 @@
         zoneOf[host] = random.nextInt(shape.zones());
         kindOf[host] = random.nextInt(shape.kinds());
         weightOf[host] = shape.kinds() > 1 ? 1 + kindOf[host] * 0.7 : 1;
-        failing[host] = 0;
-        slowness[host] = 0.85 + 0.3 * random.nextDouble();
+        failureRatio[host] = 0;
+        latencyFactor[host] = 0.85 + 0.3 * random.nextDouble();
         return host;
     }
 
@@ -130,97 +137,98 @@
     }
 
     private void planSecond(double start) {
-        Consumer<Planner> changes = planner -> {
-            driftPressure();
+        Consumer<Planner> applyChanges = planner -> {
+            driftLatency();
             changeHealth();
-            changeCut(start);
+            changePartition(start);
         };
-        history.at(start, changes);
+        history.at(start, applyChanges);
         for (int zone = 0; zone < shape.zones(); zone++) {
-            int reporting = zone;
+            int reportingZone = zone;
             double spanMs = REPORT_MS + random.nextInt(2500);
-            history.at(start + random.nextInt(900), planner -> report(planner, reporting, spanMs));
+            history.at(start + random.nextInt(900), planner -> report(planner, reportingZone, spanMs));
         }
         for (int proxy = 0; proxy < shape.proxies(); proxy++) {
-            int asked = proxy;
-            history.at(start + random.nextInt(900), planner -> reportRates(planner, asked));
+            int reportingProxy = proxy;
+            history.at(start + random.nextInt(900), planner -> reportRates(planner, reportingProxy));
         }
         planMembership(start);
     }
 
     private void planMembership(double start) {
-        if (happens(shape.replaceChance())) {
-            history.at(start + random.nextInt(900), this::drainSome);
+        if (happens(shape.replacementProbability())) {
+            history.at(start + random.nextInt(900), this::drainRandomHosts);
         }
-        if (happens(shape.replaceChance())) {
-            history.at(start + random.nextInt(900), this::startSome);
+        if (happens(shape.replacementProbability())) {
+            history.at(start + random.nextInt(900), this::startMissingHosts);
         }
-        if (happens(shape.replaceChance() / 2)) {
-            history.at(start + random.nextInt(900), this::restartOne);
+        if (happens(shape.replacementProbability() / 2)) {
+            history.at(start + random.nextInt(900), this::restartRandomHost);
         }
-        if (happens(shape.joinChance())) {
-            history.at(start + random.nextInt(900), this::loseSome);
+        if (happens(shape.joinProbability())) {
+            history.at(start + random.nextInt(900), this::disconnectRandomProxies);
         }
-        if (happens(shape.joinChance())) {
-            history.at(start + random.nextInt(900), this::joinSome);
+        if (happens(shape.joinProbability())) {
+            history.at(start + random.nextInt(900), this::rejoinRandomProxies);
         }
-        if (happens(shape.joinChance() / 4)) {
+        if (happens(shape.joinProbability() / 4)) {
             history.at(start, planner -> history.slowChannel(happens(0.5) ? 1 : 1 + 3 * random.nextDouble()));
         }
-        if (happens(shape.replaceChance() / 3)) {
+        if (happens(shape.replacementProbability() / 3)) {
             history.at(start + random.nextInt(900), this::releaseRemoved);
         }
     }
 
-    private void driftPressure() {
+    private void driftLatency() {
         if (happens(0.1)) {
-            double span = shape.pressureHigh() - shape.pressureLow();
-            pressureTarget = shape.pressureLow() + span * random.nextDouble();
+            double span = shape.maxRelativeLatency() - shape.minRelativeLatency();
+            targetRelativeLatency = shape.minRelativeLatency() + span * random.nextDouble();
         }
-        pressure += 0.3 * (pressureTarget - pressure);
+        relativeLatency += 0.3 * (targetRelativeLatency - relativeLatency);
     }
 
     private void changeHealth() {
-        for (int host = 0; host < hostLimit; host++) {
-            if (happens(shape.failChance())) {
-                failing[host] = happens(0.3) ? 1 : 0.05 + 0.8 * random.nextDouble();
-            } else if (failing[host] > 0 && happens(0.15)) {
-                failing[host] = 0;
+        for (int host = 0; host < hostIdLimit; host++) {
+            if (happens(shape.failureProbability())) {
+                failureRatio[host] = happens(0.3) ? 1 : 0.05 + 0.8 * random.nextDouble();
+            } else if (failureRatio[host] > 0 && happens(0.15)) {
+                failureRatio[host] = 0;
             }
-            if (happens(shape.slowChance())) {
-                slowness[host] = 1 + 4 * random.nextDouble();
-            } else if (slowness[host] > 1.2 && happens(0.02)) {
-                slowness[host] = 0.85 + 0.3 * random.nextDouble();
+            if (happens(shape.slowdownProbability())) {
+                latencyFactor[host] = 1 + 4 * random.nextDouble();
+            } else if (latencyFactor[host] > 1.2 && happens(0.02)) {
+                latencyFactor[host] = 0.85 + 0.3 * random.nextDouble();
             }
         }
         if (shape.kinds() > 1 && happens(0.03)) {
-            kindSlowness[random.nextInt(shape.kinds())] = 1 + 3 * random.nextDouble();
+            kindLatencyFactor[random.nextInt(shape.kinds())] = 1 + 3 * random.nextDouble();
         } else if (happens(0.02)) {
-            java.util.Arrays.fill(kindSlowness, 1);
+            java.util.Arrays.fill(kindLatencyFactor, 1);
         }
     }
 
-    private void changeCut(double start) {
-        boolean isCut =
-                shape.cutShare() > 0 && start % 40_000 >= 12_000 && start % 40_000 < 12_000 + 40_000 * shape.cutShare();
-        if (!isCut) {
-            cutZone = -1;
-        } else if (cutZone < 0) {
-            cutZone = random.nextInt(shape.zones());
+    private void changePartition(double start) {
+        boolean isPartitioned = shape.partitionedTimeShare() > 0
+                && start % 40_000 >= 12_000
+                && start % 40_000 < 12_000 + 40_000 * shape.partitionedTimeShare();
+        if (!isPartitioned) {
+            partitionedZone = -1;
+        } else if (partitionedZone < 0) {
+            partitionedZone = random.nextInt(shape.zones());
         }
     }
 
     private void report(Planner planner, int zone, double spanMs) {
         double requests = shape.requestsPerSecond() * shape.proxies() / shape.zones();
         double weights = 0;
-        for (int host = 0; host < hostLimit; host++) {
+        for (int host = 0; host < hostIdLimit; host++) {
             weights += history.weight(host);
         }
-        for (int host = 0; host < hostLimit; host++) {
+        for (int host = 0; host < hostIdLimit; host++) {
             double share = weights > 0 ? history.weight(host) / weights : 0;
             double expected = requests * share * spanMs / REPORT_MS;
             int total = (int) (expected + random.nextDouble());
-            if (total == 0 && !happens(PROBE_SHARE)) {
+            if (total == 0 && !happens(PROBE_PROBABILITY)) {
                 continue;
             }
             reportHost(planner, host, zone, Math.max(1, total), spanMs);
@@ -228,10 +236,13 @@
     }
 
     private void reportHost(Planner planner, int host, int zone, int total, double spanMs) {
-        boolean isCutOff = cutZone >= 0 && (zone == cutZone) != (zoneOf[host] == cutZone);
+        boolean isCutOff = partitionedZone >= 0 && (zone == partitionedZone) != (zoneOf[host] == partitionedZone);
         double objective = meanObjective();
-        double latency = pressure * slowness[host] * kindSlowness[kindOf[host]] * (0.9 + 0.2 * random.nextDouble());
-        double failures = !running.get(host) || isCutOff ? 0.95 : failing[host] + Math.max(0, latency - 0.9) / 2;
+        double latency = relativeLatency
+                * latencyFactor[host]
+                * kindLatencyFactor[kindOf[host]]
+                * (0.9 + 0.2 * random.nextDouble());
+        double failures = !running.get(host) || isCutOff ? 0.95 : failureRatio[host] + Math.max(0, latency - 0.9) / 2;
         int failed = 0;
         for (int i = 0; i < total; i++) {
             failed += happens(failures) ? 1 : 0;
@@ -248,23 +259,23 @@
 
     private void reportRates(Planner planner, int proxy) {
         int operations = shape.settings().operations().size();
-        boolean sendsRates = isJoined[proxy] && history.now() >= PlannerPlayer.START_MS + shape.ratesFromMs();
+        boolean sendsRates = isJoined[proxy] && history.now() >= PlannerPlayer.START_MS + shape.requestRatesFromMs();
         for (int operation = 0; sendsRates && operation < operations; operation++) {
             double expected = shape.requestsPerSecond() / operations * (0.7 + 0.6 * random.nextDouble());
             planner.requestRate(proxy, operation, REPORT_MS, (int) (expected + random.nextDouble()));
         }
     }
 
-    private int anyRunning() {
-        int host = random.nextInt(hostLimit);
+    private int drawRunningHost() {
+        int host = random.nextInt(hostIdLimit);
         return running.get(host) ? host : -1;
     }
 
-    private void drainSome(Planner planner) {
+    private void drainRandomHosts(Planner planner) {
         int count = 1 + random.nextInt(Math.max(1, shape.hosts() / 8));
         planner.beginHostList(false);
         for (int i = 0; i < count; i++) {
-            int host = anyRunning();
+            int host = drawRunningHost();
             if (host >= 0 && Collections.frequency(running, true) > shape.hosts() / 2) {
                 running.set(host, false);
                 if (happens(0.6)) {
@@ -277,7 +288,7 @@
         planner.endHostList();
     }
 
-    private void startSome(Planner planner) {
+    private void startMissingHosts(Planner planner) {
         int missing = shape.hosts() - Collections.frequency(running, true);
         planner.beginHostList(false);
         for (int i = 0; i < Math.min(missing, 1 + random.nextInt(6)); i++) {
@@ -288,8 +299,8 @@
         planner.endHostList();
     }
 
-    private void restartOne(Planner planner) {
-        int host = anyRunning();
+    private void restartRandomHost(Planner planner) {
+        int host = drawRunningHost();
         if (host >= 0) {
             planner.beginHostList(false);
             ready(planner, host, history.now() - random.nextInt(500));
@@ -297,7 +308,7 @@
         }
     }
 
-    private void loseSome(Planner planner) {
+    private void disconnectRandomProxies(Planner planner) {
         int count = 1 + random.nextInt(Math.max(1, shape.proxies() / 6));
         for (int i = 0; i < count; i++) {
             int proxy = random.nextInt(shape.proxies());
@@ -308,7 +319,7 @@
         }
     }
 
-    private void joinSome(Planner planner) {
+    private void rejoinRandomProxies(Planner planner) {
         for (int proxy = 0; proxy < shape.proxies(); proxy++) {
             if (!isJoined[proxy] && happens(0.6)) {
                 join(planner, proxy);
@@ -317,7 +328,7 @@
     }
 
     private void releaseRemoved(Planner planner) {
-        for (int host = 0; host < hostLimit; host++) {
+        for (int host = 0; host < hostIdLimit; host++) {
             if (!running.get(host) && !freeIds.contains(host)) {
                 boolean isFree = planner.releaseHost(host);
                 history.record("release host=" + host + " " + isFree);
--- a/src/test/java/linenring/planner/RandomShape.java
+++ b/src/test/java/linenring/planner/RandomShape.java
@@ -10,7 +10,10 @@
 import linenring.planner.PlannerSettings.Shards;
 import linenring.planner.RandomFleet.Shape;
 
-/** Draws the settings and the fleet of a history from wide ranges, so that rare combinations of them come up for some seed. */
+/**
+ * Draws the settings and the fleet of a random history from wide ranges, so that some seeds produce rare
+ * combinations of them.
+ */
 final class RandomShape {
     private static final List<Measure> MEASURES = List.of(Measure.SHARE, Measure.PER_SECOND, Measure.NONE);
 
@@ -25,8 +28,8 @@
     }
 
     /**
-     * A fleet whose proxies rejoin often under a small cap of messages, so that binds wait beside large sub-updates: there the depth
-     * rule decides.
+     * Draws a fleet whose proxies rejoin often under a low limit on messages. Binds then wait beside large
+     * sub-updates, where the rule on queue depth decides.
      */
     static Shape drawWaitingBinds(long seed) {
         return new RandomShape(seed).drawWaitingBinds();
@@ -85,8 +88,8 @@
                 logarithmic(0.15, 30),
                 pressureLow,
                 pressureLow + uniform(0, 1.2),
-                rarely(0.001, 0.1),
-                rarely(0.001, 0.05),
+                zeroOrLogarithmic(0.001, 0.1),
+                zeroOrLogarithmic(0.001, 0.05),
                 uniform(0, 0.8),
                 uniform(0, 0.8),
                 zones > 1 && random.nextBoolean() ? uniform(0.1, 0.3) : 0,
@@ -144,7 +147,7 @@
         return low * Math.pow(high / low, random.nextDouble());
     }
 
-    private double rarely(double low, double high) {
+    private double zeroOrLogarithmic(double low, double high) {
         return random.nextBoolean() ? 0 : logarithmic(low, high);
     }
 }
--- a/src/test/java/linenring/planner/ReconcileMeasurement.java
+++ b/src/test/java/linenring/planner/ReconcileMeasurement.java
@@ -8,7 +8,7 @@
 import linenring.planner.PlannerSettings.Measure;
 import linenring.planner.PlannerSettings.Shards;
 
-/** How long one input takes at size, in milliseconds; run by hand. */
+/** Measures the time that the planner takes for one input at various fleet sizes, in milliseconds; run by hand. */
 final class ReconcileMeasurement {
     private static final int REPORTS = 10;
 
@@ -28,11 +28,11 @@
 
     public static void main(String[] args) {
         System.out.println(
-                "| hosts x proxies | zones | all join | an acknowledgement | reports of all, and a reconciliation"
-                        + " | a tenth drains | all join again |");
+                "| hosts x proxies | zones | all proxies join | one acknowledgement | load reports of all hosts"
+                        + " and a reconciliation | a tenth of the hosts drains | all proxies rejoin |");
         for (int size : new int[] {64, 64, 128, 256, 512, 1024}) {
             for (int zones : new int[] {3, 64}) {
-                System.out.println(new ReconcileMeasurement(size, size, zones).row());
+                System.out.println(new ReconcileMeasurement(size, size, zones).measureRow());
             }
         }
     }
@@ -53,7 +53,7 @@
                 6);
     }
 
-    private String row() {
+    private String measureRow() {
         planner.advanceClock(fleet.nowMs());
         planner.beginHostList(true);
         for (int host = 0; host < hosts; host++) {
@@ -61,7 +61,7 @@
         }
         planner.endHostList();
         fleet.reconcile();
-        double joinMs = measure(this::joinAll);
+        double joinMs = measure(this::joinAllProxies);
         fleet.joined().addAll(IntStream.range(0, proxies).boxed().toList());
         fleet.pass(20_000);
         int nonce = fleet.acknowledgementRequests();
@@ -69,10 +69,10 @@
         double reportMs = 0;
         for (int report = 1; report <= REPORTS; report++) {
             double atMs = fleet.nowMs() + 500 * report;
-            reportMs += measure(() -> reportAll(atMs)) / REPORTS;
+            reportMs += measure(() -> reportAllHosts(atMs)) / REPORTS;
         }
-        double drainMs = measure(this::drainTenth);
-        double joinAgainMs = measure(this::joinAll);
+        double drainMs = measure(this::drainTenthOfHosts);
+        double rejoinMs = measure(this::joinAllProxies);
         return String.format(
                 Locale.ROOT,
                 "| %d x %d | %d | %.1f | %.2f | %.1f | %.1f | %.1f |",
@@ -83,17 +83,17 @@
                 acknowledgementMs,
                 reportMs,
                 drainMs,
-                joinAgainMs);
+                rejoinMs);
     }
 
-    private void joinAll() {
+    private void joinAllProxies() {
         for (int proxy = 0; proxy < proxies; proxy++) {
             planner.proxyJoined(proxy, proxy % zones, 1 + proxy % 7);
         }
         planner.reconcile();
     }
 
-    private void reportAll(double atMs) {
+    private void reportAllHosts(double atMs) {
         planner.advanceClock(atMs);
         for (int host = 0; host < hosts; host++) {
             planner.hostStatistics(host, host % zones, 20, host % 50 == 0 ? 3 : 0, 200, 1000);
@@ -101,7 +101,7 @@
         planner.reconcile();
     }
 
-    private void drainTenth() {
+    private void drainTenthOfHosts() {
         planner.beginHostList(false);
         for (int host = 0; host < hosts / 10; host++) {
             planner.hostDraining(host, host % zones, host / zones % 2, 1);
--- a/src/test/java/linenring/planner/ShardPlacementTest.java
+++ b/src/test/java/linenring/planner/ShardPlacementTest.java
@@ -6,13 +6,13 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Each shard has one owner at a time. */
+/** Checks that each shard has one owner at a time. */
 class ShardPlacementTest {
     private static final Set<Integer> NONE = Set.of();
 
     /**
-     * A shard's owner drains. Writes may be in its hands until the lease and what lingers after it have passed; a next
-     * owner before that would be a second writer.
+     * Guards against two writers of a shard whose owner drains. Writes to the last owner may be in progress until
+     * the lease and the time for lingering writes have passed, so the next owner must not start before.
      */
     @Test
     void waitsForLastWritesBeforeNextOwner() {
--- a/src/test/java/linenring/planner/SubsetAssignerTest.java
+++ b/src/test/java/linenring/planner/SubsetAssignerTest.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Proxies get tables of subsets where the channel has no full ones for all. */
+/** Checks that proxies get tables of subsets where the channel cannot carry full tables for all of them. */
 class SubsetAssignerTest {
-    private static long servingHosts(FakeProxies fleet, int proxy) {
+    private static long servingHostCount(FakeProxies fleet, int proxy) {
         return fleet.entries(proxy).keySet().stream()
                 .filter(host -> fleet.weight(proxy, host) > 0)
                 .count();
@@ -21,59 +21,59 @@
                 .anyMatch(table -> fleet.tables().get(table).containsKey(host));
     }
 
-    private static long newHosts(FakeProxies fleet, int table) {
+    private static long newHostCount(FakeProxies fleet, int table) {
         return fleet.tables().get(table).keySet().stream()
                 .filter(host -> host >= 40)
                 .count();
     }
 
     /**
-     * Another controller dies and its proxies come all at once. Full tables for them take the channel seconds, in which
-     * they would hold what they had, hosts that drain included.
+     * Guards against a join surge: another controller fails and all its proxies join at once. The channel needs
+     * seconds to send full tables to them, and in this time the proxies would use their old tables with hosts that
+     * drain.
      */
     @Test
-    void givesNewcomersSubsetWhileChannelHasNoFullTables() {
+    void givesJoiningProxiesSubsetTablesDuringJoinSurge() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(40, 2);
-        int full = fleet.bound().get(0);
-        for (int proxy = 2;
-                proxy < 100;
-                proxy++) { // their controller died: 100 full tables take 4.6 s, tables of a standing one's size 1.2 s
+        int fullTable = fleet.bound().get(0);
+        // 98 proxies join: 100 full tables take 4.6 s to send, and tables of the default table's size 1.2 s
+        for (int proxy = 2; proxy < 100; proxy++) {
             fleet.join(proxy);
         }
         fleet.reconcile();
         assertEquals(100, fleet.bound().size());
-        assertTrue(fleet.bound().get(99) != full && fleet.entries(99).size() < 10);
+        assertTrue(fleet.bound().get(99) != fullTable && fleet.entries(99).size() < 10);
         fleet.pass(8000);
-        assertEquals(full, fleet.bound().get(0)); // who has one keeps it
-        int wider = fleet.entries(99).size();
-        assertTrue(wider > 15 && wider < 30, wider + " of 40");
-        for (int proxy = 50; proxy < 100; proxy++) { // it is back
+        assertEquals(fullTable, fleet.bound().get(0)); // a proxy that has a full table keeps it
+        int entriesAfterSurge = fleet.entries(99).size();
+        assertTrue(entriesAfterSurge > 15 && entriesAfterSurge < 30, entriesAfterSurge + " of 40");
+        for (int proxy = 50; proxy < 100; proxy++) { // half of the proxies return to the other controller
             fleet.planner().proxyDisconnected(proxy);
             fleet.joined().remove(proxy);
             fleet.bound().remove(proxy);
         }
         fleet.pass(8000);
-        assertEquals(Set.of(full), Set.copyOf(fleet.bound().values()));
-        assertEquals(Set.of(full), fleet.tables().keySet()); // the tables of subsets are cleared
+        assertEquals(Set.of(fullTable), Set.copyOf(fleet.bound().values()));
+        assertEquals(Set.of(fullTable), fleet.tables().keySet()); // the tables of subsets are cleared
     }
 
-    /** All hosts of one subset drain. Its proxies would be left without any. */
+    /** Guards against proxies without hosts after all hosts of one subset have drained. */
     @Test
-    void leavesSubsetWhoseHostsHaveGone() {
+    void movesProxiesFromSubsetWithoutHosts() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(40, 0);
         for (int proxy = 0; proxy < 200; proxy++) {
             fleet.join(proxy);
         }
         fleet.reconcile().pass(8000);
-        Set<Integer> gone = Set.copyOf(fleet.entries(0).keySet());
-        assertTrue(gone.size() < 20);
+        Set<Integer> drainedHosts = Set.copyOf(fleet.entries(0).keySet());
+        assertTrue(drainedHosts.size() < 20);
         for (int host = 40; host < 50; host++) {
             fleet.startHost(host);
         }
-        gone.forEach(fleet::drainHost);
+        drainedHosts.forEach(fleet::drainHost);
         fleet.reconcile().pass(25_000);
         for (int proxy = 0; proxy < 200; proxy++) {
-            assertTrue(servingHosts(fleet, proxy) > 2);
+            assertTrue(servingHostCount(fleet, proxy) > 2);
         }
         for (int host = 40; host < 50; host++) {
             assertTrue(isInUse(fleet, host), "host " + host);
@@ -81,36 +81,39 @@
     }
 
     /**
-     * Hosts of one subset drain and others start in their place. Dealt in turn they would leave three proxies to a host
-     * there and under one elsewhere.
+     * Guards against uneven load after hosts of one subset drain and new hosts start. If new hosts were assigned to
+     * subsets in turn, three proxies would share a host in that subset and fewer than one in the others.
      */
     @Test
-    void dealsReplacementsToSubsetThatLostHosts() {
+    void assignsReplacementsToSubsetThatLostHosts() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(40, 0);
         for (int proxy = 0; proxy < 200; proxy++) {
             fleet.join(proxy);
         }
         fleet.reconcile().pass(8000);
-        int hit = fleet.bound().get(0);
-        Set<Integer> gone = Set.copyOf(fleet.tables().get(hit).keySet());
-        List<Integer> others = fleet.bound().values().stream()
+        int reducedTable = fleet.bound().get(0);
+        Set<Integer> drainCandidates =
+                Set.copyOf(fleet.tables().get(reducedTable).keySet());
+        List<Integer> otherTables = fleet.bound().values().stream()
                 .distinct()
-                .filter(table -> table != hit)
+                .filter(table -> table != reducedTable)
                 .toList();
-        gone.stream()
+        drainCandidates.stream()
                 .filter(host -> host % 20 >= 6)
-                .forEach(fleet::drainHost); // of each subset some stay: they are dealt in turn
+                .forEach(fleet::drainHost); // some hosts of each subset stay, as hosts are assigned to subsets in turn
         fleet.reconcile().pass(3000);
         for (int host = 40; host < 46; host++) {
             fleet.startHost(host);
         }
         fleet.reconcile().pass(4000);
-        long here = newHosts(fleet, hit);
-        others.forEach(table -> assertTrue(here > newHosts(fleet, table), here + " and " + newHosts(fleet, table)));
+        long newHostsInReducedTable = newHostCount(fleet, reducedTable);
+        otherTables.forEach(table -> assertTrue(
+                newHostsInReducedTable > newHostCount(fleet, table),
+                newHostsInReducedTable + " and " + newHostCount(fleet, table)));
     }
 
     @Test
-    void givesNewcomersSubsetsOfEachFullTable() {
+    void givesJoiningProxiesSubsetsOfEachFullTable() {
         FakeProxies fleet = new FakeProxies(
                         settings(0, FakeProxies.operation(1, FakeProxies.ALL), FakeProxies.operation(1, 1)))
                 .start(40, 0);
@@ -118,7 +121,7 @@
             fleet.join(proxy);
         }
         fleet.reconcile();
-        assertEquals(60, fleet.bound().size()); // the latest bind of each is to a subset of the second table
+        assertEquals(60, fleet.bound().size()); // the latest bind of each proxy is to a subset of the second full table
         assertTrue(fleet.bound().values().stream()
                 .allMatch(table -> fleet.tables().get(table).keySet().stream().allMatch(host -> host % 2 == 0)));
     }
