--- a/src/main/java/linenring/planner/FleetStatistics.java
+++ b/src/main/java/linenring/planner/FleetStatistics.java
@@ -172,7 +172,7 @@
         double listedWeight = 0;
         double admittedWeight = 0;
         double warmWeight = 0;
-        double ableWeight = 0;
+        double guaranteedWeight = 0;
         double demand = usualRequestsPerSecond(fleet.joined().stream()
                 .filter(proxy -> table.servesZone(proxy.zone()))
                 .toList());
@@ -181,9 +181,9 @@
             listedWeight += weight;
             admittedWeight += host.isEjected() ? 0 : weight;
             warmWeight += host.isEjected() || !warmUp.isWarm(host) ? 0 : weight;
-            ableWeight += host.isEjected() ? 0 : weight * warmUp.guaranteedCapacity(host);
+            guaranteedWeight += host.isEjected() ? 0 : weight * warmUp.guaranteedCapacity(host);
         }
-        table.setCapacity(new TableCapacity(demand, listedWeight, admittedWeight, warmWeight, ableWeight));
+        table.setCapacity(new TableCapacity(demand, listedWeight, admittedWeight, warmWeight, guaranteedWeight));
     }
 
     private double[] sortedMetric(ToDoubleFunction<Host> metric) {
--- a/src/main/java/linenring/planner/OutlierDetector.java
+++ b/src/main/java/linenring/planner/OutlierDetector.java
@@ -54,9 +54,7 @@
     /** Failed probations assumed of a host that may not exist: after an ejection its first probation waits 10 s. */
     private static final int PRESUMED_FAILED_PROBATIONS = 3;
 
-    /**
-     * Factor for the weight of a slow host or of the hosts of a slow kind, applied again at each further detection.
-     */
+    /** Factor by which the weight of a slow host, or of each host of a slow kind, is multiplied at each detection. */
     private static final double WEIGHT_REDUCTION_FACTOR = 0.5;
     /** A weight share below this value is not halved again, so that a share is halved twice at most. */
     private static final double MIN_REDUCIBLE_SHARE = 0.3;
@@ -101,8 +99,8 @@
     }
 
     /**
-     * Whether attempts fail at the host and not at the best third of the hosts; a host that is also slow counts as
-     * failing only if at least 97% of its attempts fail.
+     * Whether the host fails more attempts than the best third of the hosts, so that it should be ejected; a host
+     * that is also slow counts as failing only if at least 97% of its attempts fail.
      */
     boolean isFailing(Host host) {
         FleetStatistics statistics = context.statistics();
--- a/src/main/java/linenring/planner/PlannerSettings.java
+++ b/src/main/java/linenring/planner/PlannerSettings.java
@@ -36,7 +36,7 @@
     }
 
     /**
-     * One operation.
+     * An operation that proxies request.
      *
      * @param objectiveMs latency objective of the operation
      * @param value priority weight of the operation: relative value of an answer within the objective, without a
--- a/src/main/java/linenring/planner/RetryStormGuard.java
+++ b/src/main/java/linenring/planner/RetryStormGuard.java
@@ -26,11 +26,11 @@
      * less.
      */
     private static final double STORM_FAILURE_RATIO = 0.3;
-    /** Multiple of the unloaded relative latency above which the 62nd percentile host shows a retry storm. */
+    /** Multiple of the relative latency under low load above which the 62nd percentile host shows a retry storm. */
     private static final double STORM_SLOWDOWN_FACTOR = 4;
     /** Relative latency above which the 62nd percentile host shows a retry storm. */
     private static final double STORM_RELATIVE_LATENCY = 0.45;
-    /** Baseline relative latency assumed of a fleet without load until load reports show a lower one. */
+    /** Baseline relative latency assumed for a fleet under low load, until load reports show a lower one. */
     private static final double INITIAL_UNLOADED_RELATIVE_LATENCY = 0.2;
 
     private static final double BEFORE_FIRST_INPUT = -1;
