--- a/src/main/java/linenring/planner/Planner.java
+++ b/src/main/java/linenring/planner/Planner.java
@@ -22,7 +22,7 @@
      * An unacknowledged message is assumed to have left the channel after this multiple of the time that a full
      * queue takes to be sent.
      */
-    private static final double MESSAGE_LOSS_TIMEOUT_FACTOR = 5;
+    private static final double MAX_CHANNEL_WAIT_FACTOR = 5;
     /** Polls of the host list within the allowed time, so that two of the polls may fail. */
     private static final double POLLS_PER_LIMIT = 3;
     /**
@@ -59,7 +59,7 @@
         this.commands = commands;
         PlannerSettings.Channel channel = settings.channel();
         ledger = new ChannelLedger(
-                channel, MESSAGE_LOSS_TIMEOUT_FACTOR * channel.maxQueuedEntries() / channel.entriesPerMs());
+                channel, MAX_CHANNEL_WAIT_FACTOR * channel.maxQueuedEntries() / channel.entriesPerMs());
         WarmUp warmUp = new WarmUp(settings.coldStart(), time);
         boolean isSharded = settings.shards().count() > 0;
         TableRegistry registry = new TableRegistry(fleet, settings.operations(), isSharded);
