--- a/src/main/java/linenring/planner/AdmissionController.java
+++ b/src/main/java/linenring/planner/AdmissionController.java
@@ -171,30 +171,31 @@
     }
 
     /** Whether the admission ratio of this operation must be written to the table. */
-    boolean isDue(EndpointTable table, int operation) {
+    boolean mustWriteAdmission(EndpointTable table, int operation) {
         return !context.registry().isSharded()
-                && table.isFor(operation)
+                && table.appliesToOperation(operation)
                 && (table.retryPolicy() != retryPolicy()
                         || Math.abs(table.admissionRatio(operation) - ratioByOperation[operation])
                                 > MIN_ADMISSION_CHANGE);
     }
 
     /** Returns the operations whose admission ratio must be written to the table. */
-    IntStream due(EndpointTable table) {
-        return IntStream.range(0, operations.size()).filter(operation -> isDue(table, operation));
+    IntStream operationsToWrite(EndpointTable table) {
+        return IntStream.range(0, operations.size()).filter(operation -> mustWriteAdmission(table, operation));
     }
 
     /**
      * Whether the table admits more than the current admission ratios. Writing the cut is as urgent as an ejection,
      * since each moment of excess load prolongs the overload.
      */
-    boolean isCutDue(EndpointTable table) {
-        return due(table).anyMatch(operation -> ratioByOperation[operation] < table.admissionRatio(operation));
+    boolean isAdmissionCutPending(EndpointTable table) {
+        return operationsToWrite(table)
+                .anyMatch(operation -> ratioByOperation[operation] < table.admissionRatio(operation));
     }
 
     /** Writes the changed admission ratios and the retry policy to the table. */
     void write(EndpointTable table) {
-        due(table).forEach(operation -> write(table, operation));
+        operationsToWrite(table).forEach(operation -> write(table, operation));
         table.setRetryPolicy(retryPolicy());
     }
 
@@ -207,7 +208,7 @@
     }
 
     private double admittedPerSecond(EndpointTable table, int operation) {
-        Collection<ProxyState> proxies = context.registry().usersOf(table);
+        Collection<ProxyState> proxies = context.registry().proxiesUsing(table);
         double requestsPerUser = proxies.stream()
                         .mapToDouble(proxy -> proxy.requestsPerSecond(operation))
                         .sum()
--- a/src/main/java/linenring/planner/DrainScheduler.java
+++ b/src/main/java/linenring/planner/DrainScheduler.java
@@ -46,7 +46,7 @@
     boolean drain() {
         List<Host> drainingHosts =
                 context.fleet().hosts().stream().filter(Host::mustDrain).toList();
-        List<ProxyState> affectedProxies = context.fleet().joined().stream()
+        List<ProxyState> affectedProxies = context.fleet().joinedProxies().stream()
                 .filter(proxy -> drainingHosts.stream().anyMatch(host -> mayHold(proxy, host)))
                 .toList();
         boolean mustWaitForRoom = !drainingHosts.isEmpty()
@@ -71,7 +71,7 @@
             requiredEntries += context.flow().cost(proxy, (double) hostCount);
         }
         double capacity = context.settings().channel().maxQueuedEntries();
-        double freeEntries = capacity - context.flow().waitingEntries();
+        double freeEntries = capacity - context.flow().queuedEntries();
         return binder.hasWaitingFirstBind()
                 || (requiredEntries > freeEntries && freeEntries < MIN_FREE_QUEUE_SHARE * capacity);
     }
@@ -82,7 +82,7 @@
 
     private boolean fitsInQueue(Host host) {
         return context.flow()
-                .fitsInQueue(context.registry().holdersOf(host).stream()
+                .fitsInQueue(context.registry().proxiesHolding(host).stream()
                         .mapToDouble(proxy -> context.flow().cost(proxy, 1))
                         .sum());
     }
--- a/src/main/java/linenring/planner/EndpointTable.java
+++ b/src/main/java/linenring/planner/EndpointTable.java
@@ -28,11 +28,11 @@
     private final int operations;
     private final Operation operation;
     private final int homeZone;
-    private final int fullTable;
+    private final int fullTableIndex;
     private final int firstSubset;
     private final int subsetCount;
     private final List<Host> members;
-    private final Set<ProxyState> users = new LinkedHashSet<>();
+    private final Set<ProxyState> boundProxies = new LinkedHashSet<>();
     private final double[] admissionRatio = new double[Integer.SIZE];
     private double[] weights = {};
     private int entryCount;
@@ -55,7 +55,7 @@
         this.operations = operations;
         this.operation = operation;
         this.homeZone = homeZone;
-        this.fullTable = fullTable;
+        this.fullTableIndex = fullTable;
         this.firstSubset = firstSubset;
         this.subsetCount = subsetCount;
         this.members = members;
@@ -77,17 +77,17 @@
     }
 
     /** Number of zones that have a table for the same operations; 1 for a table of all zones. */
-    double zoneTables() {
+    double zoneTableCount() {
         return homeZone == ALL_ZONES ? 1.0 : operation.zoneCount();
     }
 
     /** Returns the index of the full table that the table replaces for its proxies; its own index for a full table. */
-    int fullTable() {
-        return fullTable;
+    int fullTableIndex() {
+        return fullTableIndex;
     }
 
     /** Whether the table holds only some subsets of the fleet. */
-    boolean isOfSubsets() {
+    boolean isSubsetTable() {
         return firstSubset != Host.WITHOUT_SUBSET;
     }
 
@@ -118,16 +118,16 @@
     }
 
     /** Returns the proxies that are bound to the table, in the order in which they were bound. */
-    Set<ProxyState> users() {
-        return Collections.unmodifiableSet(users);
+    Set<ProxyState> boundProxies() {
+        return Collections.unmodifiableSet(boundProxies);
     }
 
     void addBoundProxy(ProxyState proxy) {
-        users.add(proxy);
+        boundProxies.add(proxy);
     }
 
     void removeBoundProxy(ProxyState proxy) {
-        users.remove(proxy);
+        boundProxies.remove(proxy);
     }
 
     /** Number of hosts that have an entry in the table. */
@@ -196,7 +196,7 @@
         capacity = newCapacity;
     }
 
-    boolean isFor(int operationIndex) {
+    boolean appliesToOperation(int operationIndex) {
         return operations == 0 || ((operations >> operationIndex) & 1) != 0;
     }
 
@@ -227,7 +227,7 @@
         return ownerlessSinceMs;
     }
 
-    void loseOwner(double sinceMs) {
+    void clearOwner(double sinceMs) {
         owner = null;
         ownerlessSinceMs = sinceMs;
     }
@@ -236,8 +236,8 @@
      * Removes the shard's owner and all entries: another controller was in charge of the shard, so the last written
      * state is outdated.
      */
-    void resetOwner(double sinceMs) {
-        loseOwner(sinceMs);
+    void discardOwnerAndEntries(double sinceMs) {
+        clearOwner(sinceMs);
         clear();
     }
 }
--- a/src/main/java/linenring/planner/Fleet.java
+++ b/src/main/java/linenring/planner/Fleet.java
@@ -15,7 +15,7 @@
     private final List<Host> hosts = new ArrayList<>();
     private final List<Zone> zones = new ArrayList<>();
     private final List<ProxyState> proxies = new ArrayList<>();
-    private final List<ProxyState> joined = new ArrayList<>();
+    private final List<ProxyState> joinedProxies = new ArrayList<>();
 
     Host host(int id) {
         return getOrCreate(hosts, id, Host::new);
@@ -39,8 +39,8 @@
     }
 
     /** Proxies that have joined, in descending order of their usual request rate, as a live view. */
-    List<ProxyState> joined() {
-        return Collections.unmodifiableList(joined);
+    List<ProxyState> joinedProxies() {
+        return Collections.unmodifiableList(joinedProxies);
     }
 
     /** Whether a host with this id exists and has not been released. */
@@ -75,20 +75,20 @@
 
     void join(ProxyState proxy) {
         int position = 0;
-        while (position < joined.size()
-                && joined.get(position).usualRequestsPerSecond() >= proxy.usualRequestsPerSecond()) {
+        while (position < joinedProxies.size()
+                && joinedProxies.get(position).usualRequestsPerSecond() >= proxy.usualRequestsPerSecond()) {
             position++;
         }
-        joined.add(position, proxy);
+        joinedProxies.add(position, proxy);
     }
 
     void leave(ProxyState proxy) {
         proxy.disconnect();
-        joined.remove(proxy);
+        joinedProxies.remove(proxy);
     }
 
-    boolean hasNewcomer() {
-        return joined.stream().anyMatch(ProxyState::isNewcomer);
+    boolean hasProxyAwaitingFirstBind() {
+        return joinedProxies.stream().anyMatch(ProxyState::isAwaitingFirstBind);
     }
 
     private static <T> T getOrCreate(List<T> list, int index, IntFunction<T> create) {
--- a/src/main/java/linenring/planner/FleetMembership.java
+++ b/src/main/java/linenring/planner/FleetMembership.java
@@ -72,7 +72,7 @@
 
     private void markDraining(Host host) {
         // a proxy that has just joined was not notified when the host was ejected for its health
-        host.markDraining(!context.fleet().hasNewcomer());
+        host.markDraining(!context.fleet().hasProxyAwaitingFirstBind());
         context.statistics().markStale();
     }
 
@@ -91,9 +91,9 @@
         TableRegistry registry = context.registry();
         boolean isFree = !registry.isSharded()
                 && context.fleet().isRemoved(id)
-                && registry.holding(context.fleet().hosts().get(id)).isEmpty();
+                && registry.tablesHolding(context.fleet().hosts().get(id)).isEmpty();
         if (isFree) {
-            registry.forget(context.fleet().release(id));
+            registry.removeFromSubsetTables(context.fleet().release(id));
         }
         return isFree;
     }
--- a/src/main/java/linenring/planner/FleetStatistics.java
+++ b/src/main/java/linenring/planner/FleetStatistics.java
@@ -173,7 +173,7 @@
         double admittedWeight = 0;
         double warmWeight = 0;
         double guaranteedWeight = 0;
-        double demand = usualRequestsPerSecond(fleet.joined().stream()
+        double demand = usualRequestsPerSecond(fleet.joinedProxies().stream()
                 .filter(proxy -> table.servesZone(proxy.zone()))
                 .toList());
         for (Host host : table.members()) {
@@ -214,7 +214,7 @@
     }
 
     private double requestsPerSecond(int operation) {
-        return fleet.joined().stream()
+        return fleet.joinedProxies().stream()
                 .mapToDouble(proxy -> proxy.requestsPerSecond(operation))
                 .sum();
     }
@@ -292,7 +292,7 @@
      */
     double minRequestsPerSecondForProxyEjection() {
         return MIN_REQUESTS_PER_HOST_FOR_PROXY_EJECTION
-                * fleet.joined().size()
+                * fleet.joinedProxies().size()
                 * fleet.hosts().size();
     }
 
--- a/src/main/java/linenring/planner/FlowControl.java
+++ b/src/main/java/linenring/planner/FlowControl.java
@@ -126,7 +126,7 @@
     }
 
     /** Estimated number of entries in the channel queue, including those that are being written. */
-    double waitingEntries() {
+    double queuedEntries() {
         return ledger.queuedEntries();
     }
 
@@ -192,9 +192,9 @@
     /**
      * Whether the ejection, restore or weight reduction of a host may be written regardless of the proxies' windows.
      */
-    boolean mayInterrupt(Host host) {
-        return registry.holding(host).stream().allMatch(table -> hasMessageGapElapsed(table, 0))
-                && mayWrite(registry.holdersOf(host), 1, WritePriority.URGENT);
+    boolean mayBypassWindows(Host host) {
+        return registry.tablesHolding(host).stream().allMatch(table -> hasMessageGapElapsed(table, 0))
+                && mayWrite(registry.proxiesHolding(host), 1, WritePriority.URGENT);
     }
 
     /**
@@ -205,9 +205,9 @@
      */
     boolean hasMessageGapElapsed(EndpointTable table, double minGapMs) {
         double overheadGapMs =
-                GAP_PER_OVERHEAD_TIME * fleet.joined().size() * channel.messageCost() / channel.entriesPerMs();
+                GAP_PER_OVERHEAD_TIME * fleet.joinedProxies().size() * channel.messageCost() / channel.entriesPerMs();
         return time.nowMs() - table.writtenAtMs() >= Math.max(minGapMs, overheadGapMs)
-                || registry.usersOf(table).stream().allMatch(ProxyState::hasMessageBeingWritten);
+                || registry.proxiesUsing(table).stream().allMatch(ProxyState::hasMessageBeingWritten);
     }
 
     /**
@@ -230,7 +230,7 @@
                 || proxy.unacknowledgedEntries() + entries
                         <= roundTripMs
                                 * channel.entriesPerMs()
-                                / registry.usersOf(table).size()
+                                / registry.proxiesUsing(table).size()
                 || isOverdue(proxy);
     }
 
@@ -248,7 +248,7 @@
      * could never be sent at once.
      */
     long maxPieceEntries(EndpointTable table) {
-        int proxyCount = Math.max(1, registry.usersOf(table).size());
+        int proxyCount = Math.max(1, registry.proxiesUsing(table).size());
         double entries = PIECE_SHARE * queueLimit(WritePriority.ORDINARY, proxyCount) / proxyCount;
         return (long) Math.max(1, entries - channel.messageCost());
     }
@@ -260,7 +260,7 @@
      * each as sent.
      */
     void requestAcknowledgements() {
-        List<ProxyState> affectedProxies = fleet.joined().stream()
+        List<ProxyState> affectedProxies = fleet.joinedProxies().stream()
                 .filter(ProxyState::hasMessageBeingWritten)
                 .toList();
         ledger.update(time.nowMs()); // discards the reservations, which the sent messages replace
@@ -274,7 +274,7 @@
         }
     }
 
-    void acknowledged(ProxyState proxy, int acknowledgedNonce, double tookMs) {
+    void handleAcknowledgement(ProxyState proxy, int acknowledgedNonce, double tookMs) {
         SentMessage message = proxy.acknowledge(acknowledgedNonce);
         if (message != null) {
             ledger.recordAcknowledgement(message, tookMs);
--- a/src/main/java/linenring/planner/OutlierDetector.java
+++ b/src/main/java/linenring/planner/OutlierDetector.java
@@ -127,15 +127,15 @@
         return host.isRunning()
                 && host.health().isUnhealthy()
                 && !host.isEjected()
-                && context.flow().mayInterrupt(host)
+                && context.flow().mayBypassWindows(host)
                 && leavesEnoughAdmittedWeight(host);
     }
 
     private boolean leavesEnoughAdmittedWeight(Host host) {
         context.statistics().refresh();
         return tablesInUse(host)
-                .allMatch(table -> table.capacity().admittedWeight() - host.weight()
-                        >= MIN_ADMITTED_WEIGHT_SHARE * table.capacity().listedWeight());
+                .allMatch(table -> table.capacity().notEjectedWeight() - host.weight()
+                        >= MIN_ADMITTED_WEIGHT_SHARE * table.capacity().runningWeight());
     }
 
     private Stream<EndpointTable> tablesInUse(Host host) {
--- a/src/main/java/linenring/planner/PartitionDetector.java
+++ b/src/main/java/linenring/planner/PartitionDetector.java
@@ -75,9 +75,9 @@
             return fullTable;
         }
         return context.registry().tables().stream()
-                .filter(table -> table.fullTable() == fullTable.fullTable()
+                .filter(table -> table.fullTableIndex() == fullTable.fullTableIndex()
                         && table.homeZone() == proxy.zone()
-                        && !table.isOfSubsets()
+                        && !table.isSubsetTable()
                         && table.capacity().warmWeight() > 0
                         && !table.isEmpty())
                 .findFirst()
--- a/src/main/java/linenring/planner/PendingChanges.java
+++ b/src/main/java/linenring/planner/PendingChanges.java
@@ -29,7 +29,7 @@
     boolean mustWriteEntry(Host host, EndpointTable table) {
         double targetWeight = slowStart.targetWeight(host, table);
         double writtenWeight = table.weight(host);
-        return (writtenWeight > 0 || !stormGuard.holdsBack(host))
+        return (writtenWeight > 0 || !stormGuard.mustKeepOut(host))
                 && ((targetWeight == 0) != (writtenWeight == 0)
                         || Math.abs(targetWeight - writtenWeight)
                                 > MIN_RELATIVE_WEIGHT_CHANGE * Math.max(targetWeight, writtenWeight)
@@ -47,13 +47,13 @@
 
     /** Number of entries and admission ratios that must be written to the table. */
     int pendingWrites(EndpointTable table) {
-        long admissions = admission.due(table).count();
+        long admissions = admission.operationsToWrite(table).count();
         return (int) (admissions + hostsToWrite(table).count());
     }
 
     /** Number of entries and admission ratios that must be sent for the table, summed over all proxies that use it. */
     double pendingEntries(EndpointTable table) {
-        return pendingWrites(table) * context.registry().usersOf(table).size();
+        return pendingWrites(table) * context.registry().proxiesUsing(table).size();
     }
 
     /**
@@ -76,8 +76,8 @@
         return host.isEjected()
                 && host.isRunning()
                 && !host.health().isUnhealthy()
-                && !stormGuard.holdsBack(host)
+                && !stormGuard.mustKeepOut(host)
                 && context.registry().tables().stream().noneMatch(table -> mustWriteEntry(host, table))
-                && context.flow().mayInterrupt(host);
+                && context.flow().mayBypassWindows(host);
     }
 }
--- a/src/main/java/linenring/planner/Planner.java
+++ b/src/main/java/linenring/planner/Planner.java
@@ -99,7 +99,7 @@
                 Rule.preparing(subsetAssigner::updateSubsets),
                 // joining proxies are bound before drains, since a bind replaces the old table together with its
                 // draining hosts
-                proxyBinder::bindNewcomers,
+                proxyBinder::bindJoinedProxies,
                 drainScheduler::drain,
                 // health decisions come before the ejections that follow from them
                 eachHost(outlierDetector::isFailing, outlierDetector::markUnhealthy),
@@ -118,7 +118,7 @@
                 Rule.preparing(shardPlacement::placeShards),
                 updateScheduler::sendSubUpdate,
                 // moves and restores come after the entries that they need
-                proxyBinder::moveBound,
+                proxyBinder::rebindProxies,
                 eachHost(pendingChanges::mayRestore, context.writer()::restore),
                 // admission comes last, as it needs the statistics of the whole fleet; the next pass writes its
                 // result
@@ -199,7 +199,7 @@
 
     /** Records that a proxy has applied the message with this nonce, and thereby all messages sent to it before. */
     public void messageAcknowledged(int id, int nonce, double roundTripMs) {
-        context.flow().acknowledged(fleet.proxy(id), nonce, roundTripMs);
+        context.flow().handleAcknowledgement(fleet.proxy(id), nonce, roundTripMs);
     }
 
     /**
@@ -238,7 +238,7 @@
             nextListPollAtMs = time.nowMs() + listPollIntervalMs;
             commands.watchHostList();
         }
-        double callAtMs = timer.ask(time.nowMs(), nextDueMs());
+        double callAtMs = timer.nextCallAtMs(time.nowMs(), nextDueMs());
         if (callAtMs < Double.POSITIVE_INFINITY) {
             commands.requestCall(callAtMs);
         }
--- a/src/main/java/linenring/planner/ProxyBinder.java
+++ b/src/main/java/linenring/planner/ProxyBinder.java
@@ -34,12 +34,12 @@
     }
 
     /** Binds proxies that are not bound to any of this controller's tables yet; returns whether any proxy was bound. */
-    boolean bindNewcomers() {
+    boolean bindJoinedProxies() {
         return bindAll(true);
     }
 
     /** Moves proxies that should be bound to another table; returns whether any proxy was moved. */
-    boolean moveBound() {
+    boolean rebindProxies() {
         return bindAll(false);
     }
 
@@ -47,7 +47,7 @@
         context.statistics().refresh();
         hasWaitingFirstBind = false;
         boolean areEntriesWritten = context.registry().tables().stream()
-                .allMatch(table -> !table.isEmpty() || table.capacity().admittedWeight() == 0);
+                .allMatch(table -> !table.isEmpty() || table.capacity().notEjectedWeight() == 0);
         boolean any = false;
         for (EndpointTable fullTable : areEntriesWritten ? context.registry().fullTables() : List.<EndpointTable>of()) {
             any |= bindAll(fullTable, firstBindsOnly);
@@ -57,7 +57,7 @@
 
     private boolean bindAll(EndpointTable fullTable, boolean firstBindsOnly) {
         List<ProxyState> proxies = proxiesToBind(fullTable)
-                .filter(proxy -> !firstBindsOnly || proxy.boundTable(fullTable.fullTable()) == null)
+                .filter(proxy -> !firstBindsOnly || proxy.boundTable(fullTable.fullTableIndex()) == null)
                 .toList();
         List<EndpointTable> subsetTables =
                 proxies.isEmpty() ? List.of() : subsets.ensureSubsetTables(fullTable, firstBindsOnly);
@@ -65,7 +65,7 @@
         for (ProxyState proxy : proxies) {
             EndpointTable zoneTable = partitions.tableFor(proxy, fullTable);
             EndpointTable targetTable =
-                    zoneTable != fullTable ? zoneTable : subsets.leastLoaded(subsetTables, fullTable);
+                    zoneTable != fullTable ? zoneTable : subsets.leastLoadedTable(subsetTables, fullTable);
             double entries = context.writer().entriesOfBind(proxy, targetTable, context.operationCount());
             WritePriority priority = firstBindsOnly ? WritePriority.DRAIN : WritePriority.ORDINARY;
             if (mustBind(proxy, fullTable) && context.flow().mayWrite(List.of(proxy), entries, priority)) {
@@ -80,16 +80,16 @@
     }
 
     private Stream<ProxyState> proxiesToBind(EndpointTable fullTable) {
-        boolean isWritten = context.registry().isFull(fullTable) && !fullTable.isEmpty();
-        return context.fleet().joined().stream()
+        boolean isWritten = context.registry().isFullTable(fullTable) && !fullTable.isEmpty();
+        return context.fleet().joinedProxies().stream()
                 .filter(proxy -> isWritten && fullTable.servesZone(proxy.zone()) && mustBind(proxy, fullTable));
     }
 
     private boolean mustBind(ProxyState proxy, EndpointTable fullTable) {
-        EndpointTable currentTable = proxy.boundTable(fullTable.fullTable());
+        EndpointTable currentTable = proxy.boundTable(fullTable.fullTableIndex());
         EndpointTable targetTable = partitions.tableFor(proxy, fullTable);
         return currentTable != targetTable
-                && (currentTable == null || targetTable != fullTable || subsets.mustLeave(currentTable));
+                && (currentTable == null || targetTable != fullTable || subsets.mustMoveProxies(currentTable));
     }
 
     /** Number of entries in the pending binds of proxies that need this full table or a table in its place. */
--- a/src/main/java/linenring/planner/ProxyState.java
+++ b/src/main/java/linenring/planner/ProxyState.java
@@ -74,12 +74,12 @@
      * Whether the proxy still uses a table that this controller has not bound it to: a default table, or another
      * controller's.
      */
-    boolean isNewcomer() {
+    boolean isAwaitingFirstBind() {
         return Arrays.asList(boundTables).contains(null);
     }
 
     void bind(EndpointTable table) {
-        bind(table.fullTable(), table);
+        bind(table.fullTableIndex(), table);
     }
 
     private void bind(int fullTableIndex, EndpointTable table) {
--- a/src/main/java/linenring/planner/RetryStormGuard.java
+++ b/src/main/java/linenring/planner/RetryStormGuard.java
@@ -78,11 +78,11 @@
     }
 
     /** Whether the cold host should be kept out of all tables, or ejected if a table has it already. */
-    boolean holdsBack(Host host) {
+    boolean mustKeepOut(Host host) {
         context.statistics().refresh();
         return isStormActive()
                 && !context.warmUp().isWarm(host)
-                && FleetStatistics.usualRequestsPerSecond(context.fleet().joined())
+                && FleetStatistics.usualRequestsPerSecond(context.fleet().joinedProxies())
                         >= context.statistics().minRequestsPerSecondForProxyEjection()
                 && context.registry().tables().stream()
                         .allMatch(table -> !context.registry().isInUse(table)
@@ -94,8 +94,8 @@
     boolean mustEject(Host host) {
         return host.isRunning()
                 && !host.isEjected()
-                && holdsBack(host)
-                && !context.registry().holding(host).isEmpty()
-                && context.flow().mayInterrupt(host);
+                && mustKeepOut(host)
+                && !context.registry().tablesHolding(host).isEmpty()
+                && context.flow().mayBypassWindows(host);
     }
 }
--- a/src/main/java/linenring/planner/ShardPlacement.java
+++ b/src/main/java/linenring/planner/ShardPlacement.java
@@ -31,12 +31,14 @@
     /** Sets whether this controller is in charge of the shard from now on. */
     void setInCharge(int shard, boolean inCharge) {
         // the owner that another controller has assigned may still be writing
-        context.registry().ofShard(shard).resetOwner(inCharge ? context.nowMs() : Double.POSITIVE_INFINITY);
+        context.registry()
+                .shardTable(shard)
+                .discardOwnerAndEntries(inCharge ? context.nowMs() : Double.POSITIVE_INFINITY);
     }
 
     /** Sets the owner of the shard; the shard's proxies already have an entry for the owner. */
     void setOwner(int shard, Host owner, double weight) {
-        EndpointTable table = context.registry().ofShard(shard);
+        EndpointTable table = context.registry().shardTable(shard);
         table.setOwner(owner);
         table.setWeight(owner, weight);
     }
@@ -47,7 +49,7 @@
                 context.registry().isSharded() ? context.registry().tables() : List.of();
         for (EndpointTable shard : shards) {
             if (shard.owner() != null && !shard.owner().isRunning()) {
-                shard.loseOwner(context.nowMs());
+                shard.clearOwner(context.nowMs());
             }
             if (shard.owner() == null && context.nowMs() - shard.ownerlessSinceMs() > ownerChangeWaitMs) {
                 shard.setOwner(hostWithFewestShards());
--- a/src/main/java/linenring/planner/SlowStart.java
+++ b/src/main/java/linenring/planner/SlowStart.java
@@ -74,8 +74,8 @@
                 && context.registry().tables().stream()
                         .anyMatch(table -> targetWeight(host, table) < CUT_THRESHOLD_RATIO * table.weight(host))
                 && (isWarm
-                        ? context.flow().mayInterrupt(host)
-                        : context.flow().mayWrite(context.registry().holdersOf(host), 1, WritePriority.URGENT));
+                        ? context.flow().mayBypassWindows(host)
+                        : context.flow().mayWrite(context.registry().proxiesHolding(host), 1, WritePriority.URGENT));
     }
 
     /** Writes the host's target weight to all tables. */
--- a/src/main/java/linenring/planner/SubsetAssigner.java
+++ b/src/main/java/linenring/planner/SubsetAssigner.java
@@ -87,7 +87,7 @@
         int hostsPerSubset = Math.max(MIN_HOSTS_PER_SUBSET, context.settings().defaultTableEntries());
         double affordableEntries = affordableEntries();
         double entriesOfFullTables = context.registry().fullTables().stream()
-                .mapToDouble(table -> table.entryCount() / table.zoneTables())
+                .mapToDouble(table -> table.entryCount() / table.zoneTableCount())
                 .sum();
         boolean isTooLarge = !isSharded()
                 && entriesOfFullTables > (subsetsPerTable > 0 ? 1 : SUBSETTING_HYSTERESIS) * affordableEntries;
@@ -109,7 +109,7 @@
     }
 
     private void removeSubsetsUnlessUsed() {
-        if (context.registry().tables().stream().noneMatch(EndpointTable::isOfSubsets)) {
+        if (context.registry().tables().stream().noneMatch(EndpointTable::isSubsetTable)) {
             context.fleet().hosts().forEach(host -> host.assignTo(Host.WITHOUT_SUBSET));
             subsetCount = 0;
         }
@@ -121,7 +121,7 @@
 
     /** Largest number of table entries that the channel can send to each proxy in time. */
     private double affordableEntries() {
-        int proxies = Math.max(1, context.fleet().joined().size());
+        int proxies = Math.max(1, context.fleet().joinedProxies().size());
         return MAX_TABLE_SEND_TIME_MS * channel().entriesPerMs() / proxies
                 - channel().messageCost()
                 - 1
@@ -133,10 +133,11 @@
     }
 
     private boolean isJoinSurge(double entriesPerJoiningProxy) {
-        double joiningProxies =
-                context.fleet().joined().stream().filter(ProxyState::isNewcomer).count();
+        double joiningProxies = context.fleet().joinedProxies().stream()
+                .filter(ProxyState::isAwaitingFirstBind)
+                .count();
         return !isSharded()
-                && context.flow().waitingEntries() + joiningProxies * entriesPerJoiningProxy
+                && context.flow().queuedEntries() + joiningProxies * entriesPerJoiningProxy
                         > MAX_JOIN_WAIT_MS * channel().entriesPerMs();
     }
 
@@ -178,7 +179,7 @@
                 .min(Comparator.comparing(this::capacityRank))
                 .orElse(0));
         context.registry().tables().stream()
-                .filter(table -> table.isOfSubsets() && table.accepts(host))
+                .filter(table -> table.isSubsetTable() && table.accepts(host))
                 .forEach(table -> table.addMember(host));
         context.statistics().markStale();
     }
@@ -205,7 +206,7 @@
     }
 
     private boolean isUnused(EndpointTable table) {
-        boolean isOutdated = !table.isOfSubsets()
+        boolean isOutdated = !table.isSubsetTable()
                 || (!joinSurge && (subsetsPerTable == 0 || Math.abs(table.subsetCount() - subsetsPerTable) > 1));
         return !context.registry().isInUse(table) && isOutdated && !partitionDetector.isAnyZonePartitioned();
     }
@@ -239,11 +240,11 @@
     }
 
     /** Returns the table with the least load per capacity, or the full table where no table has a warm host. */
-    EndpointTable leastLoaded(List<EndpointTable> tables, EndpointTable fullTable) {
+    EndpointTable leastLoadedTable(List<EndpointTable> tables, EndpointTable fullTable) {
         return tables.stream()
                 .filter(table -> table.capacity().warmWeight() > 0)
-                .min(Comparator.comparingDouble(table ->
-                        (load(table.users()) + MIN_LOAD) / table.capacity().ableWeight()))
+                .min(Comparator.comparingDouble(table -> (load(table.boundProxies()) + MIN_LOAD)
+                        / table.capacity().guaranteedWeight()))
                 .orElse(fullTable);
     }
 
@@ -252,19 +253,19 @@
      * than twice as many subsets, or the table's hosts are overloaded beside others because hosts have left its
      * subsets.
      */
-    boolean mustLeave(EndpointTable table) {
+    boolean mustMoveProxies(EndpointTable table) {
         return subsetsPerTable == 0
-                || !table.isOfSubsets()
+                || !table.isSubsetTable()
                 || MIN_CHANGE_FACTOR * table.subsetCount() < subsetsPerTable
                 || isOverloaded(table);
     }
 
     private boolean isOverloaded(EndpointTable table) {
         TableCapacity fullCapacity = context.registry().fullTableOf(table).capacity();
-        return load(table.users()) * fullCapacity.ableWeight()
+        return load(table.boundProxies()) * fullCapacity.guaranteedWeight()
                 > OVERLOAD_FACTOR
                         * fullCapacity.requestsPerSecond()
-                        * table.capacity().ableWeight();
+                        * table.capacity().guaranteedWeight();
     }
 
     private static double load(Collection<ProxyState> proxies) {
--- a/src/main/java/linenring/planner/TableRegistry.java
+++ b/src/main/java/linenring/planner/TableRegistry.java
@@ -64,16 +64,16 @@
      */
     void ensureZoneTable(EndpointTable fullTable, int zone) {
         boolean exists = tables.stream()
-                .anyMatch(table -> table.fullTable() == fullTable.fullTable() && table.homeZone() == zone);
+                .anyMatch(table -> table.fullTableIndex() == fullTable.fullTableIndex() && table.homeZone() == zone);
         if (!exists) {
-            add(nextTableNumber(), fullTable.operations(), zone, fullTable.fullTable());
+            add(nextTableNumber(), fullTable.operations(), zone, fullTable.fullTableIndex());
         }
     }
 
     /** Returns the table that replaces a full table and holds the given subsets, or null if there is none. */
     EndpointTable findSubsetTable(EndpointTable fullTable, int firstSubset, int subsetCount) {
         for (EndpointTable table : tables) {
-            if (table.fullTable() == fullTable.fullTable()
+            if (table.fullTableIndex() == fullTable.fullTableIndex()
                     && table.firstSubset() == firstSubset
                     && table.subsetCount() == subsetCount) {
                 return table;
@@ -88,7 +88,7 @@
                 fullTable.operations(),
                 representativeOperation(fullTable.operations()),
                 fullTable.homeZone(),
-                fullTable.fullTable(),
+                fullTable.fullTableIndex(),
                 firstSubset,
                 subsetCount,
                 new ArrayList<>());
@@ -98,7 +98,7 @@
     }
 
     /** Returns the table of a shard, which applies to all operations; adds the table if it does not exist. */
-    EndpointTable ofShard(int shardNumber) {
+    EndpointTable shardTable(int shardNumber) {
         for (EndpointTable table : tables) {
             if (table.number() == shardNumber) {
                 return table;
@@ -155,16 +155,16 @@
 
     /** Returns the full table that the given table replaces, or the table itself if it is a full table. */
     EndpointTable fullTableOf(EndpointTable table) {
-        return tables.get(table.fullTable());
+        return tables.get(table.fullTableIndex());
     }
 
-    boolean isFull(EndpointTable table) {
-        return table.fullTable() < fullTableCount && fullTableOf(table) == table;
+    boolean isFullTable(EndpointTable table) {
+        return table.fullTableIndex() < fullTableCount && fullTableOf(table) == table;
     }
 
     /** Whether proxies use the table now, or may be bound to it when they join. */
     boolean isInUse(EndpointTable table) {
-        return sharded || isFull(table) || !table.users().isEmpty();
+        return sharded || isFullTable(table) || !table.boundProxies().isEmpty();
     }
 
     void removeAll(List<EndpointTable> unusedTables) {
@@ -172,22 +172,22 @@
     }
 
     /** Removes a host from the members of all tables that hold subsets of the fleet. */
-    void forget(Host host) {
+    void removeFromSubsetTables(Host host) {
         for (EndpointTable table : tables) {
-            if (table.isOfSubsets()) {
+            if (table.isSubsetTable()) {
                 table.removeMember(host);
             }
         }
     }
 
     /** Returns the tables that have an entry for the host. */
-    List<EndpointTable> holding(Host host) {
+    List<EndpointTable> tablesHolding(Host host) {
         return tables.stream().filter(table -> table.holds(host)).toList();
     }
 
     /** Returns the proxies that receive the writes to the table. */
-    Collection<ProxyState> usersOf(EndpointTable table) {
-        return sharded ? fleet.joined() : table.users();
+    Collection<ProxyState> proxiesUsing(EndpointTable table) {
+        return sharded ? fleet.joinedProxies() : table.boundProxies();
     }
 
     /** Whether the proxy may send requests to the host. A proxy that is not bound yet may hold any host. */
@@ -196,7 +196,9 @@
     }
 
     /** Returns the proxies that may hold the host, and therefore receive messages about it. */
-    List<ProxyState> holdersOf(Host host) {
-        return fleet.joined().stream().filter(proxy -> mayHold(proxy, host)).toList();
+    List<ProxyState> proxiesHolding(Host host) {
+        return fleet.joinedProxies().stream()
+                .filter(proxy -> mayHold(proxy, host))
+                .toList();
     }
 }
--- a/src/main/java/linenring/planner/TableWriter.java
+++ b/src/main/java/linenring/planner/TableWriter.java
@@ -31,7 +31,7 @@
         if (weight != table.weight(host)) {
             commands.setWeight(table.number(), host.id(), weight);
             table.setWeight(host, weight);
-            registry.usersOf(table).forEach(proxy -> flow.reserve(proxy, 1 + extraEntries(host, proxy)));
+            registry.proxiesUsing(table).forEach(proxy -> flow.reserve(proxy, 1 + extraEntries(host, proxy)));
         }
     }
 
@@ -54,8 +54,8 @@
         host.setEjected(eject);
         statistics.markStale();
         commands.setEjected(host.id(), eject);
-        registry.holdersOf(host).forEach(proxy -> flow.reserve(proxy, 1));
-        registry.holding(host).forEach(table -> table.markWritten(time.nowMs()));
+        registry.proxiesHolding(host).forEach(proxy -> flow.reserve(proxy, 1));
+        registry.tablesHolding(host).forEach(table -> table.markWritten(time.nowMs()));
     }
 
     /** Number of entries that it takes to bind the proxy to the table. */
@@ -84,6 +84,6 @@
     /** Sets the admission ratio of one operation, in the unit that the settings specify, and its retry policy. */
     void writeAdmission(EndpointTable table, int operation, double admissionRatio, RetryPolicy retryPolicy) {
         commands.setAdmission(table.number(), 1 << operation, admissionRatio, retryPolicy);
-        registry.usersOf(table).forEach(proxy -> flow.reserve(proxy, 1));
+        registry.proxiesUsing(table).forEach(proxy -> flow.reserve(proxy, 1));
     }
 }
--- a/src/main/java/linenring/planner/TickTimer.java
+++ b/src/main/java/linenring/planner/TickTimer.java
@@ -33,7 +33,7 @@
     /**
      * Returns the time of the next call to request; infinity if this call is requested already or no decision is due.
      */
-    double ask(double nowMs, double dueMs) {
+    double nextCallAtMs(double nowMs, double dueMs) {
         lastTickMs = lastTickBy(nowMs, ROUNDING_MS);
         double nextCallMs = lastTickMs + tickMs * Math.max(1, Math.ceil((dueMs - lastTickMs) / tickMs));
         boolean isRequested = nextCallMs == requestedCallMs;
--- a/src/main/java/linenring/planner/UpdateScheduler.java
+++ b/src/main/java/linenring/planner/UpdateScheduler.java
@@ -40,7 +40,7 @@
         EndpointTable smallestUpdate = context.registry().tables().stream()
                 .filter(table -> table.isEmpty()
                         || context.flow().hasMessageGapElapsed(table, gapMs)
-                        || admission.isCutDue(table))
+                        || admission.isAdmissionCutPending(table))
                 .filter(table -> changes.pendingWrites(table) > 0 && !mustWaitForBinds(table) && fitsAllProxies(table))
                 .min(Comparator.comparingDouble(changes::pendingEntries))
                 .orElse(null);
@@ -52,7 +52,7 @@
 
     /** Whether the table's entries must wait for pending binds, by the depth rule. */
     private boolean mustWaitForBinds(EndpointTable table) {
-        double bindEntries = context.registry().isFull(table) ? binder.pendingBindEntries(table) : 0;
+        double bindEntries = context.registry().isFullTable(table) ? binder.pendingBindEntries(table) : 0;
         if (bindEntries == 0) {
             return false;
         }
@@ -71,7 +71,7 @@
      * size includes the extra entries for proxies that other controllers were in charge of before.
      */
     private boolean fitsAllProxies(EndpointTable table) {
-        Collection<ProxyState> proxies = context.registry().usersOf(table);
+        Collection<ProxyState> proxies = context.registry().proxiesUsing(table);
         List<Host> piece = changes.nextPiece(table);
         int maxExtraEntries = proxies.stream()
                 .mapToInt(proxy -> piece.stream()
--- a/src/test/java/linenring/planner/AdmissionControllerTest.java
+++ b/src/test/java/linenring/planner/AdmissionControllerTest.java
@@ -36,12 +36,12 @@
         for (int second = 0; second < 4; second++) {
             fleet.planner().requestRate(0, 0, 1000, 50);
             fleet.planner().requestRate(0, 1, 1000, 20);
-            fleet.passSecond(4, 0, 20, 900, 0, NONE);
+            fleet.reportAndAdvanceOneSecond(4, 0, 20, 900, 0, NONE);
         }
         assertTrue(fleet.admissionByMask().get(1) < 0.9);
         assertEquals(1, fleet.admissionByMask().get(2));
         for (int second = 0; second < 30; second++) {
-            fleet.passSecond(4, 0, 20, 100, 0, NONE);
+            fleet.reportAndAdvanceOneSecond(4, 0, 20, 100, 0, NONE);
         }
         assertEquals(1, fleet.admissionByMask().get(1));
     }
@@ -57,16 +57,17 @@
         fleet.setReportSpanMs(5000);
         for (int second = 0; second < 20; second++) {
             fleet.planner().requestRate(0, 0, 1000, 100);
-            fleet.passSecond(6, 0, 20, 200, 0, NONE);
+            fleet.reportAndAdvanceOneSecond(6, 0, 20, 200, 0, NONE);
         }
         double ratioAfterCut = 1;
         for (int second = 0; second < 12 && ratioAfterCut == 1; second++) {
-            fleet.passSecond(6, 0, 20, 900, 0, NONE);
+            fleet.reportAndAdvanceOneSecond(6, 0, 20, 900, 0, NONE);
             ratioAfterCut = fleet.admissionByMask().getOrDefault(1, 1.0);
         }
         assertTrue(ratioAfterCut < 1);
         for (int second = 0; second < 6; second++) {
-            fleet.passSecond(6, 0, 20, 900, 0, NONE); // these reports still show traffic from before the cut
+            fleet.reportAndAdvanceOneSecond(
+                    6, 0, 20, 900, 0, NONE); // these reports still show traffic from before the cut
             assertEquals(ratioAfterCut, fleet.admissionByMask().get(1));
         }
     }
@@ -80,12 +81,12 @@
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 2);
         for (int second = 0; second < 5; second++) {
             fleet.planner().requestRate(0, 0, 1000, 100);
-            fleet.passSecond(6, 0, 30, 800, 20, Set.of(0, 1, 2, 3, 4, 5));
+            fleet.reportAndAdvanceOneSecond(6, 0, 30, 800, 20, Set.of(0, 1, 2, 3, 4, 5));
         }
         assertEquals(RetryPolicy.NONE, fleet.retryPolicyByMask().get(1));
         assertEquals(NONE, fleet.ejected()); // no host is ejected, since all hosts fail alike
         for (int second = 0; second < 30; second++) {
-            fleet.passSecond(6, 0, 20, 100, 0, NONE);
+            fleet.reportAndAdvanceOneSecond(6, 0, 20, 100, 0, NONE);
         }
         assertEquals(RetryPolicy.ONE_IF_NOT_EXECUTED, fleet.retryPolicyByMask().get(1));
     }
--- a/src/test/java/linenring/planner/ChannelAccountingTest.java
+++ b/src/test/java/linenring/planner/ChannelAccountingTest.java
@@ -19,7 +19,7 @@
         fleet.drainHost(1);
         fleet.reconcile(); // 960 of 1500 entries are queued: the second drain must wait for acknowledgements
         assertEquals(Set.of(0), fleet.ejected());
-        fleet.pass(200);
+        fleet.advance(200);
         assertEquals(Set.of(0, 1), fleet.ejected());
     }
 
@@ -46,7 +46,7 @@
                         200); // this message may have been sent first: the others may still be queued
         fleet.reconcile();
         assertEquals(Set.of(0), fleet.ejected());
-        fleet.pass(10_000); // even at a fifth of the stated rate the queue is empty by now
+        fleet.advance(10_000); // even at a fifth of the stated rate the queue is empty by now
         assertEquals(Set.of(0, 1), fleet.ejected());
     }
 
@@ -58,18 +58,18 @@
     void dropsEarlierMessagesAfterLaterAcknowledgement() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 120);
         for (int proxy = 1; proxy < 120; proxy++) {
-            fleet.silent().add(proxy); // the acknowledgements of these proxies are lost
+            fleet.unresponsiveProxies().add(proxy); // the acknowledgements of these proxies are lost
         }
         fleet.drainHost(0);
-        fleet.reconcile().pass(200); // only proxy 0 has acknowledged: 714 entries may still be queued
+        fleet.reconcile().advance(200); // only proxy 0 has acknowledged: 714 entries may still be queued
         fleet.join(120); // the bind is a later message, sent after the unacknowledged ones
-        fleet.pass(400);
+        fleet.advance(400);
         for (int host : new int[] {1, 2}) { // 726 entries for each drain; the queue limit is 1500
             fleet.drainHost(host);
             fleet.reconcile();
         }
         assertEquals(Set.of(0, 1), fleet.ejected()); // the channel needs 0.7 s to send the first 714 entries
-        fleet.pass(1000);
+        fleet.advance(1000);
         assertEquals(Set.of(0, 1, 2), fleet.ejected());
     }
 
@@ -82,7 +82,8 @@
     void keepsOlderMessagesWhenLaterOneOvertakesThem() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 100);
         for (int proxy = 0; proxy < 100; proxy++) {
-            fleet.silent().add(proxy); // the channel is slow: these proxies have not received the message yet
+            fleet.unresponsiveProxies()
+                    .add(proxy); // the channel is slow: these proxies have not received the message yet
         }
         fleet.drainHost(0);
         fleet.reconcile(); // the drain takes 600 of the 1500 entries that the queue may hold
@@ -91,8 +92,8 @@
             fleet.joined().remove(proxy);
         }
         fleet.join(100);
-        fleet.pass(300); // proxy 100 is bound and acknowledges before the older messages are acknowledged
-        assertTrue(fleet.bound().containsKey(100));
+        fleet.advance(300); // proxy 100 is bound and acknowledges before the older messages are acknowledged
+        assertTrue(fleet.tableByProxy().containsKey(100));
         for (int host : new int[] {1, 2}) { // 486 entries for each drain
             fleet.drainHost(host);
             fleet.reconcile();
@@ -115,11 +116,11 @@
     void countsExtraEntriesOfBind() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 0);
         fleet.setExtraEntriesOfBind(400);
-        fleet.silent().addAll(Set.of(0, 1, 2, 3, 4, 5));
+        fleet.unresponsiveProxies().addAll(Set.of(0, 1, 2, 3, 4, 5));
         for (int proxy = 0; proxy < 6; proxy++) {
             fleet.join(proxy);
         }
         fleet.reconcile();
-        assertEquals(3, fleet.bound().size()); // three binds take 1,236 of 1500 entries; a fourth does not fit
+        assertEquals(3, fleet.tableByProxy().size()); // three binds take 1,236 of 1500 entries; a fourth does not fit
     }
 }
--- a/src/test/java/linenring/planner/ColdHostsTest.java
+++ b/src/test/java/linenring/planner/ColdHostsTest.java
@@ -18,10 +18,10 @@
                 .withRequestsPerSecond(requestsPerSecondOfProxy)
                 .start(6, 2);
         for (int second = 0; second < 3; second++) {
-            fleet.passSecond(6, 0, 30, 800, 20, Set.of(0, 1, 2, 3, 4, 5));
+            fleet.reportAndAdvanceOneSecond(6, 0, 30, 800, 20, Set.of(0, 1, 2, 3, 4, 5));
         }
         fleet.startHost(6);
-        return fleet.reconcile().pass(500);
+        return fleet.reconcile().advance(500);
     }
 
     /**
@@ -33,13 +33,13 @@
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 2);
         fleet.drainHost(0);
         fleet.reconcile();
-        fleet.pass(3000);
+        fleet.advance(3000);
         fleet.startHost(0);
         fleet.reconcile();
-        fleet.pass(1000);
+        fleet.advance(1000);
         assertFalse(fleet.ejected().contains(0));
         assertTrue(fleet.weight(0, 0) > 0 && fleet.weight(0, 0) < 0.4);
-        fleet.pass(12_000);
+        fleet.advance(12_000);
         assertEquals(1, fleet.weight(0, 0));
     }
 
@@ -66,12 +66,12 @@
     void limitsEachOfManyColdHostsToItsGuaranteedCapacity() {
         FakeProxies fleetWithOneColdHost = new FakeProxies(settings(0)).start(6, 2);
         fleetWithOneColdHost.startHost(0);
-        fleetWithOneColdHost.reconcile().pass(300);
+        fleetWithOneColdHost.reconcile().advance(300);
         FakeProxies fleetWithManyColdHosts = new FakeProxies(settings(0)).start(6, 2);
         for (int host = 0; host < 4; host++) {
             fleetWithManyColdHosts.startHost(host);
         }
-        fleetWithManyColdHosts.reconcile().pass(300);
+        fleetWithManyColdHosts.reconcile().advance(300);
         assertTrue(fleetWithOneColdHost.weight(0, 0) > 0 && fleetWithOneColdHost.weight(0, 0) <= 0.2);
         assertEquals(fleetWithOneColdHost.weight(0, 0), fleetWithManyColdHosts.weight(0, 0), 0.03);
     }
@@ -85,7 +85,7 @@
         FakeProxies fleet = startHostInRetryStorm(10);
         assertEquals(0, fleet.weight(0, 6));
         for (int second = 0; second < 9; second++) {
-            fleet.passSecond(6, 0, 10, 100, 0, NONE);
+            fleet.reportAndAdvanceOneSecond(6, 0, 10, 100, 0, NONE);
         }
         assertTrue(fleet.weight(0, 6) > 0);
     }
@@ -109,11 +109,11 @@
     void detectsNoStormAfterFirstReportsWithFewAttempts() {
         FakeProxies fleet =
                 new FakeProxies(settings(0)).withRequestsPerSecond(10).start(12, 2);
-        fleet.passSecond(12, 0, 2, 100, 0, NONE); // 24 attempts in total, but no host has three
-        fleet.passSecond(12, 0, 30, 500, 0, NONE);
+        fleet.reportAndAdvanceOneSecond(12, 0, 2, 100, 0, NONE); // 24 attempts in total, but no host has three
+        fleet.reportAndAdvanceOneSecond(12, 0, 30, 500, 0, NONE);
         fleet.startHost(12);
         fleet.reconcile();
-        fleet.pass(500);
+        fleet.advance(500);
         assertTrue(fleet.weight(0, 12) > 0);
     }
 }
--- a/src/test/java/linenring/planner/DrainSchedulerTest.java
+++ b/src/test/java/linenring/planner/DrainSchedulerTest.java
@@ -16,7 +16,7 @@
     @Test
     void drainsDespiteFullWindows() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 2);
-        fleet.silent().addAll(Set.of(0, 1));
+        fleet.unresponsiveProxies().addAll(Set.of(0, 1));
         for (int host = 0; host < 3; host++) {
             fleet.drainHost(host);
             fleet.reconcile();
@@ -55,7 +55,7 @@
         fleet.reconcile(); // each drain needs 720 entries or more: neither fits into the queue
         assertEquals(Set.of(0, 1), fleet.ejected());
         assertEquals(requestsBefore, fleet.acknowledgementRequests());
-        fleet.pass(100);
+        fleet.advance(100);
         assertEquals(Set.of(0, 1, 2, 3), fleet.ejected());
     }
 
@@ -68,13 +68,14 @@
         FakeProxies fleet = new FakeProxies(settings(0)).start(12, 40);
         fleet.setAcknowledgementMs(4000); // the drain grace is 2 s
         fleet.startHost(12);
-        fleet.pass(3000);
-        fleet.silent().addAll(fleet.joined());
+        fleet.advance(3000);
+        fleet.unresponsiveProxies().addAll(fleet.joined());
         fleet.drainHost(0);
         fleet.reconcile();
         fleet.drainHost(1);
         fleet.reconcile(); // both drains take 480 of the 1500 entries that the queue may hold
-        fleet.passSecond(12, 0, 10, 100, 9, Set.of(5)).passSecond(12, 0, 10, 100, 9, Set.of(5));
+        fleet.reportAndAdvanceOneSecond(12, 0, 10, 100, 9, Set.of(5))
+                .reportAndAdvanceOneSecond(12, 0, 10, 100, 9, Set.of(5));
         assertEquals(Set.of(0, 1), fleet.ejected());
         fleet.drainHost(2);
         fleet.reconcile();
--- a/src/test/java/linenring/planner/FakeProxies.java
+++ b/src/test/java/linenring/planner/FakeProxies.java
@@ -21,7 +21,7 @@
     private final Map<Integer, Double> admissionByMask = new TreeMap<>();
     private final Map<Integer, RetryPolicy> retryPolicyByMask = new TreeMap<>();
     private final Set<Integer> ejected = new TreeSet<>();
-    private final Set<Integer> silent = new TreeSet<>();
+    private final Set<Integer> unresponsiveProxies = new TreeSet<>();
     private final Set<Integer> joined = new TreeSet<>();
     private final List<Integer> unacknowledgedNonces = new ArrayList<>();
     private final Planner planner;
@@ -78,7 +78,7 @@
         for (int proxy = 0; proxy < proxies; proxy++) {
             join(proxy);
         }
-        return reconcile().pass(10_500); // long enough for the controller's start-up phase to end
+        return reconcile().advance(10_500); // long enough for the controller's start-up phase to end
     }
 
     Planner planner() {
@@ -118,14 +118,14 @@
     }
 
     /** Advances the clock in steps; each message is acknowledged one step later, except by unresponsive proxies. */
-    FakeProxies pass(double durationMs) {
+    FakeProxies advance(double durationMs) {
         double endMs = nowMs + durationMs;
         while (nowMs < endMs) {
             nowMs += STEP_MS;
             planner.advanceClock(nowMs);
             for (int nonce : unacknowledgedNonces) {
                 joined.stream()
-                        .filter(proxy -> !silent.contains(proxy))
+                        .filter(proxy -> !unresponsiveProxies.contains(proxy))
                         .forEach(proxy -> planner.messageAcknowledged(proxy, nonce, acknowledgementMs));
             }
             unacknowledgedNonces.clear();
@@ -138,13 +138,13 @@
      * Reports the given number of attempts at each host in one second, some of them failed at the failing hosts; then
      * advances the clock by one second.
      */
-    FakeProxies passSecond(
+    FakeProxies reportAndAdvanceOneSecond(
             int hosts, int proxyZone, int attempts, double meanMs, int failed, Set<Integer> failingHosts) {
         for (int host = 0; host < hosts; host++) {
             planner.hostStatistics(
                     host, proxyZone, attempts, failingHosts.contains(host) ? failed : 0, meanMs, reportSpanMs);
         }
-        return pass(1000);
+        return advance(1000);
     }
 
     /** Returns the weight with which the proxy chooses the host; 0 while the host is ejected. */
@@ -163,7 +163,7 @@
     }
 
     /** Returns the number of the table that each bound proxy was last bound to, by proxy. */
-    Map<Integer, Integer> bound() {
+    Map<Integer, Integer> tableByProxy() {
         return tableByProxy;
     }
 
@@ -184,8 +184,8 @@
     }
 
     /** Returns the modifiable set of proxies that do not acknowledge messages. */
-    Set<Integer> silent() {
-        return silent;
+    Set<Integer> unresponsiveProxies() {
+        return unresponsiveProxies;
     }
 
     int acknowledgementRequests() {
--- a/src/test/java/linenring/planner/IdlePlannerTest.java
+++ b/src/test/java/linenring/planner/IdlePlannerTest.java
@@ -24,30 +24,30 @@
         PlannerHistory everyTick = history(seed, true);
         PlannerHistory onDemand = history(seed, false);
         assertSameDecisions(everyTick.decisions(), onDemand.decisions());
-        assertTrue(onDemand.calls() <= everyTick.calls());
+        assertTrue(onDemand.callCount() <= everyTick.callCount());
     }
 
     @Test
     void isNotCalledWhileNothingIsDue() {
         PlannerHistory history = new PlannerHistory(false, false);
         startFleet(history);
-        history.passTo(120_000); // by this time the joins are acknowledged and the first admission ratios are written
-        int callsBeforeIdleHour = history.calls();
-        history.passTo(120_000 + HOUR_MS);
-        assertEquals(callsBeforeIdleHour, history.calls());
+        history.playTo(120_000); // by this time the joins are acknowledged and the first admission ratios are written
+        int callsBeforeIdleHour = history.callCount();
+        history.playTo(120_000 + HOUR_MS);
+        assertEquals(callsBeforeIdleHour, history.callCount());
     }
 
     @Test
     void startsProbationOfUnhealthyHostWithoutReports() {
         PlannerHistory history = new PlannerHistory(false, false);
         startFleet(history);
-        history.passTo(20_000);
+        history.playTo(20_000);
         history.at(20_000, planner -> {
             for (int host = 0; host < HOSTS; host++) {
                 planner.hostStatistics(host, 0, 20, host == 3 ? 20 : 0, 100, 1000);
             }
         });
-        history.passTo(40_000);
+        history.playTo(40_000);
         assertTrue(
                 history.decisions().stream().anyMatch(decision -> decision.endsWith("eject 3 true")),
                 "host 3 was ejected");
@@ -94,7 +94,7 @@
                     elapsedMs % 100 == 99 ? 1 : 0; // an input in the millisecond before a tick would count as the tick
             addEvent(history, elapsedMs, random);
         }
-        history.passTo(elapsedMs + 200_000);
+        history.playTo(elapsedMs + 200_000);
         return history;
     }
 
@@ -106,7 +106,7 @@
         int failed = random.nextInt(3) == 0 ? random.nextInt(20) : 0;
         double meanMs = 50 + random.nextInt(1500);
         Consumer<Planner> event = switch (random.nextInt(9)) {
-            case 0 -> planner -> startHost(planner, host, history.now());
+            case 0 -> planner -> startHost(planner, host, history.nowMs());
             case 1 -> planner -> drainHost(planner, host);
             case 2 -> planner -> readCompleteList(planner, host);
             case 3 -> planner -> planner.proxyJoined(proxy, proxy % 2, 1 + proxy);
--- a/src/test/java/linenring/planner/OutlierDetectorTest.java
+++ b/src/test/java/linenring/planner/OutlierDetectorTest.java
@@ -25,12 +25,12 @@
         fleet.planner().requestRate(0, 0, 1000, 50);
         for (int second = 0; second < 3; second++) {
             fleet.planner().hostStatistics(2, 0, 10, 1, 900, 1000);
-            fleet.passSecond(2, 0, 10, 200, 0, NONE);
+            fleet.reportAndAdvanceOneSecond(2, 0, 10, 200, 0, NONE);
             fleet.planner().hostStatistics(3, 0, 10, 0, 200, 1000);
             fleet.planner().hostStatistics(4, 0, 10, 0, 200, 1000);
         }
         assertEquals(0.5, fleet.weight(0, 2));
-        fleet.pass(8000);
+        fleet.advance(8000);
         assertEquals(0.5, fleet.weight(0, 2));
         assertEquals(NONE, fleet.ejected());
     }
@@ -49,7 +49,7 @@
             for (int host = 3; host < 12; host++) {
                 fleet.planner().hostStatistics(host, 0, 2, 0, 200, 1000);
             }
-            fleet.pass(1000);
+            fleet.advance(1000);
         }
         assertEquals(0.25, fleet.weight(0, 2));
         assertEquals(1, fleet.weight(0, 3));
@@ -71,7 +71,7 @@
         for (int host = 0; host < 40; host++) {
             fleet.planner().hostStatistics(host, 0, 4, 0, host < 20 ? 200 : 900, 1000);
         }
-        fleet.pass(2000);
+        fleet.advance(2000);
         assertEquals(0.5, fleet.weight(0, 30));
         assertEquals(1, fleet.weight(0, 10));
     }
@@ -80,10 +80,10 @@
     @Test
     void ejectsFailingHostAndStartsProbationWithSmallWeight() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 2);
-        fleet.passSecond(6, 0, 10, 100, 0, NONE).passSecond(6, 0, 10, 100, 9, Set.of(3));
+        fleet.reportAndAdvanceOneSecond(6, 0, 10, 100, 0, NONE).reportAndAdvanceOneSecond(6, 0, 10, 100, 9, Set.of(3));
         assertEquals(Set.of(3), fleet.ejected());
         for (int second = 0; second < 3; second++) {
-            fleet.passSecond(3, 0, 10, 100, 0, NONE);
+            fleet.reportAndAdvanceOneSecond(3, 0, 10, 100, 0, NONE);
         }
         assertTrue(fleet.weight(0, 3) > 0 && fleet.weight(0, 3) < 0.2);
     }
@@ -100,7 +100,7 @@
             for (int reportedHost = 0; reportedHost < 30; reportedHost++) {
                 fleet.planner().hostStatistics(reportedHost, 0, 10, reportedHost <= host ? 10 : 0, 100, 1000);
             }
-            fleet.pass(500);
+            fleet.advance(500);
         }
         assertTrue(fleet.acknowledgementRequests() - requestsBefore <= 8);
         fleet.drainHost(29);
@@ -116,7 +116,8 @@
     @Test
     void keepsHalfOfTableThoughMostHostsFail() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 2);
-        fleet.passSecond(6, 0, 10, 100, 0, NONE).passSecond(6, 0, 20, 100, 20, Set.of(0, 1, 2, 3));
+        fleet.reportAndAdvanceOneSecond(6, 0, 10, 100, 0, NONE)
+                .reportAndAdvanceOneSecond(6, 0, 20, 100, 20, Set.of(0, 1, 2, 3));
         assertTrue(fleet.ejected().size() <= 3);
     }
 
@@ -127,7 +128,7 @@
     @Test
     void restoresUnhealthyHostWhenNoOtherIsLeft() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 2);
-        fleet.passSecond(6, 0, 10, 100, 0, NONE).passSecond(6, 0, 10, 100, 9, Set.of(3));
+        fleet.reportAndAdvanceOneSecond(6, 0, 10, 100, 0, NONE).reportAndAdvanceOneSecond(6, 0, 10, 100, 9, Set.of(3));
         assertEquals(Set.of(3), fleet.ejected());
         for (int host : new int[] {0, 1, 2, 4, 5}) {
             fleet.drainHost(host);
--- a/src/test/java/linenring/planner/PartitionDetectorTest.java
+++ b/src/test/java/linenring/planner/PartitionDetectorTest.java
@@ -21,20 +21,20 @@
     @Test
     void restrictsProxiesToTheirZoneDuringPartition() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 2);
-        int fullTable = fleet.bound().get(1);
+        int fullTable = fleet.tableByProxy().get(1);
         fleet.planner().requestRate(0, 0, 1000, 2);
         for (int second = 0; second < 2; second++) {
             // all attempts of zone 1 at hosts of zone 0 fail
             for (int host = 0; host < 6; host++) {
                 fleet.planner().hostStatistics(host, 1, 10, host % 2 == 0 ? 10 : 0, 100, 1000);
             }
-            fleet.passSecond(6, 0, 10, 100, 0, NONE);
+            fleet.reportAndAdvanceOneSecond(6, 0, 10, 100, 0, NONE);
         }
         assertEquals(NONE, fleet.ejected());
-        assertEquals(fullTable, fleet.bound().get(0));
+        assertEquals(fullTable, fleet.tableByProxy().get(0));
         assertEquals(Set.of(1, 3, 5), fleet.entries(1).keySet());
-        fleet.pass(12_000);
-        assertEquals(fullTable, fleet.bound().get(1));
+        fleet.advance(12_000);
+        assertEquals(fullTable, fleet.tableByProxy().get(1));
         assertEquals(Set.of(fullTable), fleet.tables().keySet());
     }
 
@@ -50,9 +50,9 @@
             for (int host = 0; host < 6; host++) {
                 fleet.planner().hostStatistics(host, 1, 10, host % 2 == 0 ? 10 : 0, 100, 1000);
             }
-            fleet.passSecond(6, 0, 10, 100, 0, NONE);
+            fleet.reportAndAdvanceOneSecond(6, 0, 10, 100, 0, NONE);
         }
-        fleet.pass(2000);
+        fleet.advance(2000);
         assertTrue(fleet.tables().values().stream()
                 .anyMatch(table -> table.keySet().equals(Set.of(1, 3, 5)))); // the table of zone 1
     }
--- a/src/test/java/linenring/planner/PlannerHistory.java
+++ b/src/test/java/linenring/planner/PlannerHistory.java
@@ -27,11 +27,11 @@
         this.hasUnresponsiveProxy = hasUnresponsiveProxy;
     }
 
-    double now() {
+    double nowMs() {
         return player.nowMs();
     }
 
-    int calls() {
+    int callCount() {
         return player.callCount();
     }
 
@@ -45,19 +45,19 @@
         player.at(elapsedMs, input);
     }
 
-    void passTo(double elapsedMs) {
+    void playTo(double elapsedMs) {
         player.playTo(elapsedMs);
     }
 
     private void requestTick() {
-        if (isCalledEveryTick && nextTickMs <= now() + ROUNDING_MS) {
-            nextTickMs = now() + TICK_MS;
+        if (isCalledEveryTick && nextTickMs <= nowMs() + ROUNDING_MS) {
+            nextTickMs = nowMs() + TICK_MS;
             player.requestCall(nextTickMs);
         }
     }
 
     private void recordDecision(String command) {
-        decisions.add(now() + " " + command);
+        decisions.add(nowMs() + " " + command);
     }
 
     @Override
@@ -102,7 +102,7 @@
             int acknowledgingProxy = proxy;
             if (!hasUnresponsiveProxy || proxy != UNRESPONSIVE_PROXY) {
                 player.atTime(
-                        now() + ACKNOWLEDGEMENT_MS,
+                        nowMs() + ACKNOWLEDGEMENT_MS,
                         planner -> planner.messageAcknowledged(acknowledgingProxy, nonce, ACKNOWLEDGEMENT_MS));
             }
         }
--- a/src/test/java/linenring/planner/RandomFleet.java
+++ b/src/test/java/linenring/planner/RandomFleet.java
@@ -259,7 +259,7 @@
 
     private void reportRates(Planner planner, int proxy) {
         int operations = shape.settings().operations().size();
-        boolean sendsRates = isJoined[proxy] && history.now() >= PlannerPlayer.START_MS + shape.requestRatesFromMs();
+        boolean sendsRates = isJoined[proxy] && history.nowMs() >= PlannerPlayer.START_MS + shape.requestRatesFromMs();
         for (int operation = 0; sendsRates && operation < operations; operation++) {
             double expected = shape.requestsPerSecond() / operations * (0.7 + 0.6 * random.nextDouble());
             planner.requestRate(proxy, operation, REPORT_MS, (int) (expected + random.nextDouble()));
@@ -294,7 +294,7 @@
         for (int i = 0; i < Math.min(missing, 1 + random.nextInt(6)); i++) {
             int host = newHost();
             double age = happens(0.2) ? 60_000 : random.nextInt(4000);
-            ready(planner, host, history.now() - age);
+            ready(planner, host, history.nowMs() - age);
         }
         planner.endHostList();
     }
@@ -303,7 +303,7 @@
         int host = drawRunningHost();
         if (host >= 0) {
             planner.beginHostList(false);
-            ready(planner, host, history.now() - random.nextInt(500));
+            ready(planner, host, history.nowMs() - random.nextInt(500));
             planner.endHostList();
         }
     }
--- a/src/test/java/linenring/planner/ReconcileMeasurement.java
+++ b/src/test/java/linenring/planner/ReconcileMeasurement.java
@@ -63,7 +63,7 @@
         fleet.reconcile();
         double joinMs = measure(this::joinAllProxies);
         fleet.joined().addAll(IntStream.range(0, proxies).boxed().toList());
-        fleet.pass(20_000);
+        fleet.advance(20_000);
         int nonce = fleet.acknowledgementRequests();
         double acknowledgementMs = measure(() -> planner.messageAcknowledged(0, nonce, 100));
         double reportMs = 0;
--- a/src/test/java/linenring/planner/RecordedHistory.java
+++ b/src/test/java/linenring/planner/RecordedHistory.java
@@ -42,7 +42,7 @@
         player = new PlannerPlayer(settings, this, this::scheduleAcknowledgements);
     }
 
-    double now() {
+    double nowMs() {
         return player.nowMs();
     }
 
@@ -68,7 +68,7 @@
 
     /** Records a command, or a value that the planner returned, with the current time. */
     void record(String command) {
-        commands.add(String.format(Locale.ROOT, "%.3f %s", now() - PlannerPlayer.START_MS, command));
+        commands.add(String.format(Locale.ROOT, "%.3f %s", nowMs() - PlannerPlayer.START_MS, command));
     }
 
     void playTo(double elapsedMs) {
@@ -130,10 +130,10 @@
 
     @Override
     public double entriesInMessage(int proxy, double expectedEntries) {
-        double sentAtMs = now();
+        double sentAtMs = nowMs();
         int requestedNonce = nonce;
         double entries = expectedEntries + MESSAGE_OVERHEAD_ENTRIES;
-        channelFreeAtMs = Math.max(now(), channelFreeAtMs)
+        channelFreeAtMs = Math.max(nowMs(), channelFreeAtMs)
                 + entries * channelSlowdown / settings.channel().entriesPerMs();
         double acknowledgedAtMs = channelFreeAtMs + 2 * settings.channel().transitMs();
         if (!isUnresponsive(proxy, acknowledgedAtMs)) {
--- a/src/test/java/linenring/planner/ShardPlacementTest.java
+++ b/src/test/java/linenring/planner/ShardPlacementTest.java
@@ -23,10 +23,10 @@
         fleet.reconcile();
         fleet.drainHost(1);
         fleet.reconcile();
-        fleet.pass(3000);
+        fleet.advance(3000);
         assertEquals(
                 NONE, fleet.tables().getOrDefault(2, new java.util.TreeMap<>()).keySet());
-        fleet.pass(6000);
+        fleet.advance(6000);
         assertEquals(1, fleet.tables().get(2).size());
     }
 }
--- a/src/test/java/linenring/planner/SubsetAssignerTest.java
+++ b/src/test/java/linenring/planner/SubsetAssignerTest.java
@@ -17,7 +17,7 @@
     }
 
     private static boolean isInUse(FakeProxies fleet, int host) {
-        return fleet.bound().values().stream()
+        return fleet.tableByProxy().values().stream()
                 .anyMatch(table -> fleet.tables().get(table).containsKey(host));
     }
 
@@ -35,25 +35,26 @@
     @Test
     void givesJoiningProxiesSubsetTablesDuringJoinSurge() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(40, 2);
-        int fullTable = fleet.bound().get(0);
+        int fullTable = fleet.tableByProxy().get(0);
         // 98 proxies join: 100 full tables take 4.6 s to send, and tables of the default table's size 1.2 s
         for (int proxy = 2; proxy < 100; proxy++) {
             fleet.join(proxy);
         }
         fleet.reconcile();
-        assertEquals(100, fleet.bound().size());
-        assertTrue(fleet.bound().get(99) != fullTable && fleet.entries(99).size() < 10);
-        fleet.pass(8000);
-        assertEquals(fullTable, fleet.bound().get(0)); // a proxy that has a full table keeps it
+        assertEquals(100, fleet.tableByProxy().size());
+        assertTrue(
+                fleet.tableByProxy().get(99) != fullTable && fleet.entries(99).size() < 10);
+        fleet.advance(8000);
+        assertEquals(fullTable, fleet.tableByProxy().get(0)); // a proxy that has a full table keeps it
         int entriesAfterSurge = fleet.entries(99).size();
         assertTrue(entriesAfterSurge > 15 && entriesAfterSurge < 30, entriesAfterSurge + " of 40");
         for (int proxy = 50; proxy < 100; proxy++) { // half of the proxies return to the other controller
             fleet.planner().proxyDisconnected(proxy);
             fleet.joined().remove(proxy);
-            fleet.bound().remove(proxy);
+            fleet.tableByProxy().remove(proxy);
         }
-        fleet.pass(8000);
-        assertEquals(Set.of(fullTable), Set.copyOf(fleet.bound().values()));
+        fleet.advance(8000);
+        assertEquals(Set.of(fullTable), Set.copyOf(fleet.tableByProxy().values()));
         assertEquals(Set.of(fullTable), fleet.tables().keySet()); // the tables of subsets are cleared
     }
 
@@ -64,14 +65,14 @@
         for (int proxy = 0; proxy < 200; proxy++) {
             fleet.join(proxy);
         }
-        fleet.reconcile().pass(8000);
+        fleet.reconcile().advance(8000);
         Set<Integer> drainedHosts = Set.copyOf(fleet.entries(0).keySet());
         assertTrue(drainedHosts.size() < 20);
         for (int host = 40; host < 50; host++) {
             fleet.startHost(host);
         }
         drainedHosts.forEach(fleet::drainHost);
-        fleet.reconcile().pass(25_000);
+        fleet.reconcile().advance(25_000);
         for (int proxy = 0; proxy < 200; proxy++) {
             assertTrue(servingHostCount(fleet, proxy) > 2);
         }
@@ -90,22 +91,22 @@
         for (int proxy = 0; proxy < 200; proxy++) {
             fleet.join(proxy);
         }
-        fleet.reconcile().pass(8000);
-        int reducedTable = fleet.bound().get(0);
+        fleet.reconcile().advance(8000);
+        int reducedTable = fleet.tableByProxy().get(0);
         Set<Integer> drainCandidates =
                 Set.copyOf(fleet.tables().get(reducedTable).keySet());
-        List<Integer> otherTables = fleet.bound().values().stream()
+        List<Integer> otherTables = fleet.tableByProxy().values().stream()
                 .distinct()
                 .filter(table -> table != reducedTable)
                 .toList();
         drainCandidates.stream()
                 .filter(host -> host % 20 >= 6)
                 .forEach(fleet::drainHost); // some hosts of each subset stay, as hosts are assigned to subsets in turn
-        fleet.reconcile().pass(3000);
+        fleet.reconcile().advance(3000);
         for (int host = 40; host < 46; host++) {
             fleet.startHost(host);
         }
-        fleet.reconcile().pass(4000);
+        fleet.reconcile().advance(4000);
         long newHostsInReducedTable = newHostCount(fleet, reducedTable);
         otherTables.forEach(table -> assertTrue(
                 newHostsInReducedTable > newHostCount(fleet, table),
@@ -121,8 +122,10 @@
             fleet.join(proxy);
         }
         fleet.reconcile();
-        assertEquals(60, fleet.bound().size()); // the latest bind of each proxy is to a subset of the second full table
-        assertTrue(fleet.bound().values().stream()
+        assertEquals(
+                60,
+                fleet.tableByProxy().size()); // the latest bind of each proxy is to a subset of the second full table
+        assertTrue(fleet.tableByProxy().values().stream()
                 .allMatch(table -> fleet.tables().get(table).keySet().stream().allMatch(host -> host % 2 == 0)));
     }
 }
--- a/src/test/java/linenring/planner/TableRegistryTest.java
+++ b/src/test/java/linenring/planner/TableRegistryTest.java
@@ -22,7 +22,7 @@
         secondHost.assignTo(0);
         EndpointTable subsetTable = registry.addSubsetTable(fullTable, 0, 1);
         assertEquals(List.of(firstHost, secondHost), subsetTable.members());
-        registry.forget(firstHost);
+        registry.removeFromSubsetTables(firstHost);
         assertEquals(List.of(secondHost), subsetTable.members());
         assertEquals(2, fullTable.members().size());
     }
@@ -32,15 +32,15 @@
         EndpointTable fullTable = registry.addFullTable(0, EndpointTable.ALL_ZONES);
         registry.addFullTable(0, EndpointTable.ALL_ZONES);
         fullTable.setWeight(secondHost, 0.5);
-        assertEquals(List.of(fullTable), registry.holding(secondHost));
+        assertEquals(List.of(fullTable), registry.tablesHolding(secondHost));
         fullTable.setWeight(secondHost, 0);
-        assertEquals(List.of(), registry.holding(secondHost));
+        assertEquals(List.of(), registry.tablesHolding(secondHost));
     }
 
     @Test
     void addsShardTableOnce() {
-        EndpointTable shardTable = registry.ofShard(7);
-        assertSame(shardTable, registry.ofShard(7));
+        EndpointTable shardTable = registry.shardTable(7);
+        assertSame(shardTable, registry.shardTable(7));
         assertEquals(1, registry.tables().size());
     }
 
--- a/src/test/java/linenring/planner/UpdateSchedulerTest.java
+++ b/src/test/java/linenring/planner/UpdateSchedulerTest.java
@@ -14,7 +14,7 @@
     @Test
     void bindsAllProxiesToOneFullTable() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 5);
-        assertEquals(1, Set.copyOf(fleet.bound().values()).size());
+        assertEquals(1, Set.copyOf(fleet.tableByProxy().values()).size());
         assertEquals(6, fleet.entries(0).size());
     }
 
@@ -31,7 +31,7 @@
         assertEquals(
                 requestsBefore,
                 fleet.acknowledgementRequests()); // both changes wait for one round-trip time after the previous one
-        fleet.pass(300);
+        fleet.advance(300);
         assertEquals(requestsBefore + 1, fleet.acknowledgementRequests());
         assertTrue(fleet.weight(0, 6) > 0 && fleet.weight(0, 7) > 0 && fleet.weight(0, 8) > 0);
     }
@@ -50,7 +50,8 @@
             fleet.planner().proxyJoined(proxy, 0, proxy);
         }
         fleet.reconcile();
-        assertTrue(fleet.bound().containsKey(199) && !fleet.bound().containsKey(0));
+        assertTrue(
+                fleet.tableByProxy().containsKey(199) && !fleet.tableByProxy().containsKey(0));
     }
 
     /**
@@ -60,9 +61,9 @@
     @Test
     void sendsSubUpdateDespiteFrozenProxy() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 3);
-        fleet.silent().add(2);
+        fleet.unresponsiveProxies().add(2);
         fleet.startHost(6);
-        fleet.pass(12_000); // the slow start of the host alone takes more than five messages, the size of a window
+        fleet.advance(12_000); // the slow start of the host alone takes more than five messages, the size of a window
         assertEquals(1, fleet.weight(0, 6));
     }
 
@@ -75,13 +76,13 @@
     void resetsWindowOfClosedStreamAndRebindsProxy() {
         FakeProxies fleet = new FakeProxies(settings(0)).start(6, 2);
         fleet.planner().proxyDisconnected(1);
-        fleet.bound().remove(1);
+        fleet.tableByProxy().remove(1);
         fleet.reconcile();
         fleet.drainHost(0);
-        fleet.pass(500);
+        fleet.advance(500);
         fleet.join(1);
         fleet.reconcile();
-        assertEquals(fleet.bound().get(0), fleet.bound().get(1));
+        assertEquals(fleet.tableByProxy().get(0), fleet.tableByProxy().get(1));
         assertEquals(0, fleet.weight(1, 0));
     }
 
@@ -94,9 +95,9 @@
         FakeProxies fleet = new FakeProxies(settings(10)).start(12, 2);
         fleet.startHost(0);
         fleet.startHost(1);
-        fleet.pass(2000);
+        fleet.advance(2000);
         fleet.startHost(2);
-        fleet.pass(3000);
+        fleet.advance(3000);
         assertTrue(fleet.acknowledgementRequests() <= 7);
         fleet.drainHost(5);
         fleet.reconcile();
@@ -114,7 +115,7 @@
             fleet.startHost(host); // thirty entries to each of forty proxies: 1400 of 1500 entries
         }
         fleet.reconcile();
-        fleet.pass(20_000);
+        fleet.advance(20_000);
         assertTrue(java.util.stream.IntStream.range(4, 34).allMatch(host -> fleet.weight(0, host) > 0));
     }
 
@@ -127,7 +128,7 @@
         fleet.planner().proxyJoined(2, 99, 1);
         fleet.joined().add(2);
         fleet.planner().hostStatistics(6, 100, 5, 0, 100, 1000);
-        fleet.reconcile().pass(20_000);
+        fleet.reconcile().advance(20_000);
         assertTrue(fleet.weight(2, 6) > 0);
     }
 }
