--- a/src/main/java/linenring/discovery/AgentConnection.java
+++ b/src/main/java/linenring/discovery/AgentConnection.java
@@ -17,16 +17,16 @@
 import org.eclipse.jetty.util.thread.Invocable;
 
 /**
- * One attempt at discovery's agent: sends the request and reads the answer until either ends. Read on the selector's thread
- * alone; ended by it or by the scheduler's.
+ * One connection attempt to a discovery agent: sends one request and reads the response until the response is complete or the
+ * attempt fails. Only the selector's thread reads the connection; that thread or a scheduler thread ends the attempt.
  */
 final class AgentConnection extends AbstractConnection {
     private static final int READ_BUFFER_BYTES = 16 * 1024;
 
-    /** The watch's own request has under 200 bytes. */
+    /** The requests that the watch sends take less than 200 bytes. */
     private static final int MAX_REQUEST_BYTES = 1024;
 
-    /** The agent sends a blank line every 2 s at least; half a second more is for its way. */
+    /** An agent sends at least a blank line every 2 s; 0.5 s is added for transmission. */
     private static final long SILENCE_TIMEOUT_MS = 2500;
 
     private final HostWatch watch;
@@ -34,19 +34,20 @@
     private final ListRequest request;
     private final AgentResponse response;
     private final ByteBuffer buffer = BufferUtil.allocate(READ_BUFFER_BYTES);
-    private volatile boolean ended; // written under "this"
+    private volatile boolean ended; // written under the monitor of "this"
 
     AgentConnection(EndPoint endPoint, Executor executor, HostWatch watch, EndpointSource source, ListRequest request) {
         super(endPoint, executor);
         this.watch = watch;
         this.source = source;
         this.request = request;
-        response = new AgentResponse(watch.applier(), source, request.isForWholeList());
+        response = new AgentResponse(watch.applier(), source, request.isForCompleteList());
         endPoint.setIdleTimeout(SILENCE_TIMEOUT_MS);
     }
 
     @Override
-    @SuppressWarnings("deprecation") // the selector still asks for it, and would hand reading to another thread
+    @SuppressWarnings(
+            "deprecation") // the selector still calls this method; without NON_BLOCKING another thread would read
     public Invocable.InvocationType getInvocationType() {
         return Invocable.InvocationType.NON_BLOCKING;
     }
@@ -54,19 +55,19 @@
     @Override
     public void onOpen() {
         super.onOpen();
-        if (!watch.state().connected(source, this)) {
+        if (!watch.state().registerConnection(source, this)) {
             getEndPoint().close();
             return;
         }
         try {
             sendRequest();
-        } catch (IOException | RuntimeException failure) { // a fault here must end this attempt alone
+        } catch (IOException | RuntimeException failure) { // an unexpected exception must end only this attempt
             end("fault: " + failure);
         }
     }
 
     private void sendRequest() throws IOException {
-        MetaData.Request head = new MetaData.Request(
+        MetaData.Request requestHead = new MetaData.Request(
                 "GET",
                 HttpURI.from(request.target()),
                 HttpVersion.HTTP_1_1,
@@ -74,15 +75,15 @@
                 0);
         HttpGenerator generator = new HttpGenerator();
         ByteBuffer header = BufferUtil.allocate(MAX_REQUEST_BYTES);
-        HttpGenerator.Result result = generator.generateRequest(head, null, null, null, true);
+        HttpGenerator.Result result = generator.generateRequest(requestHead, null, null, null, true);
         if (result == HttpGenerator.Result.NEED_HEADER) {
-            result = generator.generateRequest(head, header, null, null, true);
+            result = generator.generateRequest(requestHead, header, null, null, true);
         }
         if (result != HttpGenerator.Result.FLUSH) {
-            end("the request could not be written: " + result);
+            end("request could not be generated: " + result);
             return;
         }
-        response.requested();
+        response.requestSent();
         getEndPoint().write(Callback.from(() -> {}, cause -> end("reset")), header);
         fillInterested();
     }
@@ -93,14 +94,14 @@
             if (readAvailable()) {
                 fillInterested();
             }
-        } catch (RuntimeException failure) { // a fault here must end this attempt alone
+        } catch (RuntimeException failure) { // an unexpected exception must end only this attempt
             end("fault: " + failure);
         }
     }
 
     /**
-     * Reads what has come without waiting for more, on the selector's thread alone. True where the attempt goes on; whether
-     * its endpoint is asked for further bytes is unchanged.
+     * Reads the bytes that have arrived without waiting for more, and returns whether the attempt is still open. Called on the
+     * selector's thread only. Does not register interest in further bytes.
      */
     boolean readAvailable() {
         try {
@@ -112,17 +113,17 @@
                 }
                 if (count < 0) {
                     response.parseAtEnd(buffer);
-                    end(response.fault().orElse(AgentResponse.ENDED_BY_PEER));
+                    end(response.fault().orElse(AgentResponse.CLOSED_BY_PEER));
                     return false;
                 }
                 response.parse(buffer);
                 if (response.isDone()) {
-                    end(response.fault().orElse("the answer is complete"));
+                    end(response.fault().orElse("response is complete"));
                 }
             }
         } catch (IOException failure) {
             end("reset");
-        } catch (RuntimeException failure) { // a fault here must end this attempt alone
+        } catch (RuntimeException failure) { // an unexpected exception must end only this attempt
             end("fault: " + failure);
         }
         return false;
@@ -151,8 +152,8 @@
         }
         ended = true;
         getEndPoint().close();
-        if (response.hasDeliveredWholeList()) {
-            watch.wholeListDelivered(source);
+        if (response.hasDeliveredCompleteList()) {
+            watch.completeListDelivered(source);
         } else {
             watch.attemptEnded(source, new AttemptEnd(response.stage(), reason));
         }
--- a/src/main/java/linenring/discovery/AgentResponse.java
+++ b/src/main/java/linenring/discovery/AgentResponse.java
@@ -14,67 +14,68 @@
 import org.eclipse.jetty.http.HttpVersion;
 
 /**
- * The agent's answer, as it arrives: a whole list as one body, or a watch's lines, each a list, changes, or blank where
- * nothing has changed. Hands each of them to the applier at its end. For the selector's thread alone, but for the outcome,
- * which is read after the last byte.
+ * Parses a discovery agent's response as its bytes arrive. A response is either one complete list, or the lines of a watch:
+ * a complete list, a delta, or a blank line where nothing has changed. Passes each complete line to the applier. Used by the
+ * selector's thread only; other threads may read the outcome after the last byte.
  */
 final class AgentResponse implements HttpParser.ResponseHandler {
-    /** The reason where the peer closed the connection before its answer was complete. */
-    static final String ENDED_BY_PEER = "ended by its peer";
+    /** Reason for the end of an attempt whose peer closed the connection before its response was complete. */
+    static final String CLOSED_BY_PEER = "connection closed by the agent before the end of its response";
 
     private static final int CHUNK_BYTES = 16 * 1024;
 
     /**
-     * Bytes alone are no sign that the agent works, as a line could drip for hours: discovery counts what it has to deliver
-     * as known after this time, so a line has to be complete by then.
+     * Longest time without a complete line. Single bytes do not prove that the agent works, since a line could take hours to
+     * arrive. Discovery assumes that a change has reached its watchers after 6 s, so a line has to be complete by then.
      */
     private static final long LINE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(6);
 
-    /** The number of entries that are progress like a complete line: a long list may take longer than a line may. */
+    /** Number of list entries that count as progress like a complete line: a long list may take longer than the limit. */
     private static final int ENTRIES_PER_PROGRESS = 1000;
 
     private final EndpointListApplier applier;
     private final EndpointSource source;
-    private final boolean isWholeList;
+    private final boolean isForCompleteList;
     private final HttpParser parser = new HttpParser(this);
-    private final byte[] bytes = new byte[CHUNK_BYTES];
-    private HostListStream list; // of the line being read; null until it has more than blanks
-    private long revisionAtBegin; // what was held when that line began
-    private int entriesCounted; // of that line, as far as they counted as progress
+    private final byte[] chunk = new byte[CHUNK_BYTES];
+    private HostListStream
+            listStream; // decoder of the current line; null until the line has a character that is not blank
+    private long revisionAtStart; // revision of the current list when this line began
+    private int entriesAtLastProgress; // entries of this line that have been counted as progress
     private long lastProgressNanos;
     private int status;
     private AttemptEnd.Stage stage = AttemptEnd.Stage.CONNECTED;
-    private String fault; // null while there is none
+    private String fault; // null unless the response is invalid
     private boolean isComplete;
 
-    AgentResponse(EndpointListApplier applier, EndpointSource source, boolean isWholeList) {
+    AgentResponse(EndpointListApplier applier, EndpointSource source, boolean isForCompleteList) {
         this.applier = applier;
         this.source = source;
-        this.isWholeList = isWholeList;
+        this.isForCompleteList = isForCompleteList;
         lastProgressNanos = applier.nowNanos();
     }
 
-    void requested() {
+    void requestSent() {
         stage = AttemptEnd.Stage.REQUEST_SENT;
     }
 
-    /** Takes bytes that have arrived. */
+    /** Parses bytes that have arrived. */
     void parse(ByteBuffer arrived) {
         while (arrived.hasRemaining() && !isDone()) {
             parser.parseNext(arrived);
         }
         if (applier.nowNanos() - lastProgressNanos > LINE_TIMEOUT_NANOS && !isDone()) {
-            fault = "no line has come to its end for " + TimeUnit.NANOSECONDS.toMillis(LINE_TIMEOUT_NANOS) + " ms";
+            fault = "no line was completed for " + TimeUnit.NANOSECONDS.toMillis(LINE_TIMEOUT_NANOS) + " ms";
         }
     }
 
-    /** The peer has closed the connection. */
-    void parseAtEnd(ByteBuffer empty) {
+    /** Completes parsing after the peer has closed the connection. */
+    void parseAtEnd(ByteBuffer emptyBuffer) {
         parser.atEOF();
-        parser.parseNext(empty);
+        parser.parseNext(emptyBuffer);
     }
 
-    /** Whether nothing further is read: the answer is complete, or at fault. */
+    /** Whether the response is complete or invalid, so that no further bytes are read. */
     boolean isDone() {
         return fault != null || isComplete;
     }
@@ -87,9 +88,9 @@
         return stage;
     }
 
-    /** Whether the whole list was requested and has come as it should. */
-    boolean hasDeliveredWholeList() {
-        return isWholeList && isComplete && fault == null && stage == AttemptEnd.Stage.DATA_RECEIVED;
+    /** Whether a complete list was requested and has been received and accepted. */
+    boolean hasDeliveredCompleteList() {
+        return isForCompleteList && isComplete && fault == null && stage == AttemptEnd.Stage.DATA_RECEIVED;
     }
 
     @Override
@@ -100,7 +101,7 @@
 
     @Override
     public void parsedHeader(HttpField field) {
-        // none matters
+        // no response header is used
     }
 
     @Override
@@ -115,9 +116,9 @@
     public boolean content(ByteBuffer content) {
         try {
             while (content.hasRemaining() && fault == null) {
-                int count = Math.min(content.remaining(), bytes.length);
-                content.get(bytes, 0, count);
-                if (isWholeList) {
+                int count = Math.min(content.remaining(), chunk.length);
+                content.get(chunk, 0, count);
+                if (isForCompleteList) {
                     readLine(0, count);
                 } else {
                     readLines(count);
@@ -132,67 +133,67 @@
     private void readLines(int count) throws AttemptAbortedException {
         int from = 0;
         for (int i = 0; i < count; i++) {
-            if (bytes[i] == '\n') {
+            if (chunk[i] == '\n') {
                 readLine(from, i);
-                lineComplete();
+                onLineComplete();
                 from = i + 1;
             }
         }
         readLine(from, count);
     }
 
-    /** Reads on in the line. */
+    /** Decodes further bytes of the current line. */
     private void readLine(int from, int end) throws AttemptAbortedException {
         int start = from;
-        while (list == null && start < end && isBlank(bytes[start])) {
+        while (listStream == null && start < end && isBlank(chunk[start])) {
             start++;
         }
         if (start == end) {
             return;
         }
-        if (list == null) {
-            list = applier.beginList(source);
-            revisionAtBegin = applier.revision();
-            entriesCounted = 0;
+        if (listStream == null) {
+            listStream = applier.beginList(source);
+            revisionAtStart = applier.revision();
+            entriesAtLastProgress = 0;
         }
-        list.feed(bytes, start, end);
-        if (list.result().orElse(null) instanceof DecodeResult.Failed<HostList> failed) {
-            throw unreadable(failed.error());
+        listStream.feed(chunk, start, end);
+        if (listStream.result().orElse(null) instanceof DecodeResult.Failed<HostList> failed) {
+            throw abortForUnreadableList(failed.error());
         }
-        if (list.entriesRead() - entriesCounted >= ENTRIES_PER_PROGRESS) {
-            entriesCounted = list.entriesRead();
+        if (listStream.entriesRead() - entriesAtLastProgress >= ENTRIES_PER_PROGRESS) {
+            entriesAtLastProgress = listStream.entriesRead();
             lastProgressNanos = applier.nowNanos();
         }
     }
 
     private boolean isBlank(byte octet) {
-        return octet == ' ' || octet == '\r' || octet == '\t' || (isWholeList && octet == '\n');
+        return octet == ' ' || octet == '\r' || octet == '\t' || (isForCompleteList && octet == '\n');
     }
 
-    private AttemptAbortedException unreadable(DecodeError error) {
+    private AttemptAbortedException abortForUnreadableList(DecodeError error) {
         return error.stage() == DecodeError.Stage.SIZE
-                ? applier.listTooLarge(source, error.reason())
-                : new AttemptAbortedException("can't be read, " + error);
+                ? applier.abortForTooLargeList(source, error.reason())
+                : new AttemptAbortedException("response cannot be decoded: " + error);
     }
 
-    private void lineComplete() throws AttemptAbortedException {
+    private void onLineComplete() throws AttemptAbortedException {
         lastProgressNanos = applier.nowNanos();
-        if (list == null) {
-            stage = AttemptEnd.Stage.DATA_RECEIVED; // word that nothing has changed
+        if (listStream == null) {
+            stage = AttemptEnd.Stage.DATA_RECEIVED; // a blank line: nothing has changed
             applier.onUnchanged(source);
         } else {
-            listComplete();
+            onListComplete();
         }
     }
 
-    private void listComplete() throws AttemptAbortedException {
-        DecodeResult<HostList> read = list.end();
-        list.close();
-        list = null;
+    private void onListComplete() throws AttemptAbortedException {
+        DecodeResult<HostList> read = listStream.end();
+        listStream.close();
+        listStream = null;
         if (read instanceof DecodeResult.Failed<HostList> failed) {
-            throw unreadable(failed.error());
+            throw abortForUnreadableList(failed.error());
         }
-        applier.onList(source, read.orElseThrow(), revisionAtBegin);
+        applier.onList(source, read.orElseThrow(), revisionAtStart);
         stage = AttemptEnd.Stage.DATA_RECEIVED;
     }
 
@@ -204,8 +205,8 @@
     @Override
     public boolean messageComplete() {
         try {
-            if (list != null && fault == null) {
-                lineComplete();
+            if (listStream != null && fault == null) {
+                onLineComplete();
             }
         } catch (AttemptAbortedException aborted) {
             fault = aborted.getMessage();
@@ -216,11 +217,11 @@
 
     @Override
     public void earlyEOF() {
-        fault = fault == null ? ENDED_BY_PEER : fault;
+        fault = fault == null ? CLOSED_BY_PEER : fault;
     }
 
     @Override
     public void badMessage(HttpException failure) {
-        fault = "no HTTP answer: " + failure.getReason();
+        fault = "response is not valid HTTP: " + failure.getReason();
     }
 }
--- a/src/main/java/linenring/discovery/AttemptEnd.java
+++ b/src/main/java/linenring/discovery/AttemptEnd.java
@@ -2,16 +2,16 @@
 
 import java.util.Locale;
 
-/** How an attempt at discovery's address ended: how far it had come, and what ended it. */
+/** The stage that a connection attempt to a discovery agent had reached, and the reason why the attempt ended. */
 record AttemptEnd(Stage stage, String reason) {
-    /** The steps of an attempt, in their order. */
+    /** The stages of a connection attempt, in order. */
     enum Stage {
-        /** No connection was made. */
+        /** No connection has been established. */
         CONNECTING,
         CONNECTED,
         REQUEST_SENT,
         RESPONSE_STARTED,
-        /** The agent has sent a list, changes, or word that nothing has changed. */
+        /** The agent has sent a complete list, a delta, or a blank line. */
         DATA_RECEIVED;
 
         @Override
--- a/src/main/java/linenring/discovery/Backoff.java
+++ b/src/main/java/linenring/discovery/Backoff.java
@@ -1,34 +1,34 @@
 package linenring.discovery;
 
 /**
- * How long an address is left alone between two attempts: twice as long each time, until one delivers something. Without
- * I/O and without a clock. Not thread-safe: guarded by the watch.
+ * Delay between two connection attempts to an agent: doubles after each attempt, and is reset once an attempt has received
+ * data. Uses neither I/O nor a clock. Not thread-safe; guarded by the monitor of {@link WatchState}.
  */
 final class Backoff {
-    private static final long INITIAL_MS = 20;
+    private static final long INITIAL_DELAY_MS = 20;
 
-    /** Discovery counts what it has to deliver as known after 6 s, whether it is polled or not: we must not be idle long. */
-    private static final long MAX_MS = 500;
+    /** Discovery assumes that a change has reached its watchers after 6 s, connected or not, so pauses have to be short. */
+    private static final long MAX_DELAY_MS = 500;
 
-    /** Reading a whole list that cannot be used costs more than all else here, so it is not read again at once. */
-    private static final long UNUSABLE_LIST_MS = 5000;
+    /** Reading an unusable complete list is expensive, so the list is not requested again at once. */
+    private static final long UNUSABLE_LIST_DELAY_MS = 5000;
 
-    private long nextDelayMs = INITIAL_MS;
+    private long nextDelayMs = INITIAL_DELAY_MS;
 
-    /** The delay before the next attempt; the one after it will be longer, up to the limit. */
+    /** Returns the delay before the next attempt, and doubles the delay of the following attempt up to the limit. */
     long nextDelayMs() {
         long delayMs = nextDelayMs;
-        nextDelayMs = Math.min(MAX_MS, 2 * delayMs);
+        nextDelayMs = Math.min(MAX_DELAY_MS, 2 * delayMs);
         return delayMs;
     }
 
-    /** The address has delivered something. */
+    /** Resets the delay after an attempt that received data. */
     void reset() {
-        nextDelayMs = INITIAL_MS;
+        nextDelayMs = INITIAL_DELAY_MS;
     }
 
-    /** The address has sent a whole list that cannot be used: the next delay, and only that, is long. */
-    void listWasUnusable() {
-        nextDelayMs = UNUSABLE_LIST_MS;
+    /** Uses a long delay before the next attempt only, since the agent has sent an unusable complete list. */
+    void recordUnusableList() {
+        nextDelayMs = UNUSABLE_LIST_DELAY_MS;
     }
 }
--- a/src/main/java/linenring/discovery/CapacityListener.java
+++ b/src/main/java/linenring/discovery/CapacityListener.java
@@ -1,7 +1,7 @@
 package linenring.discovery;
 
-/** Notified where the list of hosts does not fit the memory and there is no earlier one to go on with. */
+/** Notified when the first host list exceeds the host capacity, so that there is no list to serve with. */
 public interface CapacityListener {
-    /** The reason names the limit; it is for the log. */
-    void exceeded(String reason);
+    /** Reports that the host list is too large. The reason names the limit and is meant for the log. */
+    void capacityExceeded(String reason);
 }
--- a/src/main/java/linenring/discovery/EndpointListApplier.java
+++ b/src/main/java/linenring/discovery/EndpointListApplier.java
@@ -10,12 +10,12 @@
 import linenring.protocol.HostListStream;
 
 /**
- * Applies what discovery's agents deliver: lists and changes that count go to the event queue, and a source that discovery
- * was moved to takes over with the first thing it delivers. Called on the selector's thread; versions are guarded by the
- * monitor of the {@link WatchState}.
+ * Applies the lists that discovery agents send. Complete lists and deltas that pass the version check go to the event queue. A
+ * source that discovery has moved to becomes the serving source with the first usable line that it sends. Called on the
+ * selector's thread; versions are guarded by the monitor of {@link WatchState}.
  */
 final class EndpointListApplier {
-    private static final String LACKS_BASE = "changes where no list is held";
+    private static final String DELTA_WITHOUT_LIST = "a delta arrived before a complete list";
 
     private final WatchState state;
     private final VersionTracker versions; // @GuardedBy("state")
@@ -28,7 +28,7 @@
 
     EndpointListApplier(WatchConfig config, WatchState state, Codec codec, EventQueue eventQueue, Log log) {
         this.state = state;
-        versions = new VersionTracker(config.known());
+        versions = new VersionTracker(config.initialList());
         capacityListener = config.capacityListener();
         maxHosts = config.maxHosts();
         nanoClock = config.nanoClock();
@@ -41,101 +41,104 @@
         return nanoClock.getAsLong();
     }
 
-    /** What is to be requested of this source next. */
+    /** Returns the next request to send to this source. */
     ListRequest nextRequest(EndpointSource source) {
         synchronized (state) {
-            return versions.requiresWholeList(source.history())
-                    ? ListRequest.wholeList()
+            return versions.requiresCompleteList(source.history())
+                    ? ListRequest.completeList()
                     : ListRequest.watchFrom(versions.version());
         }
     }
 
-    /** The held list's version; 0 where there is none. */
+    /** Version of the current list; 0 if there is none. */
     long version() {
         synchronized (state) {
             return versions.version();
         }
     }
 
-    /** Grows with each list that is applied, from whichever source. */
+    /** Revision of the current list, which grows with each list that is applied from any source. */
     long revision() {
         synchronized (state) {
             return versions.hosts().revision();
         }
     }
 
-    /** Begins to read a list under the source's scope. */
+    /** Starts to decode a list under the source's scope. */
     HostListStream beginList(EndpointSource source) {
-        readServingFirst(source); // what is held decides who can leave
-        return codec.hostListStream(new HostListFilter(source.scope(), this::mayHold, maxHosts));
+        readPendingFromServing(source); // the filter needs the current hosts to recognize removals
+        return codec.hostListStream(new HostListFilter(source.scope(), this::mayContainHost, maxHosts));
     }
 
-    private boolean mayHold(String host) {
+    private boolean mayContainHost(String host) {
         synchronized (state) {
             return versions.hosts().mayContain(host);
         }
     }
 
-    /** A blank line has come: nothing has changed, and the agent lives. */
+    /** Handles a blank line, which shows that the agent works and that nothing has changed. */
     void onUnchanged(EndpointSource source) throws AttemptAbortedException {
-        readServingFirst(source);
+        readPendingFromServing(source);
         takeOver(source);
         requireNoRestart(source);
     }
 
     /**
-     * A list has come, or changes; {@code revisionAtBegin} is the revision that was held when reading it began. What is older
-     * than the held list changes nothing. Where the list cannot be used, the source that served before goes on to.
+     * Handles a complete list or a delta; {@code revisionAtStart} is the revision of the current list when decoding began. A
+     * list that is older than the current one changes nothing. Where the list is unusable, the serving source does not change.
      */
-    void onList(EndpointSource source, HostList list, long revisionAtBegin) throws AttemptAbortedException {
-        readServingFirst(source);
-        requireUsable(source, list, revisionAtBegin);
+    void onList(EndpointSource source, HostList list, long revisionAtStart) throws AttemptAbortedException {
+        readPendingFromServing(source);
+        requireUsable(source, list, revisionAtStart);
         takeOver(source);
         synchronized (state) {
-            state.requireWatched(source); // discovery may have moved on between the two
+            state.requireWatched(source); // discovery may have moved since takeOver()
             apply(source, list);
         }
         requireNoRestart(source);
     }
 
-    /** The list has more hosts than fit the memory. Where none is held, there is nothing to go on with. */
-    AttemptAbortedException listTooLarge(EndpointSource source, String what) {
-        boolean holdsList;
+    /** Rejects a list with more hosts than the host capacity, and notifies the capacity listener if there is no earlier list. */
+    AttemptAbortedException abortForTooLargeList(EndpointSource source, String sizeDescription) {
+        boolean hasList;
         synchronized (state) {
-            holdsList = versions.holdsList();
-            source.backoff().listWasUnusable();
+            hasList = versions.hasList();
+            source.backoff().recordUnusableList();
         }
-        if (!holdsList) {
-            capacityListener.exceeded("discovery lists " + what);
+        if (!hasList) {
+            capacityListener.capacityExceeded("discovery lists " + sizeDescription);
         }
-        return new AttemptAbortedException("lists " + what + (holdsList ? "; the list before it stays in force" : ""));
+        return new AttemptAbortedException(
+                "lists " + sizeDescription + (hasList ? "; the previous list stays in force" : ""));
     }
 
     /**
-     * Where the source is one that discovery moves to: reads what the serving one has written so far, since discovery counts
-     * that as delivered. Read before a line of the new source is judged, it is older than that line, as it would be had the
-     * selector chosen the other order; read later, entries of another scope could undo what a whole list has said. Called
-     * without a lock, as the connection takes its own before that of the state.
+     * Reads the bytes that the serving source has written so far, if discovery moves to the given source, since discovery
+     * counts those bytes as delivered. They are applied before a line of the new source, as if the selector had read the
+     * serving source first; if they were applied later, entries of the old scope could undo a complete list of the new scope.
+     * Called without a lock, because the connection acquires its own lock before the lock of the state.
      */
-    private void readServingFirst(EndpointSource source) {
-        state.servingConnectionBefore(source).ifPresent(AgentConnection::readAvailable);
+    private void readPendingFromServing(EndpointSource source) {
+        state.servingConnectionIfNext(source).ifPresent(AgentConnection::readAvailable);
     }
 
     private void takeOver(EndpointSource source) throws AttemptAbortedException {
         Optional<EndpointSource> previous = state.promote(source);
         if (previous.isPresent()) {
             state.abandon(previous.get()).ifPresent(AgentConnection::close);
-            log.info("discovery", "is watched at " + source + " and no longer at " + previous.get());
+            log.info(
+                    "discovery",
+                    "moved to " + source + ", which has sent data; closing the connection to " + previous.get());
         }
     }
 
-    /** Called with the state locked. */
+    /** Applies a list to the current one; called with the state locked. */
     private void apply(EndpointSource source, HostList list) throws AttemptAbortedException {
-        switch (versions.judge(list, source.history(), nowNanos())) {
-            case LACKS_BASE -> throw new AttemptAbortedException(LACKS_BASE);
+        switch (versions.applyIfNewer(list, source.history(), nowNanos())) {
+            case LACKS_BASE -> throw new AttemptAbortedException(DELTA_WITHOUT_LIST);
             case IGNORED -> {
                 if (list.version() < versions.version()) {
-                    log.warn("discovery", describeOlder(list));
+                    log.warn("discovery", describeOlderVersion(list));
                 }
             }
             case APPLIED -> {
@@ -154,47 +157,48 @@
         list.invalidEntriesSummary().ifPresent(summary -> log.warn("invalid", "discovery lists " + summary));
     }
 
-    private String describeOlder(HostList list) {
-        return "sends version " + list.version() + ", which is older than " + versions.version()
-                + " and changes nothing";
+    private String describeOlderVersion(HostList list) {
+        return "ignoring version " + list.version() + ", which is older than the current version " + versions.version();
     }
 
-    private void requireUsable(EndpointSource source, HostList list, long revisionAtBegin)
+    private void requireUsable(EndpointSource source, HostList list, long revisionAtStart)
             throws AttemptAbortedException {
         synchronized (state) {
-            boolean mayMissAHostThatLeft = !list.isComplete()
+            boolean mayMissRemovals = !list.isComplete()
                     && !list.scope().isAll()
-                    && revisionAtBegin != versions.hosts().revision();
-            if (mayMissAHostThatLeft) {
-                throw new AttemptAbortedException("another list came while this one was read");
+                    && revisionAtStart != versions.hosts().revision();
+            if (mayMissRemovals) {
+                throw new AttemptAbortedException(
+                        "another list was applied while this delta was read; requesting the delta again");
             }
-            Optional<VersionTracker.Refusal> refusal = versions.refusal(list, source.history(), nowNanos());
-            if (refusal.isPresent()) {
-                throw refused(source, list, refusal.get());
+            Optional<VersionTracker.Rejection> rejection = versions.rejectionOf(list, source.history(), nowNanos());
+            if (rejection.isPresent()) {
+                throw abortForRejection(source, list, rejection.get());
             }
         }
     }
 
-    /** Called with the state locked. */
-    private AttemptAbortedException refused(EndpointSource source, HostList list, VersionTracker.Refusal refusal) {
-        if (refusal != VersionTracker.Refusal.LACKS_BASE) {
-            source.backoff().listWasUnusable();
+    /** Creates the exception for a rejected list; called with the state locked. */
+    private AttemptAbortedException abortForRejection(
+            EndpointSource source, HostList list, VersionTracker.Rejection rejection) {
+        if (rejection != VersionTracker.Rejection.LACKS_BASE) {
+            source.backoff().recordUnusableList();
         }
         return new AttemptAbortedException(
-                switch (refusal) {
-                    case LACKS_BASE -> LACKS_BASE;
-                    case OLDER_UNDER_OTHER_SCOPE -> describeOlder(list);
-                    case NONE_IN_SCOPE ->
-                        "scope names none of the " + list.outsideScopeCount()
-                                + " hosts listed; the list before it stays in force";
+                switch (rejection) {
+                    case LACKS_BASE -> DELTA_WITHOUT_LIST;
+                    case OLDER_UNDER_OTHER_SCOPE -> describeOlderVersion(list);
+                    case NO_HOSTS_IN_SCOPE ->
+                        "no host in scope among the " + list.outsideScopeCount()
+                                + " listed hosts; the previous list stays in force";
                 });
     }
 
-    /** Ends the attempt where the source counts its versions anew: the next one requests the whole list. */
+    /** Ends the attempt where the source has restarted its versions; the next attempt then requests the complete list. */
     private void requireNoRestart(EndpointSource source) throws AttemptAbortedException {
         synchronized (state) {
-            if (source.history().judgeRestart(nowNanos())) {
-                throw new AttemptAbortedException("still sends older versions; its whole list is requested");
+            if (source.history().detectRestart(nowNanos())) {
+                throw new AttemptAbortedException("agent still sends older versions; requesting its complete list");
             }
         }
     }
--- a/src/main/java/linenring/discovery/EndpointSource.java
+++ b/src/main/java/linenring/discovery/EndpointSource.java
@@ -6,22 +6,22 @@
 import linenring.protocol.ServiceScope;
 
 /**
- * One address of discovery's agent, read under one scope: attempts are made there, one after the other, until it is
- * abandoned. What is not final is guarded by its {@link WatchState}.
+ * The address of one discovery agent, with the scope under which its lists are read. Connection attempts to the address follow
+ * one another until the source is abandoned. Non-final fields are guarded by the monitor of {@link WatchState}.
  */
 final class EndpointSource {
     private final InetSocketAddress address;
     private final ServiceScope scope;
     private final SourceHistory history;
     private final Backoff backoff = new Backoff();
-    private boolean abandoned;
-    private SocketChannel channel; // the last attempt's
-    private AgentConnection connection; // null between attempts
+    private boolean isAbandoned;
+    private SocketChannel channel; // channel of the last attempt
+    private AgentConnection connection; // open connection; null between attempts
 
-    EndpointSource(InetSocketAddress address, ServiceScope scope, boolean movedTo) {
+    EndpointSource(InetSocketAddress address, ServiceScope scope, boolean isMoveTarget) {
         this.address = address;
         this.scope = scope;
-        history = new SourceHistory(movedTo, scope);
+        history = new SourceHistory(isMoveTarget, scope);
     }
 
     InetSocketAddress address() {
@@ -40,24 +40,24 @@
         return backoff;
     }
 
-    /** Whether reading that address under that scope would deliver the same. */
-    boolean isSameAs(InetSocketAddress otherAddress, ServiceScope otherScope) {
+    /** Whether this source has the given address and scope. */
+    boolean hasAddressAndScope(InetSocketAddress otherAddress, ServiceScope otherScope) {
         return address.equals(otherAddress) && scope.equals(otherScope);
     }
 
     boolean isAbandoned() {
-        return abandoned;
+        return isAbandoned;
     }
 
     void abandon() {
-        abandoned = true;
+        isAbandoned = true;
     }
 
-    boolean isDialledWith(Object other) {
+    boolean usesChannel(Object other) {
         return channel == other;
     }
 
-    void dialled(SocketChannel attempt) {
+    void setChannel(SocketChannel attempt) {
         channel = attempt;
     }
 
@@ -65,11 +65,11 @@
         return Optional.ofNullable(connection);
     }
 
-    void connected(AgentConnection opened) {
+    void setConnection(AgentConnection opened) {
         connection = opened;
     }
 
-    void disconnected() {
+    void clearConnection() {
         connection = null;
     }
 
--- a/src/main/java/linenring/discovery/HostWatch.java
+++ b/src/main/java/linenring/discovery/HostWatch.java
@@ -20,13 +20,13 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * Watches discovery's endpoint list from the held version on, and never gives up: an attempt that ends is made again after a
- * backoff. Where discovery moves, the old address serves until the new one has delivered something, and what the old one has
- * written by then is read before it is abandoned; the list and its version go along. One selector's thread reads all
- * connections; the scheduler's threads dial.
+ * Watches discovery's endpoint list from the current version on, and reconnects after a backoff whenever an attempt ends. Where
+ * discovery moves to another address, the old address serves until the new address has sent data, and bytes that the old
+ * address has written by then are read before its connection is closed; the current list and its version are kept. One
+ * selector thread reads all connections; scheduler threads dial.
  */
 public final class HostWatch extends SelectorManager {
-    /** The agent is on this machine. */
+    /** Limit for connecting to the agent, which runs on the same machine. */
     private static final long CONNECT_TIMEOUT_MS = 1000;
 
     private final WatchState state;
@@ -34,7 +34,7 @@
     private final Scheduler scheduler;
     private final Log log;
 
-    /** Makes a watch; {@link #open} starts it. */
+    /** Creates a watch; {@link #open} starts it. */
     public HostWatch(
             WatchConfig config, Codec codec, EventQueue eventQueue, Log log, Executor executor, Scheduler scheduler) {
         super(executor, scheduler, 1);
@@ -45,16 +45,16 @@
         setConnectTimeout(CONNECT_TIMEOUT_MS);
     }
 
-    /** Starts to dial. */
-    public void open() throws Exception { // start() declares any
+    /** Starts the selector and dials the configured address. */
+    public void open() throws Exception { // start() declares Exception
         start();
-        dial(state.serving());
+        dial(state.servingSource());
     }
 
     /**
-     * Discovery is to be found there from now on, and read under this scope. Under another scope than before its whole list
-     * is requested; until that has come, what was held stays and the old address goes on to serve. It is done on the
-     * selector's thread, as an address that is abandoned before it took over is read out first.
+     * Moves the watch to another address or scope of discovery. A new scope requires a complete list; until that list has
+     * arrived, the current list stays in force and the old address keeps serving. Runs on the selector's thread, since pending
+     * bytes of an earlier target that has not taken over yet are read before that target is abandoned.
      */
     public void moveTo(InetSocketAddress address, ServiceScope scope) {
         ManagedSelector selector = isStarted() ? getBean(ManagedSelector.class) : null;
@@ -69,13 +69,13 @@
         if (state.isMovingTo(address, scope)) {
             return;
         }
-        // discovery counts as delivered what it has written there, although the address is about to be abandoned
+        // bytes that the earlier target has written count as delivered, so they are read before it is abandoned
         state.nextConnection().ifPresent(AgentConnection::readAvailable);
         EndpointSource target = new EndpointSource(address, scope, true);
-        WatchState.Move move = state.moveTo(target);
+        WatchState.MoveResult move = state.moveTo(target);
         move.abandoned().flatMap(state::abandon).ifPresent(AgentConnection::close);
-        String verb = move.staysAtServing() ? "stays at " : "moves to ";
-        log.info("discovery", verb + target + (move.keepsScope() ? "" : ", with " + scope));
+        String action = move.staysAtServing() ? "staying at " : "moving to ";
+        log.info("discovery", action + target + (move.keepsScope() ? "" : " with scope: " + scope));
         dial(target);
     }
 
@@ -87,26 +87,26 @@
         return applier;
     }
 
-    /** The whole list has come, as requested: goes on with the watch at once. */
-    void wholeListDelivered(EndpointSource source) {
+    /** Opens a watch at once, since the requested complete list has arrived. */
+    void completeListDelivered(EndpointSource source) {
         dial(source);
     }
 
-    /** An attempt has ended; the next is made after the backoff, unless discovery has moved on. */
+    /** Schedules the next attempt after the backoff, unless the source is no longer watched. */
     void attemptEnded(EndpointSource source, AttemptEnd end) {
         long delayMs;
         synchronized (state) {
             if (!state.isWatched(source)) {
                 return;
             }
-            source.disconnected();
+            source.clearConnection();
             if (end.stage() == AttemptEnd.Stage.DATA_RECEIVED) {
                 source.backoff().reset();
             }
             delayMs = source.backoff().nextDelayMs();
             log.warn(
                     "discovery",
-                    "attempt at " + source + " " + end + "; next in " + delayMs + " ms, from host list version "
+                    "attempt at " + source + " " + end + "; retrying in " + delayMs + " ms from host list version "
                             + applier.version());
         }
         scheduler.schedule(() -> dial(source), delayMs, TimeUnit.MILLISECONDS);
@@ -119,7 +119,7 @@
         SocketChannel channel = null;
         try {
             channel = SocketChannel.open();
-            state.dialled(source, channel);
+            state.setChannel(source, channel);
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
             channel.configureBlocking(false);
             if (channel.connect(source.address())) {
@@ -127,7 +127,7 @@
             } else {
                 connect(channel, source);
             }
-        } catch (IOException | RuntimeException failure) { // whatever it is, it must end this attempt alone
+        } catch (IOException | RuntimeException failure) { // any failure must end only this attempt
             dialFailed(channel, source, failure);
         }
     }
@@ -143,7 +143,7 @@
                 channel.close();
             }
         } catch (IOException failure) {
-            // nothing was sent on it: nothing is lost with it
+            // nothing was sent on the channel, so no data is lost
         }
     }
 
@@ -152,11 +152,11 @@
         dialFailed(channel, (EndpointSource) attachment, cause);
     }
 
-    /** As {@link #connectionFailed}, for a connection that was made at once, as it may be on one machine. */
+    /** Handles the failure of a connection that was established at once, as is possible on one machine. */
     @Override
     protected void onAcceptFailed(SelectableChannel channel, Throwable cause) {
         closeQuietly(channel);
-        state.dialledWith(channel).ifPresent(source -> dialFailed(channel, source, cause));
+        state.sourceUsingChannel(channel).ifPresent(source -> dialFailed(channel, source, cause));
     }
 
     @Override
--- a/src/main/java/linenring/discovery/ListRequest.java
+++ b/src/main/java/linenring/discovery/ListRequest.java
@@ -1,15 +1,15 @@
 package linenring.discovery;
 
-/** What is requested of discovery's agent: the whole list once, or a watch that stays open. */
-record ListRequest(String target, boolean isForWholeList) {
-    private static final String MEMBERS = "/catalog/members";
+/** A request to a discovery agent: one complete list, or a watch that stays open. */
+record ListRequest(String target, boolean isForCompleteList) {
+    private static final String MEMBERS_PATH = "/catalog/members";
 
-    static ListRequest wholeList() {
-        return new ListRequest(MEMBERS, true);
+    static ListRequest completeList() {
+        return new ListRequest(MEMBERS_PATH, true);
     }
 
-    /** All that changes after this version. */
+    /** Requests a watch of the changes after this version. */
     static ListRequest watchFrom(long version) {
-        return new ListRequest(MEMBERS + "?watch=1&from=" + version, false);
+        return new ListRequest(MEMBERS_PATH + "?watch=1&from=" + version, false);
     }
 }
--- a/src/main/java/linenring/discovery/SourceHistory.java
+++ b/src/main/java/linenring/discovery/SourceHistory.java
@@ -3,67 +3,71 @@
 import java.util.concurrent.TimeUnit;
 import linenring.protocol.ServiceScope;
 
-/** What one source has sent so far, as far as it decides what is believed of it. Not thread-safe: guarded by the watch. */
+/**
+ * Tracks which versions one source has sent, to detect a source that has restarted its versions. Not thread-safe; guarded by
+ * the monitor of {@link WatchState}.
+ */
 final class SourceHistory {
-    /** The protocol's: discovery counts what it has to deliver as known after this time, so an agent may not lag further. */
+    /** By the protocol, discovery assumes that a change has reached its watchers after 6 s, so no agent may lag longer. */
     private static final long MAX_LAG_NANOS = TimeUnit.SECONDS.toNanos(6);
 
-    private final boolean movedTo;
+    private final boolean isMoveTarget;
     private final ServiceScope scope;
-    private boolean isUpToDate; // it has sent the version that was held, or a later one
-    private boolean hasSentOlder;
-    private long firstOlderAtNanos;
-    private boolean hasRestarted; // it counts its versions anew
-    private boolean hadNoneInScope; // its last whole list was refused for that: its changes are of a list not held
+    private boolean hasSentCurrentVersion; // the source has sent the current version or a later one
+    private boolean hasSentOlderVersion;
+    private long firstOlderVersionNanos;
+    private boolean hasRestarted; // the source has restarted its versions
+    private boolean hadNoHostsInScope; // the last complete list was rejected for having no host in scope
 
-    /** {@code movedTo}: discovery was moved there while another address served. */
-    SourceHistory(boolean movedTo, ServiceScope scope) {
-        this.movedTo = movedTo;
+    /** {@code isMoveTarget}: whether discovery was moved to this source while another source served. */
+    SourceHistory(boolean isMoveTarget, ServiceScope scope) {
+        this.isMoveTarget = isMoveTarget;
         this.scope = scope;
     }
 
-    SourceHistory(boolean movedTo) {
-        this(movedTo, ServiceScope.ALL);
+    SourceHistory(boolean isMoveTarget) {
+        this(isMoveTarget, ServiceScope.ALL);
     }
 
-    /** What it is read under. */
+    /** Scope under which the lists of the source are read. */
     ServiceScope scope() {
         return scope;
     }
 
-    void listWasApplied() {
-        isUpToDate = true;
+    void recordAppliedList() {
+        hasSentCurrentVersion = true;
         hasRestarted = false;
-        hadNoneInScope = false;
+        hadNoHostsInScope = false;
     }
 
-    void sentOlderVersion(long nowNanos) {
-        if (!hasSentOlder) {
-            hasSentOlder = true;
-            firstOlderAtNanos = nowNanos;
+    void recordOlderVersion(long nowNanos) {
+        if (!hasSentOlderVersion) {
+            hasSentOlderVersion = true;
+            firstOlderVersionNanos = nowNanos;
         }
     }
 
-    void listHadNoneInScope() {
-        hadNoneInScope = true;
+    void recordNoHostsInScope() {
+        hadNoHostsInScope = true;
     }
 
     /**
-     * Decides whether the source counts its versions anew: it was moved to, has only sent older versions, and has done so
-     * for longer than an agent may lag. Once so it stays so, until a list of it is applied.
+     * Decides whether the source has restarted its versions: discovery was moved to the source, and the source has sent only
+     * older versions for longer than an agent may lag. The result stays true until a list of the source is applied.
      */
-    boolean judgeRestart(long nowNanos) {
-        boolean lagsTooLong = hasSentOlder && !isUpToDate && nowNanos - firstOlderAtNanos > MAX_LAG_NANOS;
-        hasRestarted |= movedTo && lagsTooLong;
+    boolean detectRestart(long nowNanos) {
+        boolean lagsTooLong =
+                hasSentOlderVersion && !hasSentCurrentVersion && nowNanos - firstOlderVersionNanos > MAX_LAG_NANOS;
+        hasRestarted |= isMoveTarget && lagsTooLong;
         return hasRestarted;
     }
 
-    /** As {@link #judgeRestart} has decided. */
+    /** Whether {@link #detectRestart} has found a restart and no list of the source has been applied since. */
     boolean hasRestarted() {
         return hasRestarted;
     }
 
-    boolean hadNoneInScope() {
-        return hadNoneInScope;
+    boolean hadNoHostsInScope() {
+        return hadNoHostsInScope;
     }
 }
--- a/src/main/java/linenring/discovery/VersionTracker.java
+++ b/src/main/java/linenring/discovery/VersionTracker.java
@@ -4,110 +4,114 @@
 import linenring.protocol.HostList;
 
 /**
- * Decides which endpoint lists are applied, by their versions. The versions of one source only grow, so a list that is older
- * than the held one changes nothing: an agent that lags would otherwise call back hosts that drain or are gone. A source that
- * discovery was moved to may count anew; its lower versions are ignored while they may come of a lag, and then its whole list
- * is requested and applied as it is. Without I/O; the time is handed in, in ns. Not thread-safe: guarded by the watch.
+ * Decides by version which endpoint lists are applied. The versions of one source only grow, so a list that is older than the
+ * current one changes nothing: otherwise an agent that lags would restore hosts that drain or are gone. A source that discovery
+ * was moved to may have restarted its versions. Lower versions of such a source are ignored while they can be explained by
+ * lag; afterwards its complete list is requested and applied regardless of its version. Uses no I/O; times are passed in, in
+ * ns. Not thread-safe; guarded by the monitor of {@link WatchState}.
  */
 final class VersionTracker {
-    /** What is to be done with a list. */
-    enum Verdict {
+    /** The outcome of evaluating a list. */
+    enum UpdateDecision {
         APPLIED,
-        /** Older than what is held, or the same. */
+        /** The list is not newer than the current list. */
         IGNORED,
-        /** Changes, where a whole list is needed first. */
+        /** The list is a delta, but a complete list is needed first. */
         LACKS_BASE
     }
 
-    /** Why a list must not be used, before its source takes over from another. */
-    enum Refusal {
-        /** Changes, where a whole list is needed first. */
+    /** Why a list is unusable; checked before its source takes over from another source. */
+    enum Rejection {
+        /** The list is a delta, but a complete list is needed first. */
         LACKS_BASE,
-        /** Older than the held list, which was read under another scope. */
+        /** The list is older than the current list, which was read under another scope. */
         OLDER_UNDER_OTHER_SCOPE,
-        /** The scope leaves nobody: applied, it would leave all proxies without a host for one wrong word in the settings. */
-        NONE_IN_SCOPE
+        /** No host is in scope: one misspelt name in the settings would otherwise leave all proxies without a host. */
+        NO_HOSTS_IN_SCOPE
     }
 
     private long version;
-    private boolean holdsList;
-    private final HeldHosts hosts = new HeldHosts();
+    private boolean hasList;
+    private final CurrentHosts hosts = new CurrentHosts();
 
-    /** {@code known} is the list to begin with, or null. */
-    VersionTracker(HostList known) {
-        if (known != null) {
-            version = known.version();
-            holdsList = true;
-            hosts.apply(known);
+    /** Starts with the given list, or without a list if null. */
+    VersionTracker(HostList initialList) {
+        if (initialList != null) {
+            version = initialList.version();
+            hasList = true;
+            hosts.apply(initialList);
         }
     }
 
-    /** The hosts of the held list. */
-    HeldHosts hosts() {
+    /** The hosts of the current list. */
+    CurrentHosts hosts() {
         return hosts;
     }
 
-    boolean holdsList() {
-        return holdsList;
+    boolean hasList() {
+        return hasList;
     }
 
-    /** The held list's; 0 where there is none. */
+    /** Version of the current list; 0 if there is none. */
     long version() {
         return version;
     }
 
-    /** Empty where the list may be used, and its source may take over; what is refused changes nothing that is held. */
-    Optional<Refusal> refusal(HostList list, SourceHistory source, long nowNanos) {
+    /** Returns why a list is unusable; empty if the list is usable and its source may take over. Keeps the current list. */
+    Optional<Rejection> rejectionOf(HostList list, SourceHistory source, long nowNanos) {
         if (!list.isComplete()) {
-            return requiresWholeList(source) ? Optional.of(Refusal.LACKS_BASE) : Optional.empty();
+            return requiresCompleteList(source) ? Optional.of(Rejection.LACKS_BASE) : Optional.empty();
         }
-        if (!holdsList || (source.hasRestarted() && !list.hasNoneInScope())) {
+        if (!hasList || (source.hasRestarted() && !list.hasNoneInScope())) {
             return Optional.empty();
         }
-        if (isOfOtherScope(source) && list.version() < version) {
-            judge(list, source, nowNanos); // notes the older version, as its source may have restarted
-            source.judgeRestart(nowNanos);
-            return Optional.of(Refusal.OLDER_UNDER_OTHER_SCOPE);
+        if (hasOtherScope(source) && list.version() < version) {
+            applyIfNewer(list, source, nowNanos); // records the older version, which may show a restart of the source
+            source.detectRestart(nowNanos);
+            return Optional.of(Rejection.OLDER_UNDER_OTHER_SCOPE);
         }
-        if (list.hasNoneInScope() && !hosts.areKnownToBeNone()) {
-            source.listHadNoneInScope();
-            return Optional.of(Refusal.NONE_IN_SCOPE);
+        if (list.hasNoneInScope() && !hosts.isCertainlyEmpty()) {
+            source.recordNoHostsInScope();
+            return Optional.of(Rejection.NO_HOSTS_IN_SCOPE);
         }
         return Optional.empty();
     }
 
-    /** Decides on a list that was not refused; where it is applied, it is the held one from here on. */
-    Verdict judge(HostList list, SourceHistory source, long nowNanos) {
-        if (!list.isComplete() && requiresWholeList(source)) {
-            return Verdict.LACKS_BASE;
+    /** Evaluates a list that was not rejected. A list that is applied becomes the current list. */
+    UpdateDecision applyIfNewer(HostList list, SourceHistory source, long nowNanos) {
+        if (!list.isComplete() && requiresCompleteList(source)) {
+            return UpdateDecision.LACKS_BASE;
         }
-        if (isNews(list, source)) {
+        if (supersedesCurrentList(list, source)) {
             version = list.version();
-            holdsList = true;
-            source.listWasApplied();
+            hasList = true;
+            source.recordAppliedList();
             hosts.apply(list);
-            return Verdict.APPLIED;
+            return UpdateDecision.APPLIED;
         }
         if (list.version() < version) {
-            source.sentOlderVersion(nowNanos);
+            source.recordOlderVersion(nowNanos);
         }
-        return Verdict.IGNORED;
+        return UpdateDecision.IGNORED;
     }
 
-    /** A whole list of the held version counts too: it may name a host whose entry was invalid the last time. */
-    private boolean isNews(HostList list, SourceHistory source) {
-        if (!holdsList || list.version() > version) {
+    /**
+     * Whether the list replaces or extends the current one. A complete list of the current version does so too, as it may name
+     * a host whose entry was invalid before.
+     */
+    private boolean supersedesCurrentList(HostList list, SourceHistory source) {
+        if (!hasList || list.version() > version) {
             return true;
         }
         return list.isComplete() && (list.version() == version || source.hasRestarted());
     }
 
-    /** Whether the whole list is to be requested, before any watch. */
-    boolean requiresWholeList(SourceHistory source) {
-        return !holdsList || source.hasRestarted() || source.hadNoneInScope() || isOfOtherScope(source);
+    /** Whether a complete list has to be requested before a watch. */
+    boolean requiresCompleteList(SourceHistory source) {
+        return !hasList || source.hasRestarted() || source.hadNoHostsInScope() || hasOtherScope(source);
     }
 
-    private boolean isOfOtherScope(SourceHistory source) {
-        return holdsList && !source.scope().equals(hosts.scope());
+    private boolean hasOtherScope(SourceHistory source) {
+        return hasList && !source.scope().equals(hosts.scope());
     }
 }
--- a/src/main/java/linenring/discovery/WatchConfig.java
+++ b/src/main/java/linenring/discovery/WatchConfig.java
@@ -7,19 +7,25 @@
 import linenring.protocol.ServiceScope;
 
 /**
- * What a watch begins with. {@code known} is the list that is held, read under the same scope or another, or null; lists of
- * over {@code maxHosts} hosts in scope are rejected; {@code nanoClock} has no fixed start.
+ * Configuration of a watch.
+ *
+ * @param address address of the discovery agent
+ * @param scope services whose hosts are read
+ * @param initialList list to start with, read under the same scope or another; null if there is none
+ * @param capacityListener notified if the first list is too large
+ * @param maxHosts largest accepted number of hosts in scope
+ * @param nanoClock clock in ns, with an arbitrary origin
  */
 public record WatchConfig(
         InetSocketAddress address,
         ServiceScope scope,
-        HostList known,
+        HostList initialList,
         CapacityListener capacityListener,
         int maxHosts,
         LongSupplier nanoClock) {
-    /** With as many hosts as fit this process's heap, on the system's clock. */
+    /** Creates a configuration with the host capacity of this process's heap and the system clock. */
     public WatchConfig(
-            InetSocketAddress address, ServiceScope scope, HostList known, CapacityListener capacityListener) {
-        this(address, scope, known, capacityListener, HostCapacity.ofThisProcess(), System::nanoTime);
+            InetSocketAddress address, ServiceScope scope, HostList initialList, CapacityListener capacityListener) {
+        this(address, scope, initialList, capacityListener, HostCapacity.ofThisProcess(), System::nanoTime);
     }
 }
--- a/src/main/java/linenring/discovery/WatchState.java
+++ b/src/main/java/linenring/discovery/WatchState.java
@@ -7,100 +7,103 @@
 import linenring.protocol.ServiceScope;
 
 /**
- * Which sources are watched: the one that serves and, while discovery moves, the one that is next to serve once it delivers
- * something. Its monitor guards the sources too, and the versions of {@link EndpointListApplier}.
+ * The watched sources: the serving source and, while discovery moves, the source that serves next once it has sent usable
+ * data. The monitor of this object also guards the sources and the versions of {@link EndpointListApplier}.
  */
 final class WatchState {
-    /** The reason for ending an attempt at a source that is no longer watched. */
-    static final String MOVED_ON = "discovery has moved on";
+    /** Reason for ending an attempt at a source that is no longer watched. */
+    static final String SOURCE_NOT_WATCHED = "discovery has moved to another address or scope";
 
-    private EndpointSource serving; // @GuardedBy("this")
-    private EndpointSource next; // null where discovery does not move; @GuardedBy("this")
+    private EndpointSource servingSource; // @GuardedBy("this")
+    private EndpointSource nextSource; // null unless discovery is moving; @GuardedBy("this")
 
-    /** What a move has changed. */
-    record Move(Optional<EndpointSource> abandoned, boolean staysAtServing, boolean keepsScope) {}
+    /** Result of a move: the earlier target that was replaced, and which properties of the serving source are kept. */
+    record MoveResult(Optional<EndpointSource> abandoned, boolean staysAtServing, boolean keepsScope) {}
 
-    WatchState(EndpointSource serving) {
-        this.serving = serving;
+    WatchState(EndpointSource servingSource) {
+        this.servingSource = servingSource;
     }
 
-    synchronized EndpointSource serving() {
-        return serving;
+    synchronized EndpointSource servingSource() {
+        return servingSource;
     }
 
-    synchronized Optional<EndpointSource> next() {
-        return Optional.ofNullable(next);
+    synchronized Optional<EndpointSource> nextSource() {
+        return Optional.ofNullable(nextSource);
     }
 
     synchronized boolean isWatched(EndpointSource source) {
-        return !source.isAbandoned() && (source == serving || source == next);
+        return !source.isAbandoned() && (source == servingSource || source == nextSource);
     }
 
-    /** Whether discovery moves there already. */
+    /** Whether a move to this address and scope is already in progress. */
     synchronized boolean isMovingTo(InetSocketAddress address, ServiceScope scope) {
-        return next != null && next.isSameAs(address, scope);
+        return nextSource != null && nextSource.hasAddressAndScope(address, scope);
     }
 
-    /** The source is the next to serve, in place of one that was next before, unless that would be the serving one again. */
-    synchronized Move moveTo(EndpointSource target) {
-        EndpointSource abandoned = next;
-        boolean stays = serving.isSameAs(target.address(), target.scope());
-        next = stays ? null : target;
-        return new Move(Optional.ofNullable(abandoned), stays, serving.scope().equals(target.scope()));
+    /** Makes the target the next source, in place of an earlier one; a target equal to the serving source cancels the move. */
+    synchronized MoveResult moveTo(EndpointSource target) {
+        EndpointSource abandoned = nextSource;
+        boolean staysAtServing = servingSource.hasAddressAndScope(target.address(), target.scope());
+        nextSource = staysAtServing ? null : target;
+        return new MoveResult(
+                Optional.ofNullable(abandoned),
+                staysAtServing,
+                servingSource.scope().equals(target.scope()));
     }
 
     /**
-     * The source has delivered something: from here on it serves. Returns the one that served before, empty where the source
-     * did already.
+     * Makes a source that has sent usable data the serving source. Returns the source that served before; empty if the given
+     * source already served.
      */
     synchronized Optional<EndpointSource> promote(EndpointSource source) throws AttemptAbortedException {
         requireWatched(source);
-        if (source == serving) {
+        if (source == servingSource) {
             return Optional.empty();
         }
-        EndpointSource previous = serving;
-        serving = source;
-        next = null;
+        EndpointSource previous = servingSource;
+        servingSource = source;
+        nextSource = null;
         return Optional.of(previous);
     }
 
     synchronized void requireWatched(EndpointSource source) throws AttemptAbortedException {
         if (!isWatched(source)) {
-            throw new AttemptAbortedException(MOVED_ON);
+            throw new AttemptAbortedException(SOURCE_NOT_WATCHED);
         }
     }
 
-    /** No further attempt is made at the source; the caller closes its connection, if there is one. */
+    /** Stops further attempts at the source, and returns its open connection for the caller to close, if there is one. */
     synchronized Optional<AgentConnection> abandon(EndpointSource source) {
         source.abandon();
         return source.connection();
     }
 
-    synchronized void dialled(EndpointSource source, SocketChannel channel) {
-        source.dialled(channel);
+    synchronized void setChannel(EndpointSource source, SocketChannel channel) {
+        source.setChannel(channel);
     }
 
-    /** Whose last attempt was made with this channel; empty where it was abandoned meanwhile. */
-    synchronized Optional<EndpointSource> dialledWith(SelectableChannel channel) {
-        if (serving.isDialledWith(channel)) {
-            return Optional.of(serving);
+    /** Returns the source whose last attempt uses this channel; empty if that source is no longer watched. */
+    synchronized Optional<EndpointSource> sourceUsingChannel(SelectableChannel channel) {
+        if (servingSource.usesChannel(channel)) {
+            return Optional.of(servingSource);
         }
-        return next().filter(source -> source.isDialledWith(channel));
+        return nextSource().filter(source -> source.usesChannel(channel));
     }
 
-    /** False where discovery has moved on meanwhile. */
-    synchronized boolean connected(EndpointSource source, AgentConnection connection) {
-        source.connected(connection);
+    /** Records the source's open connection, and returns whether the source is still watched. */
+    synchronized boolean registerConnection(EndpointSource source, AgentConnection connection) {
+        source.setConnection(connection);
         return isWatched(source);
     }
 
     synchronized Optional<AgentConnection> nextConnection() {
-        return next().flatMap(EndpointSource::connection);
+        return nextSource().flatMap(EndpointSource::connection);
     }
 
-    /** The connection of the source that serves, where this one is about to take over from it. */
-    synchronized Optional<AgentConnection> servingConnectionBefore(EndpointSource source) {
-        boolean isNext = !source.isAbandoned() && source == next;
-        return isNext ? serving.connection() : Optional.empty();
+    /** Returns the connection of the serving source if the given source is about to replace the serving source. */
+    synchronized Optional<AgentConnection> servingConnectionIfNext(EndpointSource source) {
+        boolean isNext = !source.isAbandoned() && source == nextSource;
+        return isNext ? servingSource.connection() : Optional.empty();
     }
 }
--- a/src/main/java/linenring/handover/DaemonThreads.java
+++ b/src/main/java/linenring/handover/DaemonThreads.java
@@ -3,11 +3,11 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 
-/** Threads that do not keep the process from ending. */
+/** Creates daemon threads, which do not keep the process running. */
 final class DaemonThreads {
     private DaemonThreads() {}
 
-    /** An executor of one thread: what it runs is never run at the same time. */
+    /** Returns an executor with one daemon thread, which runs its tasks one after the other. */
     static ScheduledExecutorService singleThread(String name) {
         return Executors.newSingleThreadScheduledExecutor(task -> newThread(name, task));
     }
--- a/src/main/java/linenring/handover/HandoverChannel.java
+++ b/src/main/java/linenring/handover/HandoverChannel.java
@@ -13,13 +13,13 @@
 import jdk.net.ExtendedSocketOptions;
 import linenring.handover.wire.HandoverProtocol.HandoverMessage;
 
-/** One end of the Unix-domain socket between two processes: whole messages, in order. Any thread may send. */
+/** One end of the Unix-domain socket between two processes, which carries messages in order. Any thread may send. */
 class HandoverChannel implements AutoCloseable {
-    /** Notified of what the other end sends, on one thread of the channel's own. */
+    /** Receives the messages of the other end, on a thread of the channel. */
     interface Listener {
         void onMessage(HandoverMessage message);
 
-        /** Once, after the last message; with a fault where what was sent could not be understood. */
+        /** Called once, after the last message; with a reason if a malformed message ended the channel. */
         void onEnd(Optional<String> fault);
     }
 
@@ -33,29 +33,29 @@
         return new HandoverChannel(SocketChannel.open(UnixDomainSocketAddress.of(socket)));
     }
 
-    /** Whether the process at the other end is of the same user. */
-    boolean isOfSameUser() throws IOException {
+    /** Whether the process at the other end belongs to the same user. */
+    boolean belongsToSameUser() throws IOException {
         return channel.getOption(ExtendedSocketOptions.SO_PEERCRED)
                 .user()
                 .getName()
                 .equals(System.getProperty("user.name"));
     }
 
-    /** Sends a message. Where the other end is gone nothing happens: the listener is notified of that end. */
+    /** Sends a message. A closed connection is ignored here, since the listener is notified of its end. */
     synchronized void send(HandoverMessage message) {
         try {
             ByteArrayOutputStream out = new ByteArrayOutputStream();
             message.writeDelimitedTo(out);
             ByteBuffer bytes = ByteBuffer.wrap(out.toByteArray());
-            while (bytes.hasRemaining()) { // a stream on the channel would wait for the reader to release its lock
+            while (bytes.hasRemaining()) { // an output stream would wait for the reader's lock
                 channel.write(bytes);
             }
         } catch (IOException failure) {
-            // the reader sees the end as well
+            // the reading thread notices the closed connection as well
         }
     }
 
-    /** Starts to read. */
+    /** Starts a thread that reads messages and passes them to the listener. */
     void listen(Listener listener) {
         DaemonThreads.newThread("handover", () -> listener.onEnd(readAll(listener)))
                 .start();
@@ -69,9 +69,9 @@
                 message = HandoverMessage.parseDelimitedFrom(input);
             }
         } catch (InvalidProtocolBufferException failure) {
-            return Optional.of("what it sends cannot be understood");
+            return Optional.of("the other process sent a malformed message");
         } catch (IOException failure) {
-            // the other end is gone
+            // the other process has closed the connection
         }
         return Optional.empty();
     }
@@ -81,7 +81,7 @@
         try {
             channel.close();
         } catch (IOException failure) {
-            // it is closed all the same
+            // the channel is closed even if close() throws
         }
     }
 }
--- a/src/main/java/linenring/handover/HandoverMessages.java
+++ b/src/main/java/linenring/handover/HandoverMessages.java
@@ -11,11 +11,11 @@
 import linenring.handover.wire.HandoverProtocol.UpgradeOutcome;
 import linenring.handover.wire.HandoverProtocol.UpgradeRequest;
 
-/** The messages of a handover, ready to be sent. */
+/** Creates the messages of a handover. */
 final class HandoverMessages {
     private HandoverMessages() {}
 
-    /** The new process introduces itself. */
+    /** Creates the first message of the new process, which names its protocol, release and process id. */
     static HandoverMessage hello(String release) {
         Hello hello = Hello.newBuilder()
                 .setProtocol(HandoverSender.PROTOCOL)
--- a/src/main/java/linenring/handover/HandoverReceiver.java
+++ b/src/main/java/linenring/handover/HandoverReceiver.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What the new process does at each event of a handover: the effects, in order. Without I/O; times are ms on the caller's
- * clock. Not thread-safe.
+ * State machine of the new process in a handover. Each event returns the effects for the caller to perform, in order. Does no
+ * I/O; times are in ms on the caller's clock. Not thread-safe.
  */
 public final class HandoverReceiver {
-    /** How far the handover has come, as this process sees it. */
+    /** State of the handover, as known to the new process. */
     public enum State {
         GREETED,
         PREPARING,
@@ -17,11 +17,11 @@
         ENDED
     }
 
-    /** What is to be done. */
+    /** An action for the caller to perform. */
     public enum Effect {
         SEND_HELLO,
         PREPARE,
-        /** Without what the old process offers: from the list in the configuration. */
+        /** Prepare from the host list in the configuration, without the offer of the old process. */
         PREPARE_FROM_CONFIGURATION,
         SEND_READY,
         ACCEPT,
@@ -36,47 +36,47 @@
     private boolean isOldProcessDead;
     private String endReason = "";
 
-    /** {@code silenceTimeoutMs}: how long it waits for the old process's next message before it ends itself. */
+    /** {@code silenceTimeoutMs}: how long the new process waits for a message of the old process before it exits. */
     public HandoverReceiver(double silenceTimeoutMs) {
         this.silenceTimeoutMs = silenceTimeoutMs;
     }
 
-    /** How far it has come. */
+    /** Current state of the handover. */
     public State state() {
         return state;
     }
 
-    /** Why it ends; empty while it does not. */
+    /** Why the new process exits; empty unless it does. */
     public String endReason() {
         return endReason;
     }
 
-    /** Whether this process accepts connections. */
+    /** Whether the new process accepts connections. */
     public boolean isAccepting() {
         return state == State.OWNING || state == State.SOLE_OWNER;
     }
 
-    private List<Effect> enter(State next, double nowMs, Effect... effects) {
-        state = next;
+    private List<Effect> enter(State nextState, double nowMs, Effect... effects) {
+        state = nextState;
         stateSinceMs = nowMs;
         return List.of(effects);
     }
 
-    /** The connection to the old process is there. */
+    /** Handles the established connection to the old process. */
     public List<Effect> connected(double nowMs) {
         return enter(State.GREETED, nowMs, Effect.SEND_HELLO);
     }
 
-    /** The old process, which speaks this protocol, offers what it has. */
+    /** Handles the old process's offer; {@code protocol} is the handover protocol of the old process. */
     public List<Effect> offered(int protocol, double nowMs) {
         if (state != State.GREETED) {
             return List.of();
         }
-        boolean isUnderstood = protocol == HandoverSender.PROTOCOL;
-        return enter(State.PREPARING, nowMs, isUnderstood ? Effect.PREPARE : Effect.PREPARE_FROM_CONFIGURATION);
+        boolean hasSameProtocol = protocol == HandoverSender.PROTOCOL;
+        return enter(State.PREPARING, nowMs, hasSameProtocol ? Effect.PREPARE : Effect.PREPARE_FROM_CONFIGURATION);
     }
 
-    /** It could serve now. */
+    /** Handles the end of preparation: the new process is able to serve. */
     public List<Effect> prepared(double nowMs) {
         if (state != State.PREPARING) {
             return List.of();
@@ -86,57 +86,59 @@
                 : enter(State.READY, nowMs, Effect.SEND_READY);
     }
 
-    /** It cannot serve. */
+    /** Handles a failed preparation: the new process is unable to serve. */
     public List<Effect> preparationFailed(String reason, double nowMs) {
-        return state == State.PREPARING ? end(reason, nowMs, !isOldProcessDead) : List.of();
+        return state == State.PREPARING ? endHandover(reason, nowMs, !isOldProcessDead) : List.of();
     }
 
-    /** The old process has given up the port. */
+    /** Handles the commit: the old process has stopped accepting connections. */
     public List<Effect> committed(double nowMs) {
         return state == State.READY ? enter(State.OWNING, nowMs, Effect.ACCEPT, Effect.SEND_OWNED) : List.of();
     }
 
-    /** The old process will not take the port back any more. */
+    /** Handles the retirement of the old process, which will not reclaim the port any more. */
     public List<Effect> retired(double nowMs) {
         return state == State.OWNING ? enter(State.SOLE_OWNER, nowMs) : List.of();
     }
 
-    /** The old process has aborted the handover: it lives and serves, so this one ends, whatever it has. */
+    /** Handles an abort by the old process. The old process is alive and serves, so the new process exits. */
     public List<Effect> aborted(String reason, double nowMs) {
-        return isOver() ? List.of() : end(reason, nowMs, false);
+        return isFinished() ? List.of() : endHandover(reason, nowMs, false);
     }
 
-    /** The old process is dead, for certain: nobody else can own the port. */
+    /** Handles the certain death of the old process: only the new process can own the port now. */
     public List<Effect> oldProcessDied(double nowMs) {
         isOldProcessDead = true;
         return switch (state) {
             case GREETED -> enter(State.PREPARING, nowMs, Effect.PREPARE_FROM_CONFIGURATION);
             case READY -> enter(State.SOLE_OWNER, nowMs, Effect.ACCEPT);
             case OWNING -> enter(State.SOLE_OWNER, nowMs);
-            case PREPARING, SOLE_OWNER, ENDED -> List.of(); // preparing: it accepts once it is prepared
+            case PREPARING, SOLE_OWNER, ENDED -> List.of(); // in PREPARING, prepared() starts to accept
         };
     }
 
-    /** The old process lives, but the connection to it is gone: it will kill this one or does not know it any more. */
+    /** Handles a lost connection to a live old process, which will kill the new process or has already forgotten it. */
     public List<Effect> disconnected(double nowMs) {
-        return isOver() ? List.of() : end("the connection to the old process is gone, which lives", nowMs, false);
+        return isFinished()
+                ? List.of()
+                : endHandover("lost the connection to the old process, which is still running", nowMs, false);
     }
 
-    /** To be called often: ends what has taken too long. */
+    /** Handles timeouts; to be called periodically. */
     public List<Effect> tick(double nowMs) {
         boolean isWaiting = (state == State.GREETED || state == State.READY) && !isOldProcessDead;
         return isWaiting && nowMs - stateSinceMs >= silenceTimeoutMs
-                ? end("the old process says nothing", nowMs, true)
+                ? endHandover("the old process sent no message in time", nowMs, true)
                 : List.of();
     }
 
-    private boolean isOver() {
+    private boolean isFinished() {
         return state == State.SOLE_OWNER || state == State.ENDED;
     }
 
-    private List<Effect> end(String reason, double nowMs, boolean isToBeSent) {
+    private List<Effect> endHandover(String reason, double nowMs, boolean notifiesOldProcess) {
         endReason = reason;
-        return isToBeSent
+        return notifiesOldProcess
                 ? enter(State.ENDED, nowMs, Effect.SEND_ABORT, Effect.END)
                 : enter(State.ENDED, nowMs, Effect.END);
     }
--- a/src/main/java/linenring/handover/HostSnapshot.java
+++ b/src/main/java/linenring/handover/HostSnapshot.java
@@ -8,9 +8,9 @@
 import linenring.protocol.InvalidEntries;
 import linenring.protocol.ServiceScope;
 
-/** The host list with all changes to it so far: what the new process begins with. Thread-safe. */
+/** The current host list, which is offered to the new process as its initial list. Thread-safe. */
 public final class HostSnapshot {
-    /** The number of each on the wire is its place here, which stays. */
+    /** Host states in the order of their numbers in the protocol; the order must not change. */
     private static final List<HostList.State> WIRE_STATES =
             List.of(HostList.State.READY, HostList.State.TERMINATING, HostList.State.GONE);
 
@@ -18,7 +18,7 @@
     private ServiceScope scope = ServiceScope.ALL; // @GuardedBy("this")
     private long version; // @GuardedBy("this")
 
-    /** Applies a list, or changes. */
+    /** Applies a complete list or a delta. */
     public synchronized void apply(HostList list) {
         if (list.isComplete()) {
             entries.clear();
@@ -34,7 +34,7 @@
         version = list.version();
     }
 
-    /** As it goes to the new process. */
+    /** Encodes the list for the new process. */
     public synchronized HandoverProtocol.HostList toWire() {
         HandoverProtocol.HostList.Builder list = HandoverProtocol.HostList.newBuilder()
                 .setVersion(version)
@@ -57,13 +57,13 @@
     }
 
     /**
-     * As it came from the old process, which may be of another release: a host that cannot be understood here is left out, as
-     * if it had never been listed.
+     * Decodes the list of the old process, which may run another release. A host with values that are invalid in this release
+     * is omitted, as if it had not been listed.
      */
     static HostList fromWire(HandoverProtocol.HostList list, int zoneCount, int kindCount) {
         List<HostList.Entry> entries = new ArrayList<>();
         for (HandoverProtocol.Host host : list.getHostsList()) {
-            if (isUnderstood(host, zoneCount, kindCount)) {
+            if (isValid(host, zoneCount, kindCount)) {
                 entries.add(fromWire(host));
             }
         }
@@ -71,7 +71,7 @@
         return new HostList(list.getVersion(), true, entries, InvalidEntries.NONE, scope, 0);
     }
 
-    private static boolean isUnderstood(HandoverProtocol.Host host, int zoneCount, int kindCount) {
+    private static boolean isValid(HandoverProtocol.Host host, int zoneCount, int kindCount) {
         return !host.getId().isEmpty()
                 && isIndex(host.getState(), WIRE_STATES.size())
                 && isIndex(host.getZone(), zoneCount)
--- a/src/main/java/linenring/handover/InheritedListener.java
+++ b/src/main/java/linenring/handover/InheritedListener.java
@@ -14,48 +14,58 @@
 import java.util.regex.Pattern;
 
 /**
- * A listening socket that a child process shares as its standard input, where the JDK finds it
- * ({@link System#inheritedChannel}). Both then accept from one queue, which lives on whichever of them dies. Linux alone.
+ * Shares a listening socket with a child process as the child's standard input, where the JDK finds the socket
+ * ({@link System#inheritedChannel}). Both processes then accept from one queue, which remains if either process dies. Linux
+ * only.
  */
 public final class InheritedListener {
-    /** Columns of /proc/net/tcp, and its state of a listening socket. */
+    /** Column of the local address in /proc/net/tcp. */
     private static final int ADDRESS_COLUMN = 1;
 
+    /** Column of the socket state in /proc/net/tcp. */
     private static final int STATE_COLUMN = 3;
+
+    /** Column of the socket inode in /proc/net/tcp. */
     private static final int INODE_COLUMN = 9;
-    private static final String LISTENING = "0A";
-    private static final Pattern BLANKS = Pattern.compile("\\s+");
+
+    /** State of a listening socket in /proc/net/tcp. */
+    private static final String LISTEN_STATE = "0A";
+
+    private static final Pattern WHITESPACE = Pattern.compile("\\s+");
 
     private InheritedListener() {}
 
-    /** The listener that this process was started with; it must stay open for as long as anything is logged. */
+    /**
+     * Returns the listener that this process has inherited, if any. The listener must stay open as long as the process logs,
+     * since closing it also redirects the standard output to /dev/null.
+     */
     public static Optional<ServerSocketChannel> find() throws IOException {
         Channel channel = System.inheritedChannel();
         return channel instanceof ServerSocketChannel listener ? Optional.of(listener) : Optional.empty();
     }
 
-    /** Puts the listener at this process's standard input, from where a child inherits it. */
+    /** Makes the listener this process's standard input, which child processes inherit. */
     public static void share(ServerSocketChannel listener) throws IOException {
         int port = ((InetSocketAddress) listener.getLocalAddress()).getPort();
-        int descriptor = descriptor(port)
-                .orElseThrow(() -> new IOException("no descriptor of this process listens at port " + port));
+        int descriptor = descriptorOfListener(port)
+                .orElseThrow(() -> new IOException("this process has no descriptor that listens on port " + port));
         if (descriptor != 0
                 && NativeLibrary.getInstance("c").getFunction("dup2").invokeInt(new Object[] {descriptor, 0}) < 0) {
-            throw new IOException("dup2 failed");
+            throw new IOException("dup2 of the listener to standard input failed");
         }
     }
 
-    /** By the inode that the kernel lists for the port, as the JDK does not disclose descriptors. */
-    private static OptionalInt descriptor(int port) throws IOException {
-        String addressEnd = String.format(Locale.ROOT, ":%04X", port);
+    /** Finds the descriptor by the socket inode that the kernel lists for the port, as the JDK does not expose descriptors. */
+    private static OptionalInt descriptorOfListener(int port) throws IOException {
+        String portSuffix = String.format(Locale.ROOT, ":%04X", port);
         for (String table : new String[] {"/proc/self/net/tcp", "/proc/self/net/tcp6"}) {
             for (String line : Files.readAllLines(Path.of(table))) {
-                String[] columns = BLANKS.split(line.trim(), -1);
+                String[] columns = WHITESPACE.split(line.trim(), -1);
                 boolean isListener = columns.length > INODE_COLUMN
-                        && columns[ADDRESS_COLUMN].endsWith(addressEnd)
-                        && columns[STATE_COLUMN].equals(LISTENING);
+                        && columns[ADDRESS_COLUMN].endsWith(portSuffix)
+                        && columns[STATE_COLUMN].equals(LISTEN_STATE);
                 OptionalInt descriptor =
-                        isListener ? descriptorOf("socket:[" + columns[INODE_COLUMN] + "]") : OptionalInt.empty();
+                        isListener ? descriptorOfSocket("socket:[" + columns[INODE_COLUMN] + "]") : OptionalInt.empty();
                 if (descriptor.isPresent()) {
                     return descriptor;
                 }
@@ -64,7 +74,7 @@
         return OptionalInt.empty();
     }
 
-    private static OptionalInt descriptorOf(String socket) throws IOException {
+    private static OptionalInt descriptorOfSocket(String socket) throws IOException {
         try (DirectoryStream<Path> descriptors = Files.newDirectoryStream(Path.of("/proc/self/fd"))) {
             for (Path descriptor : descriptors) {
                 if (pointsTo(descriptor, socket)) {
@@ -80,7 +90,7 @@
         try {
             return Files.readSymbolicLink(descriptor).toString().equals(socket);
         } catch (IOException failure) {
-            return false; // closed meanwhile
+            return false; // the descriptor has been closed in the meantime
         }
     }
 }
--- a/src/main/java/linenring/handover/PreparationException.java
+++ b/src/main/java/linenring/handover/PreparationException.java
@@ -1,15 +1,15 @@
 package linenring.handover;
 
-/** The new process cannot serve, so that the old one goes on. Its message is the reason that is logged there. */
+/** Thrown if the new process is unable to serve, so that the old process keeps serving and logs the message. */
 public final class PreparationException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** With the reason in one line. */
+    /** Creates the exception with the reason in one line. */
     public PreparationException(String reason) {
         super(reason);
     }
 
-    /** The same, where a fault of another part is the reason. */
+    /** Creates the exception with the reason in one line and its cause. */
     public PreparationException(String reason, Throwable cause) {
         super(reason, cause);
     }
--- a/src/main/java/linenring/handover/ServingProcess.java
+++ b/src/main/java/linenring/handover/ServingProcess.java
@@ -3,23 +3,23 @@
 import java.nio.channels.ServerSocketChannel;
 import linenring.handover.wire.HandoverProtocol.Offer;
 
-/** What is handed over, as the process that serves does it. No call waits long. */
+/** Operations of the serving process in an upgrade. None of the calls blocks for long. */
 public interface ServingProcess {
-    /** Accepts nothing any more and sends no updates to proxies outside; the listener stays open. */
+    /** Stops accepting connections and sending updates to external proxies; the listener stays open. */
     void stopAccepting();
 
-    /** Accepts again. */
+    /** Accepts connections again. */
     void accept();
 
-    /** Has clients go elsewhere; what runs goes on. */
+    /** Asks clients to reconnect to another process, while running requests continue. */
     void drain();
 
-    /** Ends the process once nothing runs. */
+    /** Exits the process once all requests have completed. */
     void endWhenDrained();
 
-    /** What the new process begins with. */
+    /** Returns the offer to the new process, with the current host list. */
     Offer offer();
 
-    /** The listener that both processes share. */
+    /** Returns the listener that both processes share. */
     ServerSocketChannel listener();
 }
--- a/src/main/java/linenring/handover/SuccessorProcess.java
+++ b/src/main/java/linenring/handover/SuccessorProcess.java
@@ -15,17 +15,17 @@
 import linenring.protocol.HostList;
 
 /**
- * The new process's side of a handover: the connection to the old one, and the effects of {@link HandoverReceiver}. One thread
- * of its own ("handover-events") handles all events.
+ * Runs a handover in the new process: connects to the old process and performs the effects of {@link HandoverReceiver}. One
+ * thread ("handover-events") handles all events.
  */
 public final class SuccessorProcess {
-    /** What of the settings the old process's list must fit, and this release's name. */
+    /** Name of this release, and the settings against which hosts in the old process's list are checked. */
     public record Identity(String release, int zoneCount, int kindCount) {}
 
-    /** Longer than all timeouts of the old process together: it decides. */
+    /** Longer than all timeouts of the old process together, so that the old process decides about an abort. */
     private static final double SILENCE_TIMEOUT_MS = 60_000;
 
-    /** A dying process's connections end some ms before the process can be seen to be dead. */
+    /** Wait for an exit after a connection loss: connections of a dying process close some ms before its death is visible. */
     private static final long DEATH_WAIT_MS = 2000;
 
     private static final long TICK_MS = 100;
@@ -37,10 +37,10 @@
     private final SuccessorService service;
     private final Log log;
     private final HandoverReceiver receiver = new HandoverReceiver(SILENCE_TIMEOUT_MS);
-    private final CountDownLatch ended = new CountDownLatch(1);
-    private final ScheduledExecutorService events = DaemonThreads.singleThread("handover-events");
-    private Optional<HostList> offeredList = Optional.empty(); // of the events' thread
-    private boolean isSoleOwner; // and the service knows; of the events' thread
+    private final CountDownLatch endLatch = new CountDownLatch(1);
+    private final ScheduledExecutorService eventExecutor = DaemonThreads.singleThread("handover-events");
+    private Optional<HostList> offeredList = Optional.empty(); // used on the event thread only
+    private boolean hasNotifiedSoleOwner; // used on the event thread only
 
     private SuccessorProcess(
             HandoverChannel channel, long oldPid, Identity identity, SuccessorService service, Log log) {
@@ -51,43 +51,45 @@
         this.log = log;
     }
 
-    /** Greets the old process; what follows happens on threads of its own. */
+    /** Connects to the old process and starts the handover, which runs on separate threads. */
     public static SuccessorProcess greet(Path socket, Identity identity, SuccessorService service, Log log)
             throws IOException {
-        long parent = ProcessHandle.current().parent().map(ProcessHandle::pid).orElse(-1L);
+        long parentPid =
+                ProcessHandle.current().parent().map(ProcessHandle::pid).orElse(-1L);
         SuccessorProcess successor =
-                new SuccessorProcess(HandoverChannel.connect(socket), parent, identity, service, log);
-        if (!successor.channel.isOfSameUser()) {
-            throw new IOException("the process at " + socket + " is another user's");
+                new SuccessorProcess(HandoverChannel.connect(socket), parentPid, identity, service, log);
+        if (!successor.channel.belongsToSameUser()) {
+            throw new IOException("the process at " + socket + " belongs to another user");
         }
         successor.start();
         return successor;
     }
 
-    @SuppressWarnings("FutureReturnValueIgnored") // nothing waits for the ticks, which end with the process
+    @SuppressWarnings("FutureReturnValueIgnored") // the periodic ticks run until the process exits
     private void start() {
         channel.listen(new HandoverChannel.Listener() {
             @Override
             public void onMessage(HandoverMessage message) {
-                events.execute(() -> handle(message));
+                eventExecutor.execute(() -> handle(message));
             }
 
             @Override
             public void onEnd(Optional<String> fault) {
-                events.execute(SuccessorProcess.this::connectionEnded);
+                eventExecutor.execute(SuccessorProcess.this::connectionEnded);
             }
         });
-        events.execute(() -> perform(receiver.connected(nowMs())));
-        events.scheduleAtFixedRate(() -> perform(receiver.tick(nowMs())), TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+        eventExecutor.execute(() -> perform(receiver.connected(nowMs())));
+        eventExecutor.scheduleAtFixedRate(
+                () -> perform(receiver.tick(nowMs())), TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
     }
 
     private static double nowMs() {
         return System.nanoTime() / NANOS_PER_MS;
     }
 
-    /** Waits until the handover is aborted; returns the reason. */
+    /** Waits until the handover is aborted, and returns the reason. */
     public String awaitEnd() throws InterruptedException {
-        ended.await();
+        endLatch.await();
         return receiver.endReason();
     }
 
@@ -97,7 +99,7 @@
             case COMMIT -> perform(receiver.committed(nowMs()));
             case RETIRE -> perform(receiver.retired(nowMs()));
             case ABORT -> perform(receiver.aborted(message.getAbort().getReason(), nowMs()));
-            default -> {} // of a later release, or not for this side
+            default -> {} // a message of a later release, or one for the old process
         }
     }
 
@@ -109,8 +111,8 @@
             offeredList = Optional.empty();
             log.warn(
                     "upgrade",
-                    "what release " + offer.getRelease()
-                            + " hands over cannot be used; starts from the list in the configuration");
+                    "offer of release " + offer.getRelease()
+                            + " is unusable; starting from the host list in the configuration");
         }
         perform(receiver.offered(offer.getProtocol(), nowMs()));
     }
@@ -121,10 +123,12 @@
 
     private boolean isOldProcessDead() {
         return oldPid <= 1
-                || ProcessHandle.of(oldPid).map(SuccessorProcess::diesSoon).orElse(true);
+                || ProcessHandle.of(oldPid)
+                        .map(SuccessorProcess::exitsWithinDeathWait)
+                        .orElse(true);
     }
 
-    private static boolean diesSoon(ProcessHandle process) {
+    private static boolean exitsWithinDeathWait(ProcessHandle process) {
         try {
             process.onExit().get(DEATH_WAIT_MS, TimeUnit.MILLISECONDS);
             return true;
@@ -137,9 +141,9 @@
 
     private void perform(List<HandoverReceiver.Effect> effects) {
         effects.forEach(this::perform);
-        if (receiver.state() == HandoverReceiver.State.SOLE_OWNER && !isSoleOwner) {
-            isSoleOwner = true;
-            log.info("upgrade", "the port is this process's alone");
+        if (receiver.state() == HandoverReceiver.State.SOLE_OWNER && !hasNotifiedSoleOwner) {
+            hasNotifiedSoleOwner = true;
+            log.info("upgrade", "this process is now the sole owner of the port");
             service.becameSoleOwner();
         }
     }
@@ -153,18 +157,18 @@
             case ACCEPT -> service.accept();
             case SEND_OWNED -> channel.send(HandoverMessages.owned());
             case SEND_ABORT -> channel.send(HandoverMessages.abort(receiver.endReason()));
-            case END -> ended.countDown();
+            case END -> endLatch.countDown();
         }
     }
 
     private void prepare(Optional<HostList> list) {
-        List<HandoverReceiver.Effect> next;
+        List<HandoverReceiver.Effect> nextEffects;
         try {
             service.prepare(list);
-            next = receiver.prepared(nowMs());
+            nextEffects = receiver.prepared(nowMs());
         } catch (PreparationException failure) {
-            next = receiver.preparationFailed(failure.getMessage(), nowMs());
+            nextEffects = receiver.preparationFailed(failure.getMessage(), nowMs());
         }
-        perform(next);
+        perform(nextEffects);
     }
 }
--- a/src/main/java/linenring/handover/SuccessorService.java
+++ b/src/main/java/linenring/handover/SuccessorService.java
@@ -3,14 +3,14 @@
 import java.util.Optional;
 import linenring.protocol.HostList;
 
-/** What takes over, as the new process does it. */
+/** Operations of the new process that takes over the service. */
 public interface SuccessorService {
-    /** Gets ready to serve with this list, or with the one in the configuration where there is none. */
+    /** Prepares to serve with this host list, or with the list in the configuration if empty. */
     void prepare(Optional<HostList> list) throws PreparationException;
 
     /** Accepts connections. */
     void accept();
 
-    /** The port is this process's alone: from here on it may be upgraded itself. */
+    /** Called when this process is the sole owner of the port; from then on this process may be upgraded in turn. */
     void becameSoleOwner();
 }
--- a/src/main/java/linenring/handover/UpgradeClient.java
+++ b/src/main/java/linenring/handover/UpgradeClient.java
@@ -9,35 +9,37 @@
 import linenring.handover.wire.HandoverProtocol.HandoverMessage;
 import linenring.handover.wire.HandoverProtocol.UpgradeOutcome;
 
-/** Requests an upgrade of the process that serves, from another process. */
+/** Requests an upgrade of the serving process from another process. */
 public final class UpgradeClient {
     private UpgradeClient() {}
 
     /**
-     * Waits for the outcome, at most so long; empty where none came. Throws where nobody listens in the directory.
+     * Requests an upgrade and waits for its outcome; empty after the timeout or if the connection closed. Throws if no
+     * process listens in the directory.
      */
     public static Optional<UpgradeOutcome> request(Path directory, long timeoutMs)
             throws IOException, InterruptedException {
-        return request(HandoverChannel.connect(directory.resolve(UpgradeCoordinator.SOCKET)), timeoutMs);
+        return request(HandoverChannel.connect(directory.resolve(UpgradeCoordinator.SOCKET_FILE_NAME)), timeoutMs);
     }
 
     static Optional<UpgradeOutcome> request(HandoverChannel connected, long timeoutMs) throws InterruptedException {
-        BlockingQueue<Optional<UpgradeOutcome>> answers = new LinkedBlockingQueue<>(); // one may come before the wait
+        BlockingQueue<Optional<UpgradeOutcome>> outcomes =
+                new LinkedBlockingQueue<>(); // the outcome may arrive before poll() is called
         try (HandoverChannel channel = connected) {
             channel.listen(new HandoverChannel.Listener() {
                 @Override
                 public void onMessage(HandoverMessage message) {
-                    answers.add(Optional.of(message.getUpgradeOutcome()));
+                    outcomes.add(Optional.of(message.getUpgradeOutcome()));
                 }
 
                 @Override
                 public void onEnd(Optional<String> fault) {
-                    answers.add(Optional.empty());
+                    outcomes.add(Optional.empty());
                 }
             });
             channel.send(HandoverMessages.upgradeRequest());
-            Optional<UpgradeOutcome> answer = answers.poll(timeoutMs, TimeUnit.MILLISECONDS);
-            return answer == null ? Optional.empty() : answer;
+            Optional<UpgradeOutcome> outcome = outcomes.poll(timeoutMs, TimeUnit.MILLISECONDS);
+            return outcome == null ? Optional.empty() : outcome;
         }
     }
 }
--- a/src/main/java/linenring/handover/UpgradeCoordinator.java
+++ b/src/main/java/linenring/handover/UpgradeCoordinator.java
@@ -13,27 +13,28 @@
 import linenring.log.Log;
 
 /**
- * The serving process's side of upgrades: its socket, the new process, and the effects of {@link HandoverSender}. One thread
- * of its own ("upgrade") handles all events and owns all state.
+ * Runs upgrades in the serving process: listens on the upgrade socket, starts the new process, and performs the effects of
+ * {@link HandoverSender}. One thread ("upgrade") handles all events and confines all state.
  */
 public final class UpgradeCoordinator {
-    /** The environment variable that names the old process's socket to the new one. */
+    /** Environment variable with the path of the old process's socket, set for the new process. */
     public static final String SOCKET_VARIABLE = "LINENRING_HANDOVER";
 
-    /** The socket's name in the directory. */
-    public static final String SOCKET = "upgrade.sock";
+    /** File name of the socket in the upgrade directory. */
+    public static final String SOCKET_FILE_NAME = "upgrade.sock";
 
     private static final long TICK_MS = 50;
     private static final double NANOS_PER_MS = 1e6;
 
     private final Path directory;
     private final List<String> command;
-    private final ServingProcess serving;
+    private final ServingProcess servingProcess;
     private final Log log;
     private final HandoverSender sender;
     private final UpgradeSocket socket;
-    private final ScheduledExecutorService events = DaemonThreads.singleThread("upgrade");
-    private final List<HandoverChannel> requesters = new ArrayList<>(); // of the events' thread, as what follows
+    private final ScheduledExecutorService eventExecutor = DaemonThreads.singleThread("upgrade");
+    private final List<HandoverChannel> requesters =
+            new ArrayList<>(); // this and the following fields are used on the event thread only
     private Process successor;
     private HandoverChannel successorChannel;
 
@@ -42,13 +43,13 @@
             throws IOException {
         this.directory = directory;
         this.command = command;
-        this.serving = serving;
+        this.servingProcess = serving;
         this.log = log;
         sender = new HandoverSender(timeouts);
-        socket = UpgradeSocket.bind(directory, SOCKET);
+        socket = UpgradeSocket.bind(directory, SOCKET_FILE_NAME);
     }
 
-    /** Opens the socket; throws with a message for the operators where the directory is not safe. */
+    /** Opens the socket. Throws with a message for operators if other users have access to the directory. */
     public static UpgradeCoordinator open(
             Path directory, List<String> command, HandoverSender.Timeouts timeouts, ServingProcess serving, Log log)
             throws IOException {
@@ -57,11 +58,11 @@
         return coordinator;
     }
 
-    @SuppressWarnings("FutureReturnValueIgnored") // the ticks never end, and perform() handles the faults of effects
+    @SuppressWarnings("FutureReturnValueIgnored") // the periodic ticks never end, and perform() handles failed effects
     private void start() {
         DaemonThreads.newThread("upgrade-socket", () -> socket.acceptAll(this::listen, log))
                 .start();
-        events.scheduleAtFixedRate(() -> perform(sender.tick(nowMs())), TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+        eventExecutor.scheduleAtFixedRate(() -> perform(sender.tick(nowMs())), TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
     }
 
     private static double nowMs() {
@@ -72,63 +73,66 @@
         channel.listen(new HandoverChannel.Listener() {
             @Override
             public void onMessage(HandoverMessage message) {
-                events.execute(() -> handle(channel, message));
+                eventExecutor.execute(() -> handle(channel, message));
             }
 
             @Override
             public void onEnd(Optional<String> fault) {
-                events.execute(() -> channelEnded(channel, fault));
+                eventExecutor.execute(() -> channelEnded(channel, fault));
             }
         });
     }
 
-    /** As {@code linenring upgrade} requests it; for a signal. */
+    /** Requests an upgrade on behalf of a signal, like {@code linenring upgrade}. */
     public void requestUpgrade() {
-        events.execute(() -> perform(sender.upgradeRequested(nowMs())));
+        eventExecutor.execute(() -> perform(sender.upgradeRequested(nowMs())));
     }
 
-    /** This process shuts down. */
+    /** Notifies the coordinator that this process is shutting down. */
     public void shutdownRequested() {
-        events.execute(() -> perform(sender.shutdownRequested(nowMs())));
+        eventExecutor.execute(() -> perform(sender.shutdownRequested(nowMs())));
     }
 
-    private void handle(HandoverChannel from, HandoverMessage message) {
+    private void handle(HandoverChannel origin, HandoverMessage message) {
         switch (message.getKindCase()) {
-            case UPGRADE_REQUEST -> handleRequest(from);
-            case HELLO -> handleHello(from, message.getHello());
+            case UPGRADE_REQUEST -> handleRequest(origin);
+            case HELLO -> handleHello(origin, message.getHello());
             case READY, OWNED, ABORT -> {
-                if (from == successorChannel) {
-                    handleSuccessor(message);
+                if (origin == successorChannel) {
+                    handleSuccessorMessage(message);
                 }
             }
-            default -> {} // of a later release, or not for this side
+            default -> {} // a message of a later release, or one for the new process
         }
     }
 
-    private void handleRequest(HandoverChannel from) {
+    private void handleRequest(HandoverChannel origin) {
         List<HandoverSender.Effect> effects = sender.upgradeRequested(nowMs());
         if (effects.isEmpty()) {
-            from.send(HandoverMessages.upgradeOutcome(false, "an upgrade is under way, or this process ends"));
-            from.close();
+            origin.send(HandoverMessages.upgradeOutcome(
+                    false, "an upgrade is already in progress, or this process is shutting down"));
+            origin.close();
         } else {
-            requesters.add(from);
+            requesters.add(origin);
             perform(effects);
         }
     }
 
-    private void handleHello(HandoverChannel from, Hello hello) {
+    private void handleHello(HandoverChannel origin, Hello hello) {
         boolean isSuccessor = successor != null && hello.getPid() == successor.pid() && successorChannel == null;
         if (!isSuccessor) {
-            log.warn("upgrade", "a process that was not started from here is rejected");
-            from.close();
+            log.warn(
+                    "upgrade",
+                    "rejecting a connection from a process that this process has not started for the upgrade");
+            origin.close();
             return;
         }
-        successorChannel = from;
-        log.info("upgrade", "process " + successor.pid() + " of release " + hello.getRelease() + " greets");
+        successorChannel = origin;
+        log.info("upgrade", "process " + successor.pid() + " of release " + hello.getRelease() + " has connected");
         perform(sender.greeted(hello.getProtocol(), nowMs()));
     }
 
-    private void handleSuccessor(HandoverMessage message) {
+    private void handleSuccessorMessage(HandoverMessage message) {
         switch (message.getKindCase()) {
             case READY -> perform(sender.ready(nowMs()));
             case OWNED -> perform(sender.owned(nowMs()));
@@ -136,7 +140,10 @@
         }
     }
 
-    /** An end without a fault and without a death is judged by the timeouts, a death by the process. */
+    /**
+     * Handles a closed channel. Only a malformed message aborts the upgrade here: the new process's death is reported by the
+     * operating system, and a silent new process runs into a timeout.
+     */
     private void channelEnded(HandoverChannel channel, Optional<String> fault) {
         requesters.remove(channel);
         if (channel == successorChannel && fault.isPresent()) {
@@ -151,10 +158,10 @@
             } catch (IOException | RuntimeException failure) {
                 String name = effect.name().toLowerCase(Locale.ROOT).replace('_', ' ');
                 log.error("upgrade", name + " failed: " + failure.getMessage());
-                List<HandoverSender.Effect> instead =
+                List<HandoverSender.Effect> replacementEffects =
                         sender.effectFailed(effect, String.valueOf(failure.getMessage()), nowMs());
-                if (!instead.isEmpty()) {
-                    perform(instead);
+                if (!replacementEffects.isEmpty()) {
+                    perform(replacementEffects);
                     return;
                 }
             }
@@ -164,49 +171,52 @@
     private void perform(HandoverSender.Effect effect) throws IOException {
         switch (effect) {
             case SPAWN -> spawn();
-            case SEND_OFFER -> successorChannel.send(HandoverMessages.offer(serving.offer()));
-            case STOP_ACCEPTING -> serving.stopAccepting();
+            case SEND_OFFER -> successorChannel.send(HandoverMessages.offer(servingProcess.offer()));
+            case STOP_ACCEPTING -> servingProcess.stopAccepting();
             case SEND_COMMIT -> successorChannel.send(HandoverMessages.commit());
             case DRAIN -> {
-                log.info("upgrade", "process " + successor.pid() + " has the port; what runs here goes on");
-                serving.drain();
+                log.info(
+                        "upgrade",
+                        "process " + successor.pid() + " has the port; this process completes its running requests");
+                servingProcess.drain();
             }
             case SEND_RETIRE -> successorChannel.send(HandoverMessages.retire());
             case END_WHEN_DRAINED -> {
                 socket.close();
-                serving.endWhenDrained();
+                servingProcess.endWhenDrained();
             }
             case KILL -> successor.destroyForcibly();
-            case ACCEPT -> serving.accept();
+            case ACCEPT -> servingProcess.accept();
             case REPORT_FAILURE -> reportFailure();
             case REPORT_SUCCESS -> reportSuccess();
         }
     }
 
-    @SuppressWarnings("FutureReturnValueIgnored") // the event that follows the process's end handles its own faults
+    @SuppressWarnings("FutureReturnValueIgnored") // processEnded() handles its own failures
     private void spawn() throws IOException {
-        InheritedListener.share(serving.listener());
+        InheritedListener.share(servingProcess.listener());
         ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectInput(ProcessBuilder.Redirect.INHERIT)
                 .redirectOutput(ProcessBuilder.Redirect.INHERIT)
                 .redirectError(ProcessBuilder.Redirect.INHERIT);
-        builder.environment().put(SOCKET_VARIABLE, directory.resolve(SOCKET).toString());
-        Process started = builder.start();
-        successor = started;
+        builder.environment()
+                .put(SOCKET_VARIABLE, directory.resolve(SOCKET_FILE_NAME).toString());
+        Process newProcess = builder.start();
+        successor = newProcess;
         successorChannel = null;
-        log.info("upgrade", "starts process " + started.pid());
-        started.onExit().thenRun(() -> events.execute(() -> processEnded(started)));
+        log.info("upgrade", "starts process " + newProcess.pid());
+        newProcess.onExit().thenRun(() -> eventExecutor.execute(() -> processEnded(newProcess)));
     }
 
     private void processEnded(Process process) {
-        if (process == successor) { // else a later upgrade has begun
-            perform(sender.newProcessDied("the new process ended with " + process.exitValue(), nowMs()));
+        if (process == successor) { // otherwise a later upgrade has started another process
+            perform(sender.newProcessDied("the new process exited with code " + process.exitValue(), nowMs()));
         }
     }
 
     private void reportFailure() {
-        String message = "this process goes on: " + sender.failure();
-        log.warn("upgrade", "failed: " + message);
+        String message = "this process keeps serving: " + sender.failureReason();
+        log.warn("upgrade", "failed; " + message);
         answerRequesters(false, message);
         if (successorChannel != null) {
             successorChannel.close();
@@ -215,8 +225,8 @@
     }
 
     private void reportSuccess() {
-        String message = "process " + successor.pid() + " serves";
-        log.info("upgrade", "done: " + message);
+        String message = "process " + successor.pid() + " now serves";
+        log.info("upgrade", "completed: " + message);
         answerRequesters(true, message);
     }
 
--- a/src/main/java/linenring/handover/UpgradeSocket.java
+++ b/src/main/java/linenring/handover/UpgradeSocket.java
@@ -12,8 +12,8 @@
 import linenring.log.Log;
 
 /**
- * The Unix-domain socket at which the serving process takes upgrade requests and its successor's greeting, in a directory that
- * nobody but its user may enter. Connections of other users are refused.
+ * Unix-domain socket on which the serving process receives upgrade requests and the new process's hello message. The socket is
+ * in a directory that only its owner may access, and connections of other users are rejected.
  */
 final class UpgradeSocket implements AutoCloseable {
     private static final String OWNER_ONLY = "rwx------";
@@ -24,18 +24,22 @@
         this.socket = socket;
     }
 
-    /** Binds it under this name, in place of one that another process may have had. */
+    /** Binds the socket under this file name, and replaces the socket of an earlier process. */
     static UpgradeSocket bind(Path directory, String name) throws IOException {
         Files.createDirectories(
                 directory, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString(OWNER_ONLY)));
         if (!isPrivate(directory)) {
-            throw new IOException(directory + " is not a directory of this user's alone (mode 0700)");
+            throw new IOException("directory " + directory + " must belong to this user and have mode 0700");
         }
-        Path own = directory.resolve(ProcessHandle.current().pid() + ".sock");
-        Files.deleteIfExists(own); // of a process that had the same number, and is dead
+        Path temporaryPath = directory.resolve(ProcessHandle.current().pid() + ".sock");
+        Files.deleteIfExists(temporaryPath); // left by a dead process that had the same process id
         ServerSocketChannel socket = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
-        socket.bind(UnixDomainSocketAddress.of(own));
-        Files.move(own, directory.resolve(name), StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+        socket.bind(UnixDomainSocketAddress.of(temporaryPath));
+        Files.move(
+                temporaryPath,
+                directory.resolve(name),
+                StandardCopyOption.REPLACE_EXISTING,
+                StandardCopyOption.ATOMIC_MOVE);
         return new UpgradeSocket(socket);
     }
 
@@ -45,27 +49,27 @@
                 && Files.getOwner(directory).getName().equals(System.getProperty("user.name"));
     }
 
-    /** Hands over each connection of this user's, until the socket is closed. */
+    /** Passes each connection of the same user to the handler, until the socket is closed. */
     void acceptAll(Consumer<HandoverChannel> handler, Log log) {
         try {
             while (true) {
                 accept(new HandoverChannel(socket.accept()), handler, log);
             }
         } catch (IOException closed) {
-            // retired
+            // the socket is closed when this process retires
         }
     }
 
-    /** A peer that ends at this very moment ends nothing but its own connection. */
+    /** Accepts one connection. A peer that exits at this moment affects only its own connection. */
     private static void accept(HandoverChannel channel, Consumer<HandoverChannel> handler, Log log) {
         try {
-            if (channel.isOfSameUser()) {
+            if (channel.belongsToSameUser()) {
                 handler.accept(channel);
                 return;
             }
-            log.warn("upgrade", "a connection of another user is rejected");
+            log.warn("upgrade", "rejecting a connection of another user");
         } catch (IOException | RuntimeException failure) {
-            log.warn("upgrade", "the user of a connection cannot be determined: " + failure.getMessage());
+            log.warn("upgrade", "rejecting a connection whose user cannot be determined: " + failure.getMessage());
         }
         channel.close();
     }
--- a/src/test/java/linenring/discovery/AgentSocket.java
+++ b/src/test/java/linenring/discovery/AgentSocket.java
@@ -12,31 +12,31 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 
-/** The agent's end of a watch, on a loopback socket that a test reads and writes itself. */
+/** A discovery agent on a loopback socket, whose messages the test reads and writes itself. */
 public final class AgentSocket {
     public static final int WAIT_SECONDS = 20;
 
     private AgentSocket() {}
 
-    /** An agent that nobody has connected to yet. */
+    /** Opens an agent that listens on a free port. */
     public static ServerSocket listen() throws IOException {
         ServerSocket agent = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
         agent.setSoTimeout((int) TimeUnit.SECONDS.toMillis(WAIT_SECONDS));
         return agent;
     }
 
-    /** Where the agent listens. */
+    /** Returns the address at which the agent listens. */
     public static InetSocketAddress address(ServerSocket agent) {
         return new InetSocketAddress(agent.getInetAddress(), agent.getLocalPort());
     }
 
-    /** Accepts the watch, which has to ask for changes from this version. */
+    /** Accepts a watch request, which has to name this version. */
     public static Socket accept(ServerSocket agent, long fromVersion) throws IOException {
         return accept(agent, "GET /catalog/members?watch=1&from=" + fromVersion + " HTTP/1.1");
     }
 
-    /** Accepts the request for the whole list. */
-    static Socket acceptWholeList(ServerSocket agent) throws IOException {
+    /** Accepts a request for the complete list. */
+    static Socket acceptCompleteListRequest(ServerSocket agent) throws IOException {
         return accept(agent, "GET /catalog/members HTTP/1.1");
     }
 
@@ -47,12 +47,12 @@
                 new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         assertEquals(requestLine, reader.readLine());
         while (!reader.readLine().isEmpty()) {
-            // request headers
+            // skips the request headers
         }
         return socket;
     }
 
-    /** Sends the text as it is. */
+    /** Sends the text without framing. */
     public static void write(Socket socket, String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
--- a/src/test/java/linenring/discovery/DiscoveryMoveTest.java
+++ b/src/test/java/linenring/discovery/DiscoveryMoveTest.java
@@ -1,8 +1,8 @@
 package linenring.discovery;
 
-import static linenring.discovery.AgentMessages.HEAD;
+import static linenring.discovery.AgentMessages.RESPONSE_HEAD;
 import static linenring.discovery.AgentMessages.chunk;
-import static linenring.discovery.AgentMessages.host;
+import static linenring.discovery.AgentMessages.hostInState;
 import static linenring.discovery.AgentMessages.list;
 import static linenring.discovery.AgentSocket.accept;
 import static linenring.discovery.AgentSocket.address;
@@ -17,65 +17,67 @@
 import linenring.stream.SelectorHold;
 import org.junit.jupiter.api.Test;
 
-/** Discovery moves to another address while the old one still sends changes; over loopback. */
+/** Discovery moves to another address while the old address still sends deltas. Uses loopback sockets. */
 class DiscoveryMoveTest extends WatchFixture {
     /**
-     * The old address has written a drain, which counts as delivered from then on, and the new one, which lags, sends before
-     * that is read. Which of the two sockets is read first is the selector's choice: hence several rounds.
+     * The old address has written a drain, which discovery counts as delivered, and the new address, which lags, sends before
+     * the drain is read. The selector may read either socket first, so the case is repeated.
      */
     @Test
     void appliesWhatTheOldAddressHadWrittenBeforeTheNewOneDelivers() throws Exception {
         for (int round = 0; round < 12; round++) {
-            moveWithAnUnreadChange();
+            moveWithAnUnreadDelta();
         }
     }
 
-    private void moveWithAnUnreadChange() throws Exception {
+    private void moveWithAnUnreadDelta() throws Exception {
         try (ServerSocket oldAgent = listen();
                 ServerSocket newAgent = listen()) {
-            HostWatch watch = dialling(oldAgent);
-            try (Socket old = accept(oldAgent, 41)) {
-                write(old, HEAD + change(42));
+            HostWatch watch = openWatch(oldAgent);
+            try (Socket oldConnection = accept(oldAgent, 41)) {
+                write(oldConnection, RESPONSE_HEAD + delta(42));
                 awaitVersion(42);
                 watch.moveTo(address(newAgent), ServiceScope.ALL);
-                try (Socket moved = accept(newAgent, 42)) {
+                try (Socket newConnection = accept(newAgent, 42)) {
                     SelectorHold.during(watch, hold -> {
-                        write(old, change(43));
-                        write(moved, HEAD + chunk("\n"));
-                        TimeUnit.MILLISECONDS.sleep(5); // loopback: both have arrived, and wait to be read
+                        write(oldConnection, delta(43));
+                        write(newConnection, RESPONSE_HEAD + chunk("\n"));
+                        TimeUnit.MILLISECONDS.sleep(5); // on loopback both lines have arrived by now, unread
                     });
-                    assertEquals(-1, old.getInputStream().read(), "the old address is left");
+                    assertEquals(
+                            -1, oldConnection.getInputStream().read(), "the connection to the old address is closed");
                     awaitVersion(43);
                 }
             } finally {
-                watch.stop(); // its thread is needed for the next round
+                watch.stop(); // frees the watch's thread for the next round
             }
         }
     }
 
-    /** Its connection ends with unread changes in it; the next attempt at the same address requests from the held version. */
+    /** The old connection closes during the move; the next attempt at the old address requests from the current version. */
     @Test
-    void requestsFromTheHeldVersionWhereTheOldAddressBreaksDuringTheMove() throws Exception {
+    void requestsFromTheCurrentVersionWhereTheOldAddressDisconnectsDuringTheMove() throws Exception {
         try (ServerSocket oldAgent = listen();
                 ServerSocket newAgent = listen()) {
-            HostWatch watch = dialling(oldAgent);
-            try (Socket old = accept(oldAgent, 41)) {
-                write(old, HEAD + change(42));
+            HostWatch watch = openWatch(oldAgent);
+            try (Socket oldConnection = accept(oldAgent, 41)) {
+                write(oldConnection, RESPONSE_HEAD + delta(42));
                 awaitVersion(42);
             }
             watch.moveTo(address(newAgent), ServiceScope.ALL);
-            try (Socket moved = accept(newAgent, 42);
-                    Socket again = accept(oldAgent, 42)) { // the new address has sent nothing: the old one still serves
-                write(again, HEAD + change(43));
+            try (Socket newConnection = accept(newAgent, 42);
+                    Socket secondOldConnection =
+                            accept(oldAgent, 42)) { // the new address has sent nothing, so the old one serves
+                write(secondOldConnection, RESPONSE_HEAD + delta(43));
                 awaitVersion(43);
-                write(moved, HEAD + change(43) + change(44));
-                awaitVersion(44); // and 43 is applied once
-                assertEquals(-1, again.getInputStream().read());
+                write(newConnection, RESPONSE_HEAD + delta(43) + delta(44));
+                awaitVersion(44); // version 43 is applied only once
+                assertEquals(-1, secondOldConnection.getInputStream().read());
             }
         }
     }
 
-    private static String change(long version) {
-        return chunk(list(version, false, host("Terminating")));
+    private static String delta(long version) {
+        return chunk(list(version, false, hostInState("Terminating")));
     }
 }
--- a/src/test/java/linenring/discovery/DiscoverySilenceTest.java
+++ b/src/test/java/linenring/discovery/DiscoverySilenceTest.java
@@ -1,8 +1,8 @@
 package linenring.discovery;
 
-import static linenring.discovery.AgentMessages.HEAD;
+import static linenring.discovery.AgentMessages.RESPONSE_HEAD;
 import static linenring.discovery.AgentMessages.chunk;
-import static linenring.discovery.AgentMessages.host;
+import static linenring.discovery.AgentMessages.hostInState;
 import static linenring.discovery.AgentMessages.list;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,23 +13,23 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Discovery falls silent after hours of service: the watch must notice and dial again, or the hosts stay as they were for
- * ever. And its answers come cut anywhere. In memory, on the test's clock.
+ * Discovery falls silent after hours of service. The watch has to notice and reconnect, or it would keep an outdated host list
+ * forever. Also tests responses that are split at any byte. Runs in memory, on a simulated clock.
  */
 class DiscoverySilenceTest extends WatchFixture {
     private static final long BLANK_LINE_NS = TimeUnit.SECONDS.toNanos(2);
     private static final int HOURS = 3;
 
-    private final HostWatch watch = watch(1);
+    private final HostWatch watch = createWatch(1);
 
-    private static String change(long version) {
-        return list(version, false, host("Ready"));
+    private static String delta(long version) {
+        return list(version, false, hostInState("Ready"));
     }
 
-    /** Serves for hours: a blank line every two seconds, a change each minute. */
+    /** Opens a connection that sends a blank line every 2 s and a delta each minute for several hours. */
     private InMemoryAgent serveForHours() {
-        InMemoryAgent agent = InMemoryAgent.watched(watch);
-        agent.addInput(HEAD);
+        InMemoryAgent agent = InMemoryAgent.connectForWatch(watch);
+        agent.addInput(RESPONSE_HEAD);
         long version = 1;
         for (int line = 0; line < HOURS * 1800; line++) {
             advanceNanos(BLANK_LINE_NS);
@@ -37,40 +37,40 @@
             if (hasChange) {
                 version++;
             }
-            agent.addInput(chunk(hasChange ? change(version) : "\n"));
+            agent.addInput(chunk(hasChange ? delta(version) : "\n"));
             assertTrue(agent.isOpen(), "open after " + line + " lines");
         }
-        List<Long> versions = versions();
+        List<Long> versions = takeAppliedVersions();
         assertEquals(HOURS * 60, versions.size());
         assertEquals(1L + HOURS * 60, versions.get(versions.size() - 1));
-        assertEquals(List.of(), delaysMs());
+        assertEquals(List.of(), backoffDelaysMs());
         return agent;
     }
 
     @Test
-    void redialsAtOnceWhereAnAgentFallsSilentBetweenLines() {
+    void redialsAfterTheShortestDelayWhereAnAgentFallsSilentBetweenLines() {
         InMemoryAgent agent = serveForHours();
         assertFalse(agent.expireIdle());
         assertFalse(agent.isOpen());
-        assertEquals(List.of(20L), delaysMs());
-        assertEquals(1L + HOURS * 60, heldVersion());
+        assertEquals(List.of(20L), backoffDelaysMs());
+        assertEquals(1L + HOURS * 60, currentVersion());
     }
 
     @Test
-    void redialsAtOnceAndForgetsTheHalfLineWhereAnAgentFallsSilentWithinALine() {
+    void redialsAndDiscardsThePartialLineWhereAnAgentFallsSilentWithinALine() {
         InMemoryAgent agent = serveForHours();
-        String half = change(500);
-        agent.addInput(chunk(half.substring(0, half.length() / 2)));
+        String line = delta(500);
+        agent.addInput(chunk(line.substring(0, line.length() / 2)));
         assertFalse(agent.expireIdle());
-        agent.addInput(chunk(half.substring(half.length() / 2)));
-        assertEquals(List.of(20L), delaysMs());
-        assertEquals(List.of(), versions());
-        assertEquals(1L + HOURS * 60, heldVersion());
+        agent.addInput(chunk(line.substring(line.length() / 2)));
+        assertEquals(List.of(20L), backoffDelaysMs());
+        assertEquals(List.of(), takeAppliedVersions());
+        assertEquals(1L + HOURS * 60, currentVersion());
     }
 
-    /** Bytes without the end of a line are silence too: the limit counts from the last whole line, not from the beginning. */
+    /** Bytes that complete no line count as silence, with the limit measured from the last complete line. */
     @Test
-    void redialsWhereAnAgentOnlyDripsBytesAfterHours() {
+    void redialsWhereAnAgentSendsBytesButCompletesNoLine() {
         InMemoryAgent agent = serveForHours();
         for (int second = 0; second < 6; second++) {
             agent.addInput(chunk(" "));
@@ -80,48 +80,48 @@
         advanceNanos(1);
         agent.addInput(chunk(" "));
         assertFalse(agent.isOpen());
-        assertEquals(List.of(20L), delaysMs());
+        assertEquals(List.of(20L), backoffDelaysMs());
     }
 
-    /** It accepts and sends nothing, again and again: dialled for ever, every half a second in the end; a list resets the backoff. */
+    /** The agent accepts each connection and sends nothing: attempts continue every 0.5 s, and a delta resets the backoff. */
     @Test
     void keepsRedialingWhereEachAttemptFallsSilent() {
         serveForHours().expireIdle();
         for (int attempt = 0; attempt < 10; attempt++) {
-            InMemoryAgent.watched(watch).expireIdle();
+            InMemoryAgent.connectForWatch(watch).expireIdle();
         }
-        assertEquals(List.of(20L, 40L, 80L, 160L, 320L, 500L, 500L, 500L, 500L, 500L, 500L), delaysMs());
-        InMemoryAgent delivering = InMemoryAgent.watched(watch);
-        delivering.addInput(HEAD + chunk(change(900)));
-        assertEquals(List.of(900L), versions());
-        delivering.expireIdle();
-        assertEquals(20L, delaysMs().get(delaysMs().size() - 1));
+        assertEquals(List.of(20L, 40L, 80L, 160L, 320L, 500L, 500L, 500L, 500L, 500L, 500L), backoffDelaysMs());
+        InMemoryAgent deliveringAgent = InMemoryAgent.connectForWatch(watch);
+        deliveringAgent.addInput(RESPONSE_HEAD + chunk(delta(900)));
+        assertEquals(List.of(900L), takeAppliedVersions());
+        deliveringAgent.expireIdle();
+        assertEquals(20L, backoffDelaysMs().get(backoffDelaysMs().size() - 1));
     }
 
-    /** As the next attempt would request it; a change of an older version is ignored. */
-    private long heldVersion() {
-        long held = 0;
+    /** Finds the current version: the highest version whose delta is ignored. */
+    private long currentVersion() {
+        long currentVersion = 0;
         for (long version = HOURS * 60 - 2; version < HOURS * 60 + 4; version++) {
-            InMemoryAgent.watched(watch).addInput(HEAD + chunk(change(version)));
-            List<Long> taken = versions();
-            if (!taken.isEmpty()) {
-                held = taken.get(0) - 1;
+            InMemoryAgent.connectForWatch(watch).addInput(RESPONSE_HEAD + chunk(delta(version)));
+            List<Long> appliedVersions = takeAppliedVersions();
+            if (!appliedVersions.isEmpty()) {
+                currentVersion = appliedVersions.get(0) - 1;
                 break;
             }
         }
-        return held;
+        return currentVersion;
     }
 
     @Test
-    void readsAnAnswerCutInTwoAnywhere() {
-        String answer = HEAD + chunk("\n") + chunk(change(42) + change(43)) + chunk("\r\n");
-        for (int cut = 1; cut < answer.length(); cut++) {
-            InMemoryAgent agent = InMemoryAgent.watched(watch(41));
-            agent.addInput(answer.substring(0, cut));
-            agent.addInput(answer.substring(cut));
-            assertEquals(List.of(42L, 43L), versions(), "cut at " + cut);
-            assertTrue(agent.isOpen(), "cut at " + cut);
+    void readsAResponseSplitAnywhere() {
+        String response = RESPONSE_HEAD + chunk("\n") + chunk(delta(42) + delta(43)) + chunk("\r\n");
+        for (int splitAt = 1; splitAt < response.length(); splitAt++) {
+            InMemoryAgent agent = InMemoryAgent.connectForWatch(createWatch(41));
+            agent.addInput(response.substring(0, splitAt));
+            agent.addInput(response.substring(splitAt));
+            assertEquals(List.of(42L, 43L), takeAppliedVersions(), "split at " + splitAt);
+            assertTrue(agent.isOpen(), "split at " + splitAt);
         }
-        assertEquals(List.of(), delaysMs());
+        assertEquals(List.of(), backoffDelaysMs());
     }
 }
--- a/src/test/java/linenring/discovery/HostWatchTest.java
+++ b/src/test/java/linenring/discovery/HostWatchTest.java
@@ -1,12 +1,12 @@
 package linenring.discovery;
 
-import static linenring.discovery.AgentMessages.HEAD;
-import static linenring.discovery.AgentMessages.body;
+import static linenring.discovery.AgentMessages.RESPONSE_HEAD;
 import static linenring.discovery.AgentMessages.chunk;
-import static linenring.discovery.AgentMessages.host;
+import static linenring.discovery.AgentMessages.completeListResponse;
+import static linenring.discovery.AgentMessages.hostInState;
 import static linenring.discovery.AgentMessages.list;
 import static linenring.discovery.AgentSocket.accept;
-import static linenring.discovery.AgentSocket.acceptWholeList;
+import static linenring.discovery.AgentSocket.acceptCompleteListRequest;
 import static linenring.discovery.AgentSocket.address;
 import static linenring.discovery.AgentSocket.listen;
 import static linenring.discovery.AgentSocket.write;
@@ -26,149 +26,166 @@
 import org.junit.jupiter.api.Test;
 
 class HostWatchTest extends WatchFixture {
-    private static final HostList NONE_KNOWN = null;
+    private static final HostList WITHOUT_INITIAL_LIST = null;
 
     @Test
-    void requestsFromItsVersionAndReadsLinesHoweverTheyAreCut() {
-        InMemoryAgent agent = InMemoryAgent.watched(watch(41));
+    void requestsFromItsVersionAndReadsLinesSplitAnywhere() {
+        InMemoryAgent agent = InMemoryAgent.connectForWatch(createWatch(41));
         assertTrue(agent.takeOutputString()
                 .startsWith("GET /catalog/members?watch=1&from=41 HTTP/1.1\r\nHost: 127.0.0.1:8500\r\n"));
-        String two = list(42, false, host("Ready")) + "\n" + list(43, false, host("Terminating"));
-        String answer = HEAD + chunk("\n") + chunk(two.substring(0, 30)) + chunk(two.substring(30)) + chunk("\r\n");
-        for (int i = 0; i < answer.length(); i++) {
-            agent.addInput(answer.substring(i, i + 1));
+        String bothLines = list(42, false, hostInState("Ready")) + "\n" + list(43, false, hostInState("Terminating"));
+        String response = RESPONSE_HEAD
+                + chunk("\n")
+                + chunk(bothLines.substring(0, 30))
+                + chunk(bothLines.substring(30))
+                + chunk("\r\n");
+        for (int i = 0; i < response.length(); i++) {
+            agent.addInput(response.substring(i, i + 1));
         }
-        assertEquals(List.of(42L, 43L), versions());
-        assertTrue(agent.isOpen() && delaysMs().isEmpty());
+        assertEquals(List.of(42L, 43L), takeAppliedVersions());
+        assertTrue(agent.isOpen() && backoffDelaysMs().isEmpty());
     }
 
     @Test
-    void appliesAWholeListOnAWatchAndIgnoresAnOldChange() {
-        HostWatch watch = watch(41);
-        InMemoryAgent agent = InMemoryAgent.watched(watch);
-        agent.addInput(HEAD
-                + chunk(list(44, true, host("Ready")))
-                + chunk(list(44, false, host("Gone")))
-                + chunk(list(45, false, host("Gone")))
-                + chunk(list(43, true, host("Gone"))));
-        assertEquals(List.of(44L, 45L), versions());
-        assertTrue(logText().contains("version 43, which is older than 45 and changes nothing"));
+    void appliesACompleteListOnAWatchAndIgnoresAnOldDelta() {
+        HostWatch watch = createWatch(41);
+        InMemoryAgent agent = InMemoryAgent.connectForWatch(watch);
+        agent.addInput(RESPONSE_HEAD
+                + chunk(list(44, true, hostInState("Ready")))
+                + chunk(list(44, false, hostInState("Gone")))
+                + chunk(list(45, false, hostInState("Gone")))
+                + chunk(list(43, true, hostInState("Gone"))));
+        assertEquals(List.of(44L, 45L), takeAppliedVersions());
+        assertTrue(logText().contains("ignoring version 43, which is older than the current version 45"));
     }
 
     @Test
-    void redialsWhereNoBlankLineComesInTime() {
-        InMemoryAgent agent = InMemoryAgent.watched(watch(41));
-        agent.addInput(HEAD + chunk(list(42, false, host("Ready"))));
+    void reconnectsWhereNoBlankLineArrivesInTime() {
+        InMemoryAgent agent = InMemoryAgent.connectForWatch(createWatch(41));
+        agent.addInput(RESPONSE_HEAD + chunk(list(42, false, hostInState("Ready"))));
         assertFalse(agent.expireIdle());
         assertFalse(agent.isOpen());
-        assertEquals(List.of(20L), delaysMs());
+        assertEquals(List.of(20L), backoffDelaysMs());
         assertTrue(logText().contains("failed (data received): nothing came for")
                 && logText().contains("from host list version 42"));
     }
 
     @Test
-    void logsHowFarEachAttemptCameAndBacksOffUpToTheLimit() {
-        HostWatch watch = watch(41);
-        for (String answer : List.of(
+    void logsTheStageOfEachFailedAttemptAndBacksOffUpToTheLimit() {
+        HostWatch watch = createWatch(41);
+        for (String response : List.of(
                 "",
                 "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
                 "SSH-2.0-x\r\n\r\n",
-                HEAD + chunk("{\"version\":\n"),
-                HEAD + chunk("{\"version\":42,\"full\":false}\n"),
-                HEAD + "0\r\n\r\n",
-                HEAD + "zz\r\n")) {
-            InMemoryAgent agent = InMemoryAgent.watched(watch);
-            agent.addInput(answer);
+                RESPONSE_HEAD + chunk("{\"version\":\n"),
+                RESPONSE_HEAD + chunk("{\"version\":42,\"full\":false}\n"),
+                RESPONSE_HEAD + "0\r\n\r\n",
+                RESPONSE_HEAD + "zz\r\n")) {
+            InMemoryAgent agent = InMemoryAgent.connectForWatch(watch);
+            agent.addInput(response);
             agent.addInputEOF();
-            assertFalse(agent.isOpen(), answer);
+            assertFalse(agent.isOpen(), response);
         }
-        assertEquals(List.of(20L, 40L, 80L, 160L, 320L, 500L, 500L), delaysMs());
-        assertEquals(List.of(), versions()); // the list stands
+        assertEquals(List.of(20L, 40L, 80L, 160L, 320L, 500L, 500L), backoffDelaysMs());
+        assertEquals(List.of(), takeAppliedVersions()); // the current list is kept
         List<String> lines = logText().lines().toList();
-        assertTrue(lines.get(0).contains("failed (request sent): ended by its peer"), lines.get(0));
+        assertTrue(
+                lines.get(0)
+                        .contains(
+                                "failed (request sent): connection closed by the agent before the end of its response"),
+                lines.get(0));
         assertTrue(lines.get(1).contains("failed (response started): status 503"), lines.get(1));
-        assertTrue(lines.get(2).contains("failed (request sent): no HTTP answer"), lines.get(2));
-        assertTrue(lines.get(3).contains("can't be read, text: not JSON"), lines.get(3));
-        assertTrue(lines.get(4).contains("can't be read, fields: field servers is missing"), lines.get(4));
+        assertTrue(lines.get(2).contains("failed (request sent): response is not valid HTTP"), lines.get(2));
+        assertTrue(lines.get(3).contains("response cannot be decoded: text: not JSON"), lines.get(3));
+        assertTrue(lines.get(4).contains("response cannot be decoded: fields: field servers is missing"), lines.get(4));
     }
 
-    /** Moves there and back at once, then to an address where nobody answers, then to one that delivers. */
+    /** Moves to an address and back at once, then to an address that sends nothing, then to an address that sends data. */
     @Test
     void servesFromTheOldAddressUntilTheNewOneDelivers() throws Exception {
-        try (ServerSocket old = listen();
-                ServerSocket mute = listen();
-                ServerSocket now = listen()) {
-            HostWatch watch = dialling(old);
-            try (Socket served = accept(old, 41)) {
-                write(served, HEAD + chunk(list(42, false, host("Ready"))));
+        try (ServerSocket oldAgent = listen();
+                ServerSocket silentAgent = listen();
+                ServerSocket newAgent = listen()) {
+            HostWatch watch = openWatch(oldAgent);
+            try (Socket oldConnection = accept(oldAgent, 41)) {
+                write(oldConnection, RESPONSE_HEAD + chunk(list(42, false, hostInState("Ready"))));
                 awaitVersion(42);
-                watch.moveTo(address(mute), ServiceScope.ALL);
-                watch.moveTo(address(old), ServiceScope.ALL); // abandoned at once
-                watch.moveTo(address(mute), ServiceScope.ALL);
-                write(served, chunk(list(43, false, host("Ready")))); // nothing came from there: the old one serves
+                watch.moveTo(address(silentAgent), ServiceScope.ALL);
+                watch.moveTo(address(oldAgent), ServiceScope.ALL); // the silent address is abandoned at once
+                watch.moveTo(address(silentAgent), ServiceScope.ALL);
+                write(
+                        oldConnection,
+                        chunk(list(
+                                43,
+                                false,
+                                hostInState("Ready")))); // the silent address sent nothing, so the old one serves
                 awaitVersion(43);
-                watch.moveTo(address(now), ServiceScope.ALL);
-                watch.moveTo(address(now), ServiceScope.ALL); // once more changes nothing
-                try (Socket moved = accept(now, 43)) {
-                    write(moved, HEAD + chunk("\n"));
-                    assertEquals(-1, served.getInputStream().read()); // now it is closed
+                watch.moveTo(address(newAgent), ServiceScope.ALL);
+                watch.moveTo(address(newAgent), ServiceScope.ALL); // a repeated move changes nothing
+                try (Socket newConnection = accept(newAgent, 43)) {
+                    write(newConnection, RESPONSE_HEAD + chunk("\n"));
+                    assertEquals(-1, oldConnection.getInputStream().read()); // the old connection is closed now
                     write(
-                            moved,
-                            chunk(list(40, true, host("Gone")))
-                                    + chunk(list(43, false, host("Gone")))
-                                    + chunk(list(44, false, host("Gone"))));
-                    awaitVersion(44); // what is stale was ignored, and the version went along
+                            newConnection,
+                            chunk(list(40, true, hostInState("Gone")))
+                                    + chunk(list(43, false, hostInState("Gone")))
+                                    + chunk(list(44, false, hostInState("Gone"))));
+                    awaitVersion(44); // stale lists are ignored, and the version is kept
                 }
-                try (Socket again = accept(now, 44)) {
-                    assertTrue(again.isConnected());
+                try (Socket newReconnection = accept(newAgent, 44)) {
+                    assertTrue(newReconnection.isConnected());
                 }
             }
-            old.setSoTimeout(1);
-            assertThrows(SocketTimeoutException.class, old::accept); // nobody dials there any more
+            oldAgent.setSoTimeout(1);
+            assertThrows(SocketTimeoutException.class, oldAgent::accept); // the watch no longer dials the old address
         }
     }
 
     @Test
-    void requestsTheWholeListThenWatchesAndResumesAfterABreak() throws Exception {
+    void requestsACompleteListThenWatchesAndResumesAfterADisconnect() throws Exception {
         try (ServerSocket agent = listen()) {
-            dialling(agent, ServiceScope.ALL, NONE_KNOWN);
-            answer(acceptWholeList(agent), body(list(7, true, host("Ready"))));
-            answer(accept(agent, 7), HEAD + chunk(list(9, false, host("Gone"))));
-            answer(accept(agent, 9), HEAD);
-            assertEquals(List.of(7L, 9L), versions());
+            openWatch(agent, ServiceScope.ALL, WITHOUT_INITIAL_LIST);
+            sendAndClose(acceptCompleteListRequest(agent), completeListResponse(list(7, true, hostInState("Ready"))));
+            sendAndClose(accept(agent, 7), RESPONSE_HEAD + chunk(list(9, false, hostInState("Gone"))));
+            sendAndClose(accept(agent, 9), RESPONSE_HEAD);
+            assertEquals(List.of(7L, 9L), takeAppliedVersions());
         }
     }
 
-    /** The agent that the settings name may count from one again: changes under its lower versions must not be missed for ever. */
+    /** The new address may have restarted its versions at 1: deltas with lower versions must not be ignored forever. */
     @Test
-    void ignoresASourceThatCountsAnewWhileItMayLagAndThenAppliesItsWholeList() throws Exception {
-        try (ServerSocket old = listen();
-                ServerSocket now = listen()) {
-            HostWatch watch = dialling(old);
-            try (Socket served = accept(old, 41)) {
-                write(served, HEAD + chunk(list(42, false, host("Ready"))));
+    void ignoresARestartedSourceWhileItMayLagAndThenAppliesItsCompleteList() throws Exception {
+        try (ServerSocket oldAgent = listen();
+                ServerSocket newAgent = listen()) {
+            HostWatch watch = openWatch(oldAgent);
+            try (Socket oldConnection = accept(oldAgent, 41)) {
+                write(oldConnection, RESPONSE_HEAD + chunk(list(42, false, hostInState("Ready"))));
                 awaitVersion(42);
-                watch.moveTo(address(now), ServiceScope.ALL);
-                try (Socket moved = accept(now, 42)) {
+                watch.moveTo(address(newAgent), ServiceScope.ALL);
+                try (Socket newConnection = accept(newAgent, 42)) {
                     write(
-                            moved,
-                            HEAD
-                                    + chunk(list(3, true, host("Gone")))
-                                    + chunk(list(4, false, host("Ready")))
+                            newConnection,
+                            RESPONSE_HEAD
+                                    + chunk(list(3, true, hostInState("Gone")))
+                                    + chunk(list(4, false, hostInState("Ready")))
                                     + chunk("\n"));
-                    assertEquals(-1, served.getInputStream().read()); // all of that is read
-                    awaitLog("sends version 4, which is older than 42", 1);
-                    assertEquals(List.of(), versions());
+                    assertEquals(
+                            -1, oldConnection.getInputStream().read()); // the lines of the new address have been read
+                    awaitLog("ignoring version 4, which is older than the current version 42", 1);
+                    assertEquals(List.of(), takeAppliedVersions());
                     advanceNanos(3_000_000_000L);
-                    write(moved, chunk(list(4, false, host("Ready")))); // it goes on sending
-                    awaitLog("sends version 4, which is older than 42", 2);
+                    write(
+                            newConnection,
+                            chunk(list(4, false, hostInState("Ready")))); // a further delta of the restarted versions
+                    awaitLog("ignoring version 4, which is older than the current version 42", 2);
                     advanceNanos(3_000_000_001L);
-                    write(moved, chunk("\n"));
-                    assertEquals(-1, moved.getInputStream().read());
+                    write(newConnection, chunk("\n"));
+                    assertEquals(-1, newConnection.getInputStream().read());
                 }
-                answer(acceptWholeList(now), body(list(5, true, host("Ready"))));
+                sendAndClose(
+                        acceptCompleteListRequest(newAgent), completeListResponse(list(5, true, hostInState("Ready"))));
                 awaitVersion(5);
-                answer(accept(now, 5), HEAD + chunk(list(6, false, host("Gone"))));
+                sendAndClose(accept(newAgent, 5), RESPONSE_HEAD + chunk(list(6, false, hostInState("Gone"))));
                 awaitVersion(6);
             }
         }
@@ -178,76 +195,82 @@
     void neverTreatsASourceThatWasNotMovedToAsRestarted() {
         VersionTracker versions = new VersionTracker(new HostList(41, true, List.of()));
         SourceHistory source = new SourceHistory(false);
-        SourceHistory late = new SourceHistory(true);
-        assertEquals(VersionTracker.Verdict.IGNORED, versions.judge(new HostList(7, true, List.of()), source, 0));
-        assertFalse(source.judgeRestart(Long.MAX_VALUE / 2));
-        assertEquals(VersionTracker.Verdict.IGNORED, versions.judge(new HostList(40, true, List.of()), late, 0));
+        SourceHistory lagging = new SourceHistory(true);
+        assertEquals(
+                VersionTracker.UpdateDecision.IGNORED,
+                versions.applyIfNewer(new HostList(7, true, List.of()), source, 0));
+        assertFalse(source.detectRestart(Long.MAX_VALUE / 2));
+        assertEquals(
+                VersionTracker.UpdateDecision.IGNORED,
+                versions.applyIfNewer(new HostList(40, true, List.of()), lagging, 0));
         assertEquals(
-                VersionTracker.Verdict.APPLIED,
-                versions.judge(new HostList(42, false, List.of()), late, 1)); // only late
-        assertFalse(late.judgeRestart(Long.MAX_VALUE / 2));
+                VersionTracker.UpdateDecision.APPLIED,
+                versions.applyIfNewer(new HostList(42, false, List.of()), lagging, 1)); // the source only lagged
+        assertFalse(lagging.detectRestart(Long.MAX_VALUE / 2));
         assertEquals(42, versions.version());
     }
 
-    /** The last one may have had invalid entries, which its version does not show. */
+    /** The earlier list of the same version may have had invalid entries, which its version does not show. */
     @Test
-    void appliesAWholeListOfTheHeldVersion() {
-        HostWatch watch = watch(41);
-        InMemoryAgent.watched(watch)
-                .addInput(HEAD + chunk(list(41, true, host("Ready"))) + chunk(list(41, false, host("Gone"))));
-        assertEquals(List.of(41L), versions());
+    void appliesACompleteListOfTheCurrentVersion() {
+        HostWatch watch = createWatch(41);
+        InMemoryAgent.connectForWatch(watch)
+                .addInput(RESPONSE_HEAD
+                        + chunk(list(41, true, hostInState("Ready")))
+                        + chunk(list(41, false, hostInState("Gone"))));
+        assertEquals(List.of(41L), takeAppliedVersions());
     }
 
     @Test
     void staysAtTheServingAddressWhereTheNewOneSendsUnreadableData() throws Exception {
-        try (ServerSocket old = listen();
-                ServerSocket wrong = listen()) {
-            HostWatch watch = dialling(old);
-            try (Socket served = accept(old, 41)) {
-                write(served, HEAD + chunk("\n"));
-                watch.moveTo(address(wrong), ServiceScope.ALL);
-                try (Socket moved = accept(wrong, 41)) {
-                    write(moved, HEAD + chunk("a page of another service\n"));
-                    assertEquals(-1, moved.getInputStream().read());
+        try (ServerSocket oldAgent = listen();
+                ServerSocket newAgent = listen()) {
+            HostWatch watch = openWatch(oldAgent);
+            try (Socket oldConnection = accept(oldAgent, 41)) {
+                write(oldConnection, RESPONSE_HEAD + chunk("\n"));
+                watch.moveTo(address(newAgent), ServiceScope.ALL);
+                try (Socket newConnection = accept(newAgent, 41)) {
+                    write(newConnection, RESPONSE_HEAD + chunk("a page of another service\n"));
+                    assertEquals(-1, newConnection.getInputStream().read());
                 }
-                write(served, chunk(list(42, false, host("Ready"))));
+                write(oldConnection, chunk(list(42, false, hostInState("Ready"))));
                 awaitVersion(42);
             }
         }
     }
 
     @Test
-    void abandonsALineThatDripsAndNeverEnds() {
-        HostWatch watch = watch(41);
-        InMemoryAgent agent = InMemoryAgent.watched(watch);
-        agent.addInput(HEAD + chunk("\n") + chunk("{\"vers"));
+    void disconnectsWhereALineNeverCompletes() {
+        HostWatch watch = createWatch(41);
+        InMemoryAgent agent = InMemoryAgent.connectForWatch(watch);
+        agent.addInput(RESPONSE_HEAD + chunk("\n") + chunk("{\"vers"));
         advanceNanos(4_000_000_000L);
         agent.addInput(chunk("i"));
         assertTrue(agent.isOpen());
         advanceNanos(2_000_000_001L);
         agent.addInput(chunk("o"));
         assertFalse(agent.isOpen());
-        assertEquals(List.of(20L), delaysMs());
+        assertEquals(List.of(20L), backoffDelaysMs());
     }
 
-    /** On one machine a connection may be made at once; then Jetty reports its failure by another method. */
+    /** On one machine a connection may be established at once; Jetty then reports its failure by another method. */
     @Test
-    void redialsAfterAConnectionMadeAtOnceFailsUnlessItWasAbandoned() throws Exception {
-        HostWatch watch = watch(41);
+    void redialsAfterAnImmediateConnectionFailsUnlessItWasAbandoned() throws Exception {
+        HostWatch watch = createWatch(41);
         try (ServerSocket agent = listen();
-                SocketChannel other = SocketChannel.open(address(agent))) {
-            watch.onAcceptFailed(other, new IOException("too many open files"));
-            assertEquals(List.of(), delaysMs()); // none of its own
-            watch.state().dialled(watch.state().serving(), other);
-            watch.onAcceptFailed(other, new IOException("too many open files"));
-            assertEquals(List.of(20L), delaysMs());
-            assertFalse(other.isOpen());
+                SocketChannel channel = SocketChannel.open(address(agent))) {
+            watch.onAcceptFailed(channel, new IOException("too many open files"));
+            assertEquals(List.of(), backoffDelaysMs()); // the channel belongs to no source
+            watch.state().setChannel(watch.state().servingSource(), channel);
+            watch.onAcceptFailed(channel, new IOException("too many open files"));
+            assertEquals(List.of(20L), backoffDelaysMs());
+            assertFalse(channel.isOpen());
         }
     }
 
-    private static void answer(Socket connection, String answer) throws IOException {
+    private static void sendAndClose(Socket connection, String response) throws IOException {
         try (connection) {
-            write(connection, answer);
+            write(connection, response);
         }
     }
 }
--- a/src/test/java/linenring/discovery/InMemoryAgent.java
+++ b/src/test/java/linenring/discovery/InMemoryAgent.java
@@ -3,13 +3,13 @@
 import java.util.concurrent.TimeoutException;
 import org.eclipse.jetty.io.ByteArrayEndPoint;
 
-/** The agent's end of a connection in memory: bytes are handed in, and read at once or when the watch reads of itself. */
+/** A discovery agent's connection in memory. The watch reads added bytes at once, or later if they are added as unread. */
 final class InMemoryAgent extends ByteArrayEndPoint {
     private final AgentConnection connection;
 
-    /** At the source that serves, with whatever is requested of it. */
+    /** Connects the serving source with this request. */
     InMemoryAgent(HostWatch watch, ListRequest request) {
-        this(watch, watch.state().serving(), request);
+        this(watch, watch.state().servingSource(), request);
     }
 
     InMemoryAgent(HostWatch watch, EndpointSource source, ListRequest request) {
@@ -20,29 +20,29 @@
         connection.onOpen();
     }
 
-    /** A watch of the source that serves. */
-    static InMemoryAgent watched(HostWatch watch) {
+    /** Connects the serving source with a watch request. */
+    static InMemoryAgent connectForWatch(HostWatch watch) {
         return new InMemoryAgent(watch, ListRequest.watchFrom(41));
     }
 
-    /** A request for the whole list at the source that serves. */
-    static InMemoryAgent askedForWholeList(HostWatch watch) {
-        return new InMemoryAgent(watch, ListRequest.wholeList());
+    /** Connects the serving source with a request for the complete list. */
+    static InMemoryAgent connectForCompleteList(HostWatch watch) {
+        return new InMemoryAgent(watch, ListRequest.completeList());
     }
 
-    /** Bytes that have arrived, and that the selector has not come to yet. */
-    void addUnread(String bytes) {
+    /** Adds bytes that have arrived but that the selector has not read yet. */
+    void addUnreadInput(String bytes) {
         addInputAndExecute(bytes);
     }
 
-    /** No byte has come for too long. */
+    /** Reports that no byte has arrived within the idle timeout. */
     boolean expireIdle() {
-        return connection.onIdleExpired(new TimeoutException("the end point saw no byte"));
+        return connection.onIdleExpired(new TimeoutException("no byte within the idle timeout"));
     }
 
-    /** Only what is added unread is handed to it. */
+    /** Drops the task that would read the bytes; called only for input that is added as unread. */
     @Override
     protected void execute(Runnable task) {
-        // not run: nobody learns that bytes are there
+        // without the task the bytes stay unread
     }
 }
--- a/src/test/java/linenring/discovery/RecordingScheduler.java
+++ b/src/test/java/linenring/discovery/RecordingScheduler.java
@@ -6,11 +6,11 @@
 import org.eclipse.jetty.util.component.AbstractLifeCycle;
 import org.eclipse.jetty.util.thread.Scheduler;
 
-/** Records delays and runs nothing. */
+/** Scheduler that records the delays of its tasks and runs none of them. */
 final class RecordingScheduler extends AbstractLifeCycle implements Scheduler {
     private final List<Long> delaysMs = new ArrayList<>();
 
-    /** Of all tasks so far, in order. */
+    /** Delays of all tasks so far, in order. */
     List<Long> delaysMs() {
         return delaysMs;
     }
--- a/src/test/java/linenring/discovery/ScopeChangeTest.java
+++ b/src/test/java/linenring/discovery/ScopeChangeTest.java
@@ -1,11 +1,11 @@
 package linenring.discovery;
 
-import static linenring.discovery.AgentMessages.HEAD;
-import static linenring.discovery.AgentMessages.body;
+import static linenring.discovery.AgentMessages.RESPONSE_HEAD;
 import static linenring.discovery.AgentMessages.chunk;
+import static linenring.discovery.AgentMessages.completeListResponse;
 import static linenring.discovery.AgentMessages.list;
 import static linenring.discovery.AgentSocket.accept;
-import static linenring.discovery.AgentSocket.acceptWholeList;
+import static linenring.discovery.AgentSocket.acceptCompleteListRequest;
 import static linenring.discovery.AgentSocket.address;
 import static linenring.discovery.AgentSocket.listen;
 import static linenring.discovery.AgentSocket.write;
@@ -25,49 +25,53 @@
 import linenring.protocol.ServiceScope;
 import org.junit.jupiter.api.Test;
 
-/** What the watch does where its scope changes. */
+/** Changes of the scope during a watch. */
 class ScopeChangeTest extends WatchFixture {
-    private static final Optional<VersionTracker.Refusal> OLDER =
-            Optional.of(VersionTracker.Refusal.OLDER_UNDER_OTHER_SCOPE);
+    private static final Optional<VersionTracker.Rejection> OLDER_UNDER_OTHER_SCOPE =
+            Optional.of(VersionTracker.Rejection.OLDER_UNDER_OTHER_SCOPE);
 
     @Test
-    void keepsTheOldHostsUntilTheWholeListOfANewScopeHasCome() throws Exception {
+    void keepsTheOldHostsUntilACompleteListOfTheNewScopeArrives() throws Exception {
         try (ServerSocket agent = listen()) {
-            HostWatch watch = dialling(agent, ONE, known(ONE, "s-1"));
-            try (Socket served = accept(agent, 41)) {
-                write(served, HEAD + chunk("\n"));
-                watch.moveTo(address(agent), TWO);
-                try (Socket again = acceptWholeList(agent)) {
-                    write(served, chunk(list(42, false, "s-3 svc-1 Ready", "s-4 svc-2 Ready")));
-                    awaitHosts("s-1 s-3"); // the old scope is in force
-                    write(again, body(list(42, true, "s-1 svc-1 Ready", "s-2 svc-2 Ready", "s-4 svc-2 Ready")));
+            HostWatch watch = openWatch(agent, SCOPE_ONE, initialList(SCOPE_ONE, "s-1"));
+            try (Socket oldConnection = accept(agent, 41)) {
+                write(oldConnection, RESPONSE_HEAD + chunk("\n"));
+                watch.moveTo(address(agent), SCOPE_TWO);
+                try (Socket newConnection = acceptCompleteListRequest(agent)) {
+                    write(oldConnection, chunk(list(42, false, "s-3 svc-1 Ready", "s-4 svc-2 Ready")));
+                    awaitHosts("s-1 s-3"); // the old scope is still in force
+                    write(
+                            newConnection,
+                            completeListResponse(
+                                    list(42, true, "s-1 svc-1 Ready", "s-2 svc-2 Ready", "s-4 svc-2 Ready")));
                     awaitHosts("s-2 s-4");
-                    assertEquals(-1, served.getInputStream().read());
+                    assertEquals(-1, oldConnection.getInputStream().read());
                 }
             }
-            try (Socket watched = accept(agent, 42)) {
-                write(watched, HEAD + chunk(list(43, false, "s-1 svc-2 Ready", "s-2 svc-1 Ready")));
+            try (Socket watchConnection = accept(agent, 42)) {
+                write(watchConnection, RESPONSE_HEAD + chunk(list(43, false, "s-1 svc-2 Ready", "s-2 svc-1 Ready")));
                 awaitHosts("s-1 s-4");
             }
         }
     }
 
     @Test
-    void goesOnUnderTheOldScopeWhereTheNewOneNamesNobody() throws Exception {
+    void keepsTheOldScopeWhereTheNewOneMatchesNoHost() throws Exception {
         try (ServerSocket agent = listen()) {
-            HostWatch watch = dialling(agent, ONE, known(ONE, "s-1"));
-            try (Socket served = accept(agent, 41)) {
-                write(served, HEAD + chunk("\n"));
-                watch.moveTo(address(agent), NOBODY);
-                try (Socket again = acceptWholeList(agent)) {
-                    write(again, body(list(41, true, "s-1 svc-1 Ready")));
-                    assertEquals(-1, again.getInputStream().read());
+            HostWatch watch = openWatch(agent, SCOPE_ONE, initialList(SCOPE_ONE, "s-1"));
+            try (Socket oldConnection = accept(agent, 41)) {
+                write(oldConnection, RESPONSE_HEAD + chunk("\n"));
+                watch.moveTo(address(agent), SCOPE_WITHOUT_HOSTS);
+                try (Socket newConnection = acceptCompleteListRequest(agent)) {
+                    write(newConnection, completeListResponse(list(41, true, "s-1 svc-1 Ready")));
+                    assertEquals(-1, newConnection.getInputStream().read());
                 }
-                awaitLog("scope names none of the 1 hosts listed; the list before it stays in force; next in 5000 ms");
-                write(served, chunk(list(42, false, "s-2 svc-1 Ready")));
+                awaitLog(
+                        "no host in scope among the 1 listed hosts; the previous list stays in force; retrying in 5000 ms");
+                write(oldConnection, chunk(list(42, false, "s-2 svc-1 Ready")));
                 awaitHosts("s-1 s-2");
-                watch.moveTo(address(agent), ONE); // back: nothing was lost
-                write(served, chunk(list(43, false, "s-1 svc-1 Gone")));
+                watch.moveTo(address(agent), SCOPE_ONE); // returns to the old scope without losing a delta
+                write(oldConnection, chunk(list(43, false, "s-1 svc-1 Gone")));
                 awaitHosts("s-2");
             }
         }
@@ -76,28 +80,30 @@
     @Test
     void keepsTheOldHostsWhileDiscoveryIsDownAndFollowsTheLastOfTwoReloads() throws Exception {
         try (ServerSocket agent = listen()) {
-            ServerSocket gone = listen();
-            InetSocketAddress down = address(gone);
-            gone.close();
-            HostWatch watch = dialling(agent, ONE, known(ONE, "s-1"));
-            try (Socket served = accept(agent, 41)) {
-                write(served, HEAD + chunk("\n"));
-                watch.moveTo(down, NOBODY); // discovery and scope at once, and nobody answers there
-                awaitLog("attempt at 127.0.0.1:" + down.getPort() + " failed (connecting): ");
-                assertEquals("s-1", hosts());
+            ServerSocket stoppedAgent = listen();
+            InetSocketAddress stoppedAddress = address(stoppedAgent);
+            stoppedAgent.close();
+            HostWatch watch = openWatch(agent, SCOPE_ONE, initialList(SCOPE_ONE, "s-1"));
+            try (Socket oldConnection = accept(agent, 41)) {
+                write(oldConnection, RESPONSE_HEAD + chunk("\n"));
+                watch.moveTo(
+                        stoppedAddress,
+                        SCOPE_WITHOUT_HOSTS); // changes address and scope at once; the address refuses connections
+                awaitLog("attempt at 127.0.0.1:" + stoppedAddress.getPort() + " failed (connecting): ");
+                assertEquals("s-1", currentHosts());
                 watch.moveTo(address(agent), ServiceScope.ALL);
-                watch.moveTo(address(agent), TWO);
-                watch.moveTo(address(agent), TWO); // once more changes nothing
-                Socket again = askedForWhole(agent);
-                write(again, body(list(41, true, "s-1 svc-1 Ready", "s-2 svc-2 Ready")));
+                watch.moveTo(address(agent), SCOPE_TWO);
+                watch.moveTo(address(agent), SCOPE_TWO); // a repeated move changes nothing
+                Socket newConnection = acceptOpenCompleteListRequest(agent);
+                write(newConnection, completeListResponse(list(41, true, "s-1 svc-1 Ready", "s-2 svc-2 Ready")));
                 awaitHosts("s-2");
-                again.close();
+                newConnection.close();
             }
         }
     }
 
-    /** The one that is abandoned may have dialled, and sent its request, before it was. */
-    private static Socket askedForWhole(ServerSocket agent) throws IOException {
+    /** Skips requests of sources that were abandoned after they had sent their request. */
+    private static Socket acceptOpenCompleteListRequest(ServerSocket agent) throws IOException {
         while (true) {
             Socket socket = agent.accept();
             socket.setSoTimeout(20_000);
@@ -126,55 +132,64 @@
     }
 
     @Test
-    void movesToAnotherAddressAndScopeWithOneWholeList() throws Exception {
-        try (ServerSocket old = listen();
-                ServerSocket now = listen()) {
-            HostWatch watch = dialling(old, ServiceScope.ALL, known(ServiceScope.ALL, "s-1", "s-2", "s-3"));
-            try (Socket served = accept(old, 41)) {
-                write(served, HEAD + chunk("\n"));
-                watch.moveTo(address(now), TWO);
-                try (Socket moved = acceptWholeList(now)) {
-                    write(moved, body(list(45, true, "s-1 svc-1 Ready", "s-2 svc-2 Ready", "s-3  Ready")));
+    void movesToAnotherAddressAndScopeWithOneCompleteList() throws Exception {
+        try (ServerSocket oldAgent = listen();
+                ServerSocket newAgent = listen()) {
+            HostWatch watch = openWatch(oldAgent, ServiceScope.ALL, initialList(ServiceScope.ALL, "s-1", "s-2", "s-3"));
+            try (Socket oldConnection = accept(oldAgent, 41)) {
+                write(oldConnection, RESPONSE_HEAD + chunk("\n"));
+                watch.moveTo(address(newAgent), SCOPE_TWO);
+                try (Socket newConnection = acceptCompleteListRequest(newAgent)) {
+                    write(
+                            newConnection,
+                            completeListResponse(list(45, true, "s-1 svc-1 Ready", "s-2 svc-2 Ready", "s-3  Ready")));
                     awaitHosts("s-2 s-3");
-                    assertEquals(-1, served.getInputStream().read());
+                    assertEquals(-1, oldConnection.getInputStream().read());
                 }
             }
-            try (Socket watched = accept(now, 45)) {
-                watch.moveTo(address(now), ServiceScope.ALL); // and without a scope again
-                try (Socket whole = acceptWholeList(now)) {
-                    write(whole, body(list(45, true, "s-1 svc-1 Ready", "s-2 svc-2 Ready", "s-3  Ready")));
+            try (Socket watchConnection = accept(newAgent, 45)) {
+                watch.moveTo(address(newAgent), ServiceScope.ALL); // returns to the scope of all services
+                try (Socket unscopedConnection = acceptCompleteListRequest(newAgent)) {
+                    write(
+                            unscopedConnection,
+                            completeListResponse(list(45, true, "s-1 svc-1 Ready", "s-2 svc-2 Ready", "s-3  Ready")));
                     awaitHosts("s-1 s-2 s-3");
-                    assertEquals(-1, watched.getInputStream().read());
+                    assertEquals(-1, watchConnection.getInputStream().read());
                 }
             }
         }
     }
 
     @Test
-    void servesAListOfAnotherScopeUntilTheWholeOneHasCome() {
-        HostWatch watch = watch(TWO, known(ONE, "s-1"), Integer.MAX_VALUE); // as after an upgrade with a new file
-        InMemoryAgent agent = InMemoryAgent.watched(watch);
-        agent.addInput(HEAD + chunk(list(42, false, "s-2 svc-2 Ready")));
+    void keepsAListOfAnotherScopeUntilACompleteListArrives() {
+        HostWatch watch = createWatch(
+                SCOPE_TWO,
+                initialList(SCOPE_ONE, "s-1"),
+                Integer.MAX_VALUE); // as after an upgrade with a new settings file
+        InMemoryAgent agent = InMemoryAgent.connectForWatch(watch);
+        agent.addInput(RESPONSE_HEAD + chunk(list(42, false, "s-2 svc-2 Ready")));
         assertFalse(agent.isOpen());
-        assertEquals("s-1", hosts());
-        InMemoryAgent.askedForWholeList(watch).addInput(body(list(41, true, "s-1 svc-1 Ready", "s-2 svc-2 Ready")));
-        assertEquals("s-2", hosts());
+        assertEquals("s-1", currentHosts());
+        InMemoryAgent.connectForCompleteList(watch)
+                .addInput(completeListResponse(list(41, true, "s-1 svc-1 Ready", "s-2 svc-2 Ready")));
+        assertEquals("s-2", currentHosts());
     }
 
-    /** An agent that lags would undo a drain; one that counts anew is believed once no agent may lag any longer. */
+    /** A lagging agent would undo a drain, so an older list is applied only after the longest lag that the protocol allows. */
     @Test
     void ignoresAnOlderListOfAnotherScopeUntilItsSourceMustHaveRestarted() {
-        VersionTracker versions = new VersionTracker(known(ONE, "s-1"));
-        SourceHistory source = new SourceHistory(true, TWO);
-        HostList old = new HostList(7, true, known(TWO, "s-2").entries(), InvalidEntries.NONE, TWO, 3);
-        assertTrue(versions.requiresWholeList(source));
-        assertEquals(OLDER, versions.refusal(old, source, 0));
-        assertEquals(OLDER, versions.refusal(old, source, 6_000_000_000L));
+        VersionTracker versions = new VersionTracker(initialList(SCOPE_ONE, "s-1"));
+        SourceHistory source = new SourceHistory(true, SCOPE_TWO);
+        HostList olderList =
+                new HostList(7, true, initialList(SCOPE_TWO, "s-2").entries(), InvalidEntries.NONE, SCOPE_TWO, 3);
+        assertTrue(versions.requiresCompleteList(source));
+        assertEquals(OLDER_UNDER_OTHER_SCOPE, versions.rejectionOf(olderList, source, 0));
+        assertEquals(OLDER_UNDER_OTHER_SCOPE, versions.rejectionOf(olderList, source, 6_000_000_000L));
         assertEquals(41, versions.version());
-        versions.refusal(old, source, 6_000_000_001L);
-        assertEquals(Optional.empty(), versions.refusal(old, source, 6_000_000_002L));
-        assertEquals(VersionTracker.Verdict.APPLIED, versions.judge(old, source, 6_000_000_002L));
+        versions.rejectionOf(olderList, source, 6_000_000_001L);
+        assertEquals(Optional.empty(), versions.rejectionOf(olderList, source, 6_000_000_002L));
+        assertEquals(VersionTracker.UpdateDecision.APPLIED, versions.applyIfNewer(olderList, source, 6_000_000_002L));
         assertEquals(7, versions.version());
-        assertFalse(versions.requiresWholeList(source));
+        assertFalse(versions.requiresCompleteList(source));
     }
 }
--- a/src/test/java/linenring/discovery/UnreadAtMoveTest.java
+++ b/src/test/java/linenring/discovery/UnreadAtMoveTest.java
@@ -1,8 +1,8 @@
 package linenring.discovery;
 
-import static linenring.discovery.AgentMessages.HEAD;
-import static linenring.discovery.AgentMessages.body;
+import static linenring.discovery.AgentMessages.RESPONSE_HEAD;
 import static linenring.discovery.AgentMessages.chunk;
+import static linenring.discovery.AgentMessages.completeListResponse;
 import static linenring.discovery.AgentMessages.list;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -15,172 +15,176 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The old address has written what is not read yet, and the selector comes to the new one's line first: bytes are handed in,
- * so that it happens every time.
+ * The old address has sent bytes that are still unread when the selector reads the first line of the new address. Connections
+ * in memory make this order certain.
  */
 class UnreadAtMoveTest extends WatchFixture {
     private static final InetSocketAddress NEW_ADDRESS = new InetSocketAddress(InetAddress.getLoopbackAddress(), 8501);
 
     private HostWatch watch;
-    private InMemoryAgent old;
+    private InMemoryAgent oldAgent;
 
-    private void serve(ServiceScope scope, String... hosts) {
-        watch = watch(scope, known(scope, hosts), Integer.MAX_VALUE);
-        old = InMemoryAgent.watched(watch);
-        old.addInput(HEAD + chunk("\n"));
+    private void serveFromOldAddress(ServiceScope scope, String... hosts) {
+        watch = createWatch(scope, initialList(scope, hosts), Integer.MAX_VALUE);
+        oldAgent = InMemoryAgent.connectForWatch(watch);
+        oldAgent.addInput(RESPONSE_HEAD + chunk("\n"));
     }
 
-    private EndpointSource next() {
-        return watch.state().next().orElseThrow();
+    private EndpointSource nextSource() {
+        return watch.state().nextSource().orElseThrow();
     }
 
-    private InMemoryAgent move(ServiceScope scope, boolean wholeList) {
+    private InMemoryAgent moveTo(ServiceScope scope, boolean requestsCompleteList) {
         watch.moveTo(NEW_ADDRESS, scope);
-        return new InMemoryAgent(watch, next(), wholeList ? ListRequest.wholeList() : ListRequest.watchFrom(41));
+        return new InMemoryAgent(
+                watch, nextSource(), requestsCompleteList ? ListRequest.completeList() : ListRequest.watchFrom(41));
     }
 
     @Test
-    void appliesAnUnreadChangeBeforeABlankLineOfTheNewAddress() {
-        serve(ServiceScope.ALL, "s-1");
-        InMemoryAgent moved = move(ServiceScope.ALL, false);
-        old.addUnread(chunk(list(42, false, "s-1  Terminating")));
-        moved.addInput(HEAD + chunk("\n"));
-        assertEquals("s-1", hosts());
-        assertEquals(HostList.State.TERMINATING, state("s-1"));
-        assertFalse(old.isOpen());
-        assertTrue(moved.isOpen());
+    void appliesAnUnreadDeltaBeforeABlankLineOfTheNewAddress() {
+        serveFromOldAddress(ServiceScope.ALL, "s-1");
+        InMemoryAgent newAgent = moveTo(ServiceScope.ALL, false);
+        oldAgent.addUnreadInput(chunk(list(42, false, "s-1  Terminating")));
+        newAgent.addInput(RESPONSE_HEAD + chunk("\n"));
+        assertEquals("s-1", currentHosts());
+        assertEquals(HostList.State.TERMINATING, hostState("s-1"));
+        assertFalse(oldAgent.isOpen());
+        assertTrue(newAgent.isOpen());
     }
 
     @Test
-    void undoesNothingWhereTheNewAddressSendsTheSameChangeOrALaterOne() {
-        serve(ServiceScope.ALL, "s-1");
-        InMemoryAgent moved = move(ServiceScope.ALL, false);
-        old.addUnread(chunk(list(42, false, "s-1  Terminating", "s-2  Ready")) + chunk(list(43, false, "s-2  Gone")));
-        moved.addInput(HEAD + chunk(list(42, false, "s-1  Terminating", "s-2  Ready")));
-        assertEquals("s-1", hosts());
-        assertEquals(HostList.State.TERMINATING, state("s-1"));
-        moved.addInput(chunk(list(44, false, "s-3  Ready")));
-        assertEquals("s-1 s-3", hosts());
-        assertFalse(old.isOpen());
-        assertTrue(moved.isOpen());
+    void keepsUnreadDeltasWhereTheNewAddressSendsTheSameOrALaterOne() {
+        serveFromOldAddress(ServiceScope.ALL, "s-1");
+        InMemoryAgent newAgent = moveTo(ServiceScope.ALL, false);
+        oldAgent.addUnreadInput(
+                chunk(list(42, false, "s-1  Terminating", "s-2  Ready")) + chunk(list(43, false, "s-2  Gone")));
+        newAgent.addInput(RESPONSE_HEAD + chunk(list(42, false, "s-1  Terminating", "s-2  Ready")));
+        assertEquals("s-1", currentHosts());
+        assertEquals(HostList.State.TERMINATING, hostState("s-1"));
+        newAgent.addInput(chunk(list(44, false, "s-3  Ready")));
+        assertEquals("s-1 s-3", currentHosts());
+        assertFalse(oldAgent.isOpen());
+        assertTrue(newAgent.isOpen());
     }
 
     @Test
-    void readsAHalfReadLineToItsEndWhereItHasArrived() {
-        serve(ServiceScope.ALL, "s-1");
-        InMemoryAgent moved = move(ServiceScope.ALL, false);
+    void readsAPartialLineToItsEndWhereItHasArrived() {
+        serveFromOldAddress(ServiceScope.ALL, "s-1");
+        InMemoryAgent newAgent = moveTo(ServiceScope.ALL, false);
         String line = list(42, false, "s-1  Terminating");
-        old.addInput(chunk(line.substring(0, 50)));
-        old.addUnread(chunk(line.substring(50)));
-        moved.addInput(HEAD + chunk("\n"));
-        hosts();
-        assertEquals(HostList.State.TERMINATING, state("s-1"));
-        assertFalse(old.isOpen());
+        oldAgent.addInput(chunk(line.substring(0, 50)));
+        oldAgent.addUnreadInput(chunk(line.substring(50)));
+        newAgent.addInput(RESPONSE_HEAD + chunk("\n"));
+        currentHosts();
+        assertEquals(HostList.State.TERMINATING, hostState("s-1"));
+        assertFalse(oldAgent.isOpen());
     }
 
     @Test
-    void doesNotWaitForTheRestOfALine() {
-        serve(ServiceScope.ALL, "s-1");
-        InMemoryAgent moved = move(ServiceScope.ALL, false);
-        old.addUnread(chunk(list(42, false, "s-1  Terminating").substring(0, 50)));
-        moved.addInput(HEAD + chunk("\n") + chunk(list(42, false, "s-1  Terminating")));
-        hosts();
-        assertEquals(HostList.State.TERMINATING, state("s-1"));
-        assertFalse(old.isOpen());
-        assertTrue(moved.isOpen());
+    void doesNotWaitForAnIncompleteLine() {
+        serveFromOldAddress(ServiceScope.ALL, "s-1");
+        InMemoryAgent newAgent = moveTo(ServiceScope.ALL, false);
+        oldAgent.addUnreadInput(chunk(list(42, false, "s-1  Terminating").substring(0, 50)));
+        newAgent.addInput(RESPONSE_HEAD + chunk("\n") + chunk(list(42, false, "s-1  Terminating")));
+        currentHosts();
+        assertEquals(HostList.State.TERMINATING, hostState("s-1"));
+        assertFalse(oldAgent.isOpen());
+        assertTrue(newAgent.isOpen());
     }
 
-    /** Nor is the old address dialled again. */
+    /** The old address has ended its response, and is not dialled again. */
     @Test
-    void appliesTheLastLineOfAnAnswerThatHasEnded() {
-        serve(ServiceScope.ALL, "s-1");
-        InMemoryAgent moved = move(ServiceScope.ALL, false);
-        old.addUnread(chunk(list(42, false, "s-1  Terminating")) + "0\r\n\r\n");
-        moved.addInput(HEAD + chunk("\n"));
-        hosts();
-        assertEquals(HostList.State.TERMINATING, state("s-1"));
-        assertFalse(old.isOpen());
-        assertEquals(NEW_ADDRESS, watch.state().serving().address());
-        assertTrue(moved.isOpen());
+    void appliesTheLastLineOfAResponseThatHasEnded() {
+        serveFromOldAddress(ServiceScope.ALL, "s-1");
+        InMemoryAgent newAgent = moveTo(ServiceScope.ALL, false);
+        oldAgent.addUnreadInput(chunk(list(42, false, "s-1  Terminating")) + "0\r\n\r\n");
+        newAgent.addInput(RESPONSE_HEAD + chunk("\n"));
+        currentHosts();
+        assertEquals(HostList.State.TERMINATING, hostState("s-1"));
+        assertFalse(oldAgent.isOpen());
+        assertEquals(NEW_ADDRESS, watch.state().servingSource().address());
+        assertTrue(newAgent.isOpen());
     }
 
-    /** What was sent under the old scope comes before the new whole list, and undoes nothing of it. */
+    /** Deltas under the old scope are applied before the complete list of the new scope, and do not undo the list. */
     @Test
-    void appliesTheWholeListOfANewScopeAfterUnreadChanges() {
-        serve(ONE, "s-1");
-        InMemoryAgent moved = move(TWO, true);
-        old.addUnread(chunk(list(42, false, "s-1 svc-1 Terminating", "s-2 svc-1 Ready", "s-3 svc-1 Ready")));
-        moved.addInput(body(list(43, true, "s-1 svc-1 Terminating", "s-2 svc-2 Terminating", "s-3 svc-1 Ready")));
-        assertEquals("s-2", hosts());
-        assertEquals(HostList.State.TERMINATING, state("s-2"));
-        assertFalse(old.isOpen());
+    void appliesTheCompleteListOfANewScopeAfterUnreadDeltas() {
+        serveFromOldAddress(SCOPE_ONE, "s-1");
+        InMemoryAgent newAgent = moveTo(SCOPE_TWO, true);
+        oldAgent.addUnreadInput(chunk(list(42, false, "s-1 svc-1 Terminating", "s-2 svc-1 Ready", "s-3 svc-1 Ready")));
+        newAgent.addInput(completeListResponse(
+                list(43, true, "s-1 svc-1 Terminating", "s-2 svc-2 Terminating", "s-3 svc-1 Ready")));
+        assertEquals("s-2", currentHosts());
+        assertEquals(HostList.State.TERMINATING, hostState("s-2"));
+        assertFalse(oldAgent.isOpen());
     }
 
     @Test
-    void refusesAWholeListOfANewScopeThatIsOlderThanUnreadChanges() {
-        serve(ONE, "s-1");
-        InMemoryAgent moved = move(TWO, true);
-        old.addUnread(chunk(list(43, false, "s-1 svc-1 Terminating")));
-        moved.addInput(body(list(42, true, "s-1 svc-1 Ready", "s-2 svc-2 Ready")));
-        assertEquals("s-1", hosts());
-        assertEquals(HostList.State.TERMINATING, state("s-1"));
-        assertTrue(old.isOpen());
-        assertFalse(moved.isOpen());
-        assertTrue(logText().contains("sends version 42, which is older than 43 and changes nothing"));
+    void rejectsACompleteListOfANewScopeThatIsOlderThanUnreadDeltas() {
+        serveFromOldAddress(SCOPE_ONE, "s-1");
+        InMemoryAgent newAgent = moveTo(SCOPE_TWO, true);
+        oldAgent.addUnreadInput(chunk(list(43, false, "s-1 svc-1 Terminating")));
+        newAgent.addInput(completeListResponse(list(42, true, "s-1 svc-1 Ready", "s-2 svc-2 Ready")));
+        assertEquals("s-1", currentHosts());
+        assertEquals(HostList.State.TERMINATING, hostState("s-1"));
+        assertTrue(oldAgent.isOpen());
+        assertFalse(newAgent.isOpen());
+        assertTrue(logText().contains("ignoring version 42, which is older than the current version 43"));
     }
 
-    /** A host that the unread line brings leaves by the new address's line. */
+    /** The unread delta adds a host that the new address's delta moves out of scope. */
     @Test
-    void readsChangesUnderAScopeAgainstUnreadOnesOfTheOldAddress() {
-        serve(ONE, "s-1");
-        InMemoryAgent moved = move(ONE, false);
-        old.addUnread(chunk(list(42, false, "s-2 svc-1 Ready")));
-        moved.addInput(HEAD + chunk(list(43, false, "s-2 svc-2 Ready")));
-        assertEquals("s-1", hosts());
-        assertFalse(old.isOpen());
-        assertTrue(moved.isOpen());
+    void appliesUnreadDeltasBeforeReadingTheNewAddressUnderAScope() {
+        serveFromOldAddress(SCOPE_ONE, "s-1");
+        InMemoryAgent newAgent = moveTo(SCOPE_ONE, false);
+        oldAgent.addUnreadInput(chunk(list(42, false, "s-2 svc-1 Ready")));
+        newAgent.addInput(RESPONSE_HEAD + chunk(list(43, false, "s-2 svc-2 Ready")));
+        assertEquals("s-1", currentHosts());
+        assertFalse(oldAgent.isOpen());
+        assertTrue(newAgent.isOpen());
     }
 
     @Test
-    void requestsHalfReadChangesUnderAScopeAgainWhereTheOldAddressSentMore() {
-        serve(ONE, "s-1");
-        InMemoryAgent moved = move(ONE, false);
+    void retriesAPartlyReadDeltaUnderAScopeWhereTheOldAddressSentMore() {
+        serveFromOldAddress(SCOPE_ONE, "s-1");
+        InMemoryAgent newAgent = moveTo(SCOPE_ONE, false);
         String line = list(43, false, "s-2 svc-2 Ready");
-        moved.addInput(HEAD + chunk(line.substring(0, line.length() - 10)));
-        old.addUnread(chunk(list(42, false, "s-2 svc-1 Ready")));
-        moved.addInput(chunk(line.substring(line.length() - 10)));
-        assertEquals("s-1 s-2", hosts());
-        assertTrue(old.isOpen());
-        assertFalse(moved.isOpen());
-        InMemoryAgent again = new InMemoryAgent(watch, next(), ListRequest.watchFrom(41));
-        again.addInput(HEAD + chunk(line));
-        assertEquals("s-1", hosts());
-        assertFalse(old.isOpen());
+        newAgent.addInput(RESPONSE_HEAD + chunk(line.substring(0, line.length() - 10)));
+        oldAgent.addUnreadInput(chunk(list(42, false, "s-2 svc-1 Ready")));
+        newAgent.addInput(chunk(line.substring(line.length() - 10)));
+        assertEquals("s-1 s-2", currentHosts());
+        assertTrue(oldAgent.isOpen());
+        assertFalse(newAgent.isOpen());
+        InMemoryAgent retriedAgent = new InMemoryAgent(watch, nextSource(), ListRequest.watchFrom(41));
+        retriedAgent.addInput(RESPONSE_HEAD + chunk(line));
+        assertEquals("s-1", currentHosts());
+        assertFalse(oldAgent.isOpen());
     }
 
-    /** Discovery moves on before the address it had moved to was read: that one takes over first, as it had sent a list. */
+    /** Discovery moves again while a list of its earlier target is unread: the earlier target takes over first. */
     @Test
-    void appliesUnreadChangesOfAnAddressThatIsAbandonedForAThird() {
-        serve(ServiceScope.ALL, "s-1");
-        InMemoryAgent second = move(ServiceScope.ALL, false);
-        second.addUnread(HEAD + chunk(list(42, false, "s-1  Terminating")));
+    void appliesUnreadDeltasOfAnAddressThatIsAbandonedForAThird() {
+        serveFromOldAddress(ServiceScope.ALL, "s-1");
+        InMemoryAgent secondAgent = moveTo(ServiceScope.ALL, false);
+        secondAgent.addUnreadInput(RESPONSE_HEAD + chunk(list(42, false, "s-1  Terminating")));
         watch.moveTo(new InetSocketAddress(InetAddress.getLoopbackAddress(), 8502), ServiceScope.ALL);
-        hosts();
-        assertEquals(HostList.State.TERMINATING, state("s-1"));
-        assertEquals(NEW_ADDRESS, watch.state().serving().address());
-        assertEquals(8502, next().address().getPort());
-        assertFalse(old.isOpen());
-        assertTrue(second.isOpen());
+        currentHosts();
+        assertEquals(HostList.State.TERMINATING, hostState("s-1"));
+        assertEquals(NEW_ADDRESS, watch.state().servingSource().address());
+        assertEquals(8502, nextSource().address().getPort());
+        assertFalse(oldAgent.isOpen());
+        assertTrue(secondAgent.isOpen());
     }
 
     @Test
-    void abandonsAnAddressForAThirdThatHasSentNothingUsable() {
-        serve(ServiceScope.ALL, "s-1");
-        InMemoryAgent second = move(ServiceScope.ALL, false);
-        second.addUnread(HEAD + chunk(list(42, false, "s-1  Terminating").substring(0, 50)));
+    void abandonsAnAddressThatHasSentNothingUsableForAThird() {
+        serveFromOldAddress(ServiceScope.ALL, "s-1");
+        InMemoryAgent secondAgent = moveTo(ServiceScope.ALL, false);
+        secondAgent.addUnreadInput(
+                RESPONSE_HEAD + chunk(list(42, false, "s-1  Terminating").substring(0, 50)));
         watch.moveTo(new InetSocketAddress(InetAddress.getLoopbackAddress(), 8502), ServiceScope.ALL);
-        assertTrue(old.isOpen());
-        assertFalse(second.isOpen());
-        assertEquals(8502, next().address().getPort());
+        assertTrue(oldAgent.isOpen());
+        assertFalse(secondAgent.isOpen());
+        assertEquals(8502, nextSource().address().getPort());
     }
 }
