--- a/src/test/java/linenring/discovery/WatchFixture.java
+++ b/src/test/java/linenring/discovery/WatchFixture.java
@@ -33,13 +33,13 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** Watches whose clock is the test's, what they put into the event queue, and the hosts as whoever follows it has them. */
+/** Creates watches with a simulated clock, and collects the lists that they queue and the hosts that result from them. */
 abstract class WatchFixture {
-    static final ServiceScope ONE = ServiceScope.of(List.of("svc-1"));
-    static final ServiceScope TWO = ServiceScope.of(List.of("svc-2"));
-    static final ServiceScope NOBODY = ServiceScope.of(List.of("svc-none"));
+    static final ServiceScope SCOPE_ONE = ServiceScope.of(List.of("svc-1"));
+    static final ServiceScope SCOPE_TWO = ServiceScope.of(List.of("svc-2"));
+    static final ServiceScope SCOPE_WITHOUT_HOSTS = ServiceScope.of(List.of("svc-none"));
 
-    private static final InetSocketAddress NEVER_DIALLED =
+    private static final InetSocketAddress UNUSED_ADDRESS =
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 8500);
 
     private final EventQueue eventQueue = new EventQueue();
@@ -47,12 +47,13 @@
     private final Log log = new Log(new PrintStream(logged, true, StandardCharsets.UTF_8));
     private final Codec codec = new Codec(new Names(List.of("a"), List.of("m1"), List.of("lookup"), 9, 4));
     private final RecordingScheduler recordingScheduler = new RecordingScheduler();
-    private final AtomicLong clockNanos = new AtomicLong(Long.MAX_VALUE - TimeUnit.HOURS.toNanos(1)); // it wraps
+    private final AtomicLong clockNanos =
+            new AtomicLong(Long.MAX_VALUE - TimeUnit.HOURS.toNanos(1)); // the clock overflows during tests
     private final List<String> capacityFailures = new ArrayList<>();
-    private final TreeMap<String, HostList.State> hosts = new TreeMap<>();
+    private final TreeMap<String, HostList.State> currentHosts = new TreeMap<>();
     private final QueuedThreadPool threads = new QueuedThreadPool(8, 2);
     private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
-    private final List<HostWatch> started = new ArrayList<>();
+    private final List<HostWatch> openWatches = new ArrayList<>();
 
     @BeforeEach
     void startThreads() throws Exception {
@@ -62,7 +63,7 @@
 
     @AfterEach
     void stopThreads() throws Exception {
-        for (HostWatch watch : started) {
+        for (HostWatch watch : openWatches) {
             watch.stop();
         }
         threads.stop();
@@ -70,44 +71,45 @@
         assertEquals(List.of(), capacityFailures, "capacity failures that the test did not expect");
     }
 
-    /** One whose agents are handed their bytes, and which never dials. */
-    HostWatch watch(ServiceScope scope, HostList known, int maxHosts) {
-        return watch(NEVER_DIALLED, scope, known, maxHosts, Runnable::run, recordingScheduler);
+    /** Creates a watch that never dials, for use with {@link InMemoryAgent}. */
+    HostWatch createWatch(ServiceScope scope, HostList initialList, int maxHosts) {
+        return createWatch(UNUSED_ADDRESS, scope, initialList, maxHosts, Runnable::run, recordingScheduler);
     }
 
-    /** The same under all services, with an empty list of this version. */
-    HostWatch watch(long version) {
-        return watch(ServiceScope.ALL, new HostList(version, true, List.of()), Integer.MAX_VALUE);
+    /** Creates a watch that never dials, of all services and with an empty initial list of this version. */
+    HostWatch createWatch(long version) {
+        return createWatch(ServiceScope.ALL, new HostList(version, true, List.of()), Integer.MAX_VALUE);
     }
 
-    /** One that dials over loopback. */
-    HostWatch dialling(ServerSocket agent, ServiceScope scope, HostList known) throws Exception {
-        HostWatch watch = watch(address(agent), scope, known, Integer.MAX_VALUE, threads, scheduler);
-        started.add(watch);
+    /** Opens a watch that dials this agent over loopback. */
+    HostWatch openWatch(ServerSocket agent, ServiceScope scope, HostList initialList) throws Exception {
+        HostWatch watch = createWatch(address(agent), scope, initialList, Integer.MAX_VALUE, threads, scheduler);
+        openWatches.add(watch);
         watch.open();
         return watch;
     }
 
-    /** The same under all services, with an empty list of version 41. */
-    HostWatch dialling(ServerSocket agent) throws Exception {
-        return dialling(agent, ServiceScope.ALL, new HostList(41, true, List.of()));
+    /** Opens a watch of all services that dials this agent, with an empty initial list of version 41. */
+    HostWatch openWatch(ServerSocket agent) throws Exception {
+        return openWatch(agent, ServiceScope.ALL, new HostList(41, true, List.of()));
     }
 
-    private HostWatch watch(
+    private HostWatch createWatch(
             InetSocketAddress address,
             ServiceScope scope,
-            HostList known,
+            HostList initialList,
             int maxHosts,
             Executor executor,
             Scheduler timer) {
-        if (known != null) {
-            apply(known);
+        if (initialList != null) {
+            apply(initialList);
         }
-        WatchConfig config = new WatchConfig(address, scope, known, capacityFailures::add, maxHosts, clockNanos::get);
+        WatchConfig config =
+                new WatchConfig(address, scope, initialList, capacityFailures::add, maxHosts, clockNanos::get);
         return new HostWatch(config, codec, eventQueue, log, executor, timer);
     }
 
-    static HostList known(ServiceScope scope, String... ids) {
+    static HostList initialList(ServiceScope scope, String... ids) {
         List<HostList.Entry> entries = new ArrayList<>();
         for (String id : ids) {
             entries.add(new HostList.Entry(id, 0, 0, HostList.State.READY, 1, Double.NEGATIVE_INFINITY));
@@ -115,71 +117,75 @@
         return new HostList(41, true, entries, InvalidEntries.NONE, scope, 0);
     }
 
-    /** Of the attempts so far, at watches that never dial. */
-    List<Long> delaysMs() {
+    /** Backoff delays of the attempts so far, for watches that never dial. */
+    List<Long> backoffDelaysMs() {
         return recordingScheduler.delaysMs();
     }
 
-    /** What the capacity listener was notified of since the last call; a test that expects nothing need not ask. */
-    List<String> drainCapacityFailures() {
-        List<String> drained = List.copyOf(capacityFailures);
+    /** Returns and clears the notifications of the capacity listener; after each test none may be left. */
+    List<String> takeCapacityFailures() {
+        List<String> notifications = List.copyOf(capacityFailures);
         capacityFailures.clear();
-        return drained;
+        return notifications;
     }
 
     void advanceNanos(long nanos) {
         clockNanos.addAndGet(nanos);
     }
 
-    void follow(Consumer<HostList> follower) {
+    void addHostListListener(Consumer<HostList> follower) {
         eventQueue.addHostListListener(follower);
     }
 
-    private RecordingEventHandler drain() {
+    private RecordingEventHandler drainQueue() {
         RecordingEventHandler handler = new RecordingEventHandler();
         eventQueue.drainTo(handler);
         return handler;
     }
 
-    /** Of the lists that have come since the last call. */
-    List<Long> versions() {
-        return drain().versions();
+    /** Returns the versions of the lists that were queued since the last call. */
+    List<Long> takeAppliedVersions() {
+        return drainQueue().versions();
     }
 
-    /** Waits for the next list, which has to be of this version. */
+    /** Waits for the next list, which has to have this version. */
     void awaitVersion(long version) throws InterruptedException {
-        assertTrue(eventQueue.await(TimeUnit.SECONDS.toNanos(WAIT_SECONDS)), "version " + version + " arrives");
-        assertEquals(List.of(version), versions());
+        assertTrue(
+                eventQueue.await(TimeUnit.SECONDS.toNanos(WAIT_SECONDS)),
+                "list version " + version + " did not arrive");
+        assertEquals(List.of(version), takeAppliedVersions());
     }
 
     private void apply(HostList list) {
-        if (list.isComplete() && list.invalidEntries().isEmpty()) { // as the controller does
-            hosts.clear();
+        if (list.isComplete()
+                && list.invalidEntries()
+                        .isEmpty()) { // as the controller does for a complete list without invalid entries
+            currentHosts.clear();
         }
         for (HostList.Entry entry : list.entries()) {
             if (entry.state() == HostList.State.GONE) {
-                hosts.remove(entry.host());
+                currentHosts.remove(entry.host());
             } else {
-                hosts.put(entry.host(), entry.state());
+                currentHosts.put(entry.host(), entry.state());
             }
         }
     }
 
-    /** The hosts as whoever follows the event queue has them now. */
-    String hosts() {
-        drain().lists().forEach(this::apply);
-        return String.join(" ", new TreeSet<>(hosts.keySet()));
+    /** Returns the hosts that result from all queued lists. */
+    String currentHosts() {
+        drainQueue().lists().forEach(this::apply);
+        return String.join(" ", new TreeSet<>(currentHosts.keySet()));
     }
 
-    /** As of the last call of {@link #hosts()}. */
-    HostList.State state(String host) {
-        return hosts.get(host);
+    /** State of the host at the last call of {@link #currentHosts()}. */
+    HostList.State hostState(String host) {
+        return currentHosts.get(host);
     }
 
     void awaitHosts(String expected) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
-        while (!hosts().equals(expected)) {
-            assertTrue(System.nanoTime() < end, expected + " expected, and there are: " + hosts());
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
+        while (!currentHosts().equals(expected)) {
+            assertTrue(System.nanoTime() < deadlineNanos, "expected hosts " + expected + ", found " + currentHosts());
             eventQueue.await(TimeUnit.MILLISECONDS.toNanos(20));
         }
     }
@@ -192,11 +198,11 @@
         awaitLog(part, 1);
     }
 
-    /** Waits until the log has this part {@code times} times. */
+    /** Waits until this text occurs {@code times} times in the log. */
     void awaitLog(String part, int times) {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
         while (logText().split(java.util.regex.Pattern.quote(part), -1).length <= times) {
-            assertTrue(System.nanoTime() < end, part + "\n" + logText());
+            assertTrue(System.nanoTime() < deadlineNanos, "not logged in time: " + part + "\n" + logText());
             Thread.onSpinWait();
         }
     }
--- a/src/test/java/linenring/handover/HandoverStatesTest.java
+++ b/src/test/java/linenring/handover/HandoverStatesTest.java
@@ -11,111 +11,119 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Both sides of a handover and all that can happen between them: messages in their order, a side killed at any step, a timeout
- * at any step, a fault in preparing. Were the port accepted at by two processes, or by none, requests would be lost or run
- * twice.
+ * Explores both state machines of a handover with every order of messages, deaths, timeouts and preparation failures. If both
+ * processes accepted connections, requests could run twice; if neither did, requests would be lost.
  */
 class HandoverStatesTest {
     private static final HandoverSender.Timeouts TIMEOUTS = new HandoverSender.Timeouts(1, 1, 1, 1);
 
     @Test
-    void leavesOneProcessAcceptingInEveryOrderOfMessagesDeathsAndTimeouts() {
-        Set<String> seen = new HashSet<>();
-        ArrayDeque<List<HandoverWorld.Event>> open = new ArrayDeque<>(List.of(List.of()));
-        while (!open.isEmpty()) {
-            List<HandoverWorld.Event> events = open.remove();
+    void keepsOneProcessAcceptingInEveryOrderOfMessagesDeathsAndTimeouts() {
+        Set<String> exploredStates = new HashSet<>();
+        ArrayDeque<List<HandoverWorld.Event>> unexploredHistories = new ArrayDeque<>(List.of(List.of()));
+        while (!unexploredHistories.isEmpty()) {
+            List<HandoverWorld.Event> events = unexploredHistories.remove();
             HandoverWorld world = new HandoverWorld(events);
-            if (!seen.add(world.key())) {
+            if (!exploredStates.add(world.stateKey())) {
                 continue;
             }
-            assertTrue(new HandoverWorld(events).settlesWithOneOwner(), () -> "nobody accepts after " + events);
-            for (HandoverWorld.Event next : world.choices()) {
-                List<HandoverWorld.Event> longer = new ArrayList<>(events);
-                longer.add(next);
-                open.add(longer);
+            assertTrue(
+                    new HandoverWorld(events).settlesWithOneAcceptingProcess(),
+                    () -> "no process accepts after events " + events);
+            for (HandoverWorld.Event nextEvent : world.possibleEvents()) {
+                List<HandoverWorld.Event> extendedHistory = new ArrayList<>(events);
+                extendedHistory.add(nextEvent);
+                unexploredHistories.add(extendedHistory);
             }
         }
-        assertTrue(seen.size() > 100, "states: " + seen.size());
+        assertTrue(exploredStates.size() > 100, "too few states explored: " + exploredStates.size());
     }
 
     @Test
     void handsOverStepByStep() {
-        HandoverSender old = new HandoverSender(new HandoverSender.Timeouts(20_000, 30_000, 5000, 10_000));
-        assertEquals(List.of(HandoverSender.Effect.SPAWN), old.upgradeRequested(0));
-        assertEquals(List.of(), old.upgradeRequested(1)); // one at a time
-        assertEquals(List.of(HandoverSender.Effect.SEND_OFFER), old.greeted(1, 500));
-        assertEquals(List.of(HandoverSender.Effect.STOP_ACCEPTING, HandoverSender.Effect.SEND_COMMIT), old.ready(900));
-        assertEquals(List.of(HandoverSender.Effect.DRAIN), old.owned(910));
-        assertEquals(List.of(), old.tick(10_909));
+        HandoverSender sender = new HandoverSender(new HandoverSender.Timeouts(20_000, 30_000, 5000, 10_000));
+        assertEquals(List.of(HandoverSender.Effect.SPAWN), sender.upgradeRequested(0));
+        assertEquals(List.of(), sender.upgradeRequested(1)); // a second request during an upgrade has no effect
+        assertEquals(List.of(HandoverSender.Effect.SEND_OFFER), sender.greeted(1, 500));
+        assertEquals(
+                List.of(HandoverSender.Effect.STOP_ACCEPTING, HandoverSender.Effect.SEND_COMMIT), sender.ready(900));
+        assertEquals(List.of(HandoverSender.Effect.DRAIN), sender.owned(910));
+        assertEquals(List.of(), sender.tick(10_909));
         assertEquals(
                 List.of(
                         HandoverSender.Effect.SEND_RETIRE,
                         HandoverSender.Effect.REPORT_SUCCESS,
                         HandoverSender.Effect.END_WHEN_DRAINED),
-                old.tick(10_910));
-        assertEquals(List.of(), old.newProcessDied("later", 11_000));
+                sender.tick(10_910));
+        assertEquals(List.of(), sender.newProcessDied("later", 11_000));
     }
 
     @Test
-    void neverCommitsAPortThatCannotBeGivenUpAndReclaimsItAfterTheNewProcessDied() {
-        HandoverSender old = new HandoverSender(TIMEOUTS);
-        old.upgradeRequested(0);
-        old.greeted(1, 0);
-        old.ready(0); // stop accepting, then send the commit
+    void sendsNoCommitIfAcceptingCannotStopAndReclaimsThePortAfterTheNewProcessDied() {
+        HandoverSender sender = new HandoverSender(TIMEOUTS);
+        sender.upgradeRequested(0);
+        sender.greeted(1, 0);
+        sender.ready(0); // returns STOP_ACCEPTING and SEND_COMMIT
         assertEquals(
                 List.of(HandoverSender.Effect.KILL),
-                old.effectFailed(HandoverSender.Effect.STOP_ACCEPTING, "a fault", 0));
+                sender.effectFailed(HandoverSender.Effect.STOP_ACCEPTING, "a fault", 0));
         assertEquals(
                 List.of(HandoverSender.Effect.ACCEPT, HandoverSender.Effect.REPORT_FAILURE),
-                old.newProcessDied("killed", 0));
-        assertEquals("this process could not stop accepting: a fault", old.failure());
-        old.upgradeRequested(0);
+                sender.newProcessDied("killed", 0));
+        assertEquals("this process could not stop accepting connections: a fault", sender.failureReason());
+        sender.upgradeRequested(0);
         assertEquals(
                 List.of(HandoverSender.Effect.REPORT_FAILURE),
-                old.effectFailed(HandoverSender.Effect.SPAWN, "no such file", 0));
+                sender.effectFailed(HandoverSender.Effect.SPAWN, "no such file", 0));
         assertEquals(
                 List.of(),
-                old.effectFailed(HandoverSender.Effect.SEND_RETIRE, "gone", 0)); // the effects after it go on
+                sender.effectFailed(
+                        HandoverSender.Effect.SEND_RETIRE,
+                        "gone",
+                        0)); // the effects after a failed SEND_RETIRE are performed
     }
 
     @Test
-    void killsWhatTakesTooLongAndReclaimsThePortOnlyOnceItIsDead() {
-        HandoverSender old = new HandoverSender(new HandoverSender.Timeouts(20_000, 30_000, 5000, 10_000));
-        old.upgradeRequested(0);
-        old.greeted(1, 1);
-        old.ready(2);
-        assertEquals(List.of(HandoverSender.Effect.KILL), old.tick(5002));
-        assertEquals(List.of(), old.owned(5003)); // too late: it is being killed
+    void killsASlowNewProcessAndReclaimsThePortOnlyAfterItsDeath() {
+        HandoverSender sender = new HandoverSender(new HandoverSender.Timeouts(20_000, 30_000, 5000, 10_000));
+        sender.upgradeRequested(0);
+        sender.greeted(1, 1);
+        sender.ready(2);
+        assertEquals(List.of(HandoverSender.Effect.KILL), sender.tick(5002));
+        assertEquals(List.of(), sender.owned(5003)); // too late, since the new process is being killed
         assertEquals(
                 List.of(HandoverSender.Effect.ACCEPT, HandoverSender.Effect.REPORT_FAILURE),
-                old.newProcessDied("killed", 5004));
-        assertEquals("the new process did not take the port in time", old.failure());
-        assertEquals(List.of(HandoverSender.Effect.SPAWN), old.upgradeRequested(6000)); // and may be requested again
+                sender.newProcessDied("killed", 5004));
+        assertEquals("the new process did not start to accept connections in time", sender.failureReason());
+        assertEquals(
+                List.of(HandoverSender.Effect.SPAWN), sender.upgradeRequested(6000)); // a further upgrade is possible
     }
 
     @Test
-    void refusesAnotherProtocolBeforeAnythingIsGivenUp() {
-        HandoverSender old = new HandoverSender(TIMEOUTS);
-        old.upgradeRequested(0);
-        assertEquals(List.of(HandoverSender.Effect.KILL), old.greeted(2, 0.5));
-        assertTrue(old.isAccepting());
-        assertEquals(List.of(HandoverSender.Effect.REPORT_FAILURE), old.newProcessDied("killed", 0.6));
-        assertEquals("the new release speaks protocol 2, this one 1", old.failure());
+    void rejectsAnotherProtocolWhileStillAccepting() {
+        HandoverSender sender = new HandoverSender(TIMEOUTS);
+        sender.upgradeRequested(0);
+        assertEquals(List.of(HandoverSender.Effect.KILL), sender.greeted(2, 0.5));
+        assertTrue(sender.isAccepting());
+        assertEquals(List.of(HandoverSender.Effect.REPORT_FAILURE), sender.newProcessDied("killed", 0.6));
+        assertEquals("the new release uses handover protocol 2, this release uses 1", sender.failureReason());
     }
 
     @Test
     void abortsAnUpgradeAtShutdownUnlessThePortHasChangedHands() {
-        HandoverSender old = new HandoverSender(TIMEOUTS);
-        old.upgradeRequested(0);
-        assertEquals(List.of(HandoverSender.Effect.KILL), old.shutdownRequested(0.1));
-        old.newProcessDied("killed", 0.2);
-        assertEquals(List.of(), old.upgradeRequested(0.3)); // none begins any more
-        HandoverSender late = new HandoverSender(TIMEOUTS);
-        late.upgradeRequested(0);
-        late.greeted(HandoverSender.PROTOCOL, 0);
-        late.ready(0);
-        late.owned(0);
-        assertEquals(List.of(), late.shutdownRequested(0.1)); // the new one has the port, and this one drains already
-        assertEquals(HandoverSender.State.PROBATION, late.state());
+        HandoverSender sender = new HandoverSender(TIMEOUTS);
+        sender.upgradeRequested(0);
+        assertEquals(List.of(HandoverSender.Effect.KILL), sender.shutdownRequested(0.1));
+        sender.newProcessDied("killed", 0.2);
+        assertEquals(List.of(), sender.upgradeRequested(0.3)); // no upgrade starts during a shutdown
+        HandoverSender senderInProbation = new HandoverSender(TIMEOUTS);
+        senderInProbation.upgradeRequested(0);
+        senderInProbation.greeted(HandoverSender.PROTOCOL, 0);
+        senderInProbation.ready(0);
+        senderInProbation.owned(0);
+        assertEquals(
+                List.of(),
+                senderInProbation.shutdownRequested(0.1)); // the new process has the port, and the old one is draining
+        assertEquals(HandoverSender.State.PROBATION, senderInProbation.state());
     }
 }
--- a/src/test/java/linenring/handover/HandoverWireTest.java
+++ b/src/test/java/linenring/handover/HandoverWireTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The process at the other end is of an older release or a later one. If a number changed, an upgrade would fail, or the new
- * process would begin with wrong hosts. The bytes here were written by release 468ca15, before its messages were renamed.
+ * The other process may run an older or a later release. If a field number changed, upgrades would fail, or the new process
+ * would start with wrong hosts. The expected bytes were written by release 468ca15, before its messages were renamed.
  */
 class HandoverWireTest {
-    private static void assertBytes(String hex, HandoverMessage message) {
+    private static void assertEncoding(String hex, HandoverMessage message) {
         assertEquals(hex, HexFormat.of().formatHex(message.toByteArray()));
     }
 
@@ -23,7 +23,7 @@
     void writesTheGreetingAsOlderReleasesDo() {
         Hello hello =
                 Hello.newBuilder().setProtocol(1).setRelease("0.9").setPid(4711).build();
-        assertBytes(
+        assertEncoding(
                 "0a0a08011203302e3918e724",
                 HandoverMessage.newBuilder().setHello(hello).build());
     }
@@ -51,7 +51,7 @@
                 .setRelease("0.9")
                 .setList(list)
                 .build();
-        assertBytes(
+        assertEncoding(
                 "124208011203302e391a390829122c0a03732d3110011802200129000000000000e03f310000000000408f40"
                         + "3a0b31302e302e302e313a383040011a057376632d312001",
                 HandoverMessages.offer(offer));
@@ -59,16 +59,16 @@
 
     @Test
     void writesEachStepAsOlderReleasesDo() {
-        assertBytes("1a00", HandoverMessages.ready());
-        assertBytes("2200", HandoverMessages.commit());
-        assertBytes("2a00", HandoverMessages.owned());
-        assertBytes("3200", HandoverMessages.retire());
-        assertBytes("3a040a026e6f", HandoverMessages.abort("no"));
+        assertEncoding("1a00", HandoverMessages.ready());
+        assertEncoding("2200", HandoverMessages.commit());
+        assertEncoding("2a00", HandoverMessages.owned());
+        assertEncoding("3200", HandoverMessages.retire());
+        assertEncoding("3a040a026e6f", HandoverMessages.abort("no"));
     }
 
     @Test
     void writesTheRequestAndItsOutcomeAsOlderReleasesDo() {
-        assertBytes("4200", HandoverMessages.upgradeRequest());
-        assertBytes("4a0808011204646f6e65", HandoverMessages.upgradeOutcome(true, "done"));
+        assertEncoding("4200", HandoverMessages.upgradeRequest());
+        assertEncoding("4a0808011204646f6e65", HandoverMessages.upgradeOutcome(true, "done"));
     }
 }
--- a/src/test/java/linenring/handover/HandoverWorld.java
+++ b/src/test/java/linenring/handover/HandoverWorld.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.Set;
 
-/** Both processes of a handover, the messages between them, and who accepts: built anew from what happened. */
+/** Simulates both processes of a handover and the messages between them, by replaying a history of events. */
 final class HandoverWorld {
-    /** What can happen next. */
+    /** An event of the simulation. */
     enum Event {
         UPGRADE_REQUESTED,
         OLD_RECEIVES,
@@ -37,105 +37,109 @@
     }
 
     private static final HandoverSender.Timeouts TIMEOUTS = new HandoverSender.Timeouts(1, 1, 1, 1);
-    private static final double LONG_AFTER_MS = 1e9;
-    /** What a world comes to rest without, or that would start it anew. */
-    private static final List<Event> AVOIDABLE =
+    private static final double TIMEOUT_EXCEEDED_MS = 1e9;
+    /** Events that are left out while the simulation settles: deaths, failures, and new upgrade requests. */
+    private static final List<Event> AVOIDABLE_EVENTS =
             List.of(Event.NEW_DIES, Event.OLD_DIES, Event.PREPARATION_FAILS, Event.UPGRADE_REQUESTED);
 
-    private static final int MAX_STEPS_TO_REST = 40;
+    private static final int MAX_STEPS_TO_SETTLE = 40;
 
     private final HandoverSender sender = new HandoverSender(TIMEOUTS);
     private final HandoverReceiver receiver = new HandoverReceiver(1);
-    private final ArrayDeque<Message> toOld = new ArrayDeque<>();
-    private final ArrayDeque<Message> toNew = new ArrayDeque<>();
+    private final ArrayDeque<Message> messagesToOldProcess = new ArrayDeque<>();
+    private final ArrayDeque<Message> messagesToNewProcess = new ArrayDeque<>();
     private boolean isSpawned;
-    private boolean isOldDead;
-    private boolean isNewDead;
-    private boolean oldKnowsOfDeath;
-    private boolean newKnowsOfDeath;
+    private boolean isOldProcessDead;
+    private boolean isNewProcessDead;
+    private boolean isOldProcessNotifiedOfDeath;
+    private boolean isNewProcessNotifiedOfDeath;
     private boolean isPreparing;
-    private boolean oldAccepts = true;
-    private boolean newAccepts;
-    private boolean isReported;
+    private boolean isOldProcessAccepting = true;
+    private boolean isNewProcessAccepting;
+    private boolean isOutcomeReported;
     private double nowMs;
 
     HandoverWorld(List<Event> events) {
-        events.forEach(this::happens);
+        events.forEach(this::handle);
     }
 
-    /** What can happen now, in the order of the events' declaration. */
-    List<Event> choices() {
-        Set<Event> choices = EnumSet.noneOf(Event.class);
-        if (!isOldDead) {
-            addChoicesOfOld(choices);
+    /** Returns the events that can happen in the current state, in the order of their declaration. */
+    List<Event> possibleEvents() {
+        Set<Event> events = EnumSet.noneOf(Event.class);
+        if (!isOldProcessDead) {
+            addEventsOfOldProcess(events);
         }
-        if (isSpawned && !isNewDead) {
-            addChoicesOfNew(choices);
+        if (isSpawned && !isNewProcessDead) {
+            addEventsOfNewProcess(events);
         }
-        return new ArrayList<>(choices);
+        return new ArrayList<>(events);
     }
 
-    private void addChoicesOfOld(Set<Event> choices) {
+    private void addEventsOfOldProcess(Set<Event> events) {
         boolean isServing = sender.state() == HandoverSender.State.SERVING;
-        addIf(choices, Event.UPGRADE_REQUESTED, isServing && !isSpawned);
-        addIf(choices, Event.OLD_RECEIVES, !toOld.isEmpty());
-        addIf(choices, Event.OLD_DIES, isSpawned);
-        addIf(choices, Event.OLD_TIMES_OUT, isSpawned);
-        addIf(choices, Event.OLD_LEARNS_OF_DEATH, isSpawned && isNewDead && !oldKnowsOfDeath);
+        addIf(events, Event.UPGRADE_REQUESTED, isServing && !isSpawned);
+        addIf(events, Event.OLD_RECEIVES, !messagesToOldProcess.isEmpty());
+        addIf(events, Event.OLD_DIES, isSpawned);
+        addIf(events, Event.OLD_TIMES_OUT, isSpawned);
+        addIf(events, Event.OLD_LEARNS_OF_DEATH, isSpawned && isNewProcessDead && !isOldProcessNotifiedOfDeath);
     }
 
-    private void addChoicesOfNew(Set<Event> choices) {
+    private void addEventsOfNewProcess(Set<Event> events) {
         boolean isSoleOwner = receiver.state() == HandoverReceiver.State.SOLE_OWNER;
-        boolean allIsRead = toNew.isEmpty(); // what was sent before a death is read before its end
-        addIf(choices, Event.NEW_RECEIVES, !toNew.isEmpty());
-        addIf(choices, Event.PREPARED, isPreparing);
-        addIf(choices, Event.PREPARATION_FAILS, isPreparing);
-        addIf(choices, Event.NEW_DIES, true);
-        addIf(choices, Event.NEW_TIMES_OUT, !isSoleOwner);
-        addIf(choices, Event.NEW_LEARNS_OF_DEATH, isOldDead && !newKnowsOfDeath && allIsRead);
-    }
-
-    private static void addIf(Set<Event> choices, Event event, boolean isPossible) {
+        boolean hasReadAllMessages =
+                messagesToNewProcess.isEmpty(); // messages sent before a death are read before the death is noticed
+        addIf(events, Event.NEW_RECEIVES, !messagesToNewProcess.isEmpty());
+        addIf(events, Event.PREPARED, isPreparing);
+        addIf(events, Event.PREPARATION_FAILS, isPreparing);
+        addIf(events, Event.NEW_DIES, true);
+        addIf(events, Event.NEW_TIMES_OUT, !isSoleOwner);
+        addIf(
+                events,
+                Event.NEW_LEARNS_OF_DEATH,
+                isOldProcessDead && !isNewProcessNotifiedOfDeath && hasReadAllMessages);
+    }
+
+    private static void addIf(Set<Event> events, Event event, boolean isPossible) {
         if (isPossible) {
-            choices.add(event);
+            events.add(event);
         }
     }
 
-    private void happens(Event event) {
+    private void handle(Event event) {
         nowMs++;
         switch (event) {
-            case UPGRADE_REQUESTED -> performOld(sender.upgradeRequested(nowMs));
-            case OLD_RECEIVES -> oldReceives(toOld.remove());
-            case NEW_RECEIVES -> newReceives(toNew.remove());
+            case UPGRADE_REQUESTED -> performOldProcessEffects(sender.upgradeRequested(nowMs));
+            case OLD_RECEIVES -> deliverToOldProcess(messagesToOldProcess.remove());
+            case NEW_RECEIVES -> deliverToNewProcess(messagesToNewProcess.remove());
             case PREPARED -> {
                 isPreparing = false;
-                performNew(receiver.prepared(nowMs));
+                performNewProcessEffects(receiver.prepared(nowMs));
             }
             case PREPARATION_FAILS -> {
                 isPreparing = false;
-                performNew(receiver.preparationFailed("no", nowMs));
+                performNewProcessEffects(receiver.preparationFailed("no", nowMs));
             }
-            case NEW_DIES -> newEnds();
+            case NEW_DIES -> endNewProcess();
             case OLD_DIES -> {
-                isOldDead = true;
-                oldAccepts = false;
+                isOldProcessDead = true;
+                isOldProcessAccepting = false;
             }
-            case OLD_TIMES_OUT -> performOld(sender.tick(LONG_AFTER_MS + nowMs));
-            case NEW_TIMES_OUT -> performNew(receiver.tick(LONG_AFTER_MS + nowMs));
+            case OLD_TIMES_OUT -> performOldProcessEffects(sender.tick(TIMEOUT_EXCEEDED_MS + nowMs));
+            case NEW_TIMES_OUT -> performNewProcessEffects(receiver.tick(TIMEOUT_EXCEEDED_MS + nowMs));
             case OLD_LEARNS_OF_DEATH -> {
-                oldKnowsOfDeath = true;
-                performOld(sender.newProcessDied("dead", nowMs));
+                isOldProcessNotifiedOfDeath = true;
+                performOldProcessEffects(sender.newProcessDied("dead", nowMs));
             }
             case NEW_LEARNS_OF_DEATH -> {
-                newKnowsOfDeath = true;
-                performNew(receiver.oldProcessDied(nowMs));
+                isNewProcessNotifiedOfDeath = true;
+                performNewProcessEffects(receiver.oldProcessDied(nowMs));
             }
         }
-        assertOneAccepts(event);
+        assertNotBothAccepting(event);
     }
 
-    private void oldReceives(Message message) {
-        performOld(
+    private void deliverToOldProcess(Message message) {
+        performOldProcessEffects(
                 switch (message) {
                     case HELLO -> sender.greeted(HandoverSender.PROTOCOL, nowMs);
                     case READY -> sender.ready(nowMs);
@@ -144,8 +148,8 @@
                 });
     }
 
-    private void newReceives(Message message) {
-        performNew(
+    private void deliverToNewProcess(Message message) {
+        performNewProcessEffects(
                 switch (message) {
                     case OFFER -> receiver.offered(HandoverSender.PROTOCOL, nowMs);
                     case COMMIT -> receiver.committed(nowMs);
@@ -153,78 +157,86 @@
                 });
     }
 
-    private void newEnds() {
-        isNewDead = true;
-        newAccepts = false;
+    private void endNewProcess() {
+        isNewProcessDead = true;
+        isNewProcessAccepting = false;
     }
 
-    private void performOld(List<HandoverSender.Effect> effects) {
+    private void performOldProcessEffects(List<HandoverSender.Effect> effects) {
         for (HandoverSender.Effect effect : effects) {
             switch (effect) {
                 case SPAWN -> {
                     isSpawned = true;
-                    performNew(receiver.connected(nowMs));
+                    performNewProcessEffects(receiver.connected(nowMs));
                 }
-                case SEND_OFFER -> toNew.add(Message.OFFER);
-                case SEND_COMMIT -> toNew.add(Message.COMMIT);
-                case SEND_RETIRE -> toNew.add(Message.RETIRE);
-                case STOP_ACCEPTING -> oldAccepts = false;
-                case ACCEPT -> oldAccepts = true;
-                case KILL -> newEnds();
-                case REPORT_FAILURE, REPORT_SUCCESS -> isReported = true;
+                case SEND_OFFER -> messagesToNewProcess.add(Message.OFFER);
+                case SEND_COMMIT -> messagesToNewProcess.add(Message.COMMIT);
+                case SEND_RETIRE -> messagesToNewProcess.add(Message.RETIRE);
+                case STOP_ACCEPTING -> isOldProcessAccepting = false;
+                case ACCEPT -> isOldProcessAccepting = true;
+                case KILL -> endNewProcess();
+                case REPORT_FAILURE, REPORT_SUCCESS -> isOutcomeReported = true;
                 case DRAIN, END_WHEN_DRAINED -> {}
             }
         }
     }
 
-    private void performNew(List<HandoverReceiver.Effect> effects) {
+    private void performNewProcessEffects(List<HandoverReceiver.Effect> effects) {
         for (HandoverReceiver.Effect effect : effects) {
             switch (effect) {
-                case SEND_HELLO -> toOld.add(Message.HELLO);
-                case SEND_READY -> toOld.add(Message.READY);
-                case SEND_OWNED -> toOld.add(Message.OWNED);
-                case SEND_ABORT -> toOld.add(Message.ABORT);
+                case SEND_HELLO -> messagesToOldProcess.add(Message.HELLO);
+                case SEND_READY -> messagesToOldProcess.add(Message.READY);
+                case SEND_OWNED -> messagesToOldProcess.add(Message.OWNED);
+                case SEND_ABORT -> messagesToOldProcess.add(Message.ABORT);
                 case PREPARE, PREPARE_FROM_CONFIGURATION -> isPreparing = true;
-                case ACCEPT -> newAccepts = true;
-                case END -> newEnds();
+                case ACCEPT -> isNewProcessAccepting = true;
+                case END -> endNewProcess();
             }
         }
     }
 
-    private void assertOneAccepts(Event last) {
-        assertFalse(oldAccepts && newAccepts, () -> "both accept after " + last);
-        assertEquals(!isOldDead && sender.isAccepting(), oldAccepts, () -> "what the old side holds after " + last);
-        assertEquals(!isNewDead && receiver.isAccepting(), newAccepts, () -> "what the new side holds after " + last);
-    }
-
-    /** Two worlds of one key go on alike. */
-    String key() {
-        return sender.state() + " " + receiver.state() + toOld + toNew + isSpawned + isOldDead + isNewDead
-                + oldKnowsOfDeath + newKnowsOfDeath + isPreparing + oldAccepts + newAccepts + isReported;
-    }
-
-    /** Nothing more happens but what must: messages, learning of a death, timeouts. Whether one process accepts then. */
-    boolean settlesWithOneOwner() {
-        for (int i = 0; i < MAX_STEPS_TO_REST; i++) {
-            List<Event> choices = unavoidableChoices();
-            boolean isRetired = sender.state() == HandoverSender.State.RETIRED;
-            if (choices.isEmpty() || (isRetired && choices.equals(List.of(Event.OLD_TIMES_OUT)))) {
+    private void assertNotBothAccepting(Event lastEvent) {
+        assertFalse(
+                isOldProcessAccepting && isNewProcessAccepting, () -> "both processes accept after event " + lastEvent);
+        assertEquals(
+                !isOldProcessDead && sender.isAccepting(),
+                isOldProcessAccepting,
+                () -> "wrong accepting state of the old process after event " + lastEvent);
+        assertEquals(
+                !isNewProcessDead && receiver.isAccepting(),
+                isNewProcessAccepting,
+                () -> "wrong accepting state of the new process after event " + lastEvent);
+    }
+
+    /** Returns the current state as text. Simulations with the same text behave alike from here on. */
+    String stateKey() {
+        return sender.state() + " " + receiver.state() + messagesToOldProcess + messagesToNewProcess + isSpawned
+                + isOldProcessDead + isNewProcessDead + isOldProcessNotifiedOfDeath + isNewProcessNotifiedOfDeath
+                + isPreparing + isOldProcessAccepting + isNewProcessAccepting + isOutcomeReported;
+    }
+
+    /** Handles all events that are not avoidable, and returns whether exactly one process accepts then, or none is left. */
+    boolean settlesWithOneAcceptingProcess() {
+        for (int i = 0; i < MAX_STEPS_TO_SETTLE; i++) {
+            List<Event> events = unavoidableEvents();
+            boolean isOldProcessRetired = sender.state() == HandoverSender.State.RETIRED;
+            if (events.isEmpty() || (isOldProcessRetired && events.equals(List.of(Event.OLD_TIMES_OUT)))) {
                 break;
             }
-            happens(choices.get(0));
+            handle(events.get(0));
         }
-        boolean nobodyLives = isOldDead && isNewDead;
-        boolean diedLongAfter = isNewDead && sender.state() == HandoverSender.State.RETIRED;
-        return nobodyLives || oldAccepts != newAccepts || !isSpawned || diedLongAfter;
+        boolean areBothDead = isOldProcessDead && isNewProcessDead;
+        boolean hasDiedAfterRetirement = isNewProcessDead && sender.state() == HandoverSender.State.RETIRED;
+        return areBothDead || isOldProcessAccepting != isNewProcessAccepting || !isSpawned || hasDiedAfterRetirement;
     }
 
-    private List<Event> unavoidableChoices() {
-        List<Event> choices = choices();
-        choices.removeAll(AVOIDABLE);
-        if (isOldDead || isNewDead || choices.size() > 2) { // timeouts come after all else has happened
-            choices.remove(Event.OLD_TIMES_OUT);
-            choices.remove(Event.NEW_TIMES_OUT);
+    private List<Event> unavoidableEvents() {
+        List<Event> events = possibleEvents();
+        events.removeAll(AVOIDABLE_EVENTS);
+        if (isOldProcessDead || isNewProcessDead || events.size() > 2) { // timeouts happen only after all other events
+            events.remove(Event.OLD_TIMES_OUT);
+            events.remove(Event.NEW_TIMES_OUT);
         }
-        return choices;
+        return events;
     }
 }
--- a/src/test/java/linenring/handover/ListenerMeasurement.java
+++ b/src/test/java/linenring/handover/ListenerMeasurement.java
@@ -18,17 +18,17 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** How many new connections are lost where a listener is replaced: run by hand, see docs/design/upgrade.md. */
+/** Counts the new connections that are lost while a listener is replaced; run by hand, see docs/design/upgrade.md. */
 public final class ListenerMeasurement {
-    /** The ways to replace a listener. */
-    private enum Way {
-        /** The old one is closed, then the new one is bound. */
+    /** A method to replace a listener. */
+    private enum ReplacementMethod {
+        /** The old listener is closed before the new one is bound. */
         REBIND,
-        /** Both are bound for a moment; the old one's queue is lost. */
+        /** Both listeners are bound for a moment, and the old listener's queue is lost. */
         REUSEPORT,
-        /** The same, with the old one's queue emptied first. */
+        /** Both listeners are bound for a moment, and the old listener's queue is emptied before it is closed. */
         REUSEPORT_EMPTIED,
-        /** One listener serves both. */
+        /** Both servers share one listener. */
         SHARED
     }
 
@@ -36,22 +36,22 @@
     private static final int CLIENTS = 4;
     private static final int BACKLOG = 512;
     private static final int CLIENT_TIMEOUT_MS = 5000;
-    private static final long SERVED_MS = 3; // by each listener
-    /** Below the ephemeral ones, else a client may connect to itself. */
+    private static final long SERVING_MS = 3; // time between two replacements
+    /** Below the ephemeral ports, since a client could otherwise connect to itself. */
     private static final int FIRST_PORT = 21870;
 
-    private final Way way;
+    private final ReplacementMethod method;
     private final int port;
-    private final AtomicBoolean isOver = new AtomicBoolean();
+    private final AtomicBoolean isFinished = new AtomicBoolean();
     private final AtomicInteger connections = new AtomicInteger();
-    private final Map<String, Integer> lost = new TreeMap<>(); // by reason; @GuardedBy("lost")
+    private final Map<String, Integer> lostByReason = new TreeMap<>(); // counts by reason; @GuardedBy("lost")
 
-    private ListenerMeasurement(Way way, int port) {
-        this.way = way;
+    private ListenerMeasurement(ReplacementMethod method, int port) {
+        this.method = method;
         this.port = port;
     }
 
-    /** Greets each connection at one listener with one byte, on a thread of its own. */
+    /** Sends one byte on each connection of one listener, on a separate thread. */
     private static final class Server {
         private final ServerSocketChannel listener;
         private final boolean emptiesQueue;
@@ -96,7 +96,7 @@
 
     private ServerSocketChannel listen() throws IOException {
         ServerSocketChannel listener = ServerSocketChannel.open();
-        boolean isReused = way == Way.REUSEPORT || way == Way.REUSEPORT_EMPTIED;
+        boolean isReused = method == ReplacementMethod.REUSEPORT || method == ReplacementMethod.REUSEPORT_EMPTIED;
         listener.setOption(StandardSocketOptions.SO_REUSEPORT, isReused);
         listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), BACKLOG);
         listener.configureBlocking(false);
@@ -104,40 +104,40 @@
     }
 
     private Server serve(ServerSocketChannel listener) {
-        return new Server(listener, way == Way.REUSEPORT_EMPTIED);
+        return new Server(listener, method == ReplacementMethod.REUSEPORT_EMPTIED);
     }
 
-    private Server replace(Server old) throws IOException, InterruptedException {
-        switch (way) {
+    private Server replace(Server oldServer) throws IOException, InterruptedException {
+        switch (method) {
             case SHARED -> {
-                old.stop();
-                return serve(old.listener);
+                oldServer.stop();
+                return serve(oldServer.listener);
             }
             case REBIND -> {
-                old.stop();
-                old.listener.close();
+                oldServer.stop();
+                oldServer.listener.close();
                 return serve(listen());
             }
             default -> {
-                Server next = serve(listen());
-                old.stop();
-                old.listener.close();
-                return next;
+                Server newServer = serve(listen());
+                oldServer.stop();
+                oldServer.listener.close();
+                return newServer;
             }
         }
     }
 
     private void connectRepeatedly() {
-        while (!isOver.get()) {
+        while (!isFinished.get()) {
             connections.incrementAndGet();
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 socket.setSoTimeout(CLIENT_TIMEOUT_MS);
                 if (socket.getInputStream().read() != 1) {
-                    throw new IOException("ended");
+                    throw new IOException("connection closed before the first byte");
                 }
             } catch (IOException failure) {
-                synchronized (lost) {
-                    lost.merge(String.valueOf(failure.getMessage()), 1, Integer::sum);
+                synchronized (lostByReason) {
+                    lostByReason.merge(String.valueOf(failure.getMessage()), 1, Integer::sum);
                 }
             }
         }
@@ -152,25 +152,25 @@
             clients.add(client);
         }
         for (int handover = 0; handover < HANDOVERS; handover++) {
-            Thread.sleep(SERVED_MS);
+            Thread.sleep(SERVING_MS);
             server = replace(server);
         }
-        isOver.set(true);
+        isFinished.set(true);
         for (Thread client : clients) {
             client.join();
         }
         server.stop();
         server.listener.close();
-        System.out.println(way.name().toLowerCase(Locale.ROOT) + ": " + HANDOVERS + " handovers, " + connections
-                + " connections, lost " + lost);
+        System.out.println(method.name().toLowerCase(Locale.ROOT) + ": " + HANDOVERS + " handovers, " + connections
+                + " connections, lost " + lostByReason);
     }
 
-    /** Prints a line for each way. */
+    /** Prints one line for each replacement method. */
     public static void main(String[] args) throws Exception {
         int port = FIRST_PORT;
-        for (Way way : Way.values()) {
-            new ListenerMeasurement(way, port).run();
-            port++; // each way its own: the last one's may still be in use
+        for (ReplacementMethod method : ReplacementMethod.values()) {
+            new ListenerMeasurement(method, port).run();
+            port++; // one port for each method, as the previous port may still be in use
         }
     }
 }
--- a/src/test/java/linenring/handover/UpgradeClientTest.java
+++ b/src/test/java/linenring/handover/UpgradeClientTest.java
@@ -15,16 +15,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class UpgradeClientTest {
-    private static final String REFUSAL = "an upgrade is under way";
+    private static final String REJECTION_MESSAGE = "an upgrade is already in progress";
 
     @TempDir
     private Path directory;
 
-    /** A channel whose request counts as sent only once the answer to it has been read. */
-    private static final class AnsweredEarly extends HandoverChannel {
+    /** A channel whose send() returns only after the answer to the request has been read. */
+    private static final class EarlyAnswerChannel extends HandoverChannel {
         private final CountDownLatch answered = new CountDownLatch(1);
 
-        AnsweredEarly(SocketChannel channel) {
+        EarlyAnswerChannel(SocketChannel channel) {
             super(channel);
         }
 
@@ -48,37 +48,37 @@
         synchronized void send(HandoverMessage message) {
             super.send(message);
             try {
-                answered.await(); // and only then does the requester go on
+                answered.await(); // the requester continues only after the answer was read
             } catch (InterruptedException interrupted) {
                 throw new AssertionError(interrupted);
             }
         }
     }
 
-    /** Refuses whatever is requested. */
-    private record Refuser(HandoverChannel channel) implements HandoverChannel.Listener {
+    /** Rejects every request. */
+    private record RefusingListener(HandoverChannel channel) implements HandoverChannel.Listener {
         @Override
         public void onMessage(HandoverMessage message) {
-            channel.send(HandoverMessages.upgradeOutcome(false, REFUSAL));
+            channel.send(HandoverMessages.upgradeOutcome(false, REJECTION_MESSAGE));
         }
 
         @Override
         public void onEnd(Optional<String> fault) {
-            // the requester is gone
+            // the requester has closed the connection
         }
     }
 
-    /** A refusal is sent at once: it is read before the requester waits for it. */
+    /** A rejection is sent at once, so it may be read before the requester starts to wait. */
     @Test
-    void returnsAnAnswerThatComesBeforeItIsWaitedFor() throws Exception {
+    void returnsAnOutcomeThatArrivesBeforeTheWait() throws Exception {
         UnixDomainSocketAddress address = UnixDomainSocketAddress.of(directory.resolve("s"));
         try (ServerSocketChannel server = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
             server.bind(address);
-            HandoverChannel requester = new AnsweredEarly(SocketChannel.open(address));
-            try (HandoverChannel served = new HandoverChannel(server.accept())) {
-                served.listen(new Refuser(served));
+            HandoverChannel requester = new EarlyAnswerChannel(SocketChannel.open(address));
+            try (HandoverChannel serverChannel = new HandoverChannel(server.accept())) {
+                serverChannel.listen(new RefusingListener(serverChannel));
                 Optional<UpgradeOutcome> outcome = UpgradeClient.request(requester, 2000);
-                assertEquals(Optional.of(REFUSAL), outcome.map(UpgradeOutcome::getMessage));
+                assertEquals(Optional.of(REJECTION_MESSAGE), outcome.map(UpgradeOutcome::getMessage));
             }
         }
     }
--- a/src/test/java/linenring/handover/UpgradeUnderLoadTest.java
+++ b/src/test/java/linenring/handover/UpgradeUnderLoadTest.java
@@ -31,8 +31,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A release is upgraded while clients call: no call may be lost, none run twice, and a new process that hangs or dies must
- * not take the service with it. Real processes on loopback.
+ * Upgrades a serving process under load: no call may be lost or run twice, and a new process that hangs or dies must not
+ * interrupt the service. Uses real processes on loopback.
  */
 @Timeout(120)
 class UpgradeUnderLoadTest {
@@ -43,7 +43,7 @@
 
     private final List<TestBackend> backends = new ArrayList<>();
     private Process process;
-    private Path log;
+    private Path logFile;
     private Path directory;
     private int port;
 
@@ -53,13 +53,13 @@
             backends.add(new TestBackend());
             backends.get(i).onPath("/assign", Reaction.of(Behaviour.ANSWER).after(30));
         }
-        log = temp.resolve("log");
+        logFile = temp.resolve("log");
         directory = temp.resolve("handover");
     }
 
     @AfterEach
     void endProcesses() throws IOException, InterruptedException {
-        Matcher started = STARTED.matcher(Files.readString(log));
+        Matcher started = STARTED.matcher(Files.readString(logFile));
         while (started.find()) {
             ProcessHandle.of(Long.parseLong(started.group(1))).ifPresent(ProcessHandle::destroyForcibly);
         }
@@ -75,7 +75,7 @@
         }
     }
 
-    private String hosts() {
+    private String hostsJson() {
         StringBuilder hosts = new StringBuilder();
         for (int i = 0; i < backends.size(); i++) {
             hosts.append(i > 0 ? "," : "")
@@ -88,16 +88,16 @@
         return hosts.toString();
     }
 
-    /** A controller with a gateway, whose upgrades have these further settings. */
+    /** Starts a controller with a gateway; {@code settings} are added to the handover settings. */
     private void serve(String settings) throws IOException {
         port = freePort();
-        Path configuration =
-                Files.writeString(temp.resolve("configuration.json"), """
+        Path configuration = Files.writeString(
+                temp.resolve("configuration.json"), """
                 {"name": "n0", "listen": "127.0.0.1:%d", "discovery": "127.0.0.1:%d",
                  "known": {"version": 1, "full": true, "servers": [%s]},
                  "settings": {"Azs": ["a"], "Kinds": ["std"], "Classes": [{"Name": "quote", "Aim": 500000},
                    {"Name": "assign", "Aim": 500000}], "Specifics": {"ProxyCount": 1}}}
-                """.formatted(freePort(), freePort(), hosts()));
+                """.formatted(freePort(), freePort(), hostsJson()));
         Path gateway = Files.writeString(temp.resolve("front.kdl"), """
                 front {
                     listen "127.0.0.1:%d"
@@ -112,7 +112,10 @@
                 """.formatted(port, directory, settings));
         start(configuration, gateway);
         awaitLog("accepts requests at");
-        LoadClient.await(this, () -> Files.exists(directory.resolve(UpgradeCoordinator.SOCKET)), "it may be upgraded");
+        LoadClient.await(
+                this,
+                () -> Files.exists(directory.resolve(UpgradeCoordinator.SOCKET_FILE_NAME)),
+                "the upgrade socket exists");
     }
 
     private void start(Path configuration, Path gateway) throws IOException {
@@ -127,34 +130,34 @@
                 "--front",
                 gateway.toString());
         ProcessBuilder builder =
-                new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile());
+                new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(logFile.toFile());
         builder.environment().put("GW_CONFIG", configuration.toString());
         process = builder.start();
     }
 
-    private String log() {
+    private String logText() {
         try {
-            return Files.readString(log);
+            return Files.readString(logFile);
         } catch (IOException failure) {
             throw new AssertionError(failure);
         }
     }
 
     private void awaitLog(String part) {
-        LoadClient.await(this, () -> log().contains(part), "the log says: " + part);
+        LoadClient.await(this, () -> logText().contains(part), "the log contains: " + part);
     }
 
-    private ProcessHandle newest() {
+    private ProcessHandle newestProcess() {
         awaitLog("starts process");
-        Matcher started = STARTED.matcher(log());
-        String last = "";
+        Matcher started = STARTED.matcher(logText());
+        String lastProcessId = "";
         while (started.find()) {
-            last = started.group(1);
+            lastProcessId = started.group(1);
         }
-        return ProcessHandle.of(Long.parseLong(last)).orElseThrow();
+        return ProcessHandle.of(Long.parseLong(lastProcessId)).orElseThrow();
     }
 
-    private CompletableFuture<LoadGenerator.Outcomes> load(double seconds) {
+    private CompletableFuture<LoadGenerator.Outcomes> runLoad(double seconds) {
         return CompletableFuture.supplyAsync(() -> {
             try {
                 return LoadGenerator.run(new LoadGenerator.Plan(
@@ -176,7 +179,7 @@
         });
     }
 
-    private CompletableFuture<Optional<UpgradeOutcome>> upgrade() {
+    private CompletableFuture<Optional<UpgradeOutcome>> requestUpgrade() {
         return CompletableFuture.supplyAsync(() -> {
             try {
                 return UpgradeClient.request(directory, 30_000);
@@ -190,7 +193,7 @@
         return upgrade.get(40, TimeUnit.SECONDS).orElseThrow();
     }
 
-    /** All calls were answered 200, and each assign ran once. */
+    /** Asserts that all calls were answered with status 200, and that each assign call ran once. */
     private void assertNothingLost(LoadGenerator.Outcomes all) {
         long assigns = all.byOperation().get("assign").sent();
         all.byOperation()
@@ -205,64 +208,69 @@
     @Test
     void losesNothingAndRunsNothingTwiceInTwoUpgradesUnderLoad() throws Exception {
         serve("probation=\"500ms\"");
-        CompletableFuture<LoadGenerator.Outcomes> load = load(9);
-        UpgradeOutcome first = outcome(upgrade());
-        assertTrue(first.getSucceeded(), () -> first.getMessage() + log());
-        assertTrue(process.waitFor(20, TimeUnit.SECONDS), "the old process ends once it has drained");
-        LoadClient.await(this, () -> log().contains("the port is this process's alone"), "it is the sole owner");
-        UpgradeOutcome second = outcome(upgrade());
-        assertTrue(second.getSucceeded(), () -> second.getMessage() + log());
+        CompletableFuture<LoadGenerator.Outcomes> load = runLoad(9);
+        UpgradeOutcome firstOutcome = outcome(requestUpgrade());
+        assertTrue(firstOutcome.getSucceeded(), () -> firstOutcome.getMessage() + logText());
+        assertTrue(process.waitFor(20, TimeUnit.SECONDS), "the old process did not exit after draining");
+        LoadClient.await(
+                this,
+                () -> logText().contains("this process is now the sole owner of the port"),
+                "the new process is the sole owner");
+        UpgradeOutcome secondOutcome = outcome(requestUpgrade());
+        assertTrue(secondOutcome.getSucceeded(), () -> secondOutcome.getMessage() + logText());
         assertNothingLost(load.get(40, TimeUnit.SECONDS));
     }
 
     @Test
-    void goesOnWhereTheNewProcessEndsAtOnceOrHangs() throws Exception {
+    void keepsServingWhereTheNewProcessExitsAtOnceOrHangs() throws Exception {
         serve("greet=\"1s\" command=\"sh -c 'test -e " + temp.resolve("hang") + " && sleep 60; exit 7'\"");
-        CompletableFuture<LoadGenerator.Outcomes> load = load(3);
-        UpgradeOutcome ended = outcome(upgrade());
-        assertEquals("this process goes on: the new process ended with 7", ended.getMessage());
+        CompletableFuture<LoadGenerator.Outcomes> load = runLoad(3);
+        UpgradeOutcome failedOutcome = outcome(requestUpgrade());
+        assertEquals("this process keeps serving: the new process exited with code 7", failedOutcome.getMessage());
         Files.createFile(temp.resolve("hang"));
-        CompletableFuture<Optional<UpgradeOutcome>> hangs = upgrade();
+        CompletableFuture<Optional<UpgradeOutcome>> hangingUpgrade = requestUpgrade();
         assertEquals(
-                "an upgrade is under way, or this process ends",
-                upgradeWhile(hangs).getMessage());
+                "an upgrade is already in progress, or this process is shutting down",
+                requestSecondUpgrade(hangingUpgrade).getMessage());
         assertEquals(
-                "this process goes on: the new process did not greet in time",
-                outcome(hangs).getMessage());
+                "this process keeps serving: the new process did not greet in time",
+                outcome(hangingUpgrade).getMessage());
         assertNothingLost(load.get(40, TimeUnit.SECONDS));
         assertTrue(process.isAlive());
     }
 
-    private UpgradeOutcome upgradeWhile(CompletableFuture<Optional<UpgradeOutcome>> other) throws Exception {
-        LoadClient.await(this, () -> log().split("starts process", -1).length == 3, "the second one is started");
-        assertFalse(other.isDone());
-        return outcome(upgrade());
+    private UpgradeOutcome requestSecondUpgrade(CompletableFuture<Optional<UpgradeOutcome>> firstUpgrade)
+            throws Exception {
+        LoadClient.await(
+                this, () -> logText().split("starts process", -1).length == 3, "the second process is started");
+        assertFalse(firstUpgrade.isDone());
+        return outcome(requestUpgrade());
     }
 
     @Test
     void losesNothingWhereTheNewProcessDiesBeforeItHasThePort() throws Exception {
         serve("");
-        CompletableFuture<LoadGenerator.Outcomes> load = load(5);
-        CompletableFuture<Optional<UpgradeOutcome>> upgrade = upgrade();
-        awaitLog("greets");
-        newest().destroyForcibly();
-        UpgradeOutcome ended = outcome(upgrade);
-        assertEquals("this process goes on: the new process ended with 137", ended.getMessage());
+        CompletableFuture<LoadGenerator.Outcomes> load = runLoad(5);
+        CompletableFuture<Optional<UpgradeOutcome>> upgrade = requestUpgrade();
+        awaitLog("has connected");
+        newestProcess().destroyForcibly();
+        UpgradeOutcome failedOutcome = outcome(upgrade);
+        assertEquals("this process keeps serving: the new process exited with code 137", failedOutcome.getMessage());
         assertNothingLost(load.get(40, TimeUnit.SECONDS));
     }
 
-    /** What ran in the process that dies is lost with it, as its connections are; nothing runs twice, service goes on. */
+    /** Calls and connections of a process that dies are lost, but no call runs twice, and the old process serves again. */
     @Test
-    void reclaimsThePortWhereTheNewProcessDiesWithItAndRunsNothingTwice() throws Exception {
+    void reclaimsThePortWhereItsNewOwnerDiesAndRunsNothingTwice() throws Exception {
         serve("probation=\"20s\"");
-        CompletableFuture<LoadGenerator.Outcomes> load = load(6);
-        CompletableFuture<Optional<UpgradeOutcome>> upgrade = upgrade();
+        CompletableFuture<LoadGenerator.Outcomes> load = runLoad(6);
+        CompletableFuture<Optional<UpgradeOutcome>> upgrade = requestUpgrade();
         awaitLog("has the port");
-        ProcessHandle young = newest();
-        TimeUnit.MILLISECONDS.sleep(300); // it is to have something under way
-        young.destroyForcibly();
-        UpgradeOutcome ended = outcome(upgrade);
-        assertEquals("this process goes on: the new process ended with 137", ended.getMessage());
+        ProcessHandle newProcess = newestProcess();
+        TimeUnit.MILLISECONDS.sleep(300); // gives the new process time to receive calls
+        newProcess.destroyForcibly();
+        UpgradeOutcome failedOutcome = outcome(upgrade);
+        assertEquals("this process keeps serving: the new process exited with code 137", failedOutcome.getMessage());
         LoadGenerator.Outcomes all = load.get(40, TimeUnit.SECONDS);
         CallOutcomes assigns = all.byOperation().get("assign");
         long lost = all.byOperation().values().stream()
@@ -271,7 +279,7 @@
                 .sum();
         assertTrue(
                 lost < 60,
-                () -> "of 1,200 calls " + assigns.countsByEnd()
+                () -> "outcomes of 1,200 calls: " + assigns.countsByEnd()
                         + all.byOperation().get("quote").countsByEnd());
         assertTrue(backends.stream()
                         .mapToInt(backend -> backend.executions("/assign"))
@@ -289,24 +297,27 @@
     @Test
     void leavesThePortToTheNewProcessWhereTheOldOneIsKilled() throws Exception {
         serve("probation=\"4s\"");
-        CompletableFuture<Optional<UpgradeOutcome>> upgrade = upgrade();
+        CompletableFuture<Optional<UpgradeOutcome>> upgrade = requestUpgrade();
         awaitLog("has the port");
-        ProcessHandle young = newest();
+        ProcessHandle newProcess = newestProcess();
         process.destroyForcibly().waitFor();
-        awaitLog("the port is this process's alone");
+        awaitLog("this process is now the sole owner of the port");
         assertEquals(Optional.empty(), upgrade.get(40, TimeUnit.SECONDS));
         try (LoadClient client = new LoadClient(port)) {
             assertEquals(200, client.call("GET", "/quote").status());
         }
-        Optional<UpgradeOutcome> next = upgrade().get(40, TimeUnit.SECONDS); // it has a successor in turn
-        assertTrue(young.isAlive() || next.map(UpgradeOutcome::getSucceeded).orElse(false));
+        Optional<UpgradeOutcome> next =
+                requestUpgrade().get(40, TimeUnit.SECONDS); // the new process can be upgraded in turn
+        assertTrue(
+                newProcess.isAlive() || next.map(UpgradeOutcome::getSucceeded).orElse(false));
     }
 
     @Test
     void refusesADirectoryThatOthersMayEnterAndServesWithoutUpgrades() throws Exception {
         Files.createDirectories(
                 directory, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rwxr-xr-x")));
-        Files.createFile(directory.resolve(UpgradeCoordinator.SOCKET)); // so that serve() does not wait for one
+        Files.createFile(directory.resolve(
+                UpgradeCoordinator.SOCKET_FILE_NAME)); // lets serve() continue without an upgrade socket
         serve("");
         awaitLog("is not possible");
         try (LoadClient client = new LoadClient(port)) {
