--- a/src/main/java/linenring/scale/measurement/MeasuredSweep.java
+++ b/src/main/java/linenring/scale/measurement/MeasuredSweep.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** A sweep as it was measured: a point for each size that was played, in the order played. */
+/** The results of a sweep: one point for each measured size, in the order of measurement. */
 public record MeasuredSweep(Variable variable, Workload base, List<Point> points) {
-    /** Copies the list, so that the value can't change. */
+    /** Copies the points, so that the record is immutable. */
     public MeasuredSweep {
         points = List.copyOf(points);
     }
--- a/src/main/java/linenring/scale/measurement/Point.java
+++ b/src/main/java/linenring/scale/measurement/Point.java
@@ -1,12 +1,12 @@
 package linenring.scale.measurement;
 
 /**
- * One measured size of a sweep. The names of the components are the keys of stored records and stay.
+ * The measurement of one size in a sweep. The component names are keys of stored records and must not change.
  *
- * @param size the size of the variable
- * @param workload the load on the controller
- * @param real what a real controller used, or null if it did not live to the end
- * @param hollow what a simulated controller used, or null if none ran
- * @param failure why there are no values of the real one, as text; null if there are
+ * @param size the value of the variable that the sweep varies
+ * @param workload the load on each controller
+ * @param real the mean resource usage of the real controllers, or null if it was not measured
+ * @param hollow the mean resource usage of the simulated controllers, or null if it was not measured
+ * @param failure why the usage of the real controllers is missing, as text; null if it was measured
  */
 public record Point(double size, Workload workload, Usage real, Usage hollow, String failure) {}
--- a/src/main/java/linenring/scale/measurement/Scenario.java
+++ b/src/main/java/linenring/scale/measurement/Scenario.java
@@ -1,17 +1,20 @@
 package linenring.scale.measurement;
 
-/** A sequence of events that is played beside the sweeps. The names are those of settings and records and stay. */
+/**
+ * A scripted sequence of events that a scale run measures. The constants are names in settings and stored records and must
+ * not change.
+ */
 public enum Scenario {
     IDLE("nothing changes"),
-    CHURN("hosts come and go at random"),
+    CHURN("random hosts drain and restart"),
     ROLLING_RESTART("all hosts of a service are replaced in steps"),
-    RACK_LOST("the hosts of a rack go at once"),
-    ZONE_LOST_AND_BACK("the hosts of a zone go at once and come back in one list"),
-    SILENCE_CAUGHT_UP("the catalogue falls silent, and an hour of changes is caught up"),
-    SPOILT_LIST("some entries of a list cannot be read"),
-    PARTIAL_LIST("a list is cut off within an entry"),
-    PROXIES_RESTARTED("all proxies of a controller join anew"),
-    STEWARDS_RESTARTED("the controller is killed and starts anew");
+    RACK_LOST("all hosts of a rack are lost at once"),
+    ZONE_LOST_AND_BACK("all hosts of a zone are lost at once and return in one list"),
+    SILENCE_CAUGHT_UP("the catalogue stops sending, then delivers an hour of changes at once"),
+    SPOILT_LIST("some entries of a host list are invalid"),
+    PARTIAL_LIST("a host list is truncated within an entry"),
+    PROXIES_RESTARTED("all proxies of a controller reconnect"),
+    STEWARDS_RESTARTED("the controller is killed and restarted");
 
     private final String description;
 
@@ -19,7 +22,7 @@
         this.description = description;
     }
 
-    /** The text for tables. */
+    /** Returns the name of the scenario in reports. */
     public String description() {
         return description;
     }
--- a/src/main/java/linenring/scale/measurement/ScenarioOutcome.java
+++ b/src/main/java/linenring/scale/measurement/ScenarioOutcome.java
@@ -1,18 +1,19 @@
 package linenring.scale.measurement;
 
 /**
- * The result of a scenario. The names of the components are the keys of stored records and stay.
+ * The result of one scenario. The component names are keys of stored records and must not change.
  *
- * @param workload the load on the controller while it was played
- * @param real what a real controller used from its beginning to its end, or null if it did not live to the end
- * @param hollow what a simulated controller used, or null if none ran
- * @param hostsConcerned entries of the catalogue that changed
- * @param convergenceSeconds from the last change written until the tables of all the real controller's proxies agreed with the
- *     catalogue, or the longest for which one of them held a host that was not ready any more; NaN if they never agreed
- * @param bytesIn all that was sent to one real controller
- * @param bytesOut all that it sent
- * @param peakProcessorShare the highest processor share of the real one over any one second
- * @param failure what went wrong, as text; null if nothing did
+ * @param workload the load on the controller during the scenario
+ * @param real the resource usage of the real controller over the scenario, or null if the scenario could not be completed
+ * @param hollow the resource usage of the simulated controller, or null if it was not measured
+ * @param hostsConcerned the number of catalogue entries that changed
+ * @param convergenceSeconds the larger of two times: from the last catalogue change until the tables of all proxies of the
+ *     real controller matched the catalogue, and the longest time for which a table kept a host that was no longer ready;
+ *     NaN if the tables did not converge
+ * @param bytesIn the number of bytes sent to the real controller
+ * @param bytesOut the number of bytes that the real controller sent
+ * @param peakProcessorShare the highest processor share of the real controller over any one second; 1 is one core
+ * @param failure the reason why the scenario failed, as text; null if it succeeded
  */
 public record ScenarioOutcome(
         Scenario scenario,
--- a/src/main/java/linenring/scale/measurement/Sweep.java
+++ b/src/main/java/linenring/scale/measurement/Sweep.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** Sizes of one variable, each measured with the rest of the workload held. */
+/** The sizes of one variable to measure, with all other values of the base workload constant. */
 public record Sweep(Variable variable, List<Double> sizes, Workload base) {
-    /** Copies the list, so that the value can't change. */
+    /** Copies the sizes, so that the record is immutable. */
     public Sweep {
         sizes = List.copyOf(sizes);
     }
--- a/src/main/java/linenring/scale/measurement/Usage.java
+++ b/src/main/java/linenring/scale/measurement/Usage.java
@@ -3,17 +3,17 @@
 import java.util.Map;
 
 /**
- * What one controller used while a workload ran, read from outside its process; of a simulated one, its share of its process.
- * A value that could not be read is NaN.
+ * The resource usage of one controller under a workload. The usage of a real controller is read from outside its process; that
+ * of a simulated controller is its part of the measuring process. A value that could not be read is NaN.
  *
- * @param processorShare processor time over elapsed time: 1 is one core
- * @param residentBytes resident memory of the process at the end
- * @param heapBytes heap in use after a full collection
- * @param bytesInPerSecond what was sent to it
- * @param bytesOutPerSecond what it sent
- * @param messagesInPerSecond lines that were sent to it
- * @param messagesOutPerSecond lines that it sent
- * @param shareByThread processor share by the name of its threads; empty where that was not measured
+ * @param processorShare processor time divided by elapsed time; 1 is one core
+ * @param residentBytes resident memory of the process at the end of the measurement
+ * @param heapBytes heap in use after a full garbage collection
+ * @param bytesInPerSecond the rate of bytes sent to the controller
+ * @param bytesOutPerSecond the rate of bytes that the controller sent
+ * @param messagesInPerSecond the rate of messages, one a line, sent to the controller
+ * @param messagesOutPerSecond the rate of messages, one a line, that the controller sent
+ * @param shareByThread processor share of the controller by thread name; empty if it was not measured
  */
 public record Usage(
         double processorShare,
@@ -24,7 +24,7 @@
         double messagesInPerSecond,
         double messagesOutPerSecond,
         Map<String, Double> shareByThread) {
-    /** Copies the map, so that the value can't change. */
+    /** Copies the shares by thread, so that the record is immutable. */
     public Usage {
         shareByThread = Map.copyOf(shareByThread);
     }
--- a/src/main/java/linenring/scale/measurement/Variable.java
+++ b/src/main/java/linenring/scale/measurement/Variable.java
@@ -1,17 +1,17 @@
 package linenring.scale.measurement;
 
-/** What a sweep varies while all else is constant. The names are those of settings and records and stay. */
+/** A workload parameter that a sweep varies. The constants are names in settings and stored records and must not change. */
 public enum Variable {
     CATALOGUE_HOSTS("hosts in the catalogue"),
     HOSTS_IN_SCOPE("hosts in tables"),
     PROXIES("proxies of a controller"),
     SERVICES("services in the catalogue"),
     ZONES("zones"),
-    /** Controllers, real and simulated together. */
+    /** The number of controllers, real and simulated together. */
     STEWARDS("controllers that watch the catalogue"),
-    CHANGES_PER_SECOND("changes of the catalogue a second"),
+    CHANGES_PER_SECOND("catalogue changes a second"),
     REPORTS_PER_SECOND("reports to a controller a second"),
-    RESTARTS_PER_SECOND("restarts of hosts a second");
+    RESTARTS_PER_SECOND("host restarts a second");
 
     private final String description;
 
@@ -19,7 +19,7 @@
         this.description = description;
     }
 
-    /** Whether it is a rate a second; any other is a count. */
+    /** Whether the variable is a rate per second; every other variable is a count. */
     public boolean isRate() {
         return switch (this) {
             case CHANGES_PER_SECOND, REPORTS_PER_SECOND, RESTARTS_PER_SECOND -> true;
@@ -27,7 +27,7 @@
         };
     }
 
-    /** The text for tables and plots. */
+    /** Returns the name of the variable in tables and plots. */
     public String description() {
         return description;
     }
--- a/src/main/java/linenring/scale/measurement/Workload.java
+++ b/src/main/java/linenring/scale/measurement/Workload.java
@@ -4,17 +4,18 @@
 import java.util.Map;
 
 /**
- * The load on one controller while it is measured. The names of the components are the keys of stored records and stay.
+ * The load on one controller during a measurement. The component names are keys of stored records and must not change.
  *
- * @param catalogueHosts hosts that the catalogue lists
- * @param hostsInScope hosts that the controller's tables may hold; equal to {@code catalogueHosts} where there is no scope
- * @param proxies proxies of the controller
- * @param services services that the catalogue's hosts divide into
- * @param zones zones that hosts and proxies are spread over
- * @param stewards controllers, real and simulated together, that watch the same catalogue
- * @param changesPerSecond entries of the catalogue that change
- * @param reportsPerSecond reports of collectors and proxies to one controller
- * @param restartsPerSecond hosts that are replaced by a new one
+ * @param catalogueHosts the number of hosts that the catalogue lists
+ * @param hostsInScope the number of hosts that the controller's tables may hold; equal to {@code catalogueHosts} without a
+ *     scope
+ * @param proxies the number of proxies of the controller
+ * @param services the number of services that the catalogue's hosts belong to
+ * @param zones the number of zones that hosts and proxies are distributed over
+ * @param stewards the number of controllers, real and simulated together, that watch the same catalogue
+ * @param changesPerSecond the rate at which catalogue entries change
+ * @param reportsPerSecond the rate of load reports from collectors and proxies to one controller
+ * @param restartsPerSecond the rate at which hosts are replaced by new hosts
  */
 public record Workload(
         int catalogueHosts,
@@ -27,25 +28,25 @@
         double reportsPerSecond,
         double restartsPerSecond) {
 
-    /** The workload with these sizes; counts are rounded. Every variable has a size. */
-    public static Workload of(Map<Variable, Double> sizes) {
+    /** Returns the workload with these sizes, which must contain every variable; counts are rounded. */
+    public static Workload ofSizes(Map<Variable, Double> sizes) {
         return new Workload(
-                count(sizes, Variable.CATALOGUE_HOSTS),
-                count(sizes, Variable.HOSTS_IN_SCOPE),
-                count(sizes, Variable.PROXIES),
-                count(sizes, Variable.SERVICES),
-                count(sizes, Variable.ZONES),
-                count(sizes, Variable.STEWARDS),
+                roundedCount(sizes, Variable.CATALOGUE_HOSTS),
+                roundedCount(sizes, Variable.HOSTS_IN_SCOPE),
+                roundedCount(sizes, Variable.PROXIES),
+                roundedCount(sizes, Variable.SERVICES),
+                roundedCount(sizes, Variable.ZONES),
+                roundedCount(sizes, Variable.STEWARDS),
                 sizes.get(Variable.CHANGES_PER_SECOND),
                 sizes.get(Variable.REPORTS_PER_SECOND),
                 sizes.get(Variable.RESTARTS_PER_SECOND));
     }
 
-    private static int count(Map<Variable, Double> sizes, Variable variable) {
+    private static int roundedCount(Map<Variable, Double> sizes, Variable variable) {
         return (int) Math.round(sizes.get(variable));
     }
 
-    /** The size of one variable. */
+    /** Returns the size of one variable. */
     public double size(Variable variable) {
         return switch (variable) {
             case CATALOGUE_HOSTS -> catalogueHosts;
@@ -60,7 +61,7 @@
         };
     }
 
-    /** The sizes of all variables, by variable. */
+    /** Returns the sizes of all variables, by variable. */
     public Map<Variable, Double> sizes() {
         Map<Variable, Double> sizes = new EnumMap<>(Variable.class);
         for (Variable variable : Variable.values()) {
@@ -69,14 +70,15 @@
         return sizes;
     }
 
-    /** Whether the controller's tables may hold every host of the catalogue. */
+    /** Whether the controller's scope covers the catalogue, so that its tables may hold every host. */
     public boolean scopeIsWhole() {
         return hostsInScope == catalogueHosts;
     }
 
     /**
-     * The same workload with another size of one variable. Without a scope, the hosts in scope follow the catalogue; with
-     * one, neither comes to exceed the other's bound: the scope shrinks with the catalogue, and the catalogue grows with it.
+     * Returns this workload with another size of one variable. The hosts in scope never exceed the catalogue's hosts. A new
+     * catalogue size is also the number of hosts in scope if the workload has no scope; otherwise, it shrinks the scope if
+     * necessary. A new number of hosts in scope enlarges the catalogue if necessary.
      */
     public Workload with(Variable variable, double size) {
         Map<Variable, Double> sizes = sizes();
@@ -87,6 +89,6 @@
         if (variable == Variable.HOSTS_IN_SCOPE) {
             sizes.put(Variable.CATALOGUE_HOSTS, Math.max(size, catalogueHosts));
         }
-        return of(sizes);
+        return ofSizes(sizes);
     }
 }
--- a/src/main/java/linenring/scale/measurement/package-info.java
+++ b/src/main/java/linenring/scale/measurement/package-info.java
@@ -1,2 +1,2 @@
-/** The values that a scale run measures and that its reports and fits are made from. */
+/** Workloads, sweeps and scenarios of a scale run, and the results from which reports and fits are computed. */
 package linenring.scale.measurement;
--- a/src/main/java/linenring/scale/process/ControllerChildProcess.java
+++ b/src/main/java/linenring/scale/process/ControllerChildProcess.java
@@ -15,7 +15,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A real controller in a process of its own. It is killed at the latest when this process ends. */
+/** A real controller in a child process, which is killed at the latest when this process shuts down. */
 public final class ControllerChildProcess implements AutoCloseable {
     private static final byte[] PING = "{\"@type\":\"PING\"}\n".getBytes(StandardCharsets.US_ASCII);
     private static final long PONG_TIMEOUT_MS = 20_000;
@@ -28,50 +28,55 @@
 
     private final String name;
     private final Path directory;
-    private final InetSocketAddress listen;
+    private final InetSocketAddress listenAddress;
     private Process process;
-    private Thread killer;
+    private Thread shutdownHook;
 
-    /** A controller that is not started yet, with a free port; its files go to {@code directory}. */
+    /**
+     * Reserves a free port for a controller, which is not started yet; configuration and log are written to this
+     * directory.
+     */
     public ControllerChildProcess(String name, Path directory) throws IOException {
         this.name = name;
         this.directory = directory;
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            listen = (InetSocketAddress) free.getLocalSocketAddress();
+        try (ServerSocket unusedPort = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            listenAddress = (InetSocketAddress) unusedPort.getLocalSocketAddress();
         }
     }
 
-    /** Where it listens. */
-    public InetSocketAddress listen() {
-        return listen;
+    /** Returns the address on which the controller listens. */
+    public InetSocketAddress listenAddress() {
+        return listenAddress;
     }
 
-    /** Starts it, or starts it again; its log goes on in the same file. */
-    public void start(MeasuredConfiguration measured, InetSocketAddress catalogue) throws IOException {
+    /** Starts or restarts the controller; a restart appends to the same log file. */
+    public void start(MeasuredConfiguration settings, InetSocketAddress catalogueAddress) throws IOException {
         Path configuration = directory.resolve(name + ".json");
-        Files.write(configuration, measured.json(name, listen, catalogue));
+        Files.write(configuration, settings.json(name, listenAddress, catalogueAddress));
         ProcessBuilder builder = new ProcessBuilder(LaunchCommand.command())
                 .directory(directory.toFile())
                 .redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(log()));
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile()));
         builder.environment().put("GW_CONFIG", configuration.toString());
         builder.environment().keySet().removeAll(List.of("GW_NAME", "GW_LISTEN", "GW_DISCOVERY", "JAVA_TOOL_OPTIONS"));
         process = builder.start();
-        if (killer == null) {
-            killer = new Thread(this::kill);
-            Runtime.getRuntime().addShutdownHook(killer);
+        if (shutdownHook == null) {
+            shutdownHook = new Thread(this::kill);
+            Runtime.getRuntime().addShutdownHook(shutdownHook);
         }
     }
 
-    private File log() {
+    private File logFile() {
         return directory.resolve(name + ".log").toFile();
     }
 
-    /** Waits for its first PONG; false if it has ended or none comes in time. */
+    /**
+     * Waits until the controller answers a PING; returns false if the process exits or does not answer before the timeout.
+     */
     public boolean awaitPong() throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PONG_TIMEOUT_MS);
-        while (process.isAlive() && System.nanoTime() < end) {
-            if (answers()) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PONG_TIMEOUT_MS);
+        while (process.isAlive() && System.nanoTime() < deadlineNanos) {
+            if (answersPing()) {
                 return true;
             }
             TimeUnit.MILLISECONDS.sleep(PONG_POLL_MS);
@@ -79,32 +84,32 @@
         return false;
     }
 
-    private boolean answers() {
+    private boolean answersPing() {
         try (Socket socket = new Socket()) {
-            socket.connect(listen, PING_TIMEOUT_MS);
+            socket.connect(listenAddress, PING_TIMEOUT_MS);
             socket.setSoTimeout(PING_TIMEOUT_MS);
             socket.getOutputStream().write(PING);
             return socket.getInputStream().read() == '{';
-        } catch (IOException notYet) {
+        } catch (IOException notListening) {
             return false;
         }
     }
 
-    /** Whether it runs. */
+    /** Whether the controller process is running. */
     public boolean isAlive() {
         return process.isAlive();
     }
 
-    /** How it ended, as text, with the last line of its log. */
-    public String ending() {
+    /** Returns the exit code if the controller process has ended, and the last line of its log, as text. */
+    public String exitDescription() {
         return (process.isAlive() ? "" : "ended with exit code " + process.exitValue() + "; ") + "last log line: "
                 + lastLogLine();
     }
 
-    /** The lines of its log. */
+    /** Returns the lines of the controller's log; empty if the log cannot be read. */
     public List<String> logLines() {
         try {
-            return Files.readAllLines(log().toPath());
+            return Files.readAllLines(logFile().toPath());
         } catch (IOException unreadable) {
             return List.of();
         }
@@ -116,39 +121,38 @@
         return lines.isEmpty() ? "none" : lines.get(lines.size() - 1);
     }
 
-    // ---- what it uses
-
-    private Path proc() {
+    private Path procDirectory() {
         return Path.of("/proc", Long.toString(process.pid()));
     }
 
-    /** Its processor time so far; by thread only if {@code byThread}. */
+    /** Reads the processor time that the controller has used; of each thread only if {@code byThread}. */
     public ProcessorTimes processorTimes(boolean byThread) throws IOException {
-        return ProcessorTimes.read(proc(), byThread);
+        return ProcessorTimes.read(procDirectory(), byThread);
     }
 
-    /** Its resident memory. */
+    /** Reads the resident memory of the controller process; NaN if the kernel does not report it. */
     public double residentBytes() throws IOException {
-        Matcher resident = RESIDENT.matcher(Files.readString(proc().resolve("status")));
-        return resident.find() ? KIBIBYTE * Long.parseLong(resident.group(1)) : Double.NaN;
+        Matcher residentMatcher =
+                RESIDENT.matcher(Files.readString(procDirectory().resolve("status")));
+        return residentMatcher.find() ? KIBIBYTE * Long.parseLong(residentMatcher.group(1)) : Double.NaN;
     }
 
-    /** Its heap in use after a full collection, or NaN if the JDK has no jcmd. */
+    /** Runs a full garbage collection in the controller and returns the heap in use, or NaN if jcmd is missing or fails. */
     public double heapBytesAfterCollection() throws InterruptedException {
-        if (jcmd("GC.run") == null) {
+        if (runJcmd("GC.run") == null) {
             return Double.NaN;
         }
-        String info = jcmd("GC.heap_info");
-        Matcher used = HEAP_USED.matcher(info == null ? "" : info);
+        String heapInfo = runJcmd("GC.heap_info");
+        Matcher heapUsed = HEAP_USED.matcher(heapInfo == null ? "" : heapInfo);
         double bytes = Double.NaN;
-        while (used.find()) { // of each generation
-            bytes = (Double.isNaN(bytes) ? 0 : bytes) + KIBIBYTE * Long.parseLong(used.group(1));
+        while (heapUsed.find()) { // one match for each heap generation
+            bytes = (Double.isNaN(bytes) ? 0 : bytes) + KIBIBYTE * Long.parseLong(heapUsed.group(1));
         }
         return bytes;
     }
 
-    /** The output of the command, or null if there is none. */
-    private String jcmd(String command) throws InterruptedException {
+    /** Returns the output of a jcmd command, or null if jcmd is missing, fails or times out. */
+    private String runJcmd(String command) throws InterruptedException {
         Path program = Path.of(System.getProperty("java.home"), "bin", "jcmd");
         if (!Files.isExecutable(program)) {
             return null;
@@ -169,9 +173,7 @@
         }
     }
 
-    // ---- its end
-
-    /** Kills it, without a chance to shut down. */
+    /** Kills the controller process without a graceful shutdown. */
     public void kill() {
         if (process == null) {
             return;
@@ -188,12 +190,12 @@
     public void close() {
         kill();
         try {
-            if (killer != null) {
-                Runtime.getRuntime().removeShutdownHook(killer);
+            if (shutdownHook != null) {
+                Runtime.getRuntime().removeShutdownHook(shutdownHook);
             }
         } catch (IllegalStateException shuttingDown) {
-            // this process ends: the hook runs and finds nothing left to do
+            // This process is shutting down, so the hook runs anyway; the controller is already killed.
         }
-        killer = null;
+        shutdownHook = null;
     }
 }
--- a/src/main/java/linenring/scale/process/LaunchCommand.java
+++ b/src/main/java/linenring/scale/process/LaunchCommand.java
@@ -11,21 +11,24 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The command that starts a controller: the flags of the line {@code run} of deploy/balancer.toml, and the program that runs now. */
+/**
+ * Builds the command that starts a controller: the JVM flags of {@code run} in deploy/balancer.toml, and the class path of
+ * this process.
+ */
 final class LaunchCommand {
     private static final String DEPLOYMENT = "balancer.toml";
     private static final Pattern RUN_LINE = Pattern.compile("(?m)^run = \"exec java (.*?) -jar [^ \"]+ serve\"");
-    /** A controller's machine has one core, and the JVM sizes its thread pools by that. */
-    private static final String ONE_CORE = "-XX:ActiveProcessorCount=1";
+    /** Makes the JVM size its thread pools for one core, as on the machine that a controller runs on in production. */
+    private static final String ONE_CORE_FLAG = "-XX:ActiveProcessorCount=1";
 
     private LaunchCommand() {}
 
-    /** The program and its arguments. */
+    /** Returns the program that starts a controller, and its arguments. */
     static List<String> command() {
         List<String> command = new ArrayList<>();
         command.add(System.getProperty("java.home") + File.separator + "bin" + File.separator + "java");
-        command.addAll(flags(deployment()));
-        command.add(ONE_CORE);
+        command.addAll(flags(readDeployment()));
+        command.add(ONE_CORE_FLAG);
         command.add("-cp");
         command.add(absoluteClassPath());
         command.add("linenring.Main");
@@ -33,16 +36,17 @@
         return command;
     }
 
-    /** The JVM's flags in the text of the deployment. */
+    /** Returns the JVM flags in the text of the deployment file. */
     static List<String> flags(String deployment) {
-        Matcher run = RUN_LINE.matcher(deployment);
-        if (!run.find()) {
-            throw new IllegalStateException(DEPLOYMENT + " has no line 'run' that starts java with a jar");
+        Matcher runLine = RUN_LINE.matcher(deployment);
+        if (!runLine.find()) {
+            throw new IllegalStateException(
+                    DEPLOYMENT + ": expected a line run = \"exec java FLAGS -jar JAR serve\", found none");
         }
-        return List.of(run.group(1).split(" +"));
+        return List.of(runLine.group(1).split(" +"));
     }
 
-    private static String deployment() {
+    private static String readDeployment() {
         try (InputStream resourceStream = LaunchCommand.class.getResourceAsStream(DEPLOYMENT)) {
             return new String(resourceStream.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException unreadable) {
@@ -50,7 +54,7 @@
         }
     }
 
-    /** Absolute, since the child runs in a directory of its own. */
+    /** Returns the class path with absolute entries, since the child process runs in another directory. */
     private static String absoluteClassPath() {
         return String.join(
                 File.pathSeparator,
--- a/src/main/java/linenring/scale/process/MeasuredConfiguration.java
+++ b/src/main/java/linenring/scale/process/MeasuredConfiguration.java
@@ -10,10 +10,10 @@
 import linenring.scale.fleet.ChannelLimits;
 
 /**
- * The configuration of a measured controller, with the settings of a large fleet (docs/results.md). Its JSON has the keys of
- * the configuration file.
+ * The configuration of a measured controller, with the settings of a large fleet (docs/results.md), written as the controller's
+ * JSON configuration file.
  *
- * @param scope the services whose hosts its tables may hold; empty for all
+ * @param scope the services whose hosts the controller's tables may hold; empty for all services
  */
 public record MeasuredConfiguration(
         List<String> zones,
@@ -22,47 +22,49 @@
         int proxies,
         ChannelLimits channel,
         List<String> scope) {
-    /** Beside those of proxies and collectors: the watch, files, peers that have not subscribed. */
+    /**
+     * Sockets beyond those of proxies and collectors: the host watch, open files, and peers that have not subscribed yet.
+     */
     private static final int OTHER_SOCKETS = 64;
 
     private static final int MIN_SOCKETS = 1024;
     private static final long OBJECTIVE_MICROS = 500_000;
     private static final long TIMEOUT_MICROS = 2_000_000;
     private static final long WARM_UP_MICROS = 18_000_000;
-    private static final double COLD_CAPACITY_SHARE = 0.2;
+    private static final double INITIAL_CAPACITY_SHARE = 0.2;
     private static final long DRAIN_GRACE_MICROS = 16_000_000;
     private static final int MAX_MESSAGES = 30;
     private static final long MESSAGE_LIMIT_INTERVAL_MICROS = 10_000_000;
     private static final int DEFAULT_TABLE_ENTRIES = 6;
     private static final long QUANTUM_MICROS = 4000;
 
-    /** The configuration file's content. */
-    public byte[] json(String name, InetSocketAddress listen, InetSocketAddress catalogue) {
+    /** Returns the content of the configuration file. */
+    public byte[] json(String name, InetSocketAddress listenAddress, InetSocketAddress catalogueAddress) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = new JsonFactory().createGenerator(bytes)) {
             out.writeStartObject();
             out.writeStringField("name", name);
-            out.writeStringField("listen", text(listen));
-            out.writeStringField("discovery", text(catalogue));
+            out.writeStringField("listen", hostAndPort(listenAddress));
+            out.writeStringField("discovery", hostAndPort(catalogueAddress));
             if (!scope.isEmpty()) {
-                texts(out, "scope", scope);
+                writeStrings(out, "scope", scope);
             }
             out.writeObjectFieldStart("limits");
             out.writeNumberField("sockets", Math.max(MIN_SOCKETS, proxies + zones.size() + OTHER_SOCKETS));
             out.writeEndObject();
             out.writeObjectFieldStart("settings");
-            settings(out);
+            writeSettings(out);
             out.writeEndObject();
             out.writeEndObject();
         } catch (IOException impossible) {
-            throw new UncheckedIOException(impossible); // a byte array accepts every write
+            throw new UncheckedIOException(impossible); // writes to a byte array do not fail
         }
         return bytes.toByteArray();
     }
 
-    private void settings(JsonGenerator out) throws IOException {
-        texts(out, "Azs", zones);
-        texts(out, "Kinds", kinds);
+    private void writeSettings(JsonGenerator out) throws IOException {
+        writeStrings(out, "Azs", zones);
+        writeStrings(out, "Kinds", kinds);
         out.writeStringField("Discovery", "pushed");
         out.writeNumberField("FleetSize", 1);
         out.writeNumberField("Quantum", QUANTUM_MICROS);
@@ -78,7 +80,7 @@
         out.writeEndArray();
         out.writeObjectFieldStart("Contract");
         out.writeNumberField("Cold", WARM_UP_MICROS);
-        out.writeNumberField("ColdFrom", COLD_CAPACITY_SHARE);
+        out.writeNumberField("ColdFrom", INITIAL_CAPACITY_SHARE);
         out.writeNumberField("StopSendingWithin", DRAIN_GRACE_MICROS);
         out.writeEndObject();
         out.writeObjectFieldStart("Specifics");
@@ -95,15 +97,15 @@
         out.writeEndObject();
     }
 
-    private static void texts(JsonGenerator out, String field, List<String> texts) throws IOException {
+    private static void writeStrings(JsonGenerator out, String field, List<String> values) throws IOException {
         out.writeArrayFieldStart(field);
-        for (String text : texts) {
-            out.writeString(text);
+        for (String value : values) {
+            out.writeString(value);
         }
         out.writeEndArray();
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String hostAndPort(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 }
--- a/src/main/java/linenring/scale/process/package-info.java
+++ b/src/main/java/linenring/scale/process/package-info.java
@@ -1,2 +1,2 @@
-/** Real controllers as child processes, started as operators start them, and measured from outside. */
+/** Runs real controllers as child processes with the flags of the deployment and measures them from outside. */
 package linenring.scale.process;
--- a/src/main/java/linenring/scale/run/CatalogueDriver.java
+++ b/src/main/java/linenring/scale/run/CatalogueDriver.java
@@ -12,27 +12,30 @@
 import linenring.scale.catalogue.CatalogueEvents;
 import linenring.scale.catalogue.CatalogueServer;
 
-/** Applies the catalogue's events when they are due and publishes them: first to the simulated proxies, then to all watchers. */
+/**
+ * Applies scheduled catalogue events when they are due. Each change is published first to the simulated proxies, then to all
+ * watchers.
+ */
 final class CatalogueDriver implements AutoCloseable {
     private static final long TICK_NANOS = 10_000_000;
     private static final long STOP_TIMEOUT_MS = 1000;
 
     private final CatalogueEvents events;
-    private final HostRegistry hosts;
+    private final HostRegistry hostRegistry;
     private final List<CatalogueServer> servers = new CopyOnWriteArrayList<>();
     private final Thread thread = new Thread(this::run, "catalogue-events");
     private final AtomicLong changedEntries = new AtomicLong();
     private volatile long lastChangeNanos = System.nanoTime();
     private volatile boolean closed;
 
-    CatalogueDriver(Catalogue catalogue, HostRegistry hosts, long seed) {
-        this.hosts = hosts;
+    CatalogueDriver(Catalogue catalogue, HostRegistry hostRegistry, long seed) {
+        this.hostRegistry = hostRegistry;
         events = new CatalogueEvents(catalogue, new Random(seed));
-        hosts.apply(catalogue.snapshot().asHostList());
+        hostRegistry.apply(catalogue.snapshot().asHostList());
         thread.setDaemon(true);
     }
 
-    void publishTo(CatalogueServer server) {
+    void addServer(CatalogueServer server) {
         servers.add(server);
     }
 
@@ -40,10 +43,10 @@
         thread.start();
     }
 
-    /** Orders events. */
-    void script(Consumer<CatalogueEvents> change) {
+    /** Schedules events under the lock that the driver thread uses. */
+    void schedule(Consumer<CatalogueEvents> scheduling) {
         synchronized (events) {
-            change.accept(events);
+            scheduling.accept(events);
         }
     }
 
@@ -57,25 +60,25 @@
     }
 
     private void publish(CatalogueChange change) {
-        hosts.apply(change.asHostList());
+        hostRegistry.apply(change.asHostList());
         servers.forEach(server -> server.publish(change));
         changedEntries.addAndGet(change.hosts().size());
         lastChangeNanos = System.nanoTime();
     }
 
-    /** Whether further events are ordered. */
-    boolean isBusy() {
+    /** Whether any scheduled event has not been applied yet. */
+    boolean hasPendingEvents() {
         synchronized (events) {
             return events.nextTimeMs() != Long.MAX_VALUE;
         }
     }
 
-    /** Entries that have changed since the start. */
+    /** Returns the number of catalogue entries changed since the start. */
     long changedEntries() {
         return changedEntries.get();
     }
 
-    /** When the last change was published, by {@link System#nanoTime}. */
+    /** Returns the time at which the last change was published, by {@link System#nanoTime}. */
     long lastChangeNanos() {
         return lastChangeNanos;
     }
--- a/src/main/java/linenring/scale/run/PointRunner.java
+++ b/src/main/java/linenring/scale/run/PointRunner.java
@@ -16,25 +16,25 @@
 import linenring.scale.process.ProcessorTimes;
 
 /**
- * Measures one workload: waits until all proxies have tables, starts the steady rates, warms up, and reads what the real and
- * the simulated controllers use over a window.
+ * Measures one workload: waits until all proxies have tables, starts the steady change rates, warms up, and reads the resource
+ * usage of the real and simulated controllers over a measurement window.
  */
 final class PointRunner {
     private static final long SETTLE_TIMEOUT_S = 60;
-    /** For starting and ending all processes. */
+    /** The time reserved for starting and stopping all processes. */
     private static final double START_AND_STOP_S = 10;
 
     private static final int MAX_REAL_CONTROLLERS = 4;
-    /** One controller of that many is a real one. */
+    /** The number of controllers for each real controller; the others are simulated. */
     private static final int CONTROLLERS_PER_REAL = 8;
 
-    private static final double RELEASE_S = 0.5;
+    private static final double MEMORY_RELEASE_S = 0.5;
     private static final double BETWEEN_COLLECTIONS_S = 0.2;
     private static final double SECOND_NANOS = 1e9;
     private static final double SECOND_MS = 1000;
     private static final double MEGABYTE = 1e6;
     private static final double PERCENT = 100;
-    /** The share of a core from which a thread is shown in progress messages. */
+    /** Progress messages omit threads that use a smaller share of a core. */
     private static final double MIN_THREAD_SHARE = 0.0005;
 
     private final double warmUpSeconds;
@@ -49,72 +49,80 @@
         this.progress = progress;
     }
 
-    /** The counters of one controller at one time. */
-    private record Reading(ProcessorTimes times, Traffic.Counts traffic) {}
+    /** The counters of one controller at one point in time. */
+    private record CounterReading(ProcessorTimes times, Traffic.Counts traffic) {}
 
-    /** How many of a workload's controllers are real ones. */
+    /** Returns the number of real controllers of a workload. */
     static int realControllers(Workload workload) {
         return Math.min(MAX_REAL_CONTROLLERS, Math.max(1, workload.stewards() / CONTROLLERS_PER_REAL));
     }
 
-    /** How long a point takes if its proxies have their tables at once. */
+    /** Returns the duration of a point, not counting the wait until its proxies have tables. */
     double minSeconds() {
         return START_AND_STOP_S + warmUpSeconds + windowSeconds;
     }
 
-    /** Takes {@code maxSeconds} at most: what is to spare is for settling. */
-    Point measure(double size, Workload workload, double maxSeconds) throws Exception { // Jetty's start() may throw any
-        long settle = (long) Math.min(SETTLE_TIMEOUT_S, maxSeconds - minSeconds());
+    /**
+     * Measures one point in at most {@code maxSeconds}; the wait for tables may use the time that exceeds
+     * {@link #minSeconds}.
+     */
+    Point measure(double size, Workload workload, double maxSeconds)
+            throws Exception { // Jetty's start() declares Exception
+        long settleSeconds = (long) Math.min(SETTLE_TIMEOUT_S, maxSeconds - minSeconds());
         try (Testbed testbed = new Testbed(workload, seed)) {
-            return measure(size, testbed, settle);
+            return measure(size, testbed, settleSeconds);
         }
     }
 
     private Point measure(double size, Testbed testbed, long settleSeconds) throws Exception {
         int realControllers = realControllers(testbed.workload());
         testbed.open(realControllers, Math.max(1, testbed.workload().stewards() - realControllers));
-        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(settleSeconds);
-        String failure = settle(testbed, deadline);
-        String simulatedFailure = testbed.awaitSimulatedSettled(deadline);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(settleSeconds);
+        String failure = awaitRealSettled(testbed, deadlineNanos);
+        String simulatedFailure = testbed.awaitSimulatedSettled(deadlineNanos);
         if (failure != null || simulatedFailure != null) {
-            progress.report("real: " + failure + "; simulated: " + simulatedFailure);
+            progress.report("why controllers have not settled (null if they have): real: " + failure + "; simulated: "
+                    + simulatedFailure);
         }
         if (failure != null && simulatedFailure != null) {
             return new Point(size, testbed.workload(), null, null, failure);
         }
         testbed.startSteadyRates();
         sleep(warmUpSeconds);
-        RealWindow real = failure == null ? new RealWindow(testbed.real()) : null;
-        InProcessWindow simulated = simulatedFailure == null ? new InProcessWindow(testbed.simulated()) : null;
+        RealControllerWindow real = failure == null ? new RealControllerWindow(testbed.realControllers()) : null;
+        SimulatedControllerWindow simulated =
+                simulatedFailure == null ? new SimulatedControllerWindow(testbed.simulatedControllers()) : null;
         sleep(windowSeconds);
         Usage realUsage = null;
         if (real != null) {
-            failure = ending(testbed.real());
+            failure = firstExitDescription(testbed.realControllers());
             realUsage = failure == null ? real.usage() : null;
         }
         Usage simulatedUsage = simulated == null ? null : simulated.usage();
         if (realUsage != null) {
-            progress.report(describe(realUsage, simulatedUsage));
+            progress.report(describeUsage(realUsage, simulatedUsage));
         }
         return new Point(size, testbed.workload(), realUsage, simulatedUsage, failure);
     }
 
-    /** Waits until all real controllers are settled; null, or what is missing at the first that is not. */
-    private static String settle(Testbed testbed, long deadline) throws InterruptedException {
-        for (RealMember member : testbed.real()) {
-            String missing = testbed.awaitSettled(member, deadline);
-            if (missing != null) {
-                return missing;
+    /**
+     * Waits until all real controllers have settled; returns null, or why the first unsettled controller has not settled.
+     */
+    private static String awaitRealSettled(Testbed testbed, long deadlineNanos) throws InterruptedException {
+        for (RealControllerWithFleet member : testbed.realControllers()) {
+            String failure = testbed.awaitSettled(member, deadlineNanos);
+            if (failure != null) {
+                return failure;
             }
         }
         return null;
     }
 
-    /** How the first of them that has ended did so, or null. */
-    private static String ending(List<RealMember> members) {
+    /** Returns the exit description of the first controller that has exited, or null if all are running. */
+    private static String firstExitDescription(List<RealControllerWithFleet> members) {
         return members.stream()
                 .filter(member -> !member.process().isAlive())
-                .map(member -> member.process().ending())
+                .map(member -> member.process().exitDescription())
                 .findFirst()
                 .orElse(null);
     }
@@ -123,25 +131,26 @@
         TimeUnit.MILLISECONDS.sleep((long) (SECOND_MS * seconds));
     }
 
-    /** What the real controllers use from its creation on; the mean over them. */
-    private static final class RealWindow {
-        private final List<RealMember> members;
-        private final List<Reading> before = new ArrayList<>();
+    /** Measures the mean resource usage of the real controllers since the creation of this window. */
+    private static final class RealControllerWindow {
+        private final List<RealControllerWithFleet> members;
+        private final List<CounterReading> before = new ArrayList<>();
 
-        RealWindow(List<RealMember> members) throws IOException {
+        RealControllerWindow(List<RealControllerWithFleet> members) throws IOException {
             this.members = members;
-            for (RealMember member : members) {
+            for (RealControllerWithFleet member : members) {
                 before.add(reading(member));
             }
         }
 
-        private static Reading reading(RealMember member) throws IOException {
-            return new Reading(member.process().processorTimes(true), member.traffic());
+        private static CounterReading reading(RealControllerWithFleet member) throws IOException {
+            return new CounterReading(member.process().processorTimes(true), member.traffic());
         }
 
         Usage usage() throws IOException, InterruptedException {
-            List<Reading> after = new ArrayList<>();
-            for (RealMember member : members) { // all before the first collection, which takes a core
+            List<CounterReading> after = new ArrayList<>();
+            for (RealControllerWithFleet member :
+                    members) { // read all counters before the first garbage collection, which uses a core
                 after.add(reading(member));
             }
             List<Usage> usages = new ArrayList<>();
@@ -151,9 +160,9 @@
             return mean(usages);
         }
 
-        private static Usage usage(RealMember member, Reading before, Reading after)
+        private static Usage usage(RealControllerWithFleet member, CounterReading before, CounterReading after)
                 throws IOException, InterruptedException {
-            double seconds = (after.times().atNanos() - before.times().atNanos()) / SECOND_NANOS;
+            double seconds = (after.times().readAtNanos() - before.times().readAtNanos()) / SECOND_NANOS;
             Traffic.Counts traffic = after.traffic().since(before.traffic());
             return new Usage(
                     after.times().shareSince(before.times()),
@@ -168,9 +177,9 @@
     }
 
     private static Usage mean(List<Usage> usages) {
-        Map<String, Double> byThread = new HashMap<>();
+        Map<String, Double> shareByThread = new HashMap<>();
         usages.forEach(usage -> usage.shareByThread()
-                .forEach((name, share) -> byThread.merge(name, share / usages.size(), Double::sum)));
+                .forEach((name, share) -> shareByThread.merge(name, share / usages.size(), Double::sum)));
         return new Usage(
                 mean(usages, Usage::processorShare),
                 mean(usages, Usage::residentBytes),
@@ -179,24 +188,24 @@
                 mean(usages, Usage::bytesOutPerSecond),
                 mean(usages, Usage::messagesInPerSecond),
                 mean(usages, Usage::messagesOutPerSecond),
-                byThread);
+                shareByThread);
     }
 
     private static double mean(List<Usage> usages, ToDoubleFunction<Usage> value) {
         return usages.stream().mapToDouble(value).average().orElse(Double.NaN);
     }
 
-    /** What the simulated controllers use from its creation on; the mean over them. */
-    private static final class InProcessWindow {
-        private final List<InProcessMember> members;
+    /** Measures the mean resource usage of the simulated controllers since the creation of this window. */
+    private static final class SimulatedControllerWindow {
+        private final List<SimulatedControllerWithFleet> members;
         private final long startNanos = System.nanoTime();
-        private final long processorNanos;
-        private final Traffic.Counts traffic;
+        private final long startProcessorNanos;
+        private final Traffic.Counts startTraffic;
 
-        InProcessWindow(List<InProcessMember> members) {
+        SimulatedControllerWindow(List<SimulatedControllerWithFleet> members) {
             this.members = members;
-            processorNanos = processorNanos();
-            traffic = traffic();
+            startProcessorNanos = processorNanos();
+            startTraffic = traffic();
         }
 
         private long processorNanos() {
@@ -211,23 +220,23 @@
                     .reduce(new Traffic.Counts(0, 0, 0, 0), Traffic.Counts::plus);
         }
 
-        /** Ends the controllers: their memory is what this process's heap loses with them. */
+        /** Computes the usage and releases the controllers; the decrease of this process's heap gives their heap usage. */
         Usage usage() throws InterruptedException {
             double controllerSeconds = (System.nanoTime() - startNanos) / SECOND_NANOS * members.size();
-            double processorSeconds = (processorNanos() - processorNanos) / SECOND_NANOS;
-            Traffic.Counts used = traffic().since(traffic);
-            long bytesBefore = heapAfterCollection();
-            members.forEach(InProcessMember::release);
-            sleep(RELEASE_S);
-            double heap = (double) (bytesBefore - heapAfterCollection()) / members.size();
+            double processorSeconds = (processorNanos() - startProcessorNanos) / SECOND_NANOS;
+            Traffic.Counts windowTraffic = traffic().since(startTraffic);
+            long heapBytesBefore = heapAfterCollection();
+            members.forEach(SimulatedControllerWithFleet::release);
+            sleep(MEMORY_RELEASE_S);
+            double heapBytes = (double) (heapBytesBefore - heapAfterCollection()) / members.size();
             return new Usage(
                     processorSeconds / controllerSeconds,
                     Double.NaN,
-                    heap,
-                    Double.NaN, // messages in memory have no bytes
-                    used.bytesOut() / controllerSeconds,
-                    used.messagesIn() / controllerSeconds,
-                    used.messagesOut() / controllerSeconds,
+                    heapBytes,
+                    Double.NaN, // messages to simulated controllers are not encoded
+                    windowTraffic.bytesOut() / controllerSeconds,
+                    windowTraffic.messagesIn() / controllerSeconds,
+                    windowTraffic.messagesOut() / controllerSeconds,
                     Map.of());
         }
 
@@ -240,9 +249,7 @@
         }
     }
 
-    // ---- progress messages
-
-    private static String describe(Usage real, Usage simulated) {
+    private static String describeUsage(Usage real, Usage simulated) {
         return String.format(
                         Locale.ROOT,
                         "real: %.2f%% of a core, %.1f MB resident, %.1f MB heap, %.0f B/s in, %.0f B/s out",
@@ -258,10 +265,10 @@
                                 "; simulated: %.2f%%, %.1f MB heap",
                                 PERCENT * simulated.processorShare(),
                                 simulated.heapBytes() / MEGABYTE))
-                + "; threads " + byThread(real.shareByThread());
+                + "; by thread: " + formatThreadShares(real.shareByThread());
     }
 
-    private static String byThread(Map<String, Double> shares) {
+    private static String formatThreadShares(Map<String, Double> shares) {
         StringBuilder text = new StringBuilder();
         new TreeMap<>(shares).forEach((name, share) -> {
             if (share >= MIN_THREAD_SHARE) {
--- a/src/main/java/linenring/scale/run/Progress.java
+++ b/src/main/java/linenring/scale/run/Progress.java
@@ -1,10 +1,10 @@
 package linenring.scale.run;
 
-/** Receives messages on how far a long run has come. */
+/** Receives progress messages of a scale run. */
 public interface Progress {
-    /** Ignores them. */
+    /** Discards all progress messages. */
     Progress NONE = message -> {};
 
-    /** Receives one message. */
+    /** Receives one progress message. */
     void report(String message);
 }
--- a/src/main/java/linenring/scale/run/RealMember.java
+++ b/src/main/java/linenring/scale/run/RealControllerWithFleet.java
@@ -11,28 +11,35 @@
 import linenring.scale.process.ControllerChildProcess;
 import linenring.scale.process.MeasuredConfiguration;
 
-/** A real controller with a discovery agent and a fleet of its own, so that all its bytes are counted. */
-final class RealMember implements AutoCloseable {
+/**
+ * A real controller in a child process, with its own discovery agent and fleet, so that all bytes to and from it are
+ * counted.
+ */
+final class RealControllerWithFleet implements AutoCloseable {
     private final ControllerChildProcess process;
     private final MeasuredConfiguration configuration;
     private final CatalogueServer server;
     private final SocketFleet fleet;
 
-    RealMember(
-            String name, Path folder, MeasuredConfiguration configuration, CatalogueServer server, SimulatedFleet fleet)
+    RealControllerWithFleet(
+            String name,
+            Path directory,
+            MeasuredConfiguration configuration,
+            CatalogueServer server,
+            SimulatedFleet fleet)
             throws IOException {
         this.configuration = configuration;
         this.server = server;
-        process = new ControllerChildProcess(name, folder);
-        this.fleet = new SocketFleet(fleet, process.listen(), "fleet-" + name);
+        process = new ControllerChildProcess(name, directory);
+        this.fleet = new SocketFleet(fleet, process.listenAddress(), "fleet-" + name);
     }
 
-    /** An address at which nobody listens, for controllers that don't either. */
+    /** Returns an address without a listener, for simulated controllers, which do not listen. */
     static InetSocketAddress unusedAddress() {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     }
 
-    /** Starts it and, once it serves, its fleet. */
+    /** Starts the controller, and the fleet once the controller answers PINGs. */
     void open() throws IOException, InterruptedException {
         server.open();
         process.start(configuration, server.address());
@@ -40,7 +47,7 @@
         fleet.start();
     }
 
-    /** Kills it and starts it again; its proxies reconnect until it is back. */
+    /** Kills and restarts the controller; its proxies retry their connections meanwhile. */
     void restart() throws IOException {
         process.kill();
         process.start(configuration, server.address());
@@ -58,12 +65,12 @@
         return fleet;
     }
 
-    /** All traffic so far, with its fleet and with its agent. */
+    /** Returns the traffic of the controller with its fleet and its discovery agent since the start. */
     Traffic.Counts traffic() {
-        long fromAgent = server.bytesOut();
-        long toAgent = server.bytesIn();
-        Traffic.Counts withAgent = new Traffic.Counts(fromAgent, toAgent, server.linesOut(), 0);
-        return fleet.traffic().counts().plus(withAgent);
+        long bytesFromAgent = server.bytesOut();
+        long bytesToAgent = server.bytesIn();
+        Traffic.Counts agentTraffic = new Traffic.Counts(bytesFromAgent, bytesToAgent, server.linesOut(), 0);
+        return fleet.traffic().counts().plus(agentTraffic);
     }
 
     @Override
--- a/src/main/java/linenring/scale/run/ScaleCommand.java
+++ b/src/main/java/linenring/scale/run/ScaleCommand.java
@@ -9,9 +9,9 @@
 import linenring.scale.settings.ScalePlan;
 import linenring.scale.settings.ScalePlanReader;
 
-/** The subcommand {@code scale}: reads the settings, measures, and writes the record. */
+/** Runs the subcommand {@code scale}: reads the settings, measures, and writes the record of the run. */
 public final class ScaleCommand {
-    /** How it ended. */
+    /** The outcome of the subcommand. */
     public enum Result {
         MEASURED,
         INVALID_SETTINGS,
@@ -19,12 +19,12 @@
     }
 
     /**
-     * The arguments of the command line.
+     * The command line arguments of the subcommand {@code scale}.
      *
-     * @param seed overrides the settings' seed
-     * @param directory where the record is written
-     * @param name the prefix of the record's files
-     * @param build what is measured, as text
+     * @param seed overrides the seed of the settings
+     * @param directory the directory to which the record is written
+     * @param name the prefix of the names of the record's files
+     * @param build the measured commit or release, as text
      * @param progress whether to report progress on standard error
      */
     public record Arguments(
@@ -34,13 +34,13 @@
     private final Progress progress;
     private IOException writeFailure;
 
-    /** A run with these arguments. */
+    /** Creates the subcommand with these arguments. */
     public ScaleCommand(Arguments arguments) {
         this.arguments = arguments;
         progress = arguments.progress() ? message -> System.err.println("scale: " + message) : Progress.NONE;
     }
 
-    /** Measures and writes the record, also after each point. */
+    /** Runs the measurements; writes the record after each point and scenario, and the complete report at the end. */
     public Result run() throws InterruptedException {
         ScalePlanReader.Outcome read = ScalePlanReader.read(arguments.settings());
         if (read.plan() == null) {
@@ -58,15 +58,14 @@
             writeFailure = failed;
         }
         if (writeFailure != null) {
-            System.err.println(
-                    "linenring: the record can't be written to " + arguments.directory() + ": " + writeFailure);
+            System.err.println("linenring: cannot write the record to " + arguments.directory() + ": " + writeFailure);
             return Result.RECORD_NOT_WRITTEN;
         }
         System.out.println(arguments.directory().resolve(arguments.name() + ".md"));
         return Result.MEASURED;
     }
 
-    /** Writes the tables, fits and plots of a record again, beside it. */
+    /** Rewrites the tables, fits and plots of a stored record, in the directory of the record. */
     public static Result rewriteTables(Path record) {
         try {
             String name = record.getFileName().toString().replaceFirst("\\.json$", "");
@@ -80,7 +79,7 @@
             System.out.println(directory.resolve(name + ".md"));
             return Result.MEASURED;
         } catch (IOException failed) {
-            System.err.println("linenring: " + record + " can't be read or written again: " + failed.getMessage());
+            System.err.println("linenring: cannot rewrite the tables of " + record + ": " + failed.getMessage());
             return Result.RECORD_NOT_WRITTEN;
         }
     }
--- a/src/main/java/linenring/scale/run/ScaleRunner.java
+++ b/src/main/java/linenring/scale/run/ScaleRunner.java
@@ -20,12 +20,12 @@
 import linenring.scale.measurement.Workload;
 import linenring.scale.settings.ScalePlan;
 
-/** Runs a plan: sweep after sweep, point after point, then the scenarios. It ends by itself within the plan's time. */
+/** Runs the sweeps of a plan point by point, then its scenarios. The run ends within the time limit of the plan. */
 public final class ScaleRunner {
-    private static final String OUT_OF_TIME = "not run: the run's time was up";
-    private static final String OUT_OF_MEMORY = "not run: the run's memory was up";
-    private static final String TOO_FEW_PROCESSES = "not run: the run may not start so many processes";
-    /** More than its flags allow a real controller. */
+    private static final String OUT_OF_TIME = "not run: it could exceed the run's time limit";
+    private static final String OUT_OF_MEMORY = "not run: it could exceed the run's memory limit";
+    private static final String TOO_FEW_PROCESSES = "not run: it needs more processes than the run's limit permits";
+    /** Memory to reserve for each real controller; more than its JVM flags permit. */
     private static final long CONTROLLER_BYTES = 256L << 20;
 
     private static final double SECOND_MS = 1000;
@@ -38,7 +38,7 @@
     private final List<MeasuredSweep> sweeps = new ArrayList<>();
     private final List<ScenarioOutcome> scenarios = new ArrayList<>();
 
-    /** The {@code listener} gets the results so far after each point and each scenario. */
+    /** Creates a runner that passes all results measured so far to {@code listener} after each point and each scenario. */
     public ScaleRunner(ScalePlan plan, String build, Progress progress, Consumer<ScaleRun> listener) {
         this.plan = plan;
         this.build = build;
@@ -46,7 +46,7 @@
         this.listener = listener;
     }
 
-    /** Measures everything; what the limits do not allow is a failed point. */
+    /** Runs all sweeps and scenarios; a point or scenario that the plan's limits do not permit is recorded as failed. */
     public ScaleRun run() throws InterruptedException {
         for (Sweep sweep : plan.sweeps()) {
             run(sweep);
@@ -79,8 +79,8 @@
             return runner.measure(size, workload, secondsLeft());
         } catch (InterruptedException interrupted) {
             throw interrupted;
-        } catch (Exception failed) { // the other points are measured all the same
-            return new Point(size, workload, null, null, "fault of the measurement: " + failed);
+        } catch (Exception failed) { // a failed point must not stop the remaining points
+            return new Point(size, workload, null, null, "measurement failed: " + failed);
         }
     }
 
@@ -88,18 +88,21 @@
         progress.report("scenario: " + scenario.description());
         String limit = exceededLimit(ScenarioPlayer.MAX_SECONDS, 1);
         if (limit != null) {
-            return ScenarioPlayer.failed(scenario, plan.scenarioWorkload(), limit);
+            return ScenarioPlayer.failedOutcome(scenario, plan.scenarioWorkload(), limit);
         }
         try {
             return new ScenarioPlayer(plan.seed(), progress).play(scenario, plan.scenarioWorkload());
         } catch (InterruptedException interrupted) {
             throw interrupted;
-        } catch (Exception failed) { // the other scenarios are played all the same
-            return ScenarioPlayer.failed(scenario, plan.scenarioWorkload(), "fault of the measurement: " + failed);
+        } catch (Exception failed) { // a failed scenario must not stop the remaining scenarios
+            return ScenarioPlayer.failedOutcome(scenario, plan.scenarioWorkload(), "measurement failed: " + failed);
         }
     }
 
-    /** Which limit forbids a measurement of that many seconds and real controllers, as text, or null. */
+    /**
+     * Returns the failure text of the limit that a measurement of this duration with these real controllers could exceed, or
+     * null.
+     */
     private String exceededLimit(double seconds, int realControllers) {
         if (plan.bounds().processes() < 1 + realControllers) {
             return TOO_FEW_PROCESSES;
@@ -131,9 +134,9 @@
                 scenarios);
     }
 
-    /** Processor, memory and the load of the machine, that of other work included. */
+    /** Describes the processor, memory and load average of the machine; the load includes other processes. */
     private static String machine() {
-        return "%s; %s memory; load %s, of which this run is a part"
+        return "%s; %s memory; load average %s, including this run"
                 .formatted(
                         firstMatch("/proc/cpuinfo", "model name\\s*: (.*)"),
                         firstMatch("/proc/meminfo", "MemTotal:\\s+(.*)"),
@@ -142,8 +145,8 @@
 
     private static String firstMatch(String file, String pattern) {
         try {
-            Matcher found = Pattern.compile(pattern).matcher(Files.readString(Path.of(file)));
-            return found.find() ? found.group(1).strip() : "unknown";
+            Matcher matcher = Pattern.compile(pattern).matcher(Files.readString(Path.of(file)));
+            return matcher.find() ? matcher.group(1).strip() : "unknown";
         } catch (IOException unreadable) {
             return "unknown";
         }
--- a/src/main/java/linenring/scale/run/ScenarioPlayer.java
+++ b/src/main/java/linenring/scale/run/ScenarioPlayer.java
@@ -14,33 +14,36 @@
 import linenring.scale.measurement.Workload;
 import linenring.scale.process.ProcessorTimes;
 
-/** Plays one scenario to a real and a simulated controller, and waits until the tables of the real one's proxies agree. */
+/**
+ * Plays one scenario to a real and a simulated controller, and waits until the tables of the real controller's proxies match
+ * the catalogue.
+ */
 final class ScenarioPlayer {
-    /** How long one scenario takes at most. */
+    /** The maximum duration of one scenario. */
     static final double MAX_SECONDS = 260;
 
     private static final long SETTLE_TIMEOUT_S = 60;
     private static final long CONVERGENCE_TIMEOUT_S = 90;
-    /** Before the event: until then the first tables have gone out and hot code is compiled. */
-    private static final long QUIET_MS = 15_000;
+    /** The wait before the event of a scenario, in which the first tables are sent and hot code is compiled. */
+    private static final long STABILIZATION_MS = 15_000;
 
-    /** The minimum time from the event on. */
-    private static final long WATCH_MS = 10_000;
+    /** The minimum time for which a scenario is observed after its event. */
+    private static final long MIN_OBSERVATION_MS = 10_000;
 
     private static final double SECOND_NANOS = 1e9;
     private static final double PERMILLE = 1000;
     private static final double TENTHS = 10;
     private static final long POLL_MS = 100;
-    /** If the workload has no changes of its own. */
-    private static final double CHURN_PER_SECOND = 10;
+    /** The churn rate if the workload has no changes of its own. */
+    private static final double DEFAULT_CHURN_PER_SECOND = 10;
 
     private static final long CHURN_MS = 10_000;
-    private static final long ZONE_LOST_MS = 10_000;
-    /** Stands for an hour: what counts is how many changes are caught up with. */
-    private static final long SILENT_MS = 5000;
+    private static final long ZONE_OUTAGE_MS = 10_000;
+    /** The length of the silence. It represents an hour, since only the number of missed changes matters, not the time. */
+    private static final long SILENCE_MS = 5000;
 
-    /** 10,000 restarts and 270 failures a day of 73,000 hosts, over an hour. */
-    private static final double HOUR_SHARE = 10_270.0 / 24 / 73_000;
+    /** The share of hosts that change in an hour: a fleet of 73,000 hosts has 10,000 restarts and 270 failures a day. */
+    private static final double HOURLY_CHANGE_SHARE = 10_270.0 / 24 / 73_000;
 
     private static final int INVALID_ENTRIES = 5;
     private static final double ROLLING_STEP_SHARE = 0.1;
@@ -48,141 +51,151 @@
 
     private final long seed;
     private final Progress progress;
-    private final long quietMs;
-    private final long watchMs;
+    private final long stabilizationMs;
+    private final long minObservationMs;
 
     ScenarioPlayer(long seed, Progress progress) {
-        this(seed, progress, QUIET_MS, WATCH_MS);
+        this(seed, progress, STABILIZATION_MS, MIN_OBSERVATION_MS);
     }
 
-    /** With {@code quietMs} before the event and at least {@code watchMs} after it. */
-    ScenarioPlayer(long seed, Progress progress, long quietMs, long watchMs) {
+    /**
+     * Creates a player that waits {@code stabilizationMs} before the event and at least {@code minObservationMs} after it.
+     */
+    ScenarioPlayer(long seed, Progress progress, long stabilizationMs, long minObservationMs) {
         this.seed = seed;
         this.progress = progress;
-        this.quietMs = quietMs;
-        this.watchMs = watchMs;
+        this.stabilizationMs = stabilizationMs;
+        this.minObservationMs = minObservationMs;
     }
 
-    /** The outcome of a scenario that could not be played. */
-    static ScenarioOutcome failed(Scenario scenario, Workload workload, String failure) {
-        double none = Double.NaN;
-        return new ScenarioOutcome(scenario, workload, null, null, 0, none, none, none, none, failure);
+    /** Returns the outcome of a scenario that could not be completed. */
+    static ScenarioOutcome failedOutcome(Scenario scenario, Workload workload, String failure) {
+        double notMeasured = Double.NaN;
+        return new ScenarioOutcome(
+                scenario, workload, null, null, 0, notMeasured, notMeasured, notMeasured, notMeasured, failure);
     }
 
-    ScenarioOutcome play(Scenario scenario, Workload workload) throws Exception { // Jetty's start() may throw any
+    ScenarioOutcome play(Scenario scenario, Workload workload) throws Exception { // Jetty's start() declares Exception
         try (Testbed testbed = new Testbed(workload, seed)) {
             testbed.open(1, 1);
-            RealMember real = testbed.real().get(0);
-            String failure = testbed.awaitSettled(real, System.nanoTime() + TimeUnit.SECONDS.toNanos(SETTLE_TIMEOUT_S));
+            RealControllerWithFleet realController = testbed.realControllers().get(0);
+            String failure = testbed.awaitSettled(
+                    realController, System.nanoTime() + TimeUnit.SECONDS.toNanos(SETTLE_TIMEOUT_S));
             if (failure != null) {
-                return failed(scenario, workload, failure);
+                return failedOutcome(scenario, workload, failure);
             }
             testbed.awaitSimulatedSettled(System.nanoTime() + TimeUnit.SECONDS.toNanos(SETTLE_TIMEOUT_S));
-            TimeUnit.MILLISECONDS.sleep(quietMs);
-            return new Play(scenario, testbed, real).play();
+            TimeUnit.MILLISECONDS.sleep(stabilizationMs);
+            return new ScenarioExecution(scenario, testbed, realController).play();
         }
     }
 
-    /** One scenario from its event on. */
-    private final class Play {
+    /** The execution of one scenario, from its event until convergence. */
+    private final class ScenarioExecution {
         private final Scenario scenario;
         private final Testbed testbed;
-        private final RealMember real;
-        private final boolean completeTables; // each table has all ready hosts, as it had before the event
-        private final PeakShare peak = new PeakShare();
-        private final StaleHosts stale = new StaleHosts();
+        private final RealControllerWithFleet realController;
+        private final boolean completeTables; // whether each table must hold all ready hosts, as before the event
+        private final PeakProcessorShare peakShare = new PeakProcessorShare();
+        private final StaleHostDurations staleHostDurations = new StaleHostDurations();
         private final long startNanos = System.nanoTime();
         private final Traffic.Counts trafficBefore;
         private final long simulatedNanosBefore;
         private final Traffic.Counts simulatedTrafficBefore;
         private final long changedEntriesBefore;
-        private ProcessorTimes first;
-        private long eventEndNanos; // 0 while further events are ordered
+        private ProcessorTimes baselineTimes;
+        private long eventEndNanos; // end of the last scheduled event; 0 while events are pending
         private double processorSecondsBeforeRestart;
 
-        Play(Scenario scenario, Testbed testbed, RealMember real) throws IOException {
+        ScenarioExecution(Scenario scenario, Testbed testbed, RealControllerWithFleet realController)
+                throws IOException {
             this.scenario = scenario;
             this.testbed = testbed;
-            this.real = real;
-            completeTables = testbed.agreement(real.fleet().fleet(), true).isComplete();
-            trafficBefore = real.traffic();
-            InProcessMember simulated = testbed.simulated().get(0);
+            this.realController = realController;
+            completeTables =
+                    testbed.compareTables(realController.fleet().fleet(), true).isComplete();
+            trafficBefore = realController.traffic();
+            SimulatedControllerWithFleet simulated =
+                    testbed.simulatedControllers().get(0);
             simulatedNanosBefore = simulated.controller().processorNanos();
             simulatedTrafficBefore = simulated.connection().traffic().counts();
             changedEntriesBefore = testbed.driver().changedEntries();
-            first = real.process().processorTimes(false);
+            baselineTimes = realController.process().processorTimes(false);
         }
 
         ScenarioOutcome play() throws IOException, InterruptedException {
-            begin();
-            double converged = awaitConvergence();
-            if (!real.process().isAlive()) {
-                return failed(scenario, testbed.workload(), real.process().ending());
+            triggerEvent();
+            double convergenceSeconds = awaitConvergence();
+            if (!realController.process().isAlive()) {
+                return failedOutcome(
+                        scenario, testbed.workload(), realController.process().exitDescription());
             }
-            String failure = failure(converged);
-            ScenarioOutcome outcome = outcome(converged, failure);
-            progress.report(scenario + ": converged after " + converged + " s, peak "
-                    + Math.round(PERMILLE * peak.peak()) / TENTHS + "% of a core"
+            String failure = describeFailure(convergenceSeconds);
+            ScenarioOutcome outcome = outcome(convergenceSeconds, failure);
+            progress.report(scenario + ": converged after " + convergenceSeconds + " s, peak usage "
+                    + Math.round(PERMILLE * peakShare.peak()) / TENTHS + "% of a core"
                     + (failure == null ? "" : "; " + failure));
             return outcome;
         }
 
-        private String failure(double converged) {
-            List<String> faults = real.fleet().fleet().faults();
-            if (Double.isNaN(converged)) {
-                return "not converged in " + CONVERGENCE_TIMEOUT_S + " s: " + agreement();
+        private String describeFailure(double convergenceSeconds) {
+            List<String> faults = realController.fleet().fleet().faults();
+            if (Double.isNaN(convergenceSeconds)) {
+                return "tables did not converge within " + CONVERGENCE_TIMEOUT_S + " s: " + compareTables();
             }
-            return faults.isEmpty() ? null : faults.size() + " faults, the first: " + faults.get(0);
+            return faults.isEmpty() ? null : faults.size() + " faults of the simulated fleet; first: " + faults.get(0);
         }
 
-        private Agreement agreement() {
-            return testbed.agreement(real.fleet().fleet(), completeTables);
+        private TableConsistency compareTables() {
+            return testbed.compareTables(realController.fleet().fleet(), completeTables);
         }
 
         /**
-         * Seconds from the end of the event until the tables agreed, or the longest for which one held a host that was not
-         * ready any more; NaN if they did not agree in time.
+         * Returns the larger of two times in seconds: from the end of the event until the tables matched the catalogue, and the
+         * longest time for which a table kept a host that was no longer ready; NaN if the tables did not converge in time.
          */
         private double awaitConvergence() throws InterruptedException {
-            double converged = Double.NaN;
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(CONVERGENCE_TIMEOUT_S);
-            while (real.process().isAlive() && System.nanoTime() < end) {
-                watchFor(POLL_MS);
+            double convergenceSeconds = Double.NaN;
+            long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(CONVERGENCE_TIMEOUT_S);
+            while (realController.process().isAlive() && System.nanoTime() < deadlineNanos) {
+                observeFor(POLL_MS);
                 long now = System.nanoTime();
-                if (!hasEnded()) {
+                if (!hasEventEnded()) {
                     continue;
                 }
-                boolean agrees = agreement().isComplete() && holdsCurrentList();
-                if (!agrees) {
-                    converged = Double.NaN;
-                } else if (Double.isNaN(converged)) {
-                    converged = (now - eventEndNanos) / SECOND_NANOS;
+                boolean isConverged = compareTables().isComplete() && holdsCurrentList();
+                if (!isConverged) {
+                    convergenceSeconds = Double.NaN;
+                } else if (Double.isNaN(convergenceSeconds)) {
+                    convergenceSeconds = (now - eventEndNanos) / SECOND_NANOS;
                 }
-                if (agrees && now - startNanos > TimeUnit.MILLISECONDS.toNanos(watchMs)) {
+                if (isConverged && now - startNanos > TimeUnit.MILLISECONDS.toNanos(minObservationMs)) {
                     break;
                 }
             }
-            return Math.max(converged, stale.longestSeconds());
+            return Math.max(convergenceSeconds, staleHostDurations.longestSeconds());
         }
 
         private boolean holdsCurrentList() {
-            return real.server().watchersAt(testbed.catalogue().version()) > 0;
+            return realController.server().watchersAt(testbed.catalogue().version()) > 0;
         }
 
-        private boolean hasEnded() {
-            if (eventEndNanos == 0 && !testbed.driver().isBusy()) {
+        private boolean hasEventEnded() {
+            if (eventEndNanos == 0 && !testbed.driver().hasPendingEvents()) {
                 eventEndNanos = System.nanoTime();
             }
             return eventEndNanos != 0;
         }
 
-        private ScenarioOutcome outcome(double converged, String failure) throws IOException {
-            ProcessorTimes last = real.process().processorTimes(false);
+        private ScenarioOutcome outcome(double convergenceSeconds, String failure) throws IOException {
+            ProcessorTimes last = realController.process().processorTimes(false);
             double seconds = (System.nanoTime() - startNanos) / SECOND_NANOS;
-            Traffic.Counts traffic = real.traffic().since(trafficBefore);
-            double processorSeconds = processorSecondsBeforeRestart + (last.nanos() - first.nanos()) / SECOND_NANOS;
-            Usage realUsage = usage(processorSeconds, real.process().residentBytes(), traffic, seconds);
-            InProcessMember simulated = testbed.simulated().get(0);
+            Traffic.Counts traffic = realController.traffic().since(trafficBefore);
+            double processorSeconds = processorSecondsBeforeRestart
+                    + (last.processorNanos() - baselineTimes.processorNanos()) / SECOND_NANOS;
+            Usage realUsage = usage(processorSeconds, realController.process().residentBytes(), traffic, seconds);
+            SimulatedControllerWithFleet simulated =
+                    testbed.simulatedControllers().get(0);
             Traffic.Counts simulatedTraffic =
                     simulated.connection().traffic().counts().since(simulatedTrafficBefore);
             double simulatedSeconds = (simulated.controller().processorNanos() - simulatedNanosBefore) / SECOND_NANOS;
@@ -193,10 +206,10 @@
                     realUsage,
                     simulatedUsage,
                     (int) (testbed.driver().changedEntries() - changedEntriesBefore),
-                    converged,
+                    convergenceSeconds,
                     traffic.bytesIn(),
                     traffic.bytesOut(),
-                    peak.peak(),
+                    peakShare.peak(),
                     failure);
         }
 
@@ -212,88 +225,95 @@
                     Map.of());
         }
 
-        // ---- events
-
-        private void begin() throws IOException, InterruptedException {
+        private void triggerEvent() throws IOException, InterruptedException {
             long now = System.currentTimeMillis();
             switch (scenario) {
                 case IDLE -> {}
                 case CHURN -> churn(now);
                 case ROLLING_RESTART -> rollingRestart(now);
-                case RACK_LOST -> testbed.script(events -> events.loseRack(now, 0, 0));
-                case ZONE_LOST_AND_BACK -> testbed.script(events -> events.loseZone(now, 0, ZONE_LOST_MS));
-                case SILENCE_CAUGHT_UP -> silence(now);
-                case SPOILT_LIST -> invalidEntries();
+                case RACK_LOST -> testbed.scheduleEvents(events -> events.loseRack(now, 0, 0));
+                case ZONE_LOST_AND_BACK -> testbed.scheduleEvents(events -> events.loseZone(now, 0, ZONE_OUTAGE_MS));
+                case SILENCE_CAUGHT_UP -> silenceCatalogue(now);
+                case SPOILT_LIST -> restartWithInvalidEntries();
                 case PARTIAL_LIST -> {
-                    real.server().cutNextLists(1);
-                    restart();
+                    realController.server().cutNextLists(1);
+                    restartController();
                 }
                 case PROXIES_RESTARTED -> {
-                    real.fleet().rejoinAll();
-                    testbed.simulated().get(0).connection().rejoinAll();
+                    realController.fleet().rejoinAll();
+                    testbed.simulatedControllers().get(0).connection().rejoinAll();
                 }
-                case STEWARDS_RESTARTED -> restart();
+                case STEWARDS_RESTARTED -> restartController();
             }
         }
 
         private void churn(long now) throws InterruptedException {
             double rate = testbed.workload().changesPerSecond() > 0
                     ? testbed.workload().changesPerSecond()
-                    : CHURN_PER_SECOND;
-            testbed.script(events -> events.churn(now, rate));
-            watchFor(CHURN_MS);
-            testbed.script(CatalogueEvents::endSteadyRates);
+                    : DEFAULT_CHURN_PER_SECOND;
+            testbed.scheduleEvents(events -> events.churn(now, rate));
+            observeFor(CHURN_MS);
+            testbed.scheduleEvents(CatalogueEvents::endSteadyRates);
         }
 
         private void rollingRestart(long now) {
-            List<CatalogueHost> service = testbed.catalogue().hosts(host -> host.service() == 0);
-            int step = (int) Math.max(1, service.size() * ROLLING_STEP_SHARE);
-            testbed.script(events -> events.rollingRestart(now, service, step, ROLLING_INTERVAL_MS));
+            List<CatalogueHost> serviceHosts = testbed.catalogue().hosts(host -> host.service() == 0);
+            int hostsPerStep = (int) Math.max(1, serviceHosts.size() * ROLLING_STEP_SHARE);
+            testbed.scheduleEvents(
+                    events -> events.rollingRestart(now, serviceHosts, hostsPerStep, ROLLING_INTERVAL_MS));
         }
 
-        private void silence(long now) throws InterruptedException {
+        private void silenceCatalogue(long now) throws InterruptedException {
             testbed.servers().forEach(server -> server.setSilent(true));
-            List<CatalogueHost> all = testbed.catalogue().hosts(CatalogueHost::isReady);
-            int changed = (int) Math.ceil(all.size() * HOUR_SHARE);
-            int stride = Math.max(1, all.size() / changed);
-            List<CatalogueHost> replaced = IntStream.range(0, changed)
-                    .mapToObj(index -> all.get(index * stride))
+            List<CatalogueHost> readyHosts = testbed.catalogue().hosts(CatalogueHost::isReady);
+            int replacedCount = (int) Math.ceil(readyHosts.size() * HOURLY_CHANGE_SHARE);
+            int stride = Math.max(1, readyHosts.size() / replacedCount);
+            List<CatalogueHost> replaced = IntStream.range(0, replacedCount)
+                    .mapToObj(index -> readyHosts.get(index * stride))
                     .toList();
-            testbed.script(events -> events.replaceAll(now, replaced));
-            watchFor(SILENT_MS);
+            testbed.scheduleEvents(events -> events.replaceAll(now, replaced));
+            observeFor(SILENCE_MS);
             testbed.servers().forEach(server -> server.setSilent(false));
         }
 
-        /** The controller restarts with a list of which some entries can't be read; later these hosts change, and are read. */
-        private void invalidEntries() throws IOException, InterruptedException {
-            real.server().corruptNextLists(1, INVALID_ENTRIES);
-            List<CatalogueHost> affected = testbed.catalogue()
+        /**
+         * Restarts the controller with a host list that has some invalid entries; later these hosts change and their new
+         * entries are valid.
+         */
+        private void restartWithInvalidEntries() throws IOException, InterruptedException {
+            realController.server().corruptNextLists(1, INVALID_ENTRIES);
+            List<CatalogueHost> affectedHosts = testbed.catalogue()
                     .hosts(host -> true)
                     .subList(0, Math.min(INVALID_ENTRIES, testbed.workload().catalogueHosts()));
-            restart();
-            watchFor(watchMs);
-            testbed.script(events -> events.rollingRestart(System.currentTimeMillis(), affected, INVALID_ENTRIES, 1));
+            restartController();
+            observeFor(minObservationMs);
+            testbed.scheduleEvents(
+                    events -> events.rollingRestart(System.currentTimeMillis(), affectedHosts, INVALID_ENTRIES, 1));
         }
 
-        private void restart() throws IOException {
+        private void restartController() throws IOException {
             processorSecondsBeforeRestart +=
-                    (real.process().processorTimes(false).nanos() - first.nanos()) / SECOND_NANOS;
-            real.restart();
-            first = new ProcessorTimes(System.nanoTime(), 0, Map.of()); // it has used none yet
+                    (realController.process().processorTimes(false).processorNanos() - baselineTimes.processorNanos())
+                            / SECOND_NANOS;
+            realController.restart();
+            baselineTimes = new ProcessorTimes(
+                    System.nanoTime(), 0, Map.of()); // a new process, which has used no processor time
         }
 
-        /** Waits, and takes readings meanwhile. */
-        private void watchFor(long durationMs) throws InterruptedException {
-            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(durationMs);
+        /**
+         * Reads processor time and stale hosts at the poll interval, for this duration or until the controller process ends.
+         */
+        private void observeFor(long durationMs) throws InterruptedException {
+            long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(durationMs);
             do {
                 try {
-                    peak.add(real.process().processorTimes(false));
-                } catch (IOException ended) {
-                    return; // the process has ended, which the outcome says
+                    peakShare.add(realController.process().processorTimes(false));
+                } catch (IOException processEnded) {
+                    return; // the process has ended, which the outcome reports
                 }
-                stale.add(testbed.staleHosts(real.fleet().fleet()), System.nanoTime());
+                staleHostDurations.add(testbed.staleHosts(realController.fleet().fleet()), System.nanoTime());
                 TimeUnit.MILLISECONDS.sleep(Math.min(durationMs, POLL_MS));
-            } while (System.nanoTime() < end);
+            } while (System.nanoTime() < deadlineNanos);
         }
     }
 }
--- a/src/main/java/linenring/scale/run/InProcessMember.java
+++ b/src/main/java/linenring/scale/run/SimulatedControllerWithFleet.java
@@ -6,15 +6,18 @@
 import linenring.scale.fleet.SimulatedFleet;
 import org.eclipse.jetty.util.thread.Scheduler;
 
-/** A simulated controller and its fleet. */
-final class InProcessMember implements AutoCloseable {
+/** A simulated controller in this process, connected to a simulated fleet. */
+final class SimulatedControllerWithFleet implements AutoCloseable {
     private final SimulatedFleet fleet;
     private final InProcessFleets fleets;
     private InProcessController controller;
     private InProcessFleets.Connection connection;
 
-    /** {@code keepsLedger}: whether it records the lists it receives, which takes time and memory. */
-    InProcessMember(
+    /**
+     * Creates the controller; if {@code keepsLedger}, it records the host lists that it receives, at a cost in time and
+     * memory.
+     */
+    SimulatedControllerWithFleet(
             String name,
             ControllerConfiguration configuration,
             Scheduler scheduler,
@@ -26,7 +29,7 @@
         controller = new InProcessController(name, configuration, scheduler, keepsLedger);
     }
 
-    void open() throws Exception { // Jetty's start() may throw any
+    void open() throws Exception { // Jetty's start() declares Exception
         controller.open();
         connection = fleets.join(fleet, controller.codec(), controller.events());
     }
@@ -43,7 +46,7 @@
         return connection;
     }
 
-    /** Ends the controller and releases its memory; the fleet stays as it is. */
+    /** Disconnects and closes the controller and releases its memory; the fleet keeps its state. */
     void release() {
         connection.end();
         controller.close();
--- a/src/main/java/linenring/scale/run/Testbed.java
+++ b/src/main/java/linenring/scale/run/Testbed.java
@@ -31,14 +31,14 @@
 import linenring.scale.process.MeasuredConfiguration;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 
-/** A catalogue with its real and simulated controllers and their fleets, on loopback, for one workload. */
+/** Runs a catalogue, real and simulated controllers and their fleets on loopback, for one workload. */
 final class Testbed implements AutoCloseable {
-    /** The operations, each of which all hosts run. */
+    /** The names of all operations; every host runs each of them. */
     static final List<String> OPERATIONS = List.of("lookup", "order", "report");
 
     private static final int KINDS = 2;
     private static final int HOSTS_PER_RACK = 40;
-    private static final double REQUESTS_PER_SECOND = 20; // to each proxy
+    private static final double REQUESTS_PER_SECOND = 20; // simulated requests to each proxy
     private static final long POLL_MS = 50;
 
     private final Workload workload;
@@ -46,21 +46,21 @@
     private final boolean keepsLedgers;
     private final Path directory;
     private final Catalogue catalogue;
-    private final List<String> scope;
-    private final HostRegistry hosts = new HostRegistry();
+    private final List<String> scopedServices;
+    private final HostRegistry hostRegistry = new HostRegistry();
     private final CatalogueDriver driver;
     private final CatalogueServer simulatedCatalogue;
     private final InProcessFleets inProcessFleets = new InProcessFleets();
     private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler("simulated-timer", true);
-    private final List<RealMember> real = new ArrayList<>();
-    private final List<InProcessMember> simulated = new ArrayList<>();
+    private final List<RealControllerWithFleet> realControllers = new ArrayList<>();
+    private final List<SimulatedControllerWithFleet> simulatedControllers = new ArrayList<>();
 
-    /** Builds the catalogue; nothing runs yet. */
+    /** Creates the catalogue; {@link #open} starts the controllers and fleets. */
     Testbed(Workload workload, long seed) throws IOException {
         this(workload, seed, false);
     }
 
-    /** {@code keepsLedgers}: whether simulated controllers record the lists they receive. */
+    /** Creates the catalogue; if {@code keepsLedgers}, simulated controllers record the host lists that they receive. */
     Testbed(Workload workload, long seed, boolean keepsLedgers) throws IOException {
         this.workload = workload;
         this.seed = seed;
@@ -68,14 +68,16 @@
         directory = Files.createTempDirectory("linenring-scale");
         catalogue = new Catalogue(new CatalogueLayout(
                 workload.catalogueHosts(), workload.zones(), KINDS, workload.services(), HOSTS_PER_RACK));
-        scope = scope(workload);
-        driver = new CatalogueDriver(catalogue, hosts, seed);
+        scopedServices = scopedServices(workload);
+        driver = new CatalogueDriver(catalogue, hostRegistry, seed);
         simulatedCatalogue = new CatalogueServer(catalogue, "catalogue-simulated");
-        driver.publishTo(simulatedCatalogue);
+        driver.addServer(simulatedCatalogue);
     }
 
-    /** The services that have about as many hosts as the workload has in scope; empty for all. */
-    private static List<String> scope(Workload workload) {
+    /**
+     * Returns services that together have about as many hosts as the workload has in scope; empty if all hosts are in scope.
+     */
+    private static List<String> scopedServices(Workload workload) {
         if (workload.hostsInScope() >= workload.catalogueHosts()) {
             return List.of();
         }
@@ -85,30 +87,34 @@
                 .toList();
     }
 
-    /** Starts the controllers, real ones first; each gets a fleet of the workload's proxies. */
-    void open(int realControllers, int simulatedControllers) throws Exception { // Jetty's start() may throw any
+    /**
+     * Starts the real controllers, then the simulated controllers, each with its own fleet of the workload's number of
+     * proxies.
+     */
+    void open(int realCount, int simulatedCount) throws Exception { // Jetty's start() declares Exception
         simulatedCatalogue.open();
         scheduler.start();
         inProcessFleets.start();
         driver.start();
-        for (int i = 0; i < realControllers; i++) {
+        for (int i = 0; i < realCount; i++) {
             CatalogueServer server = new CatalogueServer(catalogue, "catalogue-real-" + i);
-            driver.publishTo(server);
-            real.add(new RealMember("real-" + i, directory, measuredConfiguration(), server, fleet(i)));
+            driver.addServer(server);
+            realControllers.add(new RealControllerWithFleet(
+                    "real-" + i, directory, measuredConfiguration(), server, createFleet(i)));
         }
-        for (RealMember member : real) {
+        for (RealControllerWithFleet member : realControllers) {
             member.open();
         }
-        for (int i = 0; i < simulatedControllers; i++) {
-            simulated.add(new InProcessMember(
+        for (int i = 0; i < simulatedCount; i++) {
+            simulatedControllers.add(new SimulatedControllerWithFleet(
                     "simulated-" + i,
-                    configuration(i),
+                    simulatedConfiguration(i),
                     scheduler,
-                    fleet(realControllers + i),
+                    createFleet(realCount + i),
                     inProcessFleets,
                     keepsLedgers));
         }
-        for (InProcessMember member : simulated) {
+        for (SimulatedControllerWithFleet member : simulatedControllers) {
             member.open();
         }
     }
@@ -121,10 +127,10 @@
                 OPERATIONS,
                 workload.proxies(),
                 ChannelLimits.ofFleet(workload.proxies()),
-                scope);
+                scopedServices);
     }
 
-    private SimulatedFleet fleet(int number) {
+    private SimulatedFleet createFleet(int controllerIndex) {
         FleetLayout layout = new FleetLayout(
                 workload.proxies(),
                 catalogue.layout().zoneNames(),
@@ -132,15 +138,18 @@
                 ChannelLimits.ofFleet(workload.proxies()),
                 workload.reportsPerSecond(),
                 REQUESTS_PER_SECOND);
-        return new SimulatedFleet(layout, hosts, new Random(seed + 1 + number));
+        return new SimulatedFleet(layout, hostRegistry, new Random(seed + 1 + controllerIndex));
     }
 
-    private ControllerConfiguration configuration(int number) throws IOException {
-        Path file = directory.resolve("simulated-" + number + ".json");
+    private ControllerConfiguration simulatedConfiguration(int controllerIndex) throws IOException {
+        Path file = directory.resolve("simulated-" + controllerIndex + ".json");
         Files.write(
                 file,
                 measuredConfiguration()
-                        .json("simulated-" + number, RealMember.unusedAddress(), simulatedCatalogue.address()));
+                        .json(
+                                "simulated-" + controllerIndex,
+                                RealControllerWithFleet.unusedAddress(),
+                                simulatedCatalogue.address()));
         try {
             return ControllerConfigurationReader.read(Map.of("GW_CONFIG", file.toString()));
         } catch (ConfigurationException failure) {
@@ -148,19 +157,17 @@
         }
     }
 
-    // ---- events
-
-    /** Starts the workload's steady changes. */
+    /** Starts the workload's steady catalogue changes and host restarts. */
     void startSteadyRates() {
         long now = System.currentTimeMillis();
-        driver.script(events -> {
+        driver.schedule(events -> {
             events.churn(now, workload.changesPerSecond());
             events.replaceSteadily(now, workload.restartsPerSecond());
         });
     }
 
-    void script(Consumer<CatalogueEvents> change) {
-        driver.script(change);
+    void scheduleEvents(Consumer<CatalogueEvents> scheduling) {
+        driver.schedule(scheduling);
     }
 
     Catalogue catalogue() {
@@ -171,94 +178,104 @@
         return driver;
     }
 
-    List<RealMember> real() {
-        return real;
+    List<RealControllerWithFleet> realControllers() {
+        return realControllers;
     }
 
-    List<InProcessMember> simulated() {
-        return simulated;
+    List<SimulatedControllerWithFleet> simulatedControllers() {
+        return simulatedControllers;
     }
 
     Workload workload() {
         return workload;
     }
 
-    /** The discovery agent of all simulated controllers. */
+    /** Returns the discovery agent of all simulated controllers. */
     CatalogueServer simulatedCatalogue() {
         return simulatedCatalogue;
     }
 
-    /** All servers of the catalogue. */
+    /** Returns the discovery agents of all controllers, simulated and real. */
     List<CatalogueServer> servers() {
-        return Stream.concat(Stream.of(simulatedCatalogue), real.stream().map(RealMember::server))
+        return Stream.concat(
+                        Stream.of(simulatedCatalogue), realControllers.stream().map(RealControllerWithFleet::server))
                 .toList();
     }
 
-    // ---- state
-
-    /** The ids of the hosts that are ready and that tables may hold. */
+    /** Returns the ids of the ready hosts that are in scope. */
     Set<String> readyInScope() {
-        if (scope.isEmpty()) {
+        if (scopedServices.isEmpty()) {
             return catalogue.readyIds();
         }
-        Set<String> ready = new HashSet<>();
+        Set<String> readyIds = new HashSet<>();
         catalogue
-                .hosts(host -> host.isReady() && scope.contains(CatalogueLayout.serviceName(host.service())))
-                .forEach(host -> ready.add(host.id()));
-        return ready;
+                .hosts(host -> host.isReady() && scopedServices.contains(CatalogueLayout.serviceName(host.service())))
+                .forEach(host -> readyIds.add(host.id()));
+        return readyIds;
     }
 
-    /** Waits until that member's proxies have tables and it holds the current list; null, or what is missing. */
-    String awaitSettled(RealMember member, long deadlineNanos) throws InterruptedException {
+    /**
+     * Waits until a real controller holds the current host list and its proxies have tables; returns null, or why it has not
+     * settled.
+     */
+    String awaitSettled(RealControllerWithFleet member, long deadlineNanos) throws InterruptedException {
         while (true) {
             if (!member.process().isAlive()) {
-                return member.process().ending();
+                return member.process().exitDescription();
             }
-            String missing = missing(member.fleet().fleet(), member.server().watchersAt(catalogue.version()), 1);
-            if (missing == null) {
+            String reason =
+                    unsettledReason(member.fleet().fleet(), member.server().watchersAt(catalogue.version()), 1);
+            if (reason == null) {
                 return null;
             }
             if (System.nanoTime() - deadlineNanos > 0) {
-                return "not settled in time: " + missing + "; "
-                        + member.process().ending();
+                return "not settled in time: " + reason + "; "
+                        + member.process().exitDescription();
             }
             TimeUnit.MILLISECONDS.sleep(POLL_MS);
         }
     }
 
-    /** The same for all simulated members. */
+    /**
+     * Waits until all simulated controllers hold the current host list and their proxies have tables; returns null, or why
+     * not.
+     */
     String awaitSimulatedSettled(long deadlineNanos) throws InterruptedException {
         while (true) {
-            String missing = null;
-            for (InProcessMember member : simulated) {
-                String ownMissing =
-                        missing(member.fleet(), simulatedCatalogue.watchersAt(catalogue.version()), simulated.size());
-                missing = missing == null ? ownMissing : missing;
+            String reason = null;
+            for (SimulatedControllerWithFleet member : simulatedControllers) {
+                String memberReason = unsettledReason(
+                        member.fleet(),
+                        simulatedCatalogue.watchersAt(catalogue.version()),
+                        simulatedControllers.size());
+                reason = reason == null ? memberReason : reason;
                 if (member.controller().failure() != null) {
                     return member.controller().failure();
                 }
             }
-            if (missing == null) {
+            if (reason == null) {
                 return null;
             }
             if (System.nanoTime() - deadlineNanos > 0) {
-                return "not settled in time: " + missing;
+                return "not settled in time: " + reason;
             }
             TimeUnit.MILLISECONDS.sleep(POLL_MS);
         }
     }
 
-    private static String missing(SimulatedFleet fleet, int watchers, int expectedWatchers) {
+    private static String unsettledReason(SimulatedFleet fleet, int watchers, int expectedWatchers) {
         if (watchers < expectedWatchers) {
-            return watchers + " of " + expectedWatchers + " hold the current list";
+            return watchers + " of " + expectedWatchers + " controllers hold the current host list";
         }
-        long without = fleet.proxies().stream()
+        long proxiesWithoutTable = fleet.proxies().stream()
                 .filter(proxy -> !proxy.isUpdated() || !proxy.hasHosts())
                 .count();
-        return without == 0 ? null : without + " of " + fleet.proxies().size() + " proxies have no table";
+        return proxiesWithoutTable == 0
+                ? null
+                : proxiesWithoutTable + " of " + fleet.proxies().size() + " proxies have no table";
     }
 
-    /** The ids of hosts that are not ready and that a proxy may still send to. */
+    /** Returns the ids of hosts that are not ready but eligible for requests in the table of at least one proxy. */
     Set<String> staleHosts(SimulatedFleet fleet) {
         Set<String> eligible = new HashSet<>();
         for (SimulatedProxy proxy : fleet.proxies()) {
@@ -270,23 +287,23 @@
         return eligible;
     }
 
-    /** How far a fleet agrees with the catalogue; {@code completeTables}: each table must have all ready hosts. */
-    Agreement agreement(SimulatedFleet fleet, boolean completeTables) {
-        return Agreement.of(fleet.proxies(), OPERATIONS.size(), readyInScope(), completeTables);
+    /** Compares a fleet's tables with the catalogue; if {@code completeTables}, each table must hold all ready hosts. */
+    TableConsistency compareTables(SimulatedFleet fleet, boolean completeTables) {
+        return TableConsistency.compare(fleet.proxies(), OPERATIONS.size(), readyInScope(), completeTables);
     }
 
-    /** Ends everything; real controllers are killed. */
+    /** Stops all controllers and fleets; real controllers are killed. */
     @Override
     public void close() {
         driver.close();
-        real.forEach(RealMember::close);
-        simulated.forEach(InProcessMember::close);
+        realControllers.forEach(RealControllerWithFleet::close);
+        simulatedControllers.forEach(SimulatedControllerWithFleet::close);
         inProcessFleets.close();
         simulatedCatalogue.close();
         try {
             scheduler.stop();
             deleteDirectory();
-        } catch (Exception ignored) { // stop() may throw any; what is left in the temporary directory does no harm
+        } catch (Exception ignored) { // files that remain in the temporary directory are harmless
             return;
         }
     }
--- a/src/main/java/linenring/scale/run/package-info.java
+++ b/src/main/java/linenring/scale/run/package-info.java
@@ -1,2 +1,2 @@
-/** Measures real and simulated controllers under workloads and scenarios, one at a time. */
+/** Measures real and simulated controllers under workloads and scenarios, one workload or scenario at a time. */
 package linenring.scale.run;
--- a/src/main/java/linenring/scale/settings/ScalePlanReader.java
+++ b/src/main/java/linenring/scale/settings/ScalePlanReader.java
@@ -19,14 +19,14 @@
 import linenring.scale.measurement.Workload;
 
 /**
- * Reads the settings of a scale run: KDL, then the schema, then what a schema can't express. Each error is one line that
- * names the file, the line, the key and what was expected.
+ * Reads the settings of a scale run: parses KDL, validates the schema, then checks the constraints that a schema can't express.
+ * Each error is one line that names the file, the line, the key and the expected value.
  */
 public final class ScalePlanReader {
-    /** A plan, or null and the errors. */
+    /** The result of reading settings: a plan, or null and the errors. */
     public record Outcome(ScalePlan plan, List<String> faults) {}
 
-    private static final Set<String> LIST_NAMES = Set.of("sweep", "scenario");
+    private static final Set<String> REPEATED_KEYS = Set.of("sweep", "scenario");
     private static final double SECOND_MS = 1000;
 
     private final SettingsDocument document;
@@ -35,7 +35,7 @@
         this.document = document;
     }
 
-    /** Reads a file; an unreadable file is an error in the outcome. */
+    /** Reads a settings file; a file that cannot be read is an error in the outcome. */
     public static Outcome read(Path file) {
         try {
             return read(file.toString(), Files.readString(file));
@@ -46,7 +46,7 @@
 
     static Outcome read(String file, String text) {
         SettingsDocument document =
-                new SettingsSchema(ScalePlanReader.class, "scale.schema.json", LIST_NAMES).read(file, text);
+                new SettingsSchema(ScalePlanReader.class, "scale.schema.json", REPEATED_KEYS).read(file, text);
         if (!document.isSound()) {
             return new Outcome(null, document.faults());
         }
@@ -82,13 +82,11 @@
         if (plan.sweepSeconds() > plan.bounds().seconds()) {
             document.fault(
                     "/scale/bounds/time",
-                    "scale.bounds.time: " + bounds.get("time") + " is under the " + Math.round(plan.sweepSeconds())
-                            + " s that the sweeps' points take");
+                    "scale.bounds.time: " + bounds.get("time") + " is less than the " + Math.round(plan.sweepSeconds())
+                            + " s that warm-up and window of all points take");
         }
     }
 
-    // ---- sweeps
-
     private List<Sweep> sweeps(JsonNode scale) {
         List<Sweep> sweeps = new ArrayList<>();
         for (JsonNode sweep : scale.path("sweep")) {
@@ -97,40 +95,46 @@
         return sweeps;
     }
 
-    private Sweep sweep(JsonNode sweep, JsonNode common, String pointer) {
+    private Sweep sweep(JsonNode sweep, JsonNode commonWorkload, String pointer) {
         Variable variable = variable(sweep.get("arguments").get(0).asText());
         List<Double> sizes = new ArrayList<>();
         sweep.get("sizes").get("arguments").forEach(size -> sizes.add(size.asDouble()));
         checkSizes(variable, sizes, pointer + "/sizes");
-        String key = "scale.sweep \"" + name(variable) + "\".workload";
-        return new Sweep(variable, sizes, workload(common, sweep.path("workload"), key, pointer + "/workload"));
+        String key = "scale.sweep \"" + settingsName(variable) + "\".workload";
+        return new Sweep(variable, sizes, workload(commonWorkload, sweep.path("workload"), key, pointer + "/workload"));
     }
 
     private void checkSizes(Variable variable, List<Double> sizes, String pointer) {
-        String key = "scale.sweep \"" + name(variable) + "\".sizes: ";
+        String key = "scale.sweep \"" + settingsName(variable) + "\".sizes: ";
         for (int i = 0; i < sizes.size(); i++) {
             double size = sizes.get(i);
             if (!variable.isRate() && size != Math.rint(size)) {
                 document.fault(pointer, key + size + " is not a whole number");
             }
             if (i > 0 && size <= sizes.get(i - 1)) {
-                document.fault(pointer, key + shown(size) + " is not over " + shown(sizes.get(i - 1)) + " before it");
+                document.fault(
+                        pointer,
+                        key + formatSize(size) + " is not greater than the preceding size "
+                                + formatSize(sizes.get(i - 1)));
             }
         }
     }
 
-    // ---- workloads
-
     private Workload scenarioWorkload(JsonNode scale) {
-        JsonNode own = scale.path("scenario-workload");
-        return workload(scale.get("workload"), own, "scale.scenario-workload", "/scale/scenario-workload");
+        JsonNode overrides = scale.path("scenario-workload");
+        return workload(scale.get("workload"), overrides, "scale.scenario-workload", "/scale/scenario-workload");
     }
 
-    /** The common workload with the values of {@code own} in place of its own; a scope that neither names is the whole catalogue. */
-    private Workload workload(JsonNode common, JsonNode own, String key, String pointer) {
+    /**
+     * Merges {@code overrides} into the common workload. Without hosts-in-scope in either of them, all hosts of the
+     * catalogue are in scope.
+     */
+    private Workload workload(JsonNode commonWorkload, JsonNode overrides, String key, String pointer) {
         Map<Variable, Double> sizes = new EnumMap<>(Variable.class);
         for (Variable variable : Variable.values()) {
-            JsonNode size = own.has(name(variable)) ? own.get(name(variable)) : common.get(name(variable));
+            JsonNode size = overrides.has(settingsName(variable))
+                    ? overrides.get(settingsName(variable))
+                    : commonWorkload.get(settingsName(variable));
             sizes.put(variable, size == null ? sizes.get(Variable.CATALOGUE_HOSTS) : size.asDouble());
         }
         double hosts = sizes.get(Variable.CATALOGUE_HOSTS);
@@ -138,35 +142,34 @@
         if (scope > hosts) {
             document.fault(
                     pointer,
-                    key + ": hosts-in-scope of " + shown(scope) + " is over catalogue-hosts of " + shown(hosts));
+                    key + ": hosts-in-scope of " + formatSize(scope) + " exceeds catalogue-hosts of "
+                            + formatSize(hosts));
         }
-        return Workload.of(sizes);
+        return Workload.ofSizes(sizes);
     }
 
-    // ---- names
-
     private List<Scenario> scenarios(JsonNode scale) {
         List<Scenario> scenarios = new ArrayList<>();
         for (JsonNode scenario : scale.path("scenario")) {
             String name = scenario.get("arguments").get(0).asText();
-            scenarios.add(Scenario.valueOf(constant(name)));
+            scenarios.add(Scenario.valueOf(constantName(name)));
         }
         return scenarios;
     }
 
     private static Variable variable(String name) {
-        return Variable.valueOf(constant(name));
+        return Variable.valueOf(constantName(name));
     }
 
-    private static String name(Variable variable) {
+    private static String settingsName(Variable variable) {
         return variable.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    private static String constant(String name) {
+    private static String constantName(String name) {
         return name.toUpperCase(Locale.ROOT).replace('-', '_');
     }
 
-    private static String shown(double size) {
+    private static String formatSize(double size) {
         return size == Math.rint(size) ? Long.toString((long) size) : Double.toString(size);
     }
 }
--- a/src/main/java/linenring/scale/settings/package-info.java
+++ b/src/main/java/linenring/scale/settings/package-info.java
@@ -1,2 +1,2 @@
-/** The settings of a scale run: KDL 2, read and checked into a typed plan. */
+/** Reads and validates the settings of a scale run, a KDL 2 file, into a typed plan. */
 package linenring.scale.settings;
--- a/src/main/java/linenring/scale/sockets/SocketLink.java
+++ b/src/main/java/linenring/scale/sockets/SocketLink.java
@@ -6,17 +6,20 @@
 import java.nio.channels.SocketChannel;
 import java.util.ArrayDeque;
 
-/** One connection of a {@link SocketLoop}. All its methods are called on the loop's thread, which owns its state. */
+/**
+ * One connection of a {@link SocketLoop}. All methods must be called on the loop's thread, which owns the connection's
+ * state.
+ */
 public final class SocketLink {
     /** Handles the events of a connection, on the loop's thread. */
     public interface Handler {
-        /** The connection is open. */
+        /** Called when the connection has opened. */
         void connected(SocketLink link);
 
-        /** Bytes have arrived; the buffer is used again once the method returns. */
+        /** Called when bytes have arrived; the buffer is reused after the method returns. */
         void received(SocketLink link, ByteBuffer bytes);
 
-        /** The connection has ended, whoever ended it; called once. */
+        /** Called once when the connection has closed, whichever side closed it. */
         void closed(SocketLink link);
     }
 
@@ -42,11 +45,11 @@
         return handler;
     }
 
-    void registered(SelectionKey registration) {
+    void setSelectionKey(SelectionKey registration) {
         key = registration;
     }
 
-    /** Sends these bytes without a copy: the caller must not change them any more. */
+    /** Sends the first {@code length} bytes without copying them, so the caller must not modify the array afterwards. */
     public void send(byte[] bytes, int length) {
         if (closed || closesWhenSent) {
             return;
@@ -55,12 +58,12 @@
         flush();
     }
 
-    /** Sends all of these bytes. */
+    /** Sends the whole array without copying it, so the caller must not modify the array afterwards. */
     public void send(byte[] bytes) {
         send(bytes, bytes.length);
     }
 
-    /** Closes it once all is sent. */
+    /** Closes the connection when all queued bytes are sent; further sends are ignored. */
     public void closeWhenSent() {
         closesWhenSent = true;
         flush();
@@ -82,12 +85,12 @@
             if (closesWhenSent) {
                 close();
             }
-        } catch (IOException lost) {
+        } catch (IOException connectionLost) {
             close();
         }
     }
 
-    /** Closes it now; what is not sent yet is dropped. */
+    /** Closes the connection immediately; queued bytes are dropped. */
     public void close() {
         if (closed) {
             return;
@@ -97,7 +100,7 @@
         handler.closed(this);
     }
 
-    /** Whether it has ended. */
+    /** Whether the connection has closed. */
     public boolean isClosed() {
         return closed;
     }
--- a/src/main/java/linenring/scale/sockets/SocketLoop.java
+++ b/src/main/java/linenring/scale/sockets/SocketLoop.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.atomic.LongAdder;
 import java.util.function.Supplier;
 
-/** A thread that serves connections on loopback, runs tasks and calls a periodic action. */
+/** An event loop: one thread that serves connections on loopback, runs tasks and calls a periodic action. */
 public final class SocketLoop implements AutoCloseable {
     private static final int READ_BYTES = 256 * 1024;
     private static final int BACKLOG = 1024;
@@ -33,7 +33,7 @@
     private final Thread thread;
     private volatile boolean closed;
 
-    /** Calls {@code tick} every {@code tickMs}, once it is started. */
+    /** Creates a loop that calls {@code tick} every {@code tickMs} milliseconds after its start. */
     public SocketLoop(String name, long tickMs, Runnable tick) throws IOException {
         this.tickMs = tickMs;
         this.tick = tick;
@@ -42,18 +42,21 @@
         thread.setDaemon(true);
     }
 
-    /** Starts the thread. */
+    /** Starts the loop's thread. */
     public void start() {
         thread.start();
     }
 
-    /** Runs a task on the loop's thread; the only method for other threads. */
+    /**
+     * Runs a task on the loop's thread. While the loop runs, other threads may call only this method, the byte counters and
+     * {@link #close}.
+     */
     public void execute(Runnable task) {
         tasks.add(task);
         selector.wakeup();
     }
 
-    /** Listens on loopback at a free port; each connection gets a handler of its own. Called before the start. */
+    /** Listens on a free loopback port, with one handler for each connection. Must be called before the loop starts. */
     public InetSocketAddress listen(Supplier<SocketLink.Handler> handlers) throws IOException {
         ServerSocketChannel server = ServerSocketChannel.open();
         server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), BACKLOG);
@@ -62,7 +65,10 @@
         return (InetSocketAddress) server.getLocalAddress();
     }
 
-    /** Connects; on the loop's thread. A connect that fails is reported as the end of the connection. */
+    /**
+     * Opens a connection; must be called on the loop's thread. A failed connect is reported to the handler as a closed
+     * connection.
+     */
     public SocketLink connect(InetSocketAddress address, SocketLink.Handler handler) {
         SocketChannel channel = null;
         SocketLink link;
@@ -72,12 +78,12 @@
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
             boolean connected = channel.connect(address);
-            link.registered(
+            link.setSelectionKey(
                     channel.register(selector, connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, link));
             if (connected) {
                 handler.connected(link);
             }
-        } catch (IOException lost) {
+        } catch (IOException connectionLost) {
             link = new SocketLink(this, channel, handler);
             link.close();
         }
@@ -89,7 +95,7 @@
         while (!closed) {
             try {
                 selector.select(Math.max(1, (nextTickNanos - System.nanoTime()) / NANOS_PER_MS));
-                selector.selectedKeys().forEach(this::serve);
+                selector.selectedKeys().forEach(this::handleReadyKey);
                 selector.selectedKeys().clear();
                 for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
                     task.run();
@@ -98,15 +104,15 @@
                     nextTickNanos = System.nanoTime() + tickMs * NANOS_PER_MS;
                     tick.run();
                 }
-            } catch (IOException broken) {
-                throw new UncheckedIOException(broken); // the selector itself, not a connection
+            } catch (IOException selectorFailure) {
+                throw new UncheckedIOException(selectorFailure); // failures of single connections are handled elsewhere
             }
         }
         selector.keys().forEach(key -> closeQuietly(key.channel()));
         closeQuietly(selector);
     }
 
-    private void serve(SelectionKey key) {
+    private void handleReadyKey(SelectionKey key) {
         if (!key.isValid()) {
             return;
         }
@@ -127,7 +133,7 @@
             if (key.isValid() && key.isWritable()) {
                 link.flush();
             }
-        } catch (IOException lost) {
+        } catch (IOException connectionLost) {
             link.close();
         }
     }
@@ -143,7 +149,7 @@
         link.handler().received(link, readBuffer.flip());
     }
 
-    @SuppressWarnings("unchecked") // what listen() attached
+    @SuppressWarnings("unchecked") // listen() attaches a supplier of handlers
     private void accept(SelectionKey key) {
         try {
             SocketChannel channel = ((ServerSocketChannel) key.channel()).accept();
@@ -154,10 +160,10 @@
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
             SocketLink.Handler handler = ((Supplier<SocketLink.Handler>) key.attachment()).get();
             SocketLink link = new SocketLink(this, channel, handler);
-            link.registered(channel.register(selector, SelectionKey.OP_READ, link));
+            link.setSelectionKey(channel.register(selector, SelectionKey.OP_READ, link));
             handler.connected(link);
-        } catch (IOException lost) {
-            // the peer closed before it was served, which it knows
+        } catch (IOException connectionLost) {
+            // The peer closed the connection before it was set up, so no handler needs to be notified.
         }
     }
 
@@ -167,16 +173,16 @@
                 resource.close();
             }
         } catch (IOException ignored) {
-            // nothing is written to it any more
+            // The resource is discarded, so a failed close has no effect.
         }
     }
 
-    /** Bytes received over all connections. */
+    /** Returns the number of bytes received over all connections. */
     public long bytesIn() {
         return bytesIn.sum();
     }
 
-    /** Bytes sent over all connections. */
+    /** Returns the number of bytes sent over all connections. */
     public long bytesOut() {
         return bytesOut.sum();
     }
@@ -185,7 +191,7 @@
         bytesOut.add(bytes);
     }
 
-    /** Ends the thread and all connections. */
+    /** Stops the loop's thread and closes all connections. */
     @Override
     public void close() {
         closed = true;
--- a/src/main/java/linenring/scale/sockets/package-info.java
+++ b/src/main/java/linenring/scale/sockets/package-info.java
@@ -1,2 +1,2 @@
-/** One thread with one selector that serves the many small connections of simulated peers. */
+/** Serves the many small connections of simulated peers with one thread and one selector. */
 package linenring.scale.sockets;
--- a/src/test/java/linenring/scale/process/LaunchCommandTest.java
+++ b/src/test/java/linenring/scale/process/LaunchCommandTest.java
@@ -12,15 +12,15 @@
 
 class LaunchCommandTest {
     @Test
-    void takesTheFlagsOfTheDeployment() throws IOException {
-        String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
+    void usesTheJvmFlagsOfTheDeployment() throws IOException {
+        String runLine = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("run = "))
                 .findFirst()
                 .orElseThrow();
         List<String> command = LaunchCommand.command();
-        for (String word : run.split("[ \"]+", -1)) {
-            if (word.startsWith("-X") || word.startsWith("-D")) {
-                assertTrue(command.contains(word), word);
+        for (String argument : runLine.split("[ \"]+", -1)) {
+            if (argument.startsWith("-X") || argument.startsWith("-D")) {
+                assertTrue(command.contains(argument), argument);
             }
         }
         assertEquals("serve", command.get(command.size() - 1));
--- a/src/test/java/linenring/scale/run/Await.java
+++ b/src/test/java/linenring/scale/run/Await.java
@@ -4,14 +4,14 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Waits for a condition that other threads or processes bring about.
+ * Waits for a condition that depends on other threads or processes.
  *
- * @param timeoutSeconds no assertion on time: it only ends a test that hangs
+ * @param timeoutSeconds the time after which a test that hangs is ended; tests assert nothing about durations
  */
 record Await(long timeoutSeconds) {
     private static final long POLL_MS = 20;
 
-    /** Whether the condition came to hold before the timeout. */
+    /** Waits for the condition; returns whether it was true before the timeout. */
     boolean until(BooleanSupplier condition) throws InterruptedException {
         long deadlineNanos = deadlineNanos();
         while (!condition.getAsBoolean() && System.nanoTime() - deadlineNanos < 0) {
@@ -20,7 +20,7 @@
         return condition.getAsBoolean();
     }
 
-    /** When a wait that begins now has to be given up, by {@link System#nanoTime}. */
+    /** Returns the time at which a wait that starts now times out, by {@link System#nanoTime}. */
     long deadlineNanos() {
         return System.nanoTime() + TimeUnit.SECONDS.toNanos(timeoutSeconds);
     }
--- a/src/test/java/linenring/scale/run/CatalogueFaultsTest.java
+++ b/src/test/java/linenring/scale/run/CatalogueFaultsTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The real host watch against the simulated discovery agent, over loopback, when the agent fails. */
+/** Tests the real host watch against faults of the simulated discovery agent, over loopback. */
 class CatalogueFaultsTest {
     private static final Await AWAIT = new Await(30);
 
@@ -69,7 +69,7 @@
         executor.shutdownNow();
     }
 
-    private List<CatalogueHost> zone(int zone) {
+    private List<CatalogueHost> hostsOfZone(int zone) {
         return catalogue.hosts(host -> host.zone() == zone);
     }
 
@@ -84,40 +84,40 @@
     }
 
     @Test
-    void pollsAgainAfterAListThatIsCutWithinAnEntry() throws Exception {
+    void requestsTheListAgainAfterATruncatedEntry() throws Exception {
         server.cutNextLists(2);
         watch();
         assertLedgerMatchesCatalogue();
-        assertEquals(1, ledger.completeLists()); // nothing of the cut ones was taken
+        assertEquals(1, ledger.completeLists()); // entries of truncated lists must not be applied
     }
 
     @Test
-    void leavesInvalidEntriesOutUntilTheyChange() throws Exception {
+    void skipsInvalidEntriesUntilTheyChange() throws Exception {
         server.corruptNextLists(1, 3);
         watch();
         assertTrue(AWAIT.until(() -> ledger.version() == catalogue.version()));
-        Set<String> invalid = catalogue.hosts(host -> true).subList(0, 3).stream()
+        Set<String> invalidIds = catalogue.hosts(host -> true).subList(0, 3).stream()
                 .map(CatalogueHost::id)
                 .collect(Collectors.toSet());
-        Set<String> others = catalogue.readyIds();
-        others.removeAll(invalid);
-        assertEquals(others, ledger.readyIds());
-        publish(catalogue.start(catalogue.hosts(host -> invalid.contains(host.id())), 5));
+        Set<String> validIds = catalogue.readyIds();
+        validIds.removeAll(invalidIds);
+        assertEquals(validIds, ledger.readyIds());
+        publish(catalogue.start(catalogue.hosts(host -> invalidIds.contains(host.id())), 5));
         assertLedgerMatchesCatalogue();
     }
 
     @Test
-    void catchesUpWithASilenceInOneDelta() throws Exception {
+    void receivesChangesMissedDuringASilenceInOneDelta() throws Exception {
         watch();
         assertLedgerMatchesCatalogue();
         assertTrue(AWAIT.until(() -> server.watchersAt(catalogue.version()) == 1));
         server.setSilent(true);
-        for (CatalogueHost host : zone(0)) {
+        for (CatalogueHost host : hostsOfZone(0)) {
             publish(catalogue.replace(List.of(host), 7));
         }
-        publish(catalogue.terminate(zone(1)));
+        publish(catalogue.terminate(hostsOfZone(1)));
         assertTrue(AWAIT.until(() -> logged.toString(StandardCharsets.UTF_8)
-                .contains("nothing came for"))); // it reconnects, and gets nothing
+                .contains("nothing came for"))); // the watch reconnects, and the agent still sends nothing
         server.setSilent(false);
         assertLedgerMatchesCatalogue();
         assertEquals(1, ledger.deltas());
@@ -125,13 +125,13 @@
     }
 
     @Test
-    void takesAReturningZoneInOneList() throws Exception {
+    void appliesAReturningZoneInOneList() throws Exception {
         watch();
         assertLedgerMatchesCatalogue();
-        List<CatalogueHost> lost = zone(1);
-        publish(catalogue.remove(lost));
+        List<CatalogueHost> lostHosts = hostsOfZone(1);
+        publish(catalogue.remove(lostHosts));
         assertLedgerMatchesCatalogue();
-        publish(catalogue.start(lost, 9));
+        publish(catalogue.start(lostHosts, 9));
         assertLedgerMatchesCatalogue();
         assertEquals(0, ledger.catchUps());
     }
@@ -141,8 +141,8 @@
         watch();
         assertLedgerMatchesCatalogue();
         server.disconnectAll();
-        publish(catalogue.terminate(zone(0)));
-        publish(catalogue.remove(zone(0)));
+        publish(catalogue.terminate(hostsOfZone(0)));
+        publish(catalogue.remove(hostsOfZone(0)));
         assertLedgerMatchesCatalogue();
     }
 }
--- a/src/test/java/linenring/scale/run/PointRunnerTest.java
+++ b/src/test/java/linenring/scale/run/PointRunnerTest.java
@@ -9,7 +9,7 @@
 import linenring.scale.measurement.Workload;
 import org.junit.jupiter.api.Test;
 
-/** A point has all its values and traffic is counted; not how large the values are. */
+/** Tests that a measured point has all values and that its traffic is counted; the sizes of the values are not checked. */
 class PointRunnerTest {
     private static final double ENOUGH_SECONDS = 120;
 
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void runsOneControllerInEightForRealAndAtMostFour() {
+    void runsOneRealControllerInEightAndAtMostFour() {
         int[][] cases = {{1, 1}, {2, 1}, {8, 1}, {16, 2}, {33, 4}, {200, 4}};
         for (int[] controllersAndReal : cases) {
             assertEquals(
--- a/src/test/java/linenring/scale/run/ScaleRunnerTest.java
+++ b/src/test/java/linenring/scale/run/ScaleRunnerTest.java
@@ -30,7 +30,7 @@
         return new ScaleRunner(plan, "b1", Progress.NONE, published::add).run();
     }
 
-    private void assertNothingRuns(ScalePlan.Bounds bounds, String failure) throws InterruptedException {
+    private void assertNothingIsMeasured(ScalePlan.Bounds bounds, String failure) throws InterruptedException {
         ScaleRun run = run(bounds);
         assertEquals(
                 List.of(failure, failure),
@@ -49,17 +49,20 @@
 
     @Test
     void reportsPointsThatTheTimeLimitForbids() throws InterruptedException {
-        assertNothingRuns(new ScalePlan.Bounds(ENOUGH_BYTES, 20, 2), "not run: the run's time was up");
+        assertNothingIsMeasured(
+                new ScalePlan.Bounds(ENOUGH_BYTES, 20, 2), "not run: it could exceed the run's time limit");
     }
 
     @Test
     void reportsPointsThatTheMemoryLimitForbids() throws InterruptedException {
-        assertNothingRuns(new ScalePlan.Bounds(1 << 20, 20, 10_000), "not run: the run's memory was up");
+        assertNothingIsMeasured(
+                new ScalePlan.Bounds(1 << 20, 20, 10_000), "not run: it could exceed the run's memory limit");
     }
 
     @Test
     void reportsPointsThatTheProcessLimitForbids() throws InterruptedException {
-        assertNothingRuns(
-                new ScalePlan.Bounds(ENOUGH_BYTES, 1, 10_000), "not run: the run may not start so many processes");
+        assertNothingIsMeasured(
+                new ScalePlan.Bounds(ENOUGH_BYTES, 1, 10_000),
+                "not run: it needs more processes than the run's limit permits");
     }
 }
--- a/src/test/java/linenring/scale/run/ScenarioPlayerTest.java
+++ b/src/test/java/linenring/scale/run/ScenarioPlayerTest.java
@@ -10,7 +10,7 @@
 import linenring.scale.measurement.Workload;
 import org.junit.jupiter.api.Test;
 
-/** Scenarios end with tables that agree with the catalogue; not how long that takes. */
+/** Tests that the tables match the catalogue after a scenario; the convergence time is not checked. */
 class ScenarioPlayerTest {
     private static final Workload SMALL = new Workload(24, 24, 4, 4, 2, 2, 0, 20, 0);
 
@@ -23,19 +23,21 @@
     }
 
     @Test
-    void servesProxiesThatJoinAgain() throws Exception {
+    void updatesProxiesThatRejoin() throws Exception {
         ScenarioOutcome outcome = play(Scenario.PROXIES_RESTARTED);
         assertEquals(0, outcome.hostsConcerned());
     }
 
     @Test
-    void servesAfterARestartWithACutList() throws Exception {
+    void convergesAfterARestartWithATruncatedList() throws Exception {
         ScenarioOutcome outcome = play(Scenario.PARTIAL_LIST);
-        assertTrue(outcome.convergenceSeconds() > 0); // its proxies were without it for a while
+        assertTrue(outcome.convergenceSeconds() > 0); // the proxies were disconnected while the controller restarted
     }
 
     @Test
-    void appliesTheChangesOfASilenceAfterIt() throws Exception {
-        assertEquals(2, play(Scenario.SILENCE_CAUGHT_UP).hostsConcerned()); // one host is gone, another in its place
+    void appliesChangesMadeDuringASilence() throws Exception {
+        assertEquals(
+                2,
+                play(Scenario.SILENCE_CAUGHT_UP).hostsConcerned()); // one host is removed, and a new host replaces it
     }
 }
--- a/src/test/java/linenring/scale/settings/ScalePlanReaderTest.java
+++ b/src/test/java/linenring/scale/settings/ScalePlanReaderTest.java
@@ -44,7 +44,7 @@
             """;
 
     @Test
-    void readsSweepsOverTheCommonWorkload() {
+    void mergesSweepsWithTheCommonWorkload() {
         ScalePlan plan = ScalePlanReader.read("s.kdl", VALID).plan();
         assertEquals(
                 new ScalePlan(
@@ -66,7 +66,7 @@
                 plan);
     }
 
-    /** One line of the valid file is replaced; the message is the only one. */
+    /** Replaces one line of the valid settings and expects exactly one error message. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -77,19 +77,19 @@
                 "4 | warm-up 2 | 4: scale.warm-up: 2 is not a duration with its unit, such as \"20s\" or \"1.5min\"",
                 "4 | warmup \"2s\"; warm-up \"2s\" | 4: scale: warmup is not known here",
                 "6 | bounds memory=\"2GB\" processes=20 time=\"5min\" | 6: scale.bounds.memory: \"2GB\" is not a size with its unit, such as \"8GiB\"",
-                "6 | bounds memory=\"2GiB\" processes=20 time=\"20s\" | 6: scale.bounds.time: \"20s\" is under the 21 s that the sweeps' points take",
+                "6 | bounds memory=\"2GiB\" processes=20 time=\"20s\" | 6: scale.bounds.time: \"20s\" is less than the 21 s that warm-up and window of all points take",
                 "7 | workload catalogue-hosts=256 proxies=8 zones=3 stewards=2 changes-per-second=0 reports-per-second=0 restarts-per-second=0 | 7: scale.workload: services is missing",
                 "8 | sweep \"hosts\" { | 8: scale.sweep: \"hosts\" is not one of \"catalogue-hosts\", \"hosts-in-scope\", \"proxies\", \"services\", \"zones\", \"stewards\", \"changes-per-second\", \"reports-per-second\", \"restarts-per-second\"",
                 "9 | sizes 256 | 9: scale.sweep.sizes: 256 is not two sizes or more, such as: sizes 256 1024 4096",
-                "9 | sizes 256 1024 1024 | 9: scale.sweep \"catalogue-hosts\".sizes: 1024 is not over 1024 before it",
+                "9 | sizes 256 1024 1024 | 9: scale.sweep \"catalogue-hosts\".sizes: 1024 is not greater than the preceding size 1024",
                 "9 | sizes 256 1024.5 | 9: scale.sweep \"catalogue-hosts\".sizes: 1024.5 is not a whole number",
                 "10 | workload proxies=-1 | 10: scale.sweep.workload.proxies: -1 is not a whole number from 0",
-                "14 | workload hosts-in-scope=512 | 14: scale.sweep \"changes-per-second\".workload: hosts-in-scope of 512 is over catalogue-hosts of 256",
+                "14 | workload hosts-in-scope=512 | 14: scale.sweep \"changes-per-second\".workload: hosts-in-scope of 512 exceeds catalogue-hosts of 256",
                 "16 | scenario \"zone-lost\" | 16: scale.scenario: \"zone-lost\" is not one of \"idle\", \"churn\", \"rolling-restart\", \"rack-lost\", \"zone-lost-and-back\", \"silence-caught-up\", \"spoilt-list\", \"partial-list\", \"proxies-restarted\", \"stewards-restarted\"",
-                "17 | scenario-workload hosts-in-scope=257 | 17: scale.scenario-workload: hosts-in-scope of 257 is over catalogue-hosts of 256",
+                "17 | scenario-workload hosts-in-scope=257 | 17: scale.scenario-workload: hosts-in-scope of 257 exceeds catalogue-hosts of 256",
                 "18 | | 19: the file ends before a '}' that is open",
             })
-    void reportsAnErrorByFileLineKeyAndWhatWasExpected(int line, String replacement, String message) {
+    void reportsFileLineKeyAndExpectedValueOfAnError(int line, String replacement, String message) {
         List<String> lines = new ArrayList<>(VALID.lines().toList());
         lines.set(line - 1, replacement == null ? "" : replacement);
         ScalePlanReader.Outcome read = ScalePlanReader.read("s.kdl", String.join("\n", lines) + "\n");
@@ -115,12 +115,12 @@
     }
 
     @ParameterizedTest
-    @MethodSource("plansThatComeWithTheProgram")
-    void acceptsThePlansThatComeWithTheProgram(Path file) {
+    @MethodSource("bundledPlans")
+    void acceptsTheBundledPlans(Path file) {
         assertEquals(List.of(), ScalePlanReader.read(file).faults());
     }
 
-    static List<Path> plansThatComeWithTheProgram() throws IOException {
+    static List<Path> bundledPlans() throws IOException {
         try (Stream<Path> plans = Files.list(Path.of("docs/capacity/plans"))) {
             return Stream.concat(plans, Stream.of(Path.of("example/scale.kdl")))
                     .sorted()
