--- a/src/main/java/linenring/scale/catalogue/Catalogue.java
+++ b/src/main/java/linenring/scale/catalogue/Catalogue.java
@@ -13,12 +13,12 @@
 import linenring.protocol.HostList;
 
 /**
- * The state of the catalogue without I/O: hosts, versions, and the changes that are kept for watchers that are behind. All
- * methods may be called on any thread; each change gets the next version. Times are Unix ms.
+ * The state of the catalogue, without I/O: its hosts, its version, and the latest changes for watchers with an older version.
+ * Thread-safe. Each change gets the next version. Times are milliseconds of Unix time.
  */
 public final class Catalogue {
-    /** A watcher that is further behind gets the complete list. */
-    private static final int MAX_KEPT_CHANGES = 20_000;
+    /** Number of changes that are stored; a watcher that lacks an older change gets the complete list. */
+    private static final int MAX_STORED_CHANGES = 20_000;
 
     private static final int BITS_PER_OCTET = 8;
     private static final int OCTET = 255;
@@ -27,10 +27,10 @@
     private final Map<String, CatalogueHost> hosts = new LinkedHashMap<>();
     private final ArrayDeque<CatalogueChange> changes = new ArrayDeque<>(); // oldest first
     private long version = 1;
-    private int lastNumber;
-    private CatalogueChange snapshot; // the complete list of the current version, or null until it is asked for
+    private int nextHostNumber;
+    private CatalogueChange snapshot; // complete list of the current version, or null until it is first requested
 
-    /** A catalogue with the hosts of this layout, all ready. */
+    /** Creates a catalogue with the hosts of the layout, all of them ready. */
     public Catalogue(CatalogueLayout layout) {
         this.layout = layout;
         for (int i = 0; i < layout.hosts(); i++) {
@@ -43,7 +43,7 @@
         int zone = index % layout.zones();
         int withinZone = index / layout.zones();
         return new CatalogueHost(
-                nextId(),
+                newHostId(),
                 address(index),
                 zone,
                 withinZone % layout.kinds(),
@@ -59,26 +59,26 @@
         return "10." + second + "." + third + "." + (index & OCTET) + ":3000";
     }
 
-    private String nextId() {
-        return String.format(Locale.ROOT, "s-%08x", lastNumber++);
+    private String newHostId() {
+        return String.format(Locale.ROOT, "s-%08x", nextHostNumber++);
     }
 
-    /** How its hosts are spread. */
+    /** Returns the layout that the catalogue was created with. */
     public CatalogueLayout layout() {
         return layout;
     }
 
-    /** The version of the last change. */
+    /** Returns the version of the latest change. */
     public synchronized long version() {
         return version;
     }
 
-    /** The current hosts that match, in the order in which they were first listed. */
+    /** Returns the listed hosts that match the filter, in the order in which they were first listed. */
     public synchronized List<CatalogueHost> hosts(Predicate<CatalogueHost> filter) {
         return hosts.values().stream().filter(filter).toList();
     }
 
-    /** The ids of the hosts that are ready. */
+    /** Returns the ids of the hosts that are ready. */
     public synchronized Set<String> readyIds() {
         Set<String> ready = new HashSet<>();
         for (CatalogueHost host : hosts.values()) {
@@ -89,14 +89,14 @@
         return ready;
     }
 
-    /** The host as it is listed now, or null. */
+    /** Returns the host with this id as it is listed now, or null if it is not listed. */
     public synchronized CatalogueHost find(String id) {
         return hosts.get(id);
     }
 
-    // ---- changes
+    // ---- changes of the catalogue
 
-    /** Lists these hosts as they are given; those that are gone leave the catalogue. */
+    /** Replaces the entries of the given hosts; hosts in the state GONE are removed from the catalogue. */
     public synchronized CatalogueChange put(Collection<CatalogueHost> changed) {
         for (CatalogueHost host : changed) {
             if (host.state() == HostList.State.GONE) {
@@ -107,51 +107,51 @@
         }
         CatalogueChange change = new CatalogueChange(++version, false, List.copyOf(changed));
         changes.add(change);
-        if (changes.size() > MAX_KEPT_CHANGES) {
+        if (changes.size() > MAX_STORED_CHANGES) {
             changes.poll();
         }
         snapshot = null;
         return change;
     }
 
-    /** These hosts drain. */
+    /** Lists the hosts as terminating, which means that they drain. */
     public CatalogueChange terminate(Collection<CatalogueHost> which) {
         return put(which.stream()
                 .map(host -> host.withState(HostList.State.TERMINATING))
                 .toList());
     }
 
-    /** These hosts are gone without having drained. */
+    /** Removes the hosts without a drain. */
     public CatalogueChange remove(Collection<CatalogueHost> which) {
         return put(
                 which.stream().map(host -> host.withState(HostList.State.GONE)).toList());
     }
 
-    /** These hosts have started (again) under their own ids. */
+    /** Lists the hosts as ready with a new start time and unchanged ids. */
     public CatalogueChange start(Collection<CatalogueHost> which, long now) {
         return put(which.stream().map(host -> host.startedAt(now)).toList());
     }
 
-    /** These hosts are gone, and as many with new ids take their places. */
+    /** Removes the hosts and adds a new host with a new id in the place of each. */
     public synchronized CatalogueChange replace(Collection<CatalogueHost> which, long now) {
         List<CatalogueHost> both = new ArrayList<>();
         for (CatalogueHost host : which) {
             both.add(host.withState(HostList.State.GONE));
-            both.add(host.replacedBy(nextId(), now));
+            both.add(host.replacedBy(newHostId(), now));
         }
         return put(both);
     }
 
-    /** Resets its versions, as a catalogue that has lost its state does. */
+    /** Resets the version and drops all stored changes, like a catalogue that has lost its state. */
     public synchronized void restartVersions() {
         version = 0;
         changes.clear();
         snapshot = null;
     }
 
-    // ---- for watchers
+    // ---- lists for watchers
 
-    /** The complete list as of now. */
+    /** Returns the complete list at the current version. */
     public synchronized CatalogueChange snapshot() {
         if (snapshot == null) {
             snapshot = new CatalogueChange(version, true, List.copyOf(hosts.values()));
@@ -159,18 +159,21 @@
         return snapshot;
     }
 
-    /** What a watcher that holds a version needs for the current one, as one line; null if it holds that. */
+    /**
+     * Returns what updates a watcher from the version that it holds to the current one: a delta or the complete list; null if
+     * it holds the current version.
+     */
     public synchronized CatalogueChange catchUp(long heldVersion) {
         if (heldVersion == version) {
             return null;
         }
         boolean isKept =
                 heldVersion < version && !changes.isEmpty() && changes.peek().version() <= heldVersion + 1;
-        return isKept ? merged(heldVersion) : snapshot();
+        return isKept ? mergeChangesAfter(heldVersion) : snapshot();
     }
 
-    /** All changes after that version as one: of each host what it is now, or that it is gone. */
-    private CatalogueChange merged(long heldVersion) {
+    /** Merges all changes after a version into one delta, which has the latest state of each changed host. */
+    private CatalogueChange mergeChangesAfter(long heldVersion) {
         Map<String, CatalogueHost> last = new LinkedHashMap<>();
         for (CatalogueChange change : changes) {
             if (change.version() > heldVersion) {
--- a/src/main/java/linenring/scale/catalogue/CatalogueChange.java
+++ b/src/main/java/linenring/scale/catalogue/CatalogueChange.java
@@ -3,13 +3,13 @@
 import java.util.List;
 import linenring.protocol.HostList;
 
-/** The changes of one version of the catalogue, or the complete list at that version; encoded once for all watchers. */
+/** A delta that leads to a version of the catalogue, or the complete list at a version; encoded once for all watchers. */
 public final class CatalogueChange {
     private final long version;
     private final boolean complete;
     private final List<CatalogueHost> hosts;
-    private byte[] encoded; // null until it is asked for
-    private byte[] chunk; // the same
+    private byte[] encoded; // null until it is first requested
+    private byte[] chunk; // null until it is first requested
 
     CatalogueChange(long version, boolean complete, List<CatalogueHost> hosts) {
         this.version = version;
@@ -17,22 +17,22 @@
         this.hosts = List.copyOf(hosts);
     }
 
-    /** The version that it leads to. */
+    /** Returns the version that the change leads to. */
     public long version() {
         return version;
     }
 
-    /** Whether it is the complete list. */
+    /** Whether the change is a complete list. */
     public boolean isComplete() {
         return complete;
     }
 
-    /** The hosts that changed, or all of them; those that are gone have that state. */
+    /** Returns the changed hosts, or all hosts of a complete list; removed hosts have the state GONE. */
     public List<CatalogueHost> hosts() {
         return hosts;
     }
 
-    /** Its JSON, one line with its LF; not to be changed by the caller. */
+    /** Returns the change as one line of JSON with a line feed; callers must not modify the array. */
     synchronized byte[] encoded() {
         if (encoded == null) {
             encoded = CatalogueJson.line(this, 0);
@@ -40,7 +40,7 @@
         return encoded;
     }
 
-    /** The same as one chunk of a chunked answer; not to be changed by the caller. */
+    /** Returns the encoded change as one chunk of a chunked response; callers must not modify the array. */
     synchronized byte[] chunk() {
         if (chunk == null) {
             chunk = CatalogueJson.chunk(encoded());
@@ -48,7 +48,7 @@
         return chunk;
     }
 
-    /** The same as the value that the codec makes of it. */
+    /** Returns the host list that the codec decodes from this change. */
     public HostList asHostList() {
         return new HostList(
                 version,
--- a/src/main/java/linenring/scale/catalogue/CatalogueEvents.java
+++ b/src/main/java/linenring/scale/catalogue/CatalogueEvents.java
@@ -7,49 +7,50 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Changes the catalogue as time passes, without I/O: steady churn and replacements, and events at set times. The time (Unix
- * ms) is handed in with each call, the random numbers at the start. Not thread-safe.
+ * Schedules changes of the catalogue, without I/O: churn and replacements at steady rates, and single events at given times.
+ * Callers pass the time in milliseconds of Unix time, and the source of random numbers. Not thread-safe.
  */
 public final class CatalogueEvents {
-    /** How long a host that restarts or is replaced is listed as terminating. */
+    /** Time for which a host is listed as terminating before it restarts or is replaced. */
     private static final long DRAIN_MS = 1000;
 
     private static final int MAX_PICKS = 16;
     private static final double SECOND_MS = 1000;
 
-    /** An event and its time; {@code sequence} orders events of one time. */
-    private record Due(long timeMs, long sequence, Event event) {}
+    /** A scheduled event; {@code sequence} orders events that have the same time. */
+    private record ScheduledEvent(long timeMs, long sequence, Event event) {}
 
-    /** Changes the catalogue at its time; null if there is nothing left to change. */
+    /** Changes the catalogue and returns the change, or null if no host was changed. */
     private interface Event {
         CatalogueChange apply(long nowMs);
     }
 
     private final Catalogue catalogue;
     private final RandomGenerator random;
-    private final PriorityQueue<Due> due =
-            new PriorityQueue<>(Comparator.comparingLong(Due::timeMs).thenComparingLong(Due::sequence));
-    private final List<String> ids = new ArrayList<>(); // those that churn may take
+    private final PriorityQueue<ScheduledEvent> schedule = new PriorityQueue<>(
+            Comparator.comparingLong(ScheduledEvent::timeMs).thenComparingLong(ScheduledEvent::sequence));
+    private final List<String> replaceableHostIds =
+            new ArrayList<>(); // ids of the hosts that may restart or be replaced
     private long nextSequence;
-    private boolean steady = true;
+    private boolean isSteadyRateActive = true;
 
-    /** Events of this catalogue; nothing happens until some are ordered. */
+    /** Creates an empty schedule for the catalogue. */
     public CatalogueEvents(Catalogue catalogue, RandomGenerator random) {
         this.catalogue = catalogue;
         this.random = random;
-        catalogue.hosts(CatalogueHost::isReady).forEach(host -> ids.add(host.id()));
+        catalogue.hosts(CatalogueHost::isReady).forEach(host -> replaceableHostIds.add(host.id()));
     }
 
-    /** When the next event is due, Unix ms; {@link Long#MAX_VALUE} if none is. */
+    /** Returns the time of the next event, or {@link Long#MAX_VALUE} if no event is scheduled. */
     public long nextTimeMs() {
-        return due.isEmpty() ? Long.MAX_VALUE : due.peek().timeMs();
+        return schedule.isEmpty() ? Long.MAX_VALUE : schedule.peek().timeMs();
     }
 
-    /** Applies all events that are due; returns the changes in their order. */
+    /** Applies all events that are due, and returns their changes in order. */
     public List<CatalogueChange> advance(long nowMs) {
         List<CatalogueChange> changes = new ArrayList<>();
         while (nextTimeMs() <= nowMs) {
-            Due next = due.poll();
+            ScheduledEvent next = schedule.poll();
             CatalogueChange change = next.event().apply(next.timeMs());
             if (change != null) {
                 changes.add(change);
@@ -59,40 +60,40 @@
     }
 
     private void schedule(long timeMs, Event event) {
-        due.add(new Due(timeMs, nextSequence++, event));
+        schedule.add(new ScheduledEvent(timeMs, nextSequence++, event));
     }
 
-    // ---- steady rates
+    // ---- events at steady rates
 
-    /** From then on that many entries change a second: single hosts drain and start again, which is two changes. */
+    /** Restarts single hosts at a steady rate from {@code fromMs} on; a restart is two changes: the drain and the start. */
     public void churn(long fromMs, double changesPerSecond) {
-        repeat(fromMs, changesPerSecond / 2, this::restartOne);
+        scheduleRepeatedly(fromMs, changesPerSecond / 2, this::restartRandomHost);
     }
 
-    /** From then on that many hosts a second are replaced: the old one drains and is gone, a new one starts in its place. */
+    /** Replaces hosts at a steady rate from {@code fromMs} on: a host drains and is removed, and a new host takes its place. */
     public void replaceSteadily(long fromMs, double hostsPerSecond) {
-        repeat(fromMs, hostsPerSecond, this::replaceOne);
+        scheduleRepeatedly(fromMs, hostsPerSecond, this::replaceRandomHost);
     }
 
-    /** No host begins to restart or to be replaced any more; those that have begun end. */
+    /** Stops churn and replacements; restarts and replacements in progress are completed. */
     public void endSteadyRates() {
-        steady = false;
+        isSteadyRateActive = false;
     }
 
-    private void repeat(long fromMs, double perSecond, Event event) {
+    private void scheduleRepeatedly(long fromMs, double perSecond, Event event) {
         if (perSecond > 0) {
             schedule(fromMs, now -> {
-                if (!steady) {
+                if (!isSteadyRateActive) {
                     return null;
                 }
-                repeat(now + Math.max(1, Math.round(SECOND_MS / perSecond)), perSecond, event);
+                scheduleRepeatedly(now + Math.max(1, Math.round(SECOND_MS / perSecond)), perSecond, event);
                 return event.apply(now);
             });
         }
     }
 
-    private CatalogueChange restartOne(long now) {
-        CatalogueHost host = pick();
+    private CatalogueChange restartRandomHost(long now) {
+        CatalogueHost host = pickReadyHost();
         if (host == null) {
             return null;
         }
@@ -100,23 +101,24 @@
         return catalogue.terminate(List.of(host));
     }
 
-    private CatalogueChange replaceOne(long now) {
-        CatalogueHost host = pick();
+    private CatalogueChange replaceRandomHost(long now) {
+        CatalogueHost host = pickReadyHost();
         if (host == null) {
             return null;
         }
         schedule(now + DRAIN_MS, later -> {
             CatalogueChange change = catalogue.replace(List.of(host), later);
-            ids.set(ids.indexOf(host.id()), change.hosts().get(1).id());
+            replaceableHostIds.set(
+                    replaceableHostIds.indexOf(host.id()), change.hosts().get(1).id());
             return change;
         });
         return catalogue.terminate(List.of(host));
     }
 
-    /** A random host that is ready; null if none was found in {@link #MAX_PICKS} attempts. */
-    private CatalogueHost pick() {
-        for (int i = 0; i < MAX_PICKS && !ids.isEmpty(); i++) {
-            CatalogueHost host = catalogue.find(ids.get(random.nextInt(ids.size())));
+    /** Returns a random ready host, or null if {@link #MAX_PICKS} random picks found none. */
+    private CatalogueHost pickReadyHost() {
+        for (int i = 0; i < MAX_PICKS && !replaceableHostIds.isEmpty(); i++) {
+            CatalogueHost host = catalogue.find(replaceableHostIds.get(random.nextInt(replaceableHostIds.size())));
             if (host != null && host.isReady()) {
                 return host;
             }
@@ -126,17 +128,17 @@
 
     // ---- single events
 
-    /** These hosts are replaced by others at once. */
+    /** Replaces all given hosts at the same time. */
     public void replaceAll(long timeMs, List<CatalogueHost> replaced) {
         schedule(timeMs, now -> replaced.isEmpty() ? null : catalogue.replace(replaced, now));
     }
 
-    /** All hosts of one zone's rack are gone. */
+    /** Removes all hosts of a rack of the zone. */
     public void loseRack(long timeMs, int zone, int rack) {
         schedule(timeMs, now -> removeAll(catalogue.hosts(host -> host.zone() == zone && host.rack() == rack)));
     }
 
-    /** All hosts of a zone are gone, and start again together {@code durationMs} later. */
+    /** Removes all hosts of a zone, and starts them again together after {@code durationMs}. */
     public void loseZone(long timeMs, int zone, long durationMs) {
         schedule(timeMs, now -> {
             List<CatalogueHost> lost = catalogue.hosts(host -> host.zone() == zone);
@@ -145,7 +147,7 @@
         });
     }
 
-    /** Hosts restart in steps of {@code stepHosts}, one step each {@code intervalMs}, as a release does. */
+    /** Restarts the hosts in steps of {@code stepHosts} hosts every {@code intervalMs}, like a rolling release. */
     public void rollingRestart(long timeMs, List<CatalogueHost> restarted, int stepHosts, long intervalMs) {
         for (int first = 0; first < restarted.size(); first += stepHosts) {
             List<CatalogueHost> step = restarted.subList(first, Math.min(restarted.size(), first + stepHosts));
--- a/src/main/java/linenring/scale/catalogue/CatalogueHost.java
+++ b/src/main/java/linenring/scale/catalogue/CatalogueHost.java
@@ -3,13 +3,13 @@
 import linenring.protocol.HostList;
 
 /**
- * One entry of the catalogue.
+ * One host as listed in the catalogue.
  *
- * @param zone number of its zone, from 0
- * @param kind number of its machine kind, from 0
- * @param rack number of its rack within the zone; the protocol's {@code cell}
- * @param service number of its service, from 0
- * @param startedMs Unix time of its last start, 0 for long ago
+ * @param zone number of the host's zone, from 0
+ * @param kind number of the host's machine kind, from 0
+ * @param rack number of the host's rack within the zone; the field {@code cell} of the protocol
+ * @param service number of the host's service, from 0
+ * @param startedMs Unix time of the latest start, in milliseconds; 0 if the host started long ago
  */
 public record CatalogueHost(
         String id, String address, int zone, int kind, int rack, int service, HostList.State state, long startedMs) {
@@ -22,12 +22,12 @@
         return new CatalogueHost(id, address, zone, kind, rack, service, HostList.State.READY, nowMs);
     }
 
-    /** Another host in its place, started now. */
+    /** Returns a new host in the place of this one, started at {@code nowMs}. */
     CatalogueHost replacedBy(String newId, long nowMs) {
         return new CatalogueHost(newId, address, zone, kind, rack, service, HostList.State.READY, nowMs);
     }
 
-    /** Whether it is listed as ready. */
+    /** Whether the host is listed as ready. */
     public boolean isReady() {
         return state == HostList.State.READY;
     }
--- a/src/main/java/linenring/scale/catalogue/CatalogueJson.java
+++ b/src/main/java/linenring/scale/catalogue/CatalogueJson.java
@@ -7,14 +7,14 @@
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 
-/** Encodes changes and complete lists as the discovery agent does. */
+/** Encodes deltas and complete lists in the discovery agent's JSON format. */
 final class CatalogueJson {
     private static final JsonFactory JSON = new JsonFactory();
     private static final int BYTES_PER_HOST = 160;
 
     private CatalogueJson() {}
 
-    /** One JSON object and its line feed; its first {@code invalidEntries} entries have an unknown state. */
+    /** Encodes a change as one line of JSON; the first {@code invalidEntries} entries get an unknown state. */
     static byte[] line(CatalogueChange change, int invalidEntries) {
         ByteArrayOutputStream bytes =
                 new ByteArrayOutputStream(64 + BYTES_PER_HOST * change.hosts().size());
@@ -35,7 +35,7 @@
         return bytes.toByteArray();
     }
 
-    /** These bytes as one chunk (RFC 9112, 7.1). */
+    /** Encodes the data as one chunk of a chunked response (RFC 9112, 7.1). */
     static byte[] chunk(byte[] data) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(data.length + 16);
         bytes.writeBytes((Integer.toHexString(data.length) + "\r\n").getBytes(StandardCharsets.US_ASCII));
--- a/src/main/java/linenring/scale/catalogue/CatalogueLayout.java
+++ b/src/main/java/linenring/scale/catalogue/CatalogueLayout.java
@@ -4,33 +4,33 @@
 import java.util.stream.IntStream;
 
 /**
- * How the hosts of a catalogue are spread: evenly over zones, racks, kinds and services.
+ * The size of a catalogue; hosts are distributed evenly over zones, racks, machine kinds and services.
  *
- * @param hosts how many there are at the start
- * @param hostsPerRack how many hosts of one zone share a rack
+ * @param hosts number of hosts at the start
+ * @param hostsPerRack number of hosts of one zone that share a rack
  */
 public record CatalogueLayout(int hosts, int zones, int kinds, int services, int hostsPerRack) {
-    /** The names of all zones, as entries carry them. */
+    /** Returns the names of all zones, as in the catalogue's entries. */
     public List<String> zoneNames() {
         return IntStream.range(0, zones).mapToObj(CatalogueLayout::zoneName).toList();
     }
 
-    /** The names of all machine kinds, as entries carry them. */
+    /** Returns the names of all machine kinds, as in the catalogue's entries. */
     public List<String> kindNames() {
         return IntStream.range(0, kinds).mapToObj(CatalogueLayout::kindName).toList();
     }
 
-    /** The name of a zone by its number. */
+    /** Returns the name of the zone with this number. */
     public static String zoneName(int zone) {
         return "zone-" + (zone + 1);
     }
 
-    /** The name of a machine kind by its number. */
+    /** Returns the name of the machine kind with this number. */
     public static String kindName(int kind) {
         return "m" + (kind + 1);
     }
 
-    /** The name of a service by its number. */
+    /** Returns the name of the service with this number. */
     public static String serviceName(int service) {
         return "service-" + (service + 1);
     }
--- a/src/main/java/linenring/scale/catalogue/CatalogueServer.java
+++ b/src/main/java/linenring/scale/catalogue/CatalogueServer.java
@@ -13,33 +13,37 @@
 import linenring.scale.sockets.SocketLink;
 import linenring.scale.sockets.SocketLoop;
 
-/** A discovery agent on loopback: HTTP/1.1, complete lists and watches, each change encoded once for all watchers. */
+/**
+ * A discovery agent on loopback that serves complete lists and watches over HTTP/1.1. Each change is encoded once for all
+ * watchers.
+ */
 public final class CatalogueServer implements AutoCloseable {
-    private static final Pattern WATCH = Pattern.compile("GET /catalog/members\\?watch=1&from=(\\d+) HTTP/1\\.1");
-    private static final Pattern LIST = Pattern.compile("GET /catalog/members HTTP/1\\.1");
-    private static final byte[] WATCH_HEAD = head("Transfer-Encoding: chunked");
-    private static final byte[] BLANK_LINE = CatalogueJson.chunk(new byte[] {'\n'});
-    private static final long KEEP_ALIVE_NANOS = 2_000_000_000L; // the protocol's
+    private static final Pattern WATCH_REQUEST =
+            Pattern.compile("GET /catalog/members\\?watch=1&from=(\\d+) HTTP/1\\.1");
+    private static final Pattern LIST_REQUEST = Pattern.compile("GET /catalog/members HTTP/1\\.1");
+    private static final byte[] WATCH_RESPONSE_HEAD = responseHead("Transfer-Encoding: chunked");
+    private static final byte[] BLANK_LINE_CHUNK = CatalogueJson.chunk(new byte[] {'\n'});
+    private static final long KEEP_ALIVE_NANOS = 2_000_000_000L; // keep-alive interval of the discovery protocol
     private static final long TICK_MS = 100;
     private static final int MAX_REQUEST_BYTES = 16 * 1024;
 
     private static final long NOT_WATCHING = -1;
 
     private final Catalogue catalogue;
-    private final CatalogueAnswers answers;
+    private final CatalogueResponses responses;
     private final SocketLoop loop;
-    private final Set<Watcher> watchers = new LinkedHashSet<>(); // on the loop's thread
+    private final Set<Watcher> watchers = new LinkedHashSet<>(); // accessed only by the socket loop's thread
     private final LongAdder linesOut = new LongAdder();
     private final LongAdder watchesOpened = new LongAdder();
     private volatile long[] heldVersions = {};
     private InetSocketAddress address;
 
-    /** One connection: a request, and the watch that may come of it. */
+    /** One client connection; it becomes a watch if its request asks for one. */
     private final class Watcher implements SocketLink.Handler {
         private final ByteArrayOutputStream request = new ByteArrayOutputStream();
         private SocketLink link;
-        private String requestLine; // null once it is answered
-        private long version = NOT_WATCHING; // the version that it holds
+        private String requestLine; // null if no request waits for a response
+        private long version = NOT_WATCHING; // version of the list that the watcher holds
         private long sentAtNanos;
 
         @Override
@@ -57,29 +61,29 @@
             if (text.contains("\r\n\r\n")) {
                 requestLine = text.substring(0, text.indexOf("\r\n"));
                 request.reset();
-                answer();
+                respond();
             } else if (text.length() > MAX_REQUEST_BYTES) {
                 link.close();
             }
         }
 
-        void answer() {
-            if (requestLine == null || answers.isSilent()) {
+        void respond() {
+            if (requestLine == null || responses.isSilent()) {
                 return;
             }
-            Matcher watch = WATCH.matcher(requestLine);
+            Matcher watch = WATCH_REQUEST.matcher(requestLine);
             if (watch.matches()) {
                 version = Long.parseLong(watch.group(1));
                 watchesOpened.increment();
-                link.send(WATCH_HEAD);
+                link.send(WATCH_RESPONSE_HEAD);
                 sentAtNanos = System.nanoTime();
                 catchUp();
-            } else if (LIST.matcher(requestLine).matches()) {
-                CatalogueAnswers.Body body = answers.list();
-                link.send(head("Content-Length: " + body.bytes().length));
+            } else if (LIST_REQUEST.matcher(requestLine).matches()) {
+                CatalogueResponses.ResponseBody body = responses.completeList();
+                link.send(responseHead("Content-Length: " + body.bytes().length));
                 link.send(body.bytes(), body.sentBytes());
                 linesOut.increment();
-                if (body.isCut()) {
+                if (body.isTruncated()) {
                     link.closeWhenSent();
                 }
             } else {
@@ -88,8 +92,8 @@
             requestLine = null;
         }
 
-        /** Sends the next change by itself; if some were missed, all of them as one line. */
-        void follow(CatalogueChange change) {
+        /** Sends a change; if the watcher missed earlier changes, sends all missing changes merged into one line. */
+        void deliver(CatalogueChange change) {
             if (version >= 0 && change.version() == version + 1) {
                 send(change);
             } else if (version >= 0 && change.version() > version) {
@@ -97,7 +101,7 @@
             }
         }
 
-        /** Sends all that it does not hold. */
+        /** Sends the changes that the watcher lacks, if any. */
         void catchUp() {
             CatalogueChange next = version < 0 ? null : catalogue.catchUp(version);
             if (next != null) {
@@ -105,10 +109,10 @@
             }
         }
 
-        /** Sends a blank line if no change was sent for a while. */
+        /** Sends a blank line if nothing was sent for the keep-alive interval. */
         void keepAlive() {
-            if (version >= 0 && !answers.isSilent() && System.nanoTime() - sentAtNanos > KEEP_ALIVE_NANOS) {
-                send(BLANK_LINE);
+            if (version >= 0 && !responses.isSilent() && System.nanoTime() - sentAtNanos > KEEP_ALIVE_NANOS) {
+                send(BLANK_LINE_CHUNK);
             }
         }
 
@@ -129,33 +133,33 @@
         }
     }
 
-    /** An agent of this catalogue; it listens once it is opened. */
+    /** Creates an agent that serves the catalogue; {@link #open} starts it. */
     public CatalogueServer(Catalogue catalogue, String name) throws IOException {
         this.catalogue = catalogue;
-        this.answers = new CatalogueAnswers(catalogue);
+        this.responses = new CatalogueResponses(catalogue);
         this.loop = new SocketLoop(name, TICK_MS, this::tick);
     }
 
-    /** Starts to listen; returns the address. */
+    /** Starts the agent, and returns the address that it listens at. */
     public InetSocketAddress open() throws IOException {
         address = loop.listen(Watcher::new);
         loop.start();
         return address;
     }
 
-    /** Where it listens. */
+    /** Returns the address that the agent listens at, or null before {@link #open}. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Sends a change to all watchers; the catalogue must have it already. */
+    /** Sends a change, which the catalogue must already contain, to all watchers. */
     public void publish(CatalogueChange change) {
         loop.execute(() -> {
-            if (answers.isSilent()) {
+            if (responses.isSilent()) {
                 return;
             }
             for (Watcher watcher : Set.copyOf(watchers)) {
-                watcher.follow(change);
+                watcher.deliver(change);
             }
             publishHeldVersions();
         });
@@ -163,7 +167,7 @@
 
     private void tick() {
         for (Watcher watcher : Set.copyOf(watchers)) {
-            watcher.answer();
+            watcher.respond();
             watcher.keepAlive();
         }
         publishHeldVersions();
@@ -176,7 +180,7 @@
                 .toArray();
     }
 
-    /** How many watchers were sent that version, as of at most a tick ago. */
+    /** Returns the number of watchers that were sent this version or a later one; may lag by one tick. */
     public int watchersAt(long version) {
         int count = 0;
         for (long heldVersion : heldVersions) {
@@ -185,56 +189,56 @@
         return count;
     }
 
-    // ---- faults on command
+    // ---- fault injection
 
-    /** While it is silent nothing is answered and no change is sent. */
+    /** Makes the agent silent or responsive; a silent agent answers no request and sends no change. */
     public void setSilent(boolean silent) {
         loop.execute(() -> {
-            answers.setSilent(silent);
+            responses.setSilent(silent);
             if (!silent) {
                 Set.copyOf(watchers).forEach(Watcher::catchUp);
             }
         });
     }
 
-    /** That many of the next complete lists are cut off within an entry. */
+    /** Truncates the next complete lists within an entry; {@code lists} is the number of lists. */
     public void cutNextLists(int lists) {
-        answers.cutNextLists(lists);
+        responses.cutNextLists(lists);
     }
 
-    /** In that many of the next complete lists that many entries can't be read. */
+    /** Makes the first {@code entries} entries invalid in each of the next {@code lists} complete lists. */
     public void corruptNextLists(int lists, int entries) {
-        answers.corruptNextLists(lists, entries);
+        responses.corruptNextLists(lists, entries);
     }
 
-    /** Closes all connections, as an agent that restarts does. */
+    /** Closes all connections, like an agent that restarts. */
     public void disconnectAll() {
         loop.execute(() -> Set.copyOf(watchers).forEach(watcher -> watcher.link.close()));
     }
 
-    // ---- counts
+    // ---- counters
 
-    /** Bytes received. */
+    /** Returns the number of bytes received over all connections. */
     public long bytesIn() {
         return loop.bytesIn();
     }
 
-    /** Bytes sent. */
+    /** Returns the number of bytes sent over all connections. */
     public long bytesOut() {
         return loop.bytesOut();
     }
 
-    /** Watches opened; one that is opened again counts again. */
+    /** Returns the number of watches opened, including watches that were opened again. */
     public long watchesOpened() {
         return watchesOpened.sum();
     }
 
-    /** Lines sent, blank ones included. */
+    /** Returns the number of lines sent, including blank lines. */
     public long linesOut() {
         return linesOut.sum();
     }
 
-    private static byte[] head(String field) {
+    private static byte[] responseHead(String field) {
         return ("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n" + field + "\r\n\r\n")
                 .getBytes(StandardCharsets.US_ASCII);
     }
--- a/src/main/java/linenring/scale/catalogue/package-info.java
+++ b/src/main/java/linenring/scale/catalogue/package-info.java
@@ -1,2 +1,2 @@
-/** A discovery agent for measurements: its state and its scripted events without I/O, and a server on loopback. */
+/** A discovery agent for measurements: its catalogue and scheduled changes, without I/O, and a server on loopback. */
 package linenring.scale.catalogue;
--- a/src/main/java/linenring/scale/fleet/ChannelLimits.java
+++ b/src/main/java/linenring/scale/fleet/ChannelLimits.java
@@ -1,13 +1,14 @@
 package linenring.scale.fleet;
 
 /**
- * The channel from a controller to its proxies, as its settings state it and the simulated proxies keep it.
+ * The limits of the channel from a controller to its proxies: stated in the controller's settings, and kept by the simulated
+ * channel.
  *
- * @param entriesPerSecond its rate
- * @param entriesPerMessage the cost of each message beside its entries
- * @param maxQueuedEntries how many entries may wait in it
- * @param propagationMs the usual delay from the channel's end to the proxy
- * @param maxTransitMs the longest such delay
+ * @param entriesPerSecond rate of the channel
+ * @param entriesPerMessage overhead of a message, in entries
+ * @param maxQueuedEntries largest number of entries in the channel's queue
+ * @param propagationMs usual delay from the end of the channel to the proxy
+ * @param maxTransitMs longest delay from the end of the channel to the proxy
  */
 public record ChannelLimits(
         double entriesPerSecond,
@@ -18,13 +19,13 @@
     private static final double ENTRIES_PER_SECOND = 1200;
     private static final double ENTRIES_PER_MESSAGE = 4;
     private static final double MIN_QUEUED_ENTRIES = 1500;
-    /** The queue of a large fleet is sized by its proxies. */
+    /** Queue capacity for each proxy; the queue of a large fleet grows with the number of its proxies. */
     private static final double QUEUED_ENTRIES_PER_PROXY = 22;
 
     private static final double PROPAGATION_MS = 200;
     private static final double MAX_TRANSIT_MS = 500;
 
-    /** The channel of a large fleet (docs/results.md) with that many proxies. */
+    /** Returns the limits of the large fleet in docs/results.md, for this number of proxies. */
     public static ChannelLimits ofFleet(int proxies) {
         return new ChannelLimits(
                 ENTRIES_PER_SECOND,
--- a/src/main/java/linenring/scale/fleet/ConfigurationUpdateDecoder.java
+++ b/src/main/java/linenring/scale/fleet/ConfigurationUpdateDecoder.java
@@ -8,15 +8,15 @@
 import java.util.List;
 import linenring.protocol.ConfigurationUpdate;
 
-/** Decodes configuration updates as a proxy does: the mirror of the codec's encoder. One for each stream. */
+/** Decodes the configuration updates of one stream, like a proxy; the counterpart of the codec's encoder. */
 final class ConfigurationUpdateDecoder {
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** The parts of an update whose last line has not come. */
+    /** Parts of the current update; its last line was not received yet. */
     private final List<ConfigurationUpdate.Part> parts = new ArrayList<>();
 
-    /** The fields of one line, as they are read. */
-    private static final class Fields {
+    /** The fields of one line, collected while the line is parsed. */
+    private static final class LineFields {
         private String type;
         private List<String> operations = List.of();
         private List<ConfigurationUpdate.TableEntry> entries = new ArrayList<>();
@@ -37,11 +37,11 @@
         }
     }
 
-    /** The update that this line completes; null if more lines belong to it, or if the line is no update. */
-    ConfigurationUpdate line(byte[] bytes, int start, int length) throws IOException {
-        Fields fields = fields(bytes, start, length);
+    /** Decodes a line; returns the update that the line completes, or null if it is not the last of an update or not an update. */
+    ConfigurationUpdate decodeLine(byte[] bytes, int start, int length) throws IOException {
+        LineFields fields = decodeFields(bytes, start, length);
         if (!"CONFIG".equals(fields.type)) {
-            return null; // a PONG
+            return null; // the line is a PONG
         }
         parts.add(fields.part());
         if (fields.isContinued) {
@@ -52,8 +52,8 @@
         return update;
     }
 
-    private static Fields fields(byte[] bytes, int start, int length) throws IOException {
-        Fields fields = new Fields();
+    private static LineFields decodeFields(byte[] bytes, int start, int length) throws IOException {
+        LineFields fields = new LineFields();
         try (JsonParser parser = JSON.createParser(bytes, start, length)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
                 throw new IOException("not a JSON object");
@@ -67,23 +67,23 @@
         return fields;
     }
 
-    private static void readField(Fields fields, String name, JsonParser parser) throws IOException {
+    private static void readField(LineFields fields, String name, JsonParser parser) throws IOException {
         switch (name) {
             case "@type" -> fields.type = parser.getText();
-            case "routes" -> fields.operations = texts(parser);
+            case "routes" -> fields.operations = readStrings(parser);
             case "full" -> fields.replacesTable = parser.getBooleanValue();
-            case "endpoints" -> fields.entries = entries(parser);
+            case "endpoints" -> fields.entries = readEntries(parser);
             case "admit" -> fields.admissionRatio = parser.getDoubleValue();
             case "policy" -> fields.retryPolicyCode = parser.getIntValue();
-            case "eject" -> fields.ejected = texts(parser);
-            case "restore" -> fields.restored = texts(parser);
+            case "eject" -> fields.ejected = readStrings(parser);
+            case "restore" -> fields.restored = readStrings(parser);
             case "nonce_out" -> fields.nonce = parser.getIntValue();
             case "continued" -> fields.isContinued = parser.getBooleanValue();
             default -> parser.skipChildren();
         }
     }
 
-    private static List<String> texts(JsonParser parser) throws IOException {
+    private static List<String> readStrings(JsonParser parser) throws IOException {
         List<String> texts = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             texts.add(parser.getText());
@@ -91,14 +91,14 @@
         return texts;
     }
 
-    private static List<ConfigurationUpdate.TableEntry> entries(JsonParser parser) throws IOException {
+    private static List<ConfigurationUpdate.TableEntry> readEntries(JsonParser parser) throws IOException {
         List<ConfigurationUpdate.TableEntry> entries = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             parser.nextToken();
             String host = parser.getText();
             parser.nextToken();
             entries.add(new ConfigurationUpdate.TableEntry(host, parser.getDoubleValue()));
-            parser.nextToken(); // the end of the entry
+            parser.nextToken(); // skip the end of the entry
         }
         return entries;
     }
--- a/src/main/java/linenring/scale/fleet/FleetLayout.java
+++ b/src/main/java/linenring/scale/fleet/FleetLayout.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * The proxies of one controller and what they report.
+ * The size of a simulated fleet with one controller, and the load that its proxies report.
  *
- * @param reportsPerSecond reports of collectors and proxies together
- * @param requestsPerSecond requests to each proxy
+ * @param reportsPerSecond total rate of reports by collectors and proxies
+ * @param requestsPerSecond request rate of each proxy
  */
 public record FleetLayout(
         int proxies,
@@ -15,7 +15,7 @@
         ChannelLimits channel,
         double reportsPerSecond,
         double requestsPerSecond) {
-    /** Copies the lists, so that the value can't change. */
+    /** Copies the lists, so that the record is immutable. */
     public FleetLayout {
         zones = List.copyOf(zones);
         operations = List.copyOf(operations);
--- a/src/main/java/linenring/scale/fleet/InProcessController.java
+++ b/src/main/java/linenring/scale/fleet/InProcessController.java
@@ -22,8 +22,8 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * A controller without sockets for proxies and without a data plane: the real planner and fleet state, and the real host watch
- * over loopback. Its processor time is that of its own threads.
+ * A controller in this process, without sockets for proxies and without a data plane. It runs the real control loop, and the
+ * real host watch over loopback. Its processor time is the sum over its own threads.
  */
 public final class InProcessController implements AutoCloseable {
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
@@ -40,7 +40,7 @@
     private HostWatch watch;
     private Thread thread;
 
-    /** With a record of the lists it receives if {@code keepsLedger}, which costs time and memory. */
+    /** Creates a controller; {@code keepsLedger} records the lists that it receives, which takes time and memory. */
     public InProcessController(
             String name, ControllerConfiguration configuration, Scheduler scheduler, boolean keepsLedger) {
         this.name = name;
@@ -48,36 +48,37 @@
         this.scheduler = scheduler;
         ledger = keepsLedger ? new ListLedger() : null;
         codec = new Codec(configuration.names());
-        ThreadFactory factory = task -> named(task, name + "-watch");
-        executor = new ThreadPoolExecutor( // threads are kept, since the processor time of an ended one is lost
+        ThreadFactory factory = task -> newThread(task, name + "-watch");
+        executor = new ThreadPoolExecutor( // idle threads are kept, since the processor time of an ended thread is lost
                 0, Integer.MAX_VALUE, 1, TimeUnit.HOURS, new SynchronousQueue<>(), factory);
         if (ledger != null) {
-            events.addHostListListener(ledger::listed);
+            events.addHostListListener(ledger::record);
         }
     }
 
-    private Thread named(Runnable task, String threadName) {
+    private Thread newThread(Runnable task, String threadName) {
         Thread created = new Thread(task, threadName);
         created.setDaemon(true);
         threads.add(created);
         return created;
     }
 
-    /** Starts the control loop and the host watch. */
-    public void open() throws Exception { // Jetty's start() may throw any
-        Log log = new Log(this::logged);
-        thread = named(() -> decide(log), name);
+    /** Starts the control loop and the host watch. Throws what Jetty's start() throws. */
+    public void open() throws Exception { // Jetty's start() declares Exception
+        Log log = new Log(this::recordFault);
+        thread = newThread(() -> runControlLoop(log), name);
         thread.start();
         WatchConfig config = new WatchConfig(
                 configuration.discovery(),
                 configuration.scope(),
                 configuration.knownHosts().orElse(null),
-                reason -> log.error("controller", "would end: " + reason)); // it shares its process with others
+                // it must not end the process, which it shares with other controllers
+                reason -> log.error("controller", "a controller process would end: " + reason));
         watch = new HostWatch(config, codec, events, log, executor, scheduler);
         watch.open();
     }
 
-    private void decide(Log log) {
+    private void runControlLoop(Log log) {
         try {
             new ControlLoop(
                             configuration.plannerSettings(),
@@ -86,44 +87,44 @@
                             events,
                             log)
                     .run();
-        } catch (Throwable fatal) { // above all OutOfMemoryError, which must fail this point of the run and not hang it
+        } catch (Throwable fatal) { // an OutOfMemoryError must fail the current point of the run instead of blocking it
             failure.compareAndSet(null, fatal.toString());
         }
     }
 
-    private void logged(Instant time, Level level, String subject, String message, int suppressedLines) {
+    private void recordFault(Instant time, Level level, String subject, String message, int suppressedLines) {
         if (subject.equals("fault")) {
             failure.compareAndSet(null, message);
         }
     }
 
-    /** What went wrong first, or null. */
+    /** Returns the first failure, or null if there was none. */
     public String failure() {
         return failure.get();
     }
 
-    /** The queue into its control loop. */
+    /** Returns the event queue of the control loop. */
     public EventQueue events() {
         return events;
     }
 
-    /** The codec for its names. */
+    /** Returns the codec for the configured names. */
     public Codec codec() {
         return codec;
     }
 
-    /** The lists that it received, or null if they are not recorded. */
+    /** Returns the record of the received host lists, or null if they are not recorded. */
     public ListLedger ledger() {
         return ledger;
     }
 
-    /** Processor time of its threads so far. */
+    /** Returns the processor time used by the controller's threads. */
     public long processorNanos() {
         return threads.stream().mapToLong(InProcessController::processorNanos).sum();
     }
 
     private static long processorNanos(Thread thread) {
-        return Math.max(0, THREADS.getThreadCpuTime(thread.getId())); // -1 once it has ended
+        return Math.max(0, THREADS.getThreadCpuTime(thread.getId())); // -1 after the thread has ended
     }
 
     @Override
@@ -131,7 +132,7 @@
         thread.interrupt();
         try {
             watch.stop();
-        } catch (Exception failed) { // stop() may throw any; its threads are ended below all the same
+        } catch (Exception failed) { // Jetty's stop() declares Exception; the threads are stopped below in any case
             failure.compareAndSet(null, failed.toString());
         }
         executor.shutdownNow();
--- a/src/main/java/linenring/scale/fleet/InProcessFleets.java
+++ b/src/main/java/linenring/scale/fleet/InProcessFleets.java
@@ -11,24 +11,24 @@
 import linenring.protocol.ConfigurationUpdate;
 import linenring.protocol.InboundMessage;
 
-/** Simulated fleets of controllers in this process, through their event queues; one thread for all of them. */
+/** Runs the simulated fleets of the controllers in this process on one thread, and connects them through event queues. */
 public final class InProcessFleets implements AutoCloseable {
     private static final long TICK_NANOS = 5_000_000;
     private static final double NANOS_PER_MS = 1e6;
     private static final long STOP_TIMEOUT_MS = 2000;
 
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
-    private final List<SimulatedFleet> fleets = new ArrayList<>(); // on the thread
+    private final List<SimulatedFleet> fleets = new ArrayList<>(); // accessed only by the thread
     private final Thread thread = new Thread(this::run, "simulated-fleets");
     private volatile boolean closed;
 
-    /** Connects a fleet to its controller. */
+    /** The connection of a fleet to its controller. */
     public final class Connection implements Uplink {
         private final SimulatedFleet fleet;
         private final Codec codec;
         private final Traffic traffic = new Traffic();
         private final InProcessStream[] streams;
-        private EventQueue events; // null once it has ended
+        private EventQueue events; // null after the connection has ended
 
         private Connection(SimulatedFleet fleet, Codec codec, EventQueue events) {
             this.fleet = fleet;
@@ -70,22 +70,25 @@
             }
         }
 
-        /** Messages, and bytes from the controller; messages to it are not encoded and have no bytes. */
+        /**
+         * Returns the traffic with the controller. Messages to the controller are counted without bytes, since they are not
+         * encoded.
+         */
         public Traffic traffic() {
             return traffic;
         }
 
-        /** The proxies and collectors. */
+        /** Returns the simulated proxies and collectors. */
         public SimulatedFleet fleet() {
             return fleet;
         }
 
-        /** All proxies leave and join again. */
+        /** Disconnects all proxies and lets them reconnect. */
         public void rejoinAll() {
             tasks.add(() -> fleet.rejoinAll(nowMs()));
         }
 
-        /** Nothing is sent any more, and the controller's memory is released. */
+        /** Ends all communication, and releases the reference to the controller's queue. */
         public void end() {
             tasks.add(() -> {
                 fleet.stop();
@@ -94,7 +97,7 @@
         }
     }
 
-    /** Takes the updates of a controller: encodes them, as a real one does, and hands them to the fleet. */
+    /** Receives a controller's updates: encodes them to count bytes, like a real stream, and passes them to the fleet. */
     private final class InProcessStream implements ProxyStream {
         private final Connection connection;
         private final int proxy;
@@ -126,13 +129,13 @@
         }
     }
 
-    /** Starts the thread. */
+    /** Starts the fleets' thread. */
     public void start() {
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Lets a fleet join through this event queue. */
+    /** Connects a fleet to a controller by the controller's event queue, and starts the fleet. */
     public Connection join(SimulatedFleet fleet, Codec codec, EventQueue events) {
         Connection connection = new Connection(fleet, codec, events);
         tasks.add(() -> {
--- a/src/main/java/linenring/scale/fleet/InboundMessageEncoder.java
+++ b/src/main/java/linenring/scale/fleet/InboundMessageEncoder.java
@@ -7,7 +7,7 @@
 import java.io.UncheckedIOException;
 import linenring.protocol.InboundMessage;
 
-/** Encodes the messages of proxies and collectors, one line each: the mirror of the codec's decoder. */
+/** Encodes each message of a proxy or collector as one line; the counterpart of the codec's decoder. */
 final class InboundMessageEncoder {
     private static final int LINE_BYTES = 160;
     private static final double TENTHS_PER_MS = 10;
@@ -19,7 +19,7 @@
         this.layout = layout;
     }
 
-    byte[] line(InboundMessage message) {
+    byte[] encodeLine(InboundMessage message) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(LINE_BYTES);
         try (JsonGenerator out = JSON.createGenerator(bytes)) {
             out.writeStartObject();
--- a/src/main/java/linenring/scale/fleet/ListLedger.java
+++ b/src/main/java/linenring/scale/fleet/ListLedger.java
@@ -8,30 +8,34 @@
 import java.util.Set;
 import linenring.protocol.HostList;
 
-/** Records the host lists that a controller received: whether versions came once and in order, and which hosts are ready. */
+/**
+ * Records the host lists that a controller received: whether each version was received once and in order, and which hosts are
+ * ready. Thread-safe.
+ */
 public final class ListLedger {
-    private static final int MAX_KEPT_FAULTS = 20;
+    private static final int MAX_RECORDED_FAULTS = 20;
 
     private final Map<String, HostList.State> hosts = new HashMap<>();
     private final List<String> faults = new ArrayList<>();
     private long version = -1;
     private long deltas;
     private long completeLists;
-    private long catchUps;
+    private long mergedDeltas;
     private long mergedVersions;
 
-    /** Records one list. */
-    public synchronized void listed(HostList list) {
-        boolean again = list.isComplete() && list.version() == version; // a complete list may repeat the version held
-        if (version >= 0 && list.version() <= version && !again) {
-            fault("version " + list.version() + " after " + version);
+    /** Records a received list. */
+    public synchronized void record(HostList list) {
+        // a complete list may repeat the current version
+        boolean isRepeatedCompleteList = list.isComplete() && list.version() == version;
+        if (version >= 0 && list.version() <= version && !isRepeatedCompleteList) {
+            addFault("version " + list.version() + " received after version " + version);
         }
         if (list.isComplete()) {
             completeLists++;
             hosts.clear();
         } else {
             deltas++;
-            catchUps += list.version() == version + 1 ? 0 : 1;
+            mergedDeltas += list.version() == version + 1 ? 0 : 1;
             mergedVersions += Math.max(0, list.version() - version - 1);
         }
         version = list.version();
@@ -44,43 +48,46 @@
         }
     }
 
-    private void fault(String message) {
-        if (faults.size() < MAX_KEPT_FAULTS) {
+    private void addFault(String message) {
+        if (faults.size() < MAX_RECORDED_FAULTS) {
             faults.add(message);
         }
     }
 
-    /** The last version; -1 before the first list. */
+    /** Returns the version of the last list, or -1 before the first list. */
     public synchronized long version() {
         return version;
     }
 
-    /** How many deltas came. */
+    /** Returns the number of received deltas. */
     public synchronized long deltas() {
         return deltas;
     }
 
-    /** How many complete lists came. */
+    /** Returns the number of received complete lists. */
     public synchronized long completeLists() {
         return completeLists;
     }
 
-    /** How many deltas held more than one version. */
-    public synchronized long catchUps() {
-        return catchUps;
+    /** Returns the number of received deltas that covered more than one version. */
+    public synchronized long mergedDeltas() {
+        return mergedDeltas;
     }
 
-    /** Versions that came in the delta of a later one; with {@link #deltas} all since the complete list. */
+    /**
+     * Returns the number of versions that were received only as part of a delta to a later version. Added to {@link #deltas},
+     * this is the number of all versions since the complete list.
+     */
     public synchronized long mergedVersions() {
         return mergedVersions;
     }
 
-    /** Versions that came twice or out of order, the first few. */
+    /** Returns descriptions of the first versions that were received twice or out of order. */
     public synchronized List<String> faults() {
         return List.copyOf(faults);
     }
 
-    /** The ids of the hosts that are ready by the lists received. */
+    /** Returns the ids of the hosts that are ready according to the received lists. */
     public synchronized Set<String> readyIds() {
         Set<String> ready = new HashSet<>();
         hosts.forEach((id, state) -> {
--- a/src/main/java/linenring/scale/fleet/SimulatedChannel.java
+++ b/src/main/java/linenring/scale/fleet/SimulatedChannel.java
@@ -1,6 +1,6 @@
 package linenring.scale.fleet;
 
-/** The channel of one controller's updates, without I/O: entries leave it at a fixed rate, one message after the other. */
+/** Simulates the channel of a controller's updates, without I/O: it sends one message at a time, at a fixed rate of entries. */
 final class SimulatedChannel {
     private static final double SECOND_MS = 1000;
 
@@ -15,7 +15,7 @@
         propagationMs = limits.propagationMs();
     }
 
-    /** When a message of that many entries that is sent now takes effect at its proxy. */
+    /** Queues a message with this number of entries, and returns the time at which its proxy receives the message. */
     double deliveryTimeMs(double nowMs, int entries) {
         freeAtMs = Math.max(nowMs, freeAtMs) + (entries + entriesPerMessage) / entriesPerMs;
         return freeAtMs + propagationMs;
--- a/src/main/java/linenring/scale/fleet/SimulatedFleet.java
+++ b/src/main/java/linenring/scale/fleet/SimulatedFleet.java
@@ -13,42 +13,43 @@
 import linenring.routing.UnusableUpdateException;
 
 /**
- * The proxies and collectors of one controller, without I/O: they join, apply updates as the channel delivers them,
- * acknowledge and report. Time (ms, from any start) is handed in. All but the reading methods are called on one thread.
+ * Simulates the proxies and collectors of one controller, without I/O: they subscribe, apply updates when the channel delivers
+ * them, acknowledge, and send reports. Callers pass the time in milliseconds of any monotonic clock. Only the methods that read
+ * results may be called on other threads than the fleet's.
  */
 public final class SimulatedFleet {
     private static final double MIN_RECONNECT_MS = 200;
     private static final double MAX_RECONNECT_MS = 500;
-    /** Within the latency objective of each operation. */
+    /** Latency in all load reports, within the latency objective of each operation. */
     private static final double MEAN_LATENCY_MS = 80;
 
     private static final double REPORT_INTERVAL_MS = 1000;
     private static final double SECOND_MS = 1000;
-    private static final int MAX_KEPT_FAULTS = 20;
-    /** Reports of a longer pause of this process are dropped. */
-    private static final double MAX_CATCH_UP_MS = 250;
+    private static final int MAX_RECORDED_FAULTS = 20;
+    /** Longest time for which reports are sent later; reports of a longer pause of this process are dropped. */
+    private static final double MAX_REPORT_DELAY_MS = 250;
 
-    /** An action and its time; {@code sequence} orders actions of one time. */
-    private record Due(double timeMs, long sequence, Runnable action) {}
+    /** A scheduled action; {@code sequence} orders actions that have the same time. */
+    private record ScheduledAction(double timeMs, long sequence, Runnable action) {}
 
     private final FleetLayout layout;
     private final HostRegistry hosts;
     private final RandomGenerator random;
     private final SimulatedChannel channel;
     private final List<SimulatedProxy> proxies;
-    private final PriorityQueue<Due> due =
-            new PriorityQueue<>(Comparator.comparingDouble(Due::timeMs).thenComparingLong(Due::sequence));
+    private final PriorityQueue<ScheduledAction> scheduledActions = new PriorityQueue<>(
+            Comparator.comparingDouble(ScheduledAction::timeMs).thenComparingLong(ScheduledAction::sequence));
     private final List<String> faults = new ArrayList<>();
     private Uplink uplink;
     private long nextSequence;
     private double reportedUntilMs = Double.NaN;
-    private double dueReports;
+    private double pendingReports;
     private long reportCount;
     private final AtomicLong updatesApplied = new AtomicLong();
     private final AtomicLong timesWithoutHost = new AtomicLong();
     private volatile boolean stopped;
 
-    /** A fleet whose proxies join once it is started. */
+    /** Creates a fleet; its proxies subscribe when it is started. */
     public SimulatedFleet(FleetLayout layout, HostRegistry hosts, RandomGenerator random) {
         this.layout = layout;
         this.hosts = hosts;
@@ -63,13 +64,13 @@
         return layout;
     }
 
-    /** All proxies join. */
+    /** Subscribes all proxies. */
     void start(Uplink toController) {
         uplink = toController;
-        proxies.forEach(this::join);
+        proxies.forEach(this::subscribe);
     }
 
-    private void join(SimulatedProxy proxy) {
+    private void subscribe(SimulatedProxy proxy) {
         if (stopped || proxy.isJoined()) {
             return;
         }
@@ -78,34 +79,34 @@
         uplink.join(stream, new InboundMessage.Subscribe(proxy.id(), proxy.zone(), layout.requestsPerSecond(), isNew));
     }
 
-    /** From now on no proxy joins. */
+    /** Prevents all further subscriptions. */
     void stop() {
         stopped = true;
     }
 
-    /** All proxies leave, and join again at once with the tables they have. */
+    /** Disconnects all proxies, which subscribe again after a short random delay and keep their tables. */
     void rejoinAll(double nowMs) {
         for (SimulatedProxy proxy : proxies) {
             if (proxy.isJoined()) {
                 uplink.leave(proxy.id());
                 proxy.closeStream();
             }
-            schedule(nowMs + random.nextDouble() * MIN_RECONNECT_MS, () -> join(proxy));
+            schedule(nowMs + random.nextDouble() * MIN_RECONNECT_MS, () -> subscribe(proxy));
         }
     }
 
-    /** The stream of a proxy has ended; it connects again after a while. */
+    /** Handles the end of a proxy's stream; the proxy reconnects after a random delay. */
     void streamLost(int id, int stream, double nowMs) {
         SimulatedProxy proxy = proxies.get(id);
         if (proxy.stream() != stream) {
-            return; // it has a newer one
+            return; // the proxy has a newer stream
         }
         proxy.closeStream();
         double waitMs = MIN_RECONNECT_MS + random.nextDouble() * (MAX_RECONNECT_MS - MIN_RECONNECT_MS);
-        schedule(nowMs + waitMs, () -> join(proxy));
+        schedule(nowMs + waitMs, () -> subscribe(proxy));
     }
 
-    /** A complete update has arrived on a stream; it takes effect when the channel has delivered it. */
+    /** Receives a complete update on a stream; the proxy applies it when the simulated channel has delivered it. */
     void receive(int id, int stream, ConfigurationUpdate update, double sentMs) {
         double deliveredMs = channel.deliveryTimeMs(sentMs, update.entryCount());
         schedule(deliveredMs, () -> apply(proxies.get(id), stream, update, sentMs, deliveredMs));
@@ -114,13 +115,13 @@
     private void apply(
             SimulatedProxy proxy, int stream, ConfigurationUpdate update, double sentMs, double deliveredMs) {
         if (proxy.stream() != stream) {
-            return; // lost with its stream
+            return; // the update is lost with its stream
         }
         List<Integer> nonces;
         try {
             nonces = proxy.apply(update);
         } catch (UnusableUpdateException unusable) {
-            fault("proxy " + proxy.id() + " can't use an update: " + unusable.getMessage());
+            addFault("proxy " + proxy.id() + " cannot apply an update: " + unusable.getMessage());
             uplink.leave(proxy.id());
             streamLost(proxy.id(), stream, deliveredMs);
             return;
@@ -129,7 +130,7 @@
         boolean hadHosts = proxy.hadHosts();
         if (!proxy.hasHosts() && hadHosts) {
             timesWithoutHost.incrementAndGet();
-            fault("proxy " + proxy.id() + " has no host");
+            addFault("proxy " + proxy.id() + " has lost its last host");
         }
         for (int nonce : nonces) {
             uplink.send(proxy.id(), new InboundMessage.Acknowledgement(proxy.id(), nonce, deliveredMs - sentMs));
@@ -137,26 +138,26 @@
     }
 
     private void schedule(double timeMs, Runnable action) {
-        due.add(new Due(timeMs, nextSequence++, action));
+        scheduledActions.add(new ScheduledAction(timeMs, nextSequence++, action));
     }
 
-    // ---- time
+    // ---- actions and reports over time
 
-    /** Does all that is due, reports included. */
+    /** Runs all actions that are due, and sends the reports that are due. */
     void advance(double nowMs) {
-        while (!due.isEmpty() && due.peek().timeMs() <= nowMs) {
-            due.poll().action().run();
+        while (!scheduledActions.isEmpty() && scheduledActions.peek().timeMs() <= nowMs) {
+            scheduledActions.poll().action().run();
         }
-        double elapsedMs = Double.isNaN(reportedUntilMs) ? 0 : Math.min(MAX_CATCH_UP_MS, nowMs - reportedUntilMs);
+        double elapsedMs = Double.isNaN(reportedUntilMs) ? 0 : Math.min(MAX_REPORT_DELAY_MS, nowMs - reportedUntilMs);
         reportedUntilMs = nowMs;
-        dueReports += elapsedMs / SECOND_MS * layout.reportsPerSecond();
-        for (; dueReports >= 1 && !proxies.isEmpty(); dueReports--) {
-            report();
+        pendingReports += elapsedMs / SECOND_MS * layout.reportsPerSecond();
+        for (; pendingReports >= 1 && !proxies.isEmpty(); pendingReports--) {
+            sendNextReport();
         }
     }
 
-    /** The next report: proxies' and collectors' in turn, each as large as its share of all requests. */
-    private void report() {
+    /** Sends the next report, by proxies and collectors in turn; each report covers its share of all requests. */
+    private void sendNextReport() {
         long number = reportCount++;
         SimulatedProxy proxy = proxies.get((int) (number / 2 % proxies.size()));
         if (!proxy.isJoined()) {
@@ -179,39 +180,39 @@
         }
     }
 
-    // ---- what is read from other threads
+    // ---- results, read by any thread
 
-    /** Its proxies, by id. */
+    /** Returns the proxies in the order of their ids. */
     public List<SimulatedProxy> proxies() {
         return proxies;
     }
 
-    /** How many updates proxies have applied. */
+    /** Returns the number of updates that proxies have applied. */
     public long updatesApplied() {
         return updatesApplied.get();
     }
 
-    /** How often an update left a proxy without a host that had one before. */
+    /** Returns how often an update removed the last host of a proxy. */
     public long timesWithoutHost() {
         return timesWithoutHost.get();
     }
 
-    void fault(String message) {
+    void addFault(String message) {
         synchronized (faults) {
-            if (faults.size() < MAX_KEPT_FAULTS) {
+            if (faults.size() < MAX_RECORDED_FAULTS) {
                 faults.add(message);
             }
         }
     }
 
-    /** What went wrong, the first few, as text. */
+    /** Returns descriptions of the first faults. */
     public List<String> faults() {
         synchronized (faults) {
             return List.copyOf(faults);
         }
     }
 
-    /** The hosts as the fleet knows them. */
+    /** Returns the registry of the hosts that the fleet's tables refer to. */
     public HostRegistry hosts() {
         return hosts;
     }
--- a/src/main/java/linenring/scale/fleet/SimulatedProxy.java
+++ b/src/main/java/linenring/scale/fleet/SimulatedProxy.java
@@ -10,7 +10,7 @@
 import linenring.routing.Tables;
 import linenring.routing.UnusableUpdateException;
 
-/** A proxy that applies updates to its tables and carries no request. Changed on the fleet's thread, read on any. */
+/** A proxy that applies updates to its tables but carries no requests. Modified by the fleet's thread, read by any thread. */
 public final class SimulatedProxy {
     private static final int NEVER_EJECT = Integer.MAX_VALUE;
 
@@ -19,9 +19,9 @@
     private final HostRegistry hosts;
     private final Tables tables;
     private volatile boolean joined;
-    private volatile boolean updated; // on its current stream
-    private volatile boolean hadHosts; // it has had a host for each operation
-    private int stream; // the number of its current stream
+    private volatile boolean updated; // whether an update was applied on the current stream
+    private volatile boolean hadHosts; // whether the proxy has ever had a host for each operation
+    private int stream; // number of the current stream
 
     SimulatedProxy(int id, int zone, List<String> operations, HostRegistry hosts) {
         this.id = id;
@@ -30,7 +30,7 @@
         tables = new Tables(operations, hosts, Measure.SHARE, NEVER_EJECT, 0);
     }
 
-    /** Its id. */
+    /** Returns the proxy's id. */
     public int id() {
         return id;
     }
@@ -39,22 +39,22 @@
         return zone;
     }
 
-    /** Whether it has no table of a controller. */
+    /** Whether the proxy has no table from a controller. */
     boolean isNew() {
         return tables.isEmpty();
     }
 
-    /** Whether it has a stream. */
+    /** Whether the proxy has a stream to its controller. */
     public boolean isJoined() {
         return joined;
     }
 
-    /** The number of its current stream; events of an earlier one are late. */
+    /** Returns the number of the current stream; events of streams with lower numbers are outdated. */
     int stream() {
         return stream;
     }
 
-    /** Begins a stream; returns its number. */
+    /** Opens a new stream, and returns its number. */
     int openStream() {
         updated = false;
         joined = true;
@@ -72,12 +72,12 @@
         return nonces;
     }
 
-    /** Whether its controller has updated it on its current stream. */
+    /** Whether the controller has sent the proxy an update on its current stream. */
     public boolean isUpdated() {
         return joined && updated;
     }
 
-    /** Whether it has a host for each operation. */
+    /** Whether the proxy has a host for each operation. */
     public boolean hasHosts() {
         for (int operation = 0; operation < tables.operations().size(); operation++) {
             if (tables.pick(operation, 0, 0.5) == Tables.NONE) {
@@ -88,18 +88,18 @@
         return true;
     }
 
-    /** Whether it once had a host for each operation. */
+    /** Whether the proxy has ever had a host for each operation. */
     boolean hadHosts() {
         return hadHosts;
     }
 
-    /** The id of a host by weight, or null if there is none. */
+    /** Picks a host by weight, and returns its id, or null if the operation has no host. */
     String pick(int operation, double draw) {
         int host = tables.pick(operation, 0, draw);
         return host == Tables.NONE ? null : hosts.host(host).id();
     }
 
-    /** The ids of the hosts that its table of an operation has and that are not ejected. */
+    /** Returns the ids of the hosts in an operation's table that are not ejected. */
     public Set<String> eligibleHosts(int operation) {
         Set<String> eligible = new HashSet<>();
         for (int host : new ArrayList<>(tables.weights(operation).keySet())) {
--- a/src/main/java/linenring/scale/fleet/SocketFleet.java
+++ b/src/main/java/linenring/scale/fleet/SocketFleet.java
@@ -11,7 +11,7 @@
 import linenring.scale.sockets.SocketLink;
 import linenring.scale.sockets.SocketLoop;
 
-/** A simulated fleet over loopback sockets to a controller: a stream for each proxy, a connection for each zone's collector. */
+/** Connects a simulated fleet to a controller over loopback: one stream for each proxy, one connection for each zone's collector. */
 public final class SocketFleet implements Uplink, AutoCloseable {
     private static final long TICK_MS = 5;
     private static final double NANOS_PER_MS = 1e6;
@@ -26,28 +26,28 @@
     private final Peer[] streams;
     private final Collector[] collectors;
 
-    /** A connection that introduces itself once it is open. */
+    /** A connection that sends its identifying message when it is open. */
     private abstract class Peer implements SocketLink.Handler {
-        private final InboundMessage introduction;
+        private final InboundMessage identification;
         private SocketLink link;
 
-        Peer(InboundMessage introduction) {
-            this.introduction = introduction;
+        Peer(InboundMessage identification) {
+            this.identification = identification;
         }
 
-        void connect() {
+        void open() {
             loop.connect(controller, this);
         }
 
         @Override
         public void connected(SocketLink opened) {
             link = opened;
-            send(introduction);
+            send(identification);
         }
 
         void send(InboundMessage message) {
             if (link != null && !link.isClosed()) {
-                byte[] line = encoder.line(message);
+                byte[] line = encoder.encodeLine(message);
                 traffic.messageIn();
                 traffic.bytesIn(line.length);
                 link.send(line);
@@ -63,14 +63,14 @@
 
     private final class ProxyStream extends Peer {
         private final int proxy;
-        private final int number;
+        private final int streamNumber;
         private final ConfigurationUpdateDecoder decoder = new ConfigurationUpdateDecoder();
         private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
         ProxyStream(int number, InboundMessage.Subscribe subscribe) {
             super(subscribe);
             this.proxy = subscribe.proxy();
-            this.number = number;
+            this.streamNumber = number;
         }
 
         @Override
@@ -82,28 +82,28 @@
                     line.write(next);
                     continue;
                 }
-                endLine();
+                decodeCompletedLine();
             }
         }
 
-        private void endLine() {
+        private void decodeCompletedLine() {
             byte[] complete = line.toByteArray();
             line.reset();
             traffic.messageOut();
             try {
-                ConfigurationUpdate update = decoder.line(complete, 0, complete.length);
+                ConfigurationUpdate update = decoder.decodeLine(complete, 0, complete.length);
                 if (update != null) {
-                    fleet.receive(proxy, number, update, nowMs());
+                    fleet.receive(proxy, streamNumber, update, nowMs());
                 }
             } catch (IOException invalid) {
-                fleet.fault("proxy " + proxy + " can't read a line: " + invalid.getMessage());
+                fleet.addFault("proxy " + proxy + " cannot decode a line: " + invalid.getMessage());
                 close();
             }
         }
 
         @Override
         public void closed(SocketLink ended) {
-            fleet.streamLost(proxy, number, nowMs());
+            fleet.streamLost(proxy, streamNumber, nowMs());
         }
     }
 
@@ -116,7 +116,7 @@
 
         @Override
         public void received(SocketLink from, ByteBuffer bytes) {
-            fleet.fault("a collector received something");
+            fleet.addFault("a collector received data, which controllers never send to collectors");
             bytes.position(bytes.limit());
         }
 
@@ -126,7 +126,7 @@
         }
     }
 
-    /** A fleet that joins at this address once it is started. */
+    /** Creates the connections of a fleet to the controller's address; {@link #start} opens them. */
     public SocketFleet(SimulatedFleet fleet, InetSocketAddress controller, String name) throws IOException {
         this.fleet = fleet;
         this.controller = controller;
@@ -137,19 +137,19 @@
                 [fleet.layout().proxies() == 0 ? 0 : fleet.layout().zones().size()];
     }
 
-    /** All collectors and proxies connect. */
+    /** Connects all collectors and proxies. */
     public void start() {
         loop.start();
         loop.execute(() -> {
             for (int zone = 0; zone < collectors.length; zone++) {
                 collectors[zone] = new Collector(zone);
-                collectors[zone].connect();
+                collectors[zone].open();
             }
             fleet.start(this);
         });
     }
 
-    /** All proxies leave and join again. */
+    /** Disconnects all proxies and lets them reconnect. */
     public void rejoinAll() {
         loop.execute(() -> fleet.rejoinAll(nowMs()));
     }
@@ -160,7 +160,7 @@
         for (Collector collector : collectors) {
             if (collector != null && collector.reconnectAtMs <= nowMs) {
                 collector.reconnectAtMs = Double.POSITIVE_INFINITY;
-                collector.connect();
+                collector.open();
             }
         }
     }
@@ -173,7 +173,7 @@
     public void join(int stream, InboundMessage.Subscribe subscribe) {
         ProxyStream opened = new ProxyStream(stream, subscribe);
         streams[subscribe.proxy()] = opened;
-        opened.connect();
+        opened.open();
     }
 
     @Override
@@ -197,17 +197,17 @@
         collectors[report.zone()].send(report);
     }
 
-    /** The proxies and collectors. */
+    /** Returns the simulated proxies and collectors. */
     public SimulatedFleet fleet() {
         return fleet;
     }
 
-    /** What went to and from the controller. */
+    /** Returns the traffic with the controller. */
     public Traffic traffic() {
         return traffic;
     }
 
-    /** Waits until the loop has run all tasks given to it before. */
+    /** Waits until the socket loop has run all tasks submitted before; returns false after a timeout. */
     public boolean awaitTasks() throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(done::countDown);
--- a/src/main/java/linenring/scale/fleet/Traffic.java
+++ b/src/main/java/linenring/scale/fleet/Traffic.java
@@ -2,16 +2,16 @@
 
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts bytes and messages to and from one controller. Thread-safe. */
+/** Counts the bytes and messages to and from one controller. Thread-safe. */
 public final class Traffic {
     private final LongAdder bytesIn = new LongAdder();
     private final LongAdder bytesOut = new LongAdder();
     private final LongAdder messagesIn = new LongAdder();
     private final LongAdder messagesOut = new LongAdder();
 
-    /** The counts at one time. */
+    /** A snapshot of the counts. */
     public record Counts(long bytesIn, long bytesOut, long messagesIn, long messagesOut) {
-        /** The counts since earlier ones. */
+        /** Returns the difference to an earlier snapshot. */
         public Counts since(Counts before) {
             return new Counts(
                     bytesIn - before.bytesIn,
@@ -20,7 +20,7 @@
                     messagesOut - before.messagesOut);
         }
 
-        /** The sum of both. */
+        /** Returns the sum of two snapshots. */
         public Counts plus(Counts other) {
             return new Counts(
                     bytesIn + other.bytesIn,
@@ -30,27 +30,27 @@
         }
     }
 
-    /** A message to the controller. */
+    /** Counts a message to the controller. */
     void messageIn() {
         messagesIn.increment();
     }
 
-    /** A message from the controller. */
+    /** Counts a message from the controller. */
     void messageOut() {
         messagesOut.increment();
     }
 
-    /** Bytes to the controller. */
+    /** Counts bytes to the controller. */
     void bytesIn(int bytes) {
         bytesIn.add(bytes);
     }
 
-    /** Bytes from the controller. */
+    /** Counts bytes from the controller. */
     void bytesOut(int bytes) {
         bytesOut.add(bytes);
     }
 
-    /** The counts so far. */
+    /** Returns a snapshot of the current counts. */
     public Counts counts() {
         return new Counts(bytesIn.sum(), bytesOut.sum(), messagesIn.sum(), messagesOut.sum());
     }
--- a/src/main/java/linenring/scale/fleet/Uplink.java
+++ b/src/main/java/linenring/scale/fleet/Uplink.java
@@ -2,17 +2,17 @@
 
 import linenring.protocol.InboundMessage;
 
-/** How a fleet's proxies and collectors reach their controller. Called on the fleet's thread. */
+/** Carries the messages of a fleet's proxies and collectors to their controller. Called on the fleet's thread. */
 interface Uplink {
-    /** Opens a new stream of a proxy, whose number the fleet gives, and subscribes on it. */
+    /** Opens a new stream of a proxy and subscribes on it; the fleet assigns the stream's number. */
     void join(int stream, InboundMessage.Subscribe subscribe);
 
-    /** Closes the current stream of a proxy. */
+    /** Closes a proxy's current stream. */
     void leave(int proxy);
 
-    /** Sends a message on the current stream of a proxy. */
+    /** Sends a message on a proxy's current stream. */
     void send(int proxy, InboundMessage message);
 
-    /** Sends a report through the collector of its zone. */
+    /** Sends a load report through the collector of the report's zone. */
     void report(InboundMessage.LoadReport report);
 }
--- a/src/main/java/linenring/scale/fleet/package-info.java
+++ b/src/main/java/linenring/scale/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** Simulated proxies, collectors and controllers: they exchange messages as real ones do and carry no request. */
+/** Simulated proxies, collectors and controllers: they exchange the same messages as real ones, but carry no requests. */
 package linenring.scale.fleet;
--- a/src/main/java/linenring/scale/report/MarkdownReport.java
+++ b/src/main/java/linenring/scale/report/MarkdownReport.java
@@ -19,7 +19,7 @@
 import linenring.scale.report.fit.FitOutcome;
 import linenring.scale.report.fit.HeldOut;
 
-/** A run as Markdown: for each sweep its points and its fits, then the scenarios. */
+/** Renders a run as a Markdown page: the points and fits of each sweep, then the scenarios. */
 public final class MarkdownReport {
     private static final double PERCENT = 100;
     private static final double KILO = 1e3;
@@ -27,43 +27,43 @@
     private final ScaleRun run;
     private final List<SweepAnalysis> analyses;
 
-    /** A report of a run; {@code analyses} has one for each sweep, in their order. */
+    /** Creates the report of a run; {@code analyses} has the analysis of each sweep, in the order of the sweeps. */
     public MarkdownReport(ScaleRun run, List<SweepAnalysis> analyses) {
         this.run = run;
         this.analyses = List.copyOf(analyses);
     }
 
-    /** The whole page; {@code name} is its title. */
+    /** Returns the page; its title contains {@code name}. */
     public String page(String name) {
-        StringBuilder page = new StringBuilder("# Scale run " + name + "\n\n" + head());
+        StringBuilder page = new StringBuilder("# Scale run " + name + "\n\n" + renderHead());
         for (int i = 0; i < analyses.size(); i++) {
-            page.append(section(i + 1, analyses.get(i)));
+            page.append(renderSection(i + 1, analyses.get(i)));
         }
         if (!run.scenarios().isEmpty()) {
-            page.append("\n## Scenarios\n\n").append(scenarios());
+            page.append("\n## Scenarios\n\n").append(renderScenarios());
         }
         return page.toString();
     }
 
-    private String head() {
+    private String renderHead() {
         return "Build " + run.build() + ", begun " + run.startedAt() + ", seed " + run.seed() + ", " + run.cores()
                 + " cores, " + run.machine() + ". Each point: " + number(run.warmUpSeconds()) + " s of warm-up, "
                 + number(run.windowSeconds()) + " s measured. MB is 10^6 bytes, kB 10^3.\n";
     }
 
-    private static String section(int index, SweepAnalysis analysis) {
+    private static String renderSection(int index, SweepAnalysis analysis) {
         MeasuredSweep sweep = analysis.sweep();
-        return "\n## " + index + ". By " + sweep.variable().description() + "\n\nHeld: " + constants(sweep) + ".\n\n"
-                + points(sweep) + "\n" + fits(analysis) + threads(sweep);
+        return "\n## " + index + ". By " + sweep.variable().description() + "\n\nHeld: " + renderConstants(sweep)
+                + ".\n\n" + renderPoints(sweep) + "\n" + renderFits(analysis) + renderThreads(sweep);
     }
 
-    private static String threads(MeasuredSweep sweep) {
+    private static String renderThreads(MeasuredSweep sweep) {
         ThreadTable table = new ThreadTable(sweep);
         String heading = "\nProcessor time by thread of the real controller, % of a core:\n\n";
         return table.isEmpty() ? "" : heading + table.markdown(sweep.variable().description());
     }
 
-    private static String constants(MeasuredSweep sweep) {
+    private static String renderConstants(MeasuredSweep sweep) {
         Workload base = sweep.base();
         return Arrays.stream(Variable.values())
                 .filter(variable -> variable != sweep.variable())
@@ -74,7 +74,7 @@
 
     // ---- points
 
-    private static String points(MeasuredSweep sweep) {
+    private static String renderPoints(MeasuredSweep sweep) {
         List<String> headings = new ArrayList<>(List.of(sweep.variable().description()));
         for (Metric metric : Metric.values()) {
             headings.add(metric.description() + ", " + metric.unit());
@@ -106,8 +106,8 @@
 
     // ---- fits
 
-    /** The fits; of metrics that have too few sizes the names alone. */
-    private static String fits(SweepAnalysis analysis) {
+    /** Returns the table of fits, and a note with the metrics that have too few sizes for a fit. */
+    private static String renderFits(SweepAnalysis analysis) {
         MarkdownTable table = new MarkdownTable(List.of(
                 "metric",
                 "shape",
@@ -154,7 +154,7 @@
 
     // ---- scenarios
 
-    private String scenarios() {
+    private String renderScenarios() {
         MarkdownTable table = new MarkdownTable(List.of(
                 "scenario",
                 "hosts in the catalogue",
--- a/src/main/java/linenring/scale/report/MarkdownTable.java
+++ b/src/main/java/linenring/scale/report/MarkdownTable.java
@@ -25,7 +25,7 @@
         return text.toString();
     }
 
-    /** A number to three digits, a whole number as such; nothing for NaN. */
+    /** Formats a number with three significant digits, a whole number with all digits, and NaN as an empty cell. */
     static String number(double value) {
         if (Double.isNaN(value)) {
             return ABSENT;
@@ -41,14 +41,14 @@
         return String.format(Locale.ROOT, "%." + decimals + "f", value);
     }
 
-    /** A fraction of 1 in percent with its sign; nothing if there is none. */
+    /** Formats a fraction as a percentage with its sign; NaN and infinity give an empty cell. */
     static String signedPercent(double fraction) {
         return Double.isNaN(fraction) || Double.isInfinite(fraction)
                 ? ABSENT
                 : String.format(Locale.ROOT, "%+.1f%%", PERCENT * fraction);
     }
 
-    /** Text that cannot end a cell; nothing for null. */
+    /** Escapes text so that it cannot end a cell; null gives an empty cell. */
     static String text(String content) {
         return content == null ? ABSENT : content.replace("|", "\\|").replace("\n", " ");
     }
--- a/src/main/java/linenring/scale/report/Metric.java
+++ b/src/main/java/linenring/scale/report/Metric.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 import linenring.scale.measurement.Usage;
 
-/** A measured value of a usage, and the unit that tables and plots show it in. */
+/** A measured value of {@link Usage}, with the unit that tables and plots use. */
 public enum Metric {
     PROCESSOR("processor", "% of a core", 0.01),
     RESIDENT("resident memory", "MB", 1e6),
@@ -23,17 +23,17 @@
         this.unitSize = unitSize;
     }
 
-    /** The text for tables and plots. */
+    /** Returns the metric's name for tables and plots. */
     public String description() {
         return description;
     }
 
-    /** The unit for tables and plots. */
+    /** Returns the unit for tables and plots. */
     public String unit() {
         return unit;
     }
 
-    /** The value in its unit; NaN if it was not read. */
+    /** Returns the metric's value in its unit, or NaN if it was not measured. */
     public double of(Usage usage) {
         return baseValue(usage) / unitSize;
     }
@@ -50,7 +50,7 @@
         };
     }
 
-    /** The name for file names. */
+    /** Returns the metric's part of a file name. */
     String fileName() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
--- a/src/main/java/linenring/scale/report/RunRecords.java
+++ b/src/main/java/linenring/scale/report/RunRecords.java
@@ -11,14 +11,14 @@
 import java.nio.file.Path;
 import linenring.scale.measurement.ScaleRun;
 
-/** The JSON record of a run, written and read again. A record with an unknown or a missing key is refused. */
+/** Writes and reads the JSON record of a run. Records with an unknown or a missing key are rejected. */
 public final class RunRecords {
-    /** A run, or the error as file, line and message; one of the two is null. */
-    public record Outcome(ScaleRun run, String fault) {}
+    /** The run that was read, or the error with file, line and message; exactly one of the two is null. */
+    public record ReadResult(ScaleRun run, String error) {}
 
     private static final ObjectMapper JSON = JsonMapper.builder()
             .enable(SerializationFeature.INDENT_OUTPUT)
-            .enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS) // a run gives the same text each time
+            .enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS) // the same run always gives the same text
             .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES)
             .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
             .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
@@ -26,30 +26,30 @@
 
     private RunRecords() {}
 
-    /** The run as JSON. */
+    /** Returns the run as JSON. */
     public static String write(ScaleRun run) {
         try {
             return JSON.writeValueAsString(run) + "\n";
         } catch (JsonProcessingException unexpected) {
-            throw new UncheckedIOException(unexpected); // the types of a run are all known to Jackson
+            throw new UncheckedIOException(unexpected); // Jackson can write all types of a run
         }
     }
 
-    /** Reads a record; an unreadable file is an error in the outcome. */
-    public static Outcome read(Path file) {
+    /** Reads a record; a file that cannot be read gives an outcome with an error. */
+    public static ReadResult read(Path file) {
         try {
             return read(file.toString(), Files.readString(file));
         } catch (IOException unreadable) {
-            return new Outcome(null, file + ": cannot be read");
+            return new ReadResult(null, file + ": cannot be read");
         }
     }
 
-    static Outcome read(String file, String text) {
+    static ReadResult read(String file, String text) {
         try {
-            return new Outcome(JSON.readValue(text, ScaleRun.class), null);
+            return new ReadResult(JSON.readValue(text, ScaleRun.class), null);
         } catch (JsonProcessingException invalid) {
             int line = invalid.getLocation() == null ? 1 : invalid.getLocation().getLineNr();
-            return new Outcome(null, file + ":" + line + ": " + invalid.getOriginalMessage());
+            return new ReadResult(null, file + ":" + line + ": " + invalid.getOriginalMessage());
         }
     }
 }
--- a/src/main/java/linenring/scale/report/RunReport.java
+++ b/src/main/java/linenring/scale/report/RunReport.java
@@ -8,24 +8,24 @@
 import java.util.List;
 import linenring.scale.measurement.ScaleRun;
 
-/** Writes a run's files into one directory: {@code NAME.json}, {@code NAME.md} and {@code NAME-SWEEP-METRIC.png}. */
+/** Writes the files of a run to a directory: {@code NAME.json}, {@code NAME.md} and {@code NAME-SWEEP-METRIC.png}. */
 public final class RunReport {
-    private static final List<Metric> PLOTTED = List.of(Metric.PROCESSOR, Metric.RESIDENT, Metric.HEAP);
+    private static final List<Metric> PLOTTED_METRICS = List.of(Metric.PROCESSOR, Metric.RESIDENT, Metric.HEAP);
 
     private final Path directory;
 
-    /** A report in this directory, which is created when it is written. */
+    /** Creates a report for this directory, which is created on the first write. */
     public RunReport(Path directory) {
         this.directory = directory;
     }
 
-    /** Writes the record, the tables and the plots. */
+    /** Writes the record, the tables and the plots of a run. */
     public void write(ScaleRun run, String name) throws IOException {
         writeRecord(run, name);
         writeTables(run, name);
     }
 
-    /** Writes the tables and the plots alone, of a run whose record exists. */
+    /** Writes only the tables and plots of a run whose record already exists. */
     public void writeTables(ScaleRun run, String name) throws IOException {
         Files.createDirectories(directory);
         List<SweepAnalysis> analyses =
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Writes the record alone, also during a run: a reader sees the old file or the new one, never a part. */
+    /** Writes only the record. The file is replaced atomically, so that a reader never sees an incomplete record during a run. */
     public void writeRecord(ScaleRun run, String name) throws IOException {
         Files.createDirectories(directory);
         Path written = Files.writeString(directory.resolve(name + ".json.part"), RunRecords.write(run));
@@ -45,7 +45,7 @@
 
     private void plot(SweepAnalysis analysis, String prefix) throws IOException {
         for (SweepAnalysis.FittedMetric fitted : analysis.fits()) {
-            if (fitted.side() == Side.REAL && PLOTTED.contains(fitted.metric())) {
+            if (fitted.side() == Side.REAL && PLOTTED_METRICS.contains(fitted.metric())) {
                 Path file = directory.resolve(prefix + "-" + fitted.metric().fileName() + ".png");
                 try (OutputStream plot = Files.newOutputStream(file)) {
                     SweepPlot.write(analysis.sweep().variable(), fitted, plot);
--- a/src/main/java/linenring/scale/report/Side.java
+++ b/src/main/java/linenring/scale/report/Side.java
@@ -3,10 +3,10 @@
 import linenring.scale.measurement.Point;
 import linenring.scale.measurement.Usage;
 
-/** Whose usage a fit describes. */
+/** The kind of controller whose usage a fit describes. */
 public enum Side {
     REAL("real"),
-    /** Called hollow in stored records. */
+    /** A simulated controller; the key of its usage in stored records is {@code hollow}. */
     SIMULATED("simulated");
 
     private final String description;
@@ -15,12 +15,12 @@
         this.description = description;
     }
 
-    /** The text for tables. */
+    /** Returns the name for tables. */
     public String description() {
         return description;
     }
 
-    /** Its usage at a point, or null if there is none. */
+    /** Returns the usage of this kind of controller at a point, or null if there is none. */
     public Usage of(Point point) {
         return switch (this) {
             case REAL -> point.real();
--- a/src/main/java/linenring/scale/report/SweepAnalysis.java
+++ b/src/main/java/linenring/scale/report/SweepAnalysis.java
@@ -7,22 +7,22 @@
 import linenring.scale.report.fit.FitOutcome;
 import linenring.scale.report.fit.Sample;
 
-/** The fits of a measured sweep. A point that failed, or whose value was not read, is left out of them. */
+/** The fits of a measured sweep. Points that failed or have no measured value are not used for the fits. */
 public record SweepAnalysis(MeasuredSweep sweep, List<FittedMetric> fits) {
-    /** Copies the list, so that the value can't change. */
+    /** Copies the list, so that the record is immutable. */
     public SweepAnalysis {
         fits = List.copyOf(fits);
     }
 
-    /** One metric of one side against the sweep's variable. */
+    /** The samples of one metric of one kind of controller over the sweep's variable, and the result of their fit. */
     public record FittedMetric(Side side, Metric metric, List<Sample> samples, FitOutcome outcome) {
-        /** Copies the list, so that the value can't change. */
+        /** Copies the list, so that the record is immutable. */
         public FittedMetric {
             samples = List.copyOf(samples);
         }
     }
 
-    /** Fits each metric that was read at any point. */
+    /** Fits each metric that has a measured value at any point. */
     public static SweepAnalysis of(MeasuredSweep sweep) {
         List<FittedMetric> fits = new ArrayList<>();
         for (Side side : Side.values()) {
--- a/src/main/java/linenring/scale/report/SweepPlot.java
+++ b/src/main/java/linenring/scale/report/SweepPlot.java
@@ -14,7 +14,7 @@
 import org.knowm.xchart.style.lines.SeriesLines;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** One metric against its variable as a PNG: the measured points, and the fit up to the size that was held out. */
+/** Plots a metric over the sweep's variable as a PNG: the measured points, and the fit up to the held-out size. */
 final class SweepPlot {
     private static final int WIDTH_PIXELS = 800;
     private static final int HEIGHT_PIXELS = 500;
@@ -48,7 +48,7 @@
                 .mapToDouble(step -> step * largest / LINE_SEGMENTS)
                 .toArray();
         double[] values = IntStream.rangeClosed(0, LINE_SEGMENTS)
-                .mapToDouble(step -> found.fit().at(sizes[step]))
+                .mapToDouble(step -> found.fit().predict(sizes[step]))
                 .toArray();
         String name = found.fit().shape().description() + " up to "
                 + Math.round(found.fit().largestSize());
--- a/src/main/java/linenring/scale/report/ThreadTable.java
+++ b/src/main/java/linenring/scale/report/ThreadTable.java
@@ -9,18 +9,18 @@
 import linenring.scale.measurement.Point;
 import linenring.scale.measurement.Usage;
 
-/** The processor time of a sweep by the threads of a real controller; threads that hardly ran are added up. */
+/** Renders the processor time of a real controller by thread, for each size of a sweep; threads with little time are summed. */
 final class ThreadTable {
-    /** The share of a core, at any size, from which a thread is shown by itself. */
+    /** Share of a core that a thread must reach at any size to get its own column. */
     private static final double MIN_SHARE = 0.0005;
 
     private static final double PERCENT = 100;
 
-    private final List<Point> measured;
+    private final List<Point> measuredPoints;
     private final List<String> threads;
 
     ThreadTable(MeasuredSweep sweep) {
-        measured = sweep.points().stream()
+        measuredPoints = sweep.points().stream()
                 .filter(point ->
                         point.real() != null && !point.real().shareByThread().isEmpty())
                 .toList();
@@ -28,11 +28,11 @@
     }
 
     boolean isEmpty() {
-        return measured.isEmpty();
+        return measuredPoints.isEmpty();
     }
 
     private List<String> busiestFirst() {
-        Map<String, Double> highestShares = measured.stream()
+        Map<String, Double> highestShares = measuredPoints.stream()
                 .flatMap(point -> point.real().shareByThread().entrySet().stream())
                 .collect(Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue, Math::max));
         return highestShares.entrySet().stream()
@@ -43,13 +43,13 @@
                 .toList();
     }
 
-    /** The table; {@code sizeHeading} is the heading of the sizes. */
+    /** Returns the table as Markdown; {@code sizeHeading} is the heading of the column of sizes. */
     String markdown(String sizeHeading) {
         List<String> headings = new ArrayList<>(List.of(sizeHeading));
         headings.addAll(threads);
         headings.add("other threads");
         MarkdownTable table = new MarkdownTable(headings);
-        measured.forEach(point -> table.row(cells(point)));
+        measuredPoints.forEach(point -> table.row(cells(point)));
         return table.toString();
     }
 
@@ -59,11 +59,11 @@
             cells.add(
                     MarkdownTable.number(PERCENT * point.real().shareByThread().getOrDefault(thread, 0.0)));
         }
-        cells.add(MarkdownTable.number(PERCENT * others(point.real())));
+        cells.add(MarkdownTable.number(PERCENT * otherThreadsShare(point.real())));
         return cells;
     }
 
-    private double others(Usage usage) {
+    private double otherThreadsShare(Usage usage) {
         return usage.shareByThread().entrySet().stream()
                 .filter(thread -> !threads.contains(thread.getKey()))
                 .mapToDouble(Map.Entry::getValue)
--- a/src/main/java/linenring/scale/report/fit/Fit.java
+++ b/src/main/java/linenring/scale/report/fit/Fit.java
@@ -6,28 +6,28 @@
 /**
  * A shape fitted to samples.
  *
- * @param coefficients the intercept, then the weight of each term
- * @param parameter the exponent of a power, the knee of a broken line; NaN for other shapes
- * @param residualError the standard error of the residuals, in the unit of the values
- * @param aicc Akaike's information criterion with the correction for few samples; lower is better
- * @param samples how many samples it was fitted to
- * @param largestSize the largest size among them
+ * @param coefficients intercept, followed by the weight of each term
+ * @param parameter exponent of a power, or knee of a broken line; NaN for other shapes
+ * @param residualError standard error of the residuals, in the unit of the values
+ * @param correctedAkaikeCriterion Akaike information criterion, corrected for small samples (AICc); lower is better
+ * @param samples number of samples that the shape was fitted to
+ * @param largestSize largest size of these samples
  */
 public record Fit(
         Shape shape,
         List<Double> coefficients,
         double parameter,
         double residualError,
-        double aicc,
+        double correctedAkaikeCriterion,
         int samples,
         double largestSize) {
-    /** Copies the list, so that the value can't change. */
+    /** Copies the list, so that the record is immutable. */
     public Fit {
         coefficients = List.copyOf(coefficients);
     }
 
-    /** The value that the fit gives for a size. */
-    public double at(double size) {
+    /** Returns the value that the fit predicts for a size. */
+    public double predict(double size) {
         double[] terms = shape.terms(size, parameter);
         double value = coefficients.get(0);
         for (int i = 0; i < terms.length; i++) {
@@ -36,26 +36,27 @@
         return value;
     }
 
-    /** The knee of a broken line; NaN for other shapes. */
+    /** Returns the knee of a broken line, or NaN for other shapes. */
     public double knee() {
         return shape == Shape.BROKEN_LINE ? parameter : Double.NaN;
     }
 
-    /** The value as a function of {@code n}, for tables. */
+    /** Returns the fitted function of {@code n} as text, for tables. */
     public String formula() {
         String intercept = fourDigits(coefficients.get(0));
         return switch (shape) {
             case CONSTANT -> intercept;
-            case LINEAR -> intercept + weighted(1, "n");
-            case SQUARE_ROOT -> intercept + weighted(1, "sqrt n");
-            case N_LOG_N -> intercept + weighted(1, "n log2 n");
-            case QUADRATIC -> intercept + weighted(1, "n") + weighted(2, "n^2");
-            case POWER -> intercept + weighted(1, "n^" + fourDigits(parameter));
-            case BROKEN_LINE -> intercept + weighted(1, "n") + weighted(2, "max(0, n - " + Math.round(parameter) + ")");
+            case LINEAR -> intercept + weightedTerm(1, "n");
+            case SQUARE_ROOT -> intercept + weightedTerm(1, "sqrt n");
+            case N_LOG_N -> intercept + weightedTerm(1, "n log2 n");
+            case QUADRATIC -> intercept + weightedTerm(1, "n") + weightedTerm(2, "n^2");
+            case POWER -> intercept + weightedTerm(1, "n^" + fourDigits(parameter));
+            case BROKEN_LINE ->
+                intercept + weightedTerm(1, "n") + weightedTerm(2, "max(0, n - " + Math.round(parameter) + ")");
         };
     }
 
-    private String weighted(int coefficient, String term) {
+    private String weightedTerm(int coefficient, String term) {
         double weight = coefficients.get(coefficient);
         return (weight < 0 ? " - " : " + ") + fourDigits(Math.abs(weight)) + " " + term;
     }
--- a/src/main/java/linenring/scale/report/fit/FitOutcome.java
+++ b/src/main/java/linenring/scale/report/fit/FitOutcome.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 
-/** The result of fitting. */
+/** The result of {@link FitChooser}. */
 public sealed interface FitOutcome {
-    /** The shape chosen, all that were possible (best first), and how it predicts the largest size. */
+    /** The chosen fit, all candidates in ascending order of their criterion, and the test of the prediction at the largest size. */
     record Fitted(Fit fit, List<Fit> candidates, HeldOut heldOut) implements FitOutcome {
-        /** Copies the list, so that the value can't change. */
+        /** Copies the list, so that the record is immutable. */
         public Fitted {
             candidates = List.copyOf(candidates);
         }
     }
 
-    /** Too few sizes were measured for any claim. */
+    /** The samples have too few sizes for a fit. */
     record TooFewSizes(int measured, int needed) implements FitOutcome {}
 }
--- a/src/main/java/linenring/scale/report/fit/LeastSquares.java
+++ b/src/main/java/linenring/scale/report/fit/LeastSquares.java
@@ -12,51 +12,59 @@
 import org.apache.commons.math3.stat.StatUtils;
 import org.apache.commons.math3.stat.regression.OLSMultipleLinearRegression;
 
-/** Fits one shape to samples so that the sum of squared residuals is least. */
+/** Fits a shape to samples with the least sum of squared residuals. */
 final class LeastSquares {
-    /** Cells of the search for a parameter: the sum may have several minima, so a grid comes before Brent's method. */
+    /** Cells of the grid that is searched before Brent's method, since the sum of squares may have several local minima. */
     private static final int GRID_CELLS = 64;
 
     private static final double PARAMETER_PRECISION = 1e-6;
     private static final int MAX_EVALUATIONS = 200;
-    /** The sum of squares where the samples don't determine the shape. */
+    /** Sum of squares that stands for samples which do not determine the shape. */
     private static final double UNDETERMINED = Double.MAX_VALUE;
-    /** Squared residuals, relative to all squares, under which they are rounding errors. */
-    private static final double ROUNDING = 1e-12;
+    /** Sums of squared residuals below this share of the sum of squared values are rounding errors. */
+    private static final double ROUNDING_ERROR_SHARE = 1e-12;
 
     private final Shape shape;
     private final double[] sizes;
     private final double[] values;
 
-    /** The samples are in the order of their sizes. */
+    /** Creates the fit of a shape to samples, which must be sorted by size. */
     LeastSquares(Shape shape, List<Sample> samples) {
         this.shape = shape;
         this.sizes = samples.stream().mapToDouble(Sample::size).toArray();
         this.values = samples.stream().mapToDouble(Sample::value).toArray();
     }
 
-    /** Empty where there are too few samples, where they don't determine the shape, or where it would fall and rise. */
+    /**
+     * Returns the fit, or empty if there are too few samples, if they do not determine the shape, or if the fitted shape is not
+     * monotonic.
+     */
     Optional<Fit> fit() {
         if (sizes.length < shape.minSamples()) {
             return Optional.empty();
         }
         double parameter = shape.hasParameter() ? bestParameter() : Double.NaN;
-        return coefficients(parameter).filter(this::isPlausible).map(found -> fit(found, parameter));
+        return coefficients(parameter).filter(this::canExtrapolate).map(found -> fit(found, parameter));
     }
 
     private Fit fit(double[] coefficients, double parameter) {
-        double squares = Math.max(squares(coefficients, parameter), ROUNDING * StatUtils.sumSq(values));
+        double squares =
+                Math.max(sumOfSquares(coefficients, parameter), ROUNDING_ERROR_SHARE * StatUtils.sumSq(values));
         int count = sizes.length;
         double residualError = Math.sqrt(squares / (count - shape.freeParameters()));
         List<Double> found = new ArrayList<>();
         for (double coefficient : coefficients) {
             found.add(coefficient);
         }
-        return new Fit(shape, found, parameter, residualError, aicc(squares), count, sizes[count - 1]);
+        return new Fit(
+                shape, found, parameter, residualError, correctedAkaikeCriterion(squares), count, sizes[count - 1]);
     }
 
-    /** The variance of the residuals is not counted among the free parameters: it is the same for all shapes. */
-    private double aicc(double squares) {
+    /**
+     * Returns the corrected Akaike information criterion. The variance of the residuals is not counted as a free parameter,
+     * since all shapes have it.
+     */
+    private double correctedAkaikeCriterion(double squares) {
         int count = sizes.length;
         int parameters = shape.freeParameters();
         double fitTerm = count * Math.log(Math.max(squares, Double.MIN_NORMAL) / count);
@@ -64,12 +72,12 @@
         return fitTerm + 2 * parameters + correction;
     }
 
-    /** A quadratic with a weight under 0 turns back beyond what was measured. */
-    private boolean isPlausible(double[] coefficients) {
+    /** Whether the fit can be extrapolated: a quadratic with a negative weight would fall again beyond the measured sizes. */
+    private boolean canExtrapolate(double[] coefficients) {
         return shape != Shape.QUADRATIC || (coefficients[1] >= 0 && coefficients[2] >= 0);
     }
 
-    // ---- weights
+    // ---- weights of the terms
 
     private Optional<double[]> coefficients(double parameter) {
         if (shape == Shape.CONSTANT) {
@@ -88,7 +96,7 @@
         }
     }
 
-    private double squares(double[] coefficients, double parameter) {
+    private double sumOfSquares(double[] coefficients, double parameter) {
         double sum = 0;
         for (int i = 0; i < sizes.length; i++) {
             double residual = values[i] - coefficients[0];
@@ -101,25 +109,28 @@
         return sum;
     }
 
-    // ---- exponent or knee
+    // ---- search for the exponent or the knee
 
-    private double squaresWith(double parameter) {
-        return coefficients(parameter).map(found -> squares(found, parameter)).orElse(UNDETERMINED);
+    private double sumOfSquaresFor(double parameter) {
+        return coefficients(parameter)
+                .map(found -> sumOfSquares(found, parameter))
+                .orElse(UNDETERMINED);
     }
 
     private double bestParameter() {
-        double lowest = shape == Shape.POWER ? Shape.MIN_EXPONENT : sizes[1]; // two sizes on each side of a knee
+        double lowest =
+                shape == Shape.POWER ? Shape.MIN_EXPONENT : sizes[1]; // at least two sizes on each side of a knee
         double highest = shape == Shape.POWER ? Shape.MAX_EXPONENT : sizes[sizes.length - 2];
         double step = (highest - lowest) / GRID_CELLS;
         int best = 0;
         for (int i = 1; i <= GRID_CELLS; i++) {
-            best = squaresWith(lowest + i * step) < squaresWith(lowest + best * step) ? i : best;
+            best = sumOfSquaresFor(lowest + i * step) < sumOfSquaresFor(lowest + best * step) ? i : best;
         }
         double start = lowest + Math.max(0, best - 1) * step;
         double end = lowest + Math.min(GRID_CELLS, best + 1) * step;
         return new BrentOptimizer(PARAMETER_PRECISION, PARAMETER_PRECISION)
                 .optimize(
-                        new UnivariateObjectiveFunction(this::squaresWith),
+                        new UnivariateObjectiveFunction(this::sumOfSquaresFor),
                         GoalType.MINIMIZE,
                         new SearchInterval(start, end),
                         new MaxEval(MAX_EVALUATIONS))
--- a/src/main/java/linenring/scale/report/fit/Sample.java
+++ b/src/main/java/linenring/scale/report/fit/Sample.java
@@ -1,4 +1,4 @@
 package linenring.scale.report.fit;
 
-/** A value that was measured at a size. */
+/** A value that was measured at a given size. */
 public record Sample(double size, double value) {}
--- a/src/main/java/linenring/scale/report/fit/Shape.java
+++ b/src/main/java/linenring/scale/report/fit/Shape.java
@@ -1,20 +1,20 @@
 package linenring.scale.report.fit;
 
 /**
- * How a value may follow a size: an intercept and a weighted sum of terms, some of them with a parameter of their own.
- * In the order of preference where two fit equally well.
+ * A function of the size: an intercept and a weighted sum of terms; some shapes have a further parameter. The order of the
+ * constants is the order of preference between shapes that fit equally well.
  */
 public enum Shape {
     CONSTANT("constant", false),
     LINEAR("linear", false),
-    /** Grows ever slower, as where many inputs are taken in one go. */
+    /** Grows more slowly than linear, as with inputs that are processed in batches. */
     SQUARE_ROOT("square root", false),
     N_LOG_N("n log n", false),
     QUADRATIC("quadratic", false),
     POWER("power", true),
     BROKEN_LINE("broken line", true);
 
-    /** The range of exponents that {@link #POWER} is tried with. */
+    /** Lowest exponent that is tried for {@link #POWER}. */
     static final double MIN_EXPONENT = 0.2;
 
     static final double MAX_EXPONENT = 3;
@@ -27,17 +27,17 @@
         this.hasParameter = hasParameter;
     }
 
-    /** The text for tables. */
+    /** Returns the name of the shape for tables. */
     public String description() {
         return description;
     }
 
-    /** Whether the terms depend on an exponent or a knee that has to be searched for. */
+    /** Whether the terms depend on an exponent or a knee, which is found by search. */
     boolean hasParameter() {
         return hasParameter;
     }
 
-    /** The terms of a size beside the intercept; {@code parameter} is the exponent or the knee. */
+    /** Returns the terms for a size, without the intercept; {@code parameter} is the exponent or the knee. */
     double[] terms(double size, double parameter) {
         return switch (this) {
             case CONSTANT -> new double[] {};
@@ -54,12 +54,12 @@
         return size <= 1 ? 0 : size * Math.log(size) / Math.log(2);
     }
 
-    /** How many values are chosen to fit: intercept, weights, and the parameter. */
+    /** Returns the number of fitted values: the intercept, the weights, and the parameter if there is one. */
     int freeParameters() {
         return 1 + terms(1, 1).length + (hasParameter ? 1 : 0);
     }
 
-    /** Samples that a fit needs: two more than free parameters, since without residuals every shape would fit. */
+    /** Returns the fewest samples for a fit: two more than free parameters, since without residuals every shape fits exactly. */
     int minSamples() {
         return freeParameters() + 2;
     }
--- a/src/main/java/linenring/scale/report/fit/package-info.java
+++ b/src/main/java/linenring/scale/report/fit/package-info.java
@@ -1,2 +1,2 @@
-/** Fits of measured values against a size: shapes, least squares and the choice among them. No I/O, random numbers or clock. */
+/** Fits functions of the size to measured values: shapes, least squares, and the choice of a shape. No I/O, random numbers or clock. */
 package linenring.scale.report.fit;
--- a/src/main/java/linenring/scale/run/ScaleCommand.java
+++ b/src/main/java/linenring/scale/run/ScaleCommand.java
@@ -71,9 +71,9 @@
         try {
             String name = record.getFileName().toString().replaceFirst("\\.json$", "");
             Path directory = record.toAbsolutePath().getParent();
-            RunRecords.Outcome read = RunRecords.read(record);
+            RunRecords.ReadResult read = RunRecords.read(record);
             if (read.run() == null) {
-                System.err.println("linenring: " + read.fault());
+                System.err.println("linenring: " + read.error());
                 return Result.INVALID_SETTINGS;
             }
             new RunReport(directory).writeTables(read.run(), name);
--- a/src/test/java/linenring/scale/catalogue/CatalogueEventsTest.java
+++ b/src/test/java/linenring/scale/catalogue/CatalogueEventsTest.java
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void drainsReplacedHostsAndPutsOthersInTheirPlaces() {
+    void drainsReplacedHostsAndAddsNewOnes() {
         Set<String> before = catalogue.readyIds();
         events.replaceSteadily(START, 5);
         List<CatalogueChange> changes = play(events, 0, 4_000);
--- a/src/test/java/linenring/scale/catalogue/CatalogueAnswersTest.java
+++ b/src/test/java/linenring/scale/catalogue/CatalogueResponsesTest.java
@@ -14,9 +14,9 @@
 import linenring.settings.Names;
 import org.junit.jupiter.api.Test;
 
-class CatalogueAnswersTest {
+class CatalogueResponsesTest {
     private final Catalogue catalogue = new Catalogue(new CatalogueLayout(30, 2, 2, 3, 5));
-    private final CatalogueAnswers answers = new CatalogueAnswers(catalogue);
+    private final CatalogueResponses responses = new CatalogueResponses(catalogue);
 
     private DecodeResult<HostList> read(byte[] bytes, int length) {
         CatalogueLayout layout = catalogue.layout();
@@ -26,32 +26,32 @@
 
     @Test
     void sendsAListThatTheCodecReads() {
-        CatalogueAnswers.Body body = answers.list();
-        assertFalse(body.isCut());
+        CatalogueResponses.ResponseBody body = responses.completeList();
+        assertFalse(body.isTruncated());
         HostList list = read(body.bytes(), body.sentBytes()).orElseThrow();
         assertEquals(catalogue.snapshot().asHostList(), list);
     }
 
     @Test
     void cutsOneListWithinAnEntryAndSendsTheNextComplete() {
-        answers.cutNextLists(1);
-        CatalogueAnswers.Body cut = answers.list();
-        assertTrue(cut.isCut());
-        assertInstanceOf(DecodeResult.Failed.class, read(cut.bytes(), cut.sentBytes()));
-        String sent = new String(cut.bytes(), 0, cut.sentBytes(), StandardCharsets.UTF_8);
+        responses.cutNextLists(1);
+        CatalogueResponses.ResponseBody truncated = responses.completeList();
+        assertTrue(truncated.isTruncated());
+        assertInstanceOf(DecodeResult.Failed.class, read(truncated.bytes(), truncated.sentBytes()));
+        String sent = new String(truncated.bytes(), 0, truncated.sentBytes(), StandardCharsets.UTF_8);
         assertTrue(sent.contains("\"id\"") && !sent.endsWith("},"), sent);
-        assertFalse(answers.list().isCut());
+        assertFalse(responses.completeList().isTruncated());
     }
 
     @Test
     void corruptsEntriesOfOneListOnly() {
-        answers.corruptNextLists(1, 4);
-        CatalogueAnswers.Body body = answers.list();
+        responses.corruptNextLists(1, 4);
+        CatalogueResponses.ResponseBody body = responses.completeList();
         HostList list = read(body.bytes(), body.sentBytes()).orElseThrow();
         assertNotNull(list);
         assertEquals(26, list.entries().size());
         assertEquals(4, list.invalidEntries().count());
-        CatalogueAnswers.Body next = answers.list();
+        CatalogueResponses.ResponseBody next = responses.completeList();
         assertEquals(
                 30, read(next.bytes(), next.sentBytes()).orElseThrow().entries().size());
     }
--- a/src/test/java/linenring/scale/catalogue/CatalogueTest.java
+++ b/src/test/java/linenring/scale/catalogue/CatalogueTest.java
@@ -60,12 +60,12 @@
     }
 
     @Test
-    void sendsNothingToAHolderOfTheCurrentVersion() {
+    void sendsNothingToAWatcherWithTheCurrentVersion() {
         assertNull(catalogue.catchUp(catalogue.version()));
     }
 
     @Test
-    void sendsTheCompleteListToAHolderOfAVersionThatIsNotKept() {
+    void sendsTheCompleteListToAWatcherWithAnOldVersion() {
         assertTrue(catalogue.catchUp(0).isComplete());
         catalogue.terminate(List.of(ready(0)));
         CatalogueChange complete = catalogue.catchUp(0);
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void sendsTheCompleteListToAHolderOfAVersionBeforeAReset() {
+    void sendsTheCompleteListToAWatcherWithAVersionBeforeAReset() {
         catalogue.terminate(List.of(ready(0)));
         long held = catalogue.version();
         catalogue.restartVersions();
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void listsNoRemovedHostAndADrainingOneAsNotReady() {
+    void listsNoRemovedHostsAndDrainingHostsAsNotReady() {
         CatalogueHost gone = ready(0);
         CatalogueHost draining = ready(1);
         catalogue.remove(List.of(gone));
--- a/src/test/java/linenring/scale/fleet/FleetCodecTest.java
+++ b/src/test/java/linenring/scale/fleet/FleetCodecTest.java
@@ -13,7 +13,7 @@
 import linenring.settings.Names;
 import org.junit.jupiter.api.Test;
 
-/** The codecs of simulated fleets and of the controller mirror each other. */
+/** Checks that the codecs of simulated fleets and of the controller decode each other. */
 class FleetCodecTest {
     private static final List<String> ZONES = List.of("a", "b");
     private static final List<String> OPERATIONS = List.of("lookup", "order");
@@ -27,7 +27,7 @@
                 new String(codec.encode(update), StandardCharsets.UTF_8).lines().toList();
         for (int i = 0; i < lines.size(); i++) {
             byte[] line = lines.get(i).getBytes(StandardCharsets.UTF_8);
-            decoded = decoder.line(line, 0, line.length);
+            decoded = decoder.decodeLine(line, 0, line.length);
             if (i + 1 < lines.size()) {
                 assertNull(decoded);
             }
@@ -65,7 +65,7 @@
                 new InboundMessage.RequestRateReport(3, 1, 7, 1000),
                 new InboundMessage.LoadReport("s-1", 1, 12, 3, 80, 1000)));
         for (InboundMessage message : all) {
-            byte[] line = new InboundMessageEncoder(layout).line(message);
+            byte[] line = new InboundMessageEncoder(layout).encodeLine(message);
             assertEquals('\n', line[line.length - 1]);
             assertEquals(message, codec.decodeInbound(line, line.length).orElseThrow());
         }
--- a/src/test/java/linenring/scale/fleet/SimulatedFleetTest.java
+++ b/src/test/java/linenring/scale/fleet/SimulatedFleetTest.java
@@ -18,7 +18,7 @@
     private static final ChannelLimits CHANNEL = new ChannelLimits(1000, 4, 2000, 200, 500);
     private static final int NONCE = 9;
 
-    /** Records what is sent. */
+    /** Records all messages of the fleet. */
     private static final class RecordingUplink implements Uplink {
         private final List<InboundMessage.Subscribe> joined = new ArrayList<>();
         private final List<Integer> left = new ArrayList<>();
@@ -93,7 +93,7 @@
     @Test
     void appliesAndAcknowledgesAnUpdateOnceTheChannelHasDeliveredIt() {
         SimulatedFleet fleet = fleet(1, 0);
-        fleet.receive(0, 1, table(NONCE, "s-1"), 1000); // 2 entries and 4 for the message, 1 ms each, and 200 ms
+        fleet.receive(0, 1, table(NONCE, "s-1"), 1000); // 2 entries and an overhead of 4, each 1 ms, and 200 ms of propagation
         fleet.advance(1205.9);
         assertFalse(fleet.proxies().get(0).hasHosts());
         fleet.advance(1206);
@@ -115,11 +115,11 @@
     }
 
     @Test
-    void reportsAnUnusableUpdateAndJoinsAgain() {
+    void reportsAnUnusableUpdateAndReconnects() {
         SimulatedFleet fleet = fleet(1, 0);
         fleet.receive(0, 1, table(NONCE, "s-unheard-of"), 0);
         fleet.advance(300);
-        assertEquals(List.of("proxy 0 can't use an update: host 's-unheard-of' was never listed"), fleet.faults());
+        assertEquals(List.of("proxy 0 cannot apply an update: host 's-unheard-of' was never listed"), fleet.faults());
         assertEquals(List.of(0), uplink.left);
         fleet.advance(1000);
         assertEquals(2, uplink.joined.size());
@@ -152,18 +152,18 @@
         SimulatedFleet fleet = fleet(1, 0);
         fleet.receive(0, 1, eject("s-1"), 0);
         fleet.advance(500);
-        assertEquals(0, fleet.timesWithoutHost()); // it had none before
+        assertEquals(0, fleet.timesWithoutHost()); // the proxy had no host before
         fleet.receive(0, 1, table(1, "s-2"), 500);
         fleet.advance(1000);
         assertEquals(0, fleet.timesWithoutHost());
         fleet.receive(0, 1, eject("s-2"), 1000);
         fleet.advance(1500);
         assertEquals(1, fleet.timesWithoutHost());
-        assertEquals(List.of("proxy 0 has no host"), fleet.faults());
+        assertEquals(List.of("proxy 0 has lost its last host"), fleet.faults());
     }
 
     @Test
-    void reportsAtItsRateOnHostsThatTablesHold() {
+    void sendsReportsAtItsRateForHostsInTables() {
         SimulatedFleet fleet = fleet(4, 100);
         for (int proxy = 0; proxy < 4; proxy++) {
             fleet.receive(proxy, 1, table(1, "s-1", "s-2"), 0);
@@ -173,12 +173,12 @@
         }
         List<InboundMessage.LoadReport> reports = uplink.sent(InboundMessage.LoadReport.class);
         assertEquals(500, uplink.sent(InboundMessage.RequestRateReport.class).size(), 5);
-        assertEquals(500, reports.size(), 20); // none before the tables are there
+        assertEquals(500, reports.size(), 20); // no reports are sent before the proxies have tables
         assertTrue(reports.stream().anyMatch(report -> report.host().equals("s-2") && report.zone() == 1));
     }
 
     @Test
-    void rejoinsAllProxiesWithTheirTables() {
+    void reconnectsAllProxiesWithTheirTables() {
         SimulatedFleet fleet = fleet(3, 0);
         for (int proxy = 0; proxy < 3; proxy++) {
             fleet.receive(proxy, 1, table(1, "s-1"), 0);
--- a/src/test/java/linenring/scale/report/RunReportTest.java
+++ b/src/test/java/linenring/scale/report/RunReportTest.java
@@ -41,7 +41,7 @@
         System.setProperty("java.awt.headless", "true");
     }
 
-    /** Resident memory is 50 MB and 600 bytes a host; the heap was not read; the controller died at the largest size. */
+    /** Returns a sweep with 50 MB of resident memory and 600 bytes for each host, no heap values, and a controller failure at the largest size. */
     private static MeasuredSweep sweep() {
         List<Point> points = new ArrayList<>();
         for (double size : SIZES) {
@@ -78,26 +78,26 @@
     @Test
     void readsARecordAsItWasWritten() throws IOException {
         new RunReport(directory).writeRecord(run(), "r");
-        RunRecords.Outcome read = RunRecords.read(directory.resolve("r.json"));
-        assertNull(read.fault());
+        RunRecords.ReadResult read = RunRecords.read(directory.resolve("r.json"));
+        assertNull(read.error());
         assertEquals(run(), read.run());
         assertEquals(List.of("r.json"), names());
     }
 
     @Test
     void rejectsARecordWithAMissingKey() {
-        String spoilt = RunRecords.write(run()).replaceFirst("\"residentBytes\" : [0-9.E]+,", "");
-        RunRecords.Outcome read = RunRecords.read("r.json", spoilt);
+        String recordWithMissingKey = RunRecords.write(run()).replaceFirst("\"residentBytes\" : [0-9.E]+,", "");
+        RunRecords.ReadResult read = RunRecords.read("r.json", recordWithMissingKey);
         assertNull(read.run());
-        assertTrue(read.fault().startsWith("r.json:"), read.fault());
-        assertTrue(read.fault().contains("residentBytes"), read.fault());
+        assertTrue(read.error().startsWith("r.json:"), read.error());
+        assertTrue(read.error().contains("residentBytes"), read.error());
     }
 
     @Test
     void reportsAMissingRecordInOneLine() {
         assertEquals(
                 "/no/such.json: cannot be read",
-                RunRecords.read(Path.of("/no/such.json")).fault());
+                RunRecords.read(Path.of("/no/such.json")).error());
     }
 
     @Test
@@ -108,13 +108,13 @@
         assertEquals(Shape.LINEAR, found.fit().shape());
         assertEquals(32_768, found.heldOut().size());
         assertEquals(0, found.heldOut().error(), 1e-6);
-        assertEquals(50 + 600 * FATAL_SIZE / 1e6, found.fit().at(FATAL_SIZE), 1e-6);
+        assertEquals(50 + 600 * FATAL_SIZE / 1e6, found.fit().predict(FATAL_SIZE), 1e-6);
         String page = new MarkdownReport(run(), List.of(analysis)).page("r");
         assertTrue(page.contains("| 73,000 |  |  |  |  |  |  |  |  | exit code 3 \\| out of memory |\n"), page);
     }
 
     @Test
-    void fitsNoMetricThatWasNeverRead() {
+    void fitsNoMetricWithoutMeasuredValues() {
         SweepAnalysis analysis = SweepAnalysis.of(sweep());
         assertTrue(analysis.fits().stream()
                 .noneMatch(fitted -> fitted.side() == Side.REAL && fitted.metric() == Metric.HEAP));
@@ -122,10 +122,10 @@
     }
 
     @Test
-    void saysThatASweepHasTooFewSizes() {
-        MeasuredSweep few =
+    void reportsThatASweepHasTooFewSizes() {
+        MeasuredSweep sweepWithFewSizes =
                 new MeasuredSweep(Variable.PROXIES, BASE, sweep().points().subList(0, 3));
-        String page = new MarkdownReport(run(), List.of(SweepAnalysis.of(few))).page("r");
+        String page = new MarkdownReport(run(), List.of(SweepAnalysis.of(sweepWithFewSizes))).page("r");
         assertTrue(page.contains("\nNot fitted: real processor, % of a core: 3 sizes, 5 are needed; "), page);
         assertTrue(!page.contains("| metric | shape |"), page);
     }
@@ -155,8 +155,8 @@
     @Test
     void writesTheSameTextForEqualRuns() throws IOException {
         new RunReport(directory).writeRecord(run(), "r");
-        ScaleRun again = RunRecords.read(directory.resolve("r.json")).run();
-        assertEquals(RunRecords.write(run()), RunRecords.write(again));
+        ScaleRun rereadRun = RunRecords.read(directory.resolve("r.json")).run();
+        assertEquals(RunRecords.write(run()), RunRecords.write(rereadRun));
         assertTrue(
                 RunRecords.write(run())
                         .replaceAll("\\s", "")
--- a/src/test/java/linenring/scale/report/fit/FitChooserTest.java
+++ b/src/test/java/linenring/scale/report/fit/FitChooserTest.java
@@ -52,12 +52,12 @@
         assertEquals(0, found.heldOut().error(), 1e-3);
     }
 
-    /** At some seeds the noise makes a neighbouring shape fit as well; at most seeds the true one is found. */
+    /** With some seeds the noise makes a similar shape fit equally well; with most seeds the true shape is found. */
     @ParameterizedTest
     @EnumSource(
             value = Shape.class,
             names = {"CONSTANT", "LINEAR", "SQUARE_ROOT", "POWER", "BROKEN_LINE"})
-    void findsTheShapeUnderNoiseAtMostSeeds(Shape shape) {
+    void findsTheShapeUnderNoiseWithMostSeeds(Shape shape) {
         int found = (int) LongStream.range(0, SEEDS)
                 .filter(seed -> fitted(samples(law(shape), NOISE, seed)).fit().shape() == shape)
                 .count();
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void predictsTheLargestSizeWithoutHavingSeenIt() {
+    void predictsTheLargestSizeWithoutUsingItForTheFit() {
         List<Sample> samples = samples(law(Shape.LINEAR), 0, 1);
         double truth = samples.remove(samples.size() - 1).value();
         samples.add(new Sample(73_000, 2 * truth));
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void countsSizesAndNotRepeats() {
+    void countsDistinctSizes() {
         List<Sample> samples = samples(law(Shape.LINEAR), 0, 1).subList(0, 4);
         samples.addAll(List.copyOf(samples));
         assertEquals(new FitOutcome.TooFewSizes(4, FitChooser.MIN_SIZES), FitChooser.choose(samples));
--- a/src/test/java/linenring/scale/run/CatalogueFaultsTest.java
+++ b/src/test/java/linenring/scale/run/CatalogueFaultsTest.java
@@ -50,7 +50,7 @@
 
     private void watch() throws Exception {
         EventQueue events = new EventQueue();
-        events.addHostListListener(ledger::listed);
+        events.addHostListListener(ledger::record);
         CatalogueLayout layout = catalogue.layout();
         Names names = new Names(layout.zoneNames(), layout.kindNames(), List.of("lookup"), 1, 4);
         Log log = new Log(new PrintStream(logged, true));
@@ -121,7 +121,7 @@
         server.setSilent(false);
         assertLedgerMatchesCatalogue();
         assertEquals(1, ledger.deltas());
-        assertEquals(1, ledger.catchUps());
+        assertEquals(1, ledger.mergedDeltas());
     }
 
     @Test
@@ -133,7 +133,7 @@
         assertLedgerMatchesCatalogue();
         publish(catalogue.start(lost, 9));
         assertLedgerMatchesCatalogue();
-        assertEquals(0, ledger.catchUps());
+        assertEquals(0, ledger.mergedDeltas());
     }
 
     @Test
--- a/src/test/java/linenring/scale/run/ScaleTest.java
+++ b/src/test/java/linenring/scale/run/ScaleTest.java
@@ -65,7 +65,7 @@
             long reconnects = testbed.simulatedCatalogue().watchesOpened()
                     - testbed.simulated().size();
             long catchUps = testbed.simulated().stream()
-                    .mapToLong(member -> member.controller().ledger().catchUps())
+                    .mapToLong(member -> member.controller().ledger().mergedDeltas())
                     .sum();
             assertTrue(
                     catchUps <= reconnects, catchUps + " deltas of several versions on " + reconnects + " new watches");
