--- a/src/main/java/linenring/cli/CheckCommand.java
+++ b/src/main/java/linenring/cli/CheckCommand.java
@@ -10,14 +10,15 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** {@code check}: reads settings and serves nothing. */
+/** The {@code check} subcommand: validates settings without starting a process that serves. */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
-        description = {"Read a gateway's settings, and the controller's where GW_CONFIG names them; say what is wrong."
+        description = {
+            "Validate a gateway's settings, and the controller's configuration if GW_CONFIG is set; print each fault."
         })
 final class CheckCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "FILE", description = "the gateway's settings")
+    @Parameters(paramLabel = "FILE", description = "the gateway's settings file")
     private Path file;
 
     @Override
@@ -35,13 +36,15 @@
                 return ControllerLauncher.exitCode(failure);
             }
         }
-        GatewaySettingsReader.Outcome read = GatewaySettingsReader.read(file, names);
-        read.faults().forEach(System.err::println);
-        if (read.settings() == null) {
+        GatewaySettingsReader.Outcome outcome = GatewaySettingsReader.read(file, names);
+        outcome.faults().forEach(System.err::println);
+        if (outcome.settings() == null) {
             return ExitCode.INVALID_CONFIGURATION;
         }
-        String unchecked = names == null ? "; the controller's names were not checked, as GW_CONFIG is not set" : "";
-        System.out.println(file + ": no fault found" + unchecked);
+        String uncheckedNote = names == null
+                ? "; names from the controller's configuration were not checked because GW_CONFIG is not set"
+                : "";
+        System.out.println(file + ": no fault found" + uncheckedNote);
         return ExitCode.SUCCESS;
     }
 }
--- a/src/main/java/linenring/cli/ControllerLauncher.java
+++ b/src/main/java/linenring/cli/ControllerLauncher.java
@@ -21,17 +21,17 @@
 import linenring.settings.Names;
 
 /**
- * Starts a controller, and a gateway beside it where one is configured. {@code linenring.Main} calls it directly, so that a
- * start need not load the command line's classes.
+ * Starts a controller, and a gateway in the same process if one is configured. {@code linenring.Main} calls this class
+ * directly, so that a start does not load the classes of the command line.
  */
 public final class ControllerLauncher {
     private ControllerLauncher() {}
 
     /**
-     * Serves until the process ends; returns the exit code where it cannot.
+     * Serves until the process ends; returns the exit code if the process cannot start or take over.
      *
-     * @param gatewayFile the gateway's settings, or null for none
-     * @param logsJson whether the log is written as JSON lines
+     * @param gatewayFile the file of the gateway's settings, or null to run without a gateway
+     * @param logsJson whether the log is written as JSON lines rather than text
      */
     public static int run(Path gatewayFile, boolean logsJson) {
         ControllerProcess process;
@@ -40,15 +40,20 @@
         } catch (StartException failure) {
             return failure.report();
         }
-        String oldProcess = System.getenv(UpgradeCoordinator.SOCKET_VARIABLE);
-        return process.isUpgradable() && oldProcess != null ? process.takeOver(Path.of(oldProcess)) : process.serve();
+        String oldProcessSocket = System.getenv(UpgradeCoordinator.SOCKET_VARIABLE);
+        return process.isUpgradable() && oldProcessSocket != null
+                ? process.takeOver(Path.of(oldProcessSocket))
+                : process.serve();
     }
 
-    /** A method of its own, as nobody but the process may hold the host list that was read: it is large. */
+    /**
+     * Reads the configuration and builds the process. A separate method, so that only the process keeps a reference to
+     * the host list of the configuration, which is large.
+     */
     private static ControllerProcess prepare(Path gatewayFile, boolean logsJson, Map<String, String> environment)
             throws StartException {
         AtomicBoolean ignoresHangUps = new AtomicBoolean();
-        // before all else: until then a SIGHUP ends the process
+        // the SIGHUP handler is installed first: without it the signal ends the process
         ReloadSignals reloadSignals = ReloadSignals.install(() -> ignoresHangUps.set(true));
         ControllerConfiguration configuration;
         try {
@@ -61,17 +66,20 @@
                 : Optional.of(readGatewaySettings(gatewayFile, configuration.names()));
         Log log = openLog(logsJson);
         if (ignoresHangUps.get()) {
-            log.warn("reload", "SIGHUP does nothing: whoever started the process has it ignored, as nohup does");
+            log.warn(
+                    "reload",
+                    "SIGHUP will not reload the configuration because the parent process set it to be ignored,"
+                            + " as nohup does; restart the process to apply changes");
         }
         return new ControllerProcess(configuration, gateway, reloadSignals, log);
     }
 
     private static GatewaySettings readGatewaySettings(Path file, Names names) throws StartException {
-        GatewaySettingsReader.Outcome read = GatewaySettingsReader.read(file, names);
-        if (read.settings() == null) {
-            throw new StartException(ExitCode.INVALID_CONFIGURATION, read.faults(), null);
+        GatewaySettingsReader.Outcome outcome = GatewaySettingsReader.read(file, names);
+        if (outcome.settings() == null) {
+            throw new StartException(ExitCode.INVALID_CONFIGURATION, outcome.faults(), null);
         }
-        return read.settings();
+        return outcome.settings();
     }
 
     private static Log openLog(boolean logsJson) {
@@ -87,24 +95,30 @@
         };
     }
 
-    /** Reads the configuration. */
+    /** The source from which a reload reads the configuration. */
     interface ConfigurationSource {
         ControllerConfiguration read() throws ConfigurationException;
     }
 
-    /** Goes on with what is new in the configuration, or with what is held where the new one is at fault. */
-    static void reload(ControllerConfiguration held, ConfigurationSource source, HostWatch watch, Log log) {
-        ControllerConfiguration read;
+    /**
+     * Applies the discovery address and scope of the configuration, or keeps the current ones if the new configuration
+     * is invalid.
+     */
+    static void reload(ControllerConfiguration current, ConfigurationSource source, HostWatch watch, Log log) {
+        ControllerConfiguration updated;
         try {
-            read = source.read();
+            updated = source.read();
         } catch (ConfigurationException failure) {
-            log.warn("reload", "goes on as before: " + failure.getMessage());
+            log.warn(
+                    "reload",
+                    "keeping the current configuration because the new one cannot be used: " + failure.getMessage());
             return;
         }
-        List<String> fixed = held.fixedKeysThatDiffer(read);
-        String unchanged =
-                fixed.isEmpty() ? "" : "; what cannot change while it runs stays: " + String.join(", ", fixed);
-        log.info("reload", "the configuration is read again" + unchanged);
-        watch.moveTo(read.discovery(), read.scope());
+        List<String> changedFixedKeys = current.changedFixedKeys(updated);
+        String restartNote = changedFixedKeys.isEmpty()
+                ? ""
+                : "; changes to these keys take effect only after a restart: " + String.join(", ", changedFixedKeys);
+        log.info("reload", "configuration reloaded" + restartNote);
+        watch.moveTo(updated.discovery(), updated.scope());
     }
 }
--- a/src/main/java/linenring/cli/ControllerProcess.java
+++ b/src/main/java/linenring/cli/ControllerProcess.java
@@ -21,17 +21,17 @@
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 
 /**
- * One process that serves: a controller with its streams and its watch, and a gateway beside it where one is configured. Built
- * and started by one thread, which then runs the control loop.
+ * A serving process: a controller with its stream server and its host watch, and a gateway if one is configured. One thread
+ * builds and starts the process and then runs the control loop.
  */
 final class ControllerProcess {
-    /** Two selectors, their helpers and some to spare. */
+    /** Two selectors, the threads that assist them, and some spare threads. */
     private static final int MAX_THREADS = 8;
 
     private static final int MIN_THREADS = 2;
     private static final String LOG_SUBJECT = "controller";
 
-    private final ControllerConfiguration configuration; // without its host list
+    private final ControllerConfiguration configuration; // the host list is removed, so that its memory can be freed
     private final ReloadSignals reloadSignals;
     private final Log log;
     private final EventQueue eventQueue = new EventQueue();
@@ -40,9 +40,9 @@
     private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler("timer", true);
     private final Codec codec;
     private final Optional<GatewayLifecycle> gateway;
-    private Optional<HostList> knownHosts; // empty once it is taken: its memory goes with it
+    private Optional<HostList> knownHosts; // empty after takeKnownHosts(), so that the memory of the list can be freed
     private ControlLoop controlLoop; // set by startController()
-    private StreamServer streams; // set by openStreams(); touched by the upgrades' thread from then on
+    private StreamServer streams; // set by openStreams(); afterwards used by the upgrade thread
 
     ControllerProcess(
             ControllerConfiguration configuration,
@@ -58,45 +58,46 @@
                 new GatewayLifecycle(settings, configuration.plannerSettings().measure(), hosts, eventQueue, log));
     }
 
-    /** Whether its settings allow upgrades under load. */
+    /** Whether the gateway's settings allow the process to be upgraded under load. */
     boolean isUpgradable() {
         return gateway.map(lifecycle -> lifecycle.settings().handover() != null).orElse(false);
     }
 
-    /** Serves from the start; returns the exit code, where it cannot or once it ends. */
+    /** Starts the process and serves; returns the exit code if the start fails or when the control loop ends. */
     int serve() {
         Optional<ProcessHandover> handover = isUpgradable() ? Optional.of(handover()) : Optional.empty();
         try {
             startController(takeKnownHosts());
             openStreams();
         } catch (ListenException failure) {
-            ProgramOutput.error("cannot listen at " + address() + ", though " + failure.fault());
+            ProgramOutput.error(
+                    "cannot listen at " + address() + "; last completed step and cause: " + failure.fault());
             return ExitCode.CANNOT_START;
-        } catch (Exception failure) { // Jetty's start() declares any
+        } catch (Exception failure) { // Jetty's start() declares Exception
             ProgramOutput.error("cannot start: " + failure);
             return ExitCode.CANNOT_START;
         }
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> log.info(LOG_SUBJECT, "shuts down")));
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> log.info(LOG_SUBJECT, "shutting down")));
         logServing();
-        // beside the control loop, whose first decisions must not wait for the gateway
-        gateway.ifPresent(lifecycle -> new Thread(() -> serveGateway(lifecycle, handover), "gateway-start").start());
+        // the gateway starts on its own thread: the first decisions of the control loop must not wait for it
+        gateway.ifPresent(lifecycle -> new Thread(() -> startGateway(lifecycle, handover), "gateway-start").start());
         runControlLoop();
         return ExitCode.SUCCESS;
     }
 
-    private static void serveGateway(GatewayLifecycle gateway, Optional<ProcessHandover> handover) {
+    private static void startGateway(GatewayLifecycle gateway, Optional<ProcessHandover> handover) {
         try {
             gateway.start(null);
         } catch (StartException failure) {
             System.exit(failure.report());
         }
-        // before the first request: until then SIGTERM ends the process at once, and interrupts none
+        // the SIGTERM handler is installed before the first request: without it SIGTERM ends the process at once
         gateway.handleTermination(() -> handover.ifPresent(ProcessHandover::shutdownRequested));
         gateway.accept();
         handover.ifPresent(ProcessHandover::open);
     }
 
-    /** Takes over from the process at this socket; returns the exit code where it does not come about. */
+    /** Takes over from the process that listens at this socket; returns the exit code if the handover is aborted. */
     int takeOver(Path socket) {
         return handover().takeOver(socket);
     }
@@ -109,7 +110,7 @@
         return configuration;
     }
 
-    /** The host list of the configuration; it is given away once. */
+    /** Returns the host list of the configuration at the first call, and empty afterwards. */
     Optional<HostList> takeKnownHosts() {
         Optional<HostList> taken = knownHosts;
         knownHosts = Optional.empty();
@@ -128,41 +129,44 @@
         return listen.getAddress().getHostAddress() + ":" + listen.getPort();
     }
 
-    /** The control loop, which is not run yet, with this host list, and its watch. */
-    void startController(Optional<HostList> known) throws Exception {
+    /** Creates the control loop with this initial host list, without running it, and opens the watch of discovery. */
+    void startController(Optional<HostList> initialHosts) throws Exception {
         configuration.knownHostsFault().ifPresent(fault -> log.warn("invalid", fault));
         controlLoop = new ControlLoop(
-                configuration.plannerSettings(), configuration.names(), known.orElse(null), eventQueue, log);
-        if (gateway.isPresent()) { // it must know every host before the controller decides by it
-            known.ifPresent(hosts::apply);
+                configuration.plannerSettings(), configuration.names(), initialHosts.orElse(null), eventQueue, log);
+        if (gateway.isPresent()) { // the gateway must know every host before the controller sends a decision about it
+            initialHosts.ifPresent(hosts::apply);
             eventQueue.addHostListListener(hosts::apply);
         }
         threads.setDaemon(true);
         threads.start();
         scheduler.start();
         WatchConfig config = new WatchConfig(
-                configuration.discovery(), configuration.scope(), known.orElse(null), this::endForCapacity);
+                configuration.discovery(),
+                configuration.scope(),
+                initialHosts.orElse(null),
+                this::exitForExceededMemory);
         HostWatch watch = new HostWatch(config, codec, eventQueue, log, threads, scheduler);
         watch.open();
-        reloadSignals.onEach( // before the first PONG
+        reloadSignals.setReloadAction( // reloads are enabled before the first PONG
                 () -> ControllerLauncher.reload(
                         configuration, () -> ControllerConfigurationReader.readAgain(System.getenv()), watch, log),
                 log);
     }
 
-    /** The host list does not fit the memory, and there is none to go on with. */
-    private void endForCapacity(String reason) {
-        log.error(LOG_SUBJECT, "ends: " + reason);
-        // not on the selector's thread, which the end may wait for
+    /** Ends the process because the host list does not fit the memory and no earlier list can be used instead. */
+    private void exitForExceededMemory(String reason) {
+        log.error(LOG_SUBJECT, "exiting because " + reason);
+        // a new thread calls exit, since the shutdown may wait for the selector's thread
         new Thread(() -> System.exit(ExitCode.EXCEEDS_MEMORY), "capacity-exceeded").start();
     }
 
-    /** Runs on the calling thread until it is interrupted. */
+    /** Runs the control loop on the calling thread until the thread is interrupted. */
     void runControlLoop() {
         controlLoop.run();
     }
 
-    /** Listens for proxies and collectors, again or for the first time. */
+    /** Starts or resumes listening for proxies and collectors. */
     void openStreams() throws ListenException {
         streams = StreamServer.open(
                 configuration.listen(), configuration.maxSockets(), codec, eventQueue, log, threads, scheduler);
--- a/src/main/java/linenring/cli/Durations.java
+++ b/src/main/java/linenring/cli/Durations.java
@@ -3,16 +3,15 @@
 import linenring.kdl.Units;
 import picocli.CommandLine;
 
-/** Durations on the command line: a number with its unit, such as 150ms. */
+/** Parses durations of the command line, which are a number with a unit, such as 150ms. */
 final class Durations {
     private Durations() {}
 
-    /** Ends the subcommand with its usage where the option's value is not a duration. */
+    /** Fails the subcommand with a usage error if the option's value is not a duration. */
     static void check(CommandLine.Model.CommandSpec spec, String option, String value, String example) {
         if (!isDuration(value)) {
             throw new CommandLine.ParameterException(
-                    spec.commandLine(),
-                    option + ": '" + value + "' is not a duration with its unit, such as " + example);
+                    spec.commandLine(), option + ": '" + value + "' is not a duration with a unit, such as " + example);
         }
     }
 
--- a/src/main/java/linenring/cli/ExitCode.java
+++ b/src/main/java/linenring/cli/ExitCode.java
@@ -1,6 +1,6 @@
 package linenring.cli;
 
-/** The exit codes of all subcommands. */
+/** Exit codes of the subcommands. */
 final class ExitCode {
     static final int SUCCESS = 0;
     static final int USAGE = 2;
--- a/src/main/java/linenring/cli/GatewayLifecycle.java
+++ b/src/main/java/linenring/cli/GatewayLifecycle.java
@@ -11,9 +11,9 @@
 import linenring.planner.PlannerSettings;
 import linenring.routing.HostRegistry;
 
-/** The gateway of a process, from its start to its graceful shutdown at SIGTERM. */
+/** Starts the gateway of a process and shuts it down gracefully at SIGTERM. */
 final class GatewayLifecycle {
-    /** A controller that has a host list sends updates within some ms of a subscription. */
+    /** Time limit for the first table; a controller that has a host list sends it within some ms of a subscription. */
     private static final long MAX_TABLE_WAIT_MS = 2000;
 
     private static final long TABLE_POLL_MS = 10;
@@ -44,7 +44,11 @@
         return settings;
     }
 
-    /** Starts it without accepting; {@code inherited} is a listener that another process has handed over, or null. */
+    /**
+     * Starts the gateway without accepting connections.
+     *
+     * @param inherited the listening socket that another process has handed over, or null to open a new one
+     */
     void start(ServerSocketChannel inherited) throws StartException {
         try {
             gateway =
@@ -52,20 +56,23 @@
         } catch (GatewayStartException failure) {
             String address = settings.listen().getAddress().getHostAddress() + ":"
                     + settings.listen().getPort();
-            String line = "the gateway cannot listen at " + address + ": " + failure.getMessage();
-            throw new StartException(ExitCode.CANNOT_START, line, failure);
+            String message = "the gateway cannot listen at " + address + ": " + failure.getMessage();
+            throw new StartException(ExitCode.CANNOT_START, message, failure);
         }
     }
 
-    /** Waits until it has a table to pick from, or for two seconds. */
+    /** Waits until the gateway has an endpoint table, for at most {@link #MAX_TABLE_WAIT_MS}. */
     void awaitTables() throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_TABLE_WAIT_MS);
-        while (!gateway.hasTables() && System.nanoTime() < end) {
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_TABLE_WAIT_MS);
+        while (!gateway.hasTables() && System.nanoTime() < deadline) {
             TimeUnit.MILLISECONDS.sleep(TABLE_POLL_MS);
         }
     }
 
-    /** From here on it drains at the first SIGTERM, and the process ends once it has; further ones change nothing. */
+    /**
+     * Installs the SIGTERM handler: the first signal drains the gateway and then ends the process, later signals are
+     * ignored.
+     */
     void handleTermination(Runnable onShutdown) {
         ProcessSignals.handle(ProcessSignals.TERMINATE, () -> {
             boolean isFirst = shutdown.begin(() -> {
@@ -74,12 +81,12 @@
                 endWhenDrained();
             });
             if (!isFirst) {
-                log.info(LOG_SUBJECT, "drains still, at one more SIGTERM");
+                log.info(LOG_SUBJECT, "ignoring another SIGTERM because the gateway is already draining");
             }
         });
     }
 
-    /** Accepts, again or for the first time, unless it drains at a SIGTERM. */
+    /** Starts or resumes accepting connections, unless a SIGTERM has begun the drain. */
     void accept() {
         shutdown.runUnlessBegun(gateway::startAccepting);
     }
@@ -96,7 +103,7 @@
         return gateway.listeningSocket();
     }
 
-    /** Ends the process once no request runs. */
+    /** Ends the process once no request is in progress, on a new thread. */
     void endWhenDrained() {
         new Thread(this::awaitDrainedAndEnd, "drain").start();
     }
@@ -105,7 +112,7 @@
         try {
             gateway.awaitDrained();
         } catch (InterruptedException interrupted) {
-            // the process ends all the same
+            // an interrupt does not stop the process from ending
         }
         log.info(LOG_SUBJECT, gateway.totals());
         System.exit(ExitCode.SUCCESS);
--- a/src/main/java/linenring/cli/LoadCommand.java
+++ b/src/main/java/linenring/cli/LoadCommand.java
@@ -12,15 +12,15 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code load}: calls an HTTP/2 port on loopback and reports latencies. */
+/** The {@code load} subcommand: calls an HTTP/2 port on loopback and reports latencies. */
 @Command(
         name = "load",
         mixinStandardHelpOptions = true,
         description =
-                "Call an HTTP/2 port on loopback at a steady rate, or a fixed number of calls at a time, and report latencies.")
+                "Call an HTTP/2 port on loopback at a constant rate, or with a fixed number of concurrent calls, and report latencies.")
 final class LoadCommand implements Callable<Integer> {
-    /** Longer than any integration timeout in use. */
-    private static final long ANSWER_WAIT_MS = 5000;
+    /** Timeout of one call; longer than any integration timeout in use. */
+    private static final long CALL_TIMEOUT_MS = 5000;
 
     private static final double MILLIS_PER_SECOND = 1000;
     private static final String LOOPBACK_PORT = "127[0-9.]+:[0-9]+";
@@ -28,14 +28,14 @@
     @Spec
     private CommandLine.Model.CommandSpec spec;
 
-    @Parameters(paramLabel = "IP:PORT", description = "the port, on loopback")
+    @Parameters(paramLabel = "IP:PORT", description = "address and port to call, on loopback")
     private String address;
 
     @Option(
             names = "--call",
             paramLabel = "NAME=METHOD:PATH[:WEIGHT]",
             required = true,
-            description = "a kind of call and its weight among all (1)")
+            description = "a type of call and its weight in the mix of calls (1)")
     private Map<String, String> calls;
 
     @Option(
@@ -43,37 +43,45 @@
             split = ",",
             paramLabel = "NAME",
             defaultValue = "",
-            description = "calls that carry an idempotency key of their own in x-mark")
+            description = "names of calls that carry a unique idempotency key in the header x-mark")
     private List<String> keyedCalls;
 
-    @Option(names = "--rate", paramLabel = "N", defaultValue = "0", description = "calls a second")
+    @Option(
+            names = "--rate",
+            paramLabel = "N",
+            defaultValue = "0",
+            description = "calls per second; without it, --at-a-time sets the concurrency")
     private double callsPerSecond;
 
     @Option(
             names = "--at-a-time",
             paramLabel = "N",
             defaultValue = "1",
-            description = "without a rate: how many calls run at a time (${DEFAULT-VALUE})")
+            description = "number of concurrent calls if --rate is not set (${DEFAULT-VALUE})")
     private int concurrency;
 
     @Option(
             names = "--connections",
             paramLabel = "N",
             defaultValue = "1",
-            description = "over this number of connections (${DEFAULT-VALUE})")
+            description = "number of connections (${DEFAULT-VALUE})")
     private int connections;
 
-    @Option(names = "--for", paramLabel = "DURATION", defaultValue = "10s", description = "how long (${DEFAULT-VALUE})")
+    @Option(
+            names = "--for",
+            paramLabel = "DURATION",
+            defaultValue = "10s",
+            description = "length of the measurement (${DEFAULT-VALUE})")
     private String duration;
 
     @Option(
             names = "--warm",
             paramLabel = "DURATION",
             defaultValue = "2s",
-            description = "how long before that, uncounted (${DEFAULT-VALUE})")
+            description = "length of the warm-up before the measurement (${DEFAULT-VALUE})")
     private String warmUp;
 
-    @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "of the mix")
+    @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "seed of the random mix of calls")
     private long seed;
 
     @Override
@@ -81,7 +89,7 @@
         if (!Durations.isDuration(duration) || !Durations.isDuration(warmUp) || !address.matches(LOOPBACK_PORT)) {
             throw new CommandLine.ParameterException(
                     spec.commandLine(),
-                    "a duration has its unit, such as 10s, and the port is on loopback: 127.0.0.1:PORT");
+                    "a duration needs a unit, such as 10s, and the address must be on loopback: 127.0.0.1:PORT");
         }
         try {
             System.out.print(LoadGenerator.table(LoadGenerator.run(plan())));
@@ -98,19 +106,19 @@
                 address.substring(0, colon),
                 Integer.parseInt(address.substring(colon + 1)),
                 calls.entrySet().stream()
-                        .map(call -> parse(call.getKey(), call.getValue()))
+                        .map(call -> parseCall(call.getKey(), call.getValue()))
                         .toList(),
                 callsPerSecond,
                 concurrency,
                 connections,
                 Units.millis(duration) / MILLIS_PER_SECOND,
                 Units.millis(warmUp) / MILLIS_PER_SECOND,
-                ANSWER_WAIT_MS,
+                CALL_TIMEOUT_MS,
                 seed);
     }
 
-    private LoadGenerator.Call parse(String name, String described) {
-        String[] parts = described.split(":", 0);
+    private LoadGenerator.Call parseCall(String name, String specification) {
+        String[] parts = specification.split(":", 0);
         String path = parts.length > 1 ? parts[1] : "/";
         double weight = parts.length > 2 ? Double.parseDouble(parts[2]) : 1;
         return new LoadGenerator.Call(name, parts[0], path, weight, keyedCalls.contains(name));
--- a/src/main/java/linenring/cli/ProcessHandover.java
+++ b/src/main/java/linenring/cli/ProcessHandover.java
@@ -23,7 +23,7 @@
 import linenring.settings.Names;
 import linenring.stream.ListenException;
 
-/** What an upgrade does to a {@link ControllerProcess}, on either side of it. */
+/** Hands a {@link ControllerProcess} over to a new process, or takes over from an old one, in an upgrade. */
 final class ProcessHandover implements ServingProcess, SuccessorService {
     private static final String LOG_SUBJECT = "upgrade";
 
@@ -32,7 +32,7 @@
     private final GatewaySettings.Handover settings;
     private final Log log;
     private final HostSnapshot hosts = new HostSnapshot();
-    private volatile UpgradeCoordinator coordinator; // null while the process may not be upgraded
+    private volatile UpgradeCoordinator coordinator; // null until this process can be upgraded
 
     ProcessHandover(
             ControllerProcess process,
@@ -48,9 +48,9 @@
         eventQueue.addHostListListener(hosts::apply);
     }
 
-    // ---- the process that serves
+    // ---- role of the old process: it serves and hands over
 
-    /** From here on the process may be upgraded. */
+    /** Enables upgrades of this process: accepts upgrade requests at the socket and by signal. */
     void open() {
         HandoverSender.Timeouts timeouts = new HandoverSender.Timeouts(
                 settings.greetMs(), settings.prepareMs(), settings.takeMs(), settings.probationMs());
@@ -58,23 +58,23 @@
             coordinator = UpgradeCoordinator.open(settings.dir(), successorCommand(), timeouts, this, log);
             ProcessSignals.handle(ProcessSignals.UPGRADE, coordinator::requestUpgrade);
         } catch (IOException failure) {
-            log.error(LOG_SUBJECT, "is not possible: " + failure.getMessage());
+            log.error(LOG_SUBJECT, "upgrading this process is not possible: " + failure.getMessage());
         }
     }
 
-    /** As the settings say, or as this process was started. */
+    /** Returns the command that starts the new process: the one in the settings, or else the command line of this process. */
     private List<String> successorCommand() {
         if (!settings.command().isEmpty()) {
             return settings.command();
         }
-        ProcessHandle.Info own = ProcessHandle.current().info();
+        ProcessHandle.Info ownInfo = ProcessHandle.current().info();
         List<String> command = new ArrayList<>();
-        command.add(own.command().orElse("java"));
-        command.addAll(List.of(own.arguments().orElse(new String[0])));
+        command.add(ownInfo.command().orElse("java"));
+        command.addAll(List.of(ownInfo.arguments().orElse(new String[0])));
         return command;
     }
 
-    /** This process shuts down. */
+    /** Notifies the upgrade coordinator that this process shuts down. */
     void shutdownRequested() {
         if (coordinator != null) {
             coordinator.shutdownRequested();
@@ -92,9 +92,11 @@
         try {
             process.openStreams();
         } catch (ListenException failure) {
-            log.error(LOG_SUBJECT, "the controller's own address cannot be had: " + failure.fault());
+            log.error(
+                    LOG_SUBJECT,
+                    "the controller cannot listen for proxies; last completed step and cause: " + failure.fault());
         }
-        // a process that takes over must know how to drain before its first request
+        // the SIGTERM handler is installed before the first request, so that a process that takes over can drain
         gateway.handleTermination(this::shutdownRequested);
         gateway.accept();
     }
@@ -123,20 +125,21 @@
         return gateway.listener();
     }
 
-    // ---- the process that takes over
+    // ---- role of the new process: it takes over
 
-    /** Takes over from the process at this socket; returns the exit code once that is aborted. */
+    /** Takes over from the process that listens at this socket; returns the exit code if the handover is aborted. */
     int takeOver(Path socket) {
         Names names = process.configuration().names();
         SuccessorProcess.Identity identity = new SuccessorProcess.Identity(
                 Release.name(), names.zones().size(), names.kinds().size());
         try {
             SuccessorProcess successor = SuccessorProcess.greet(socket, identity, this, log);
-            log.warn(LOG_SUBJECT, "ends: " + successor.awaitEnd());
+            log.warn(LOG_SUBJECT, "exiting because the handover was aborted: " + successor.awaitEnd());
         } catch (IOException failure) {
-            ProgramOutput.error("nobody to take over from at " + socket + ": " + failure.getMessage());
+            ProgramOutput.error(
+                    "cannot reach the process to take over from at " + socket + ": " + failure.getMessage());
         } catch (InterruptedException interrupted) {
-            // the process ends
+            // an interrupted handover ends this process
         }
         return ExitCode.NOT_UPGRADED;
     }
@@ -145,20 +148,20 @@
     public void prepare(Optional<HostList> offered) throws PreparationException {
         ServerSocketChannel listener = requireListener();
         try {
-            Optional<HostList> known = newer(offered, process.takeKnownHosts());
-            known.ifPresent(hosts::apply);
-            process.startController(known);
+            Optional<HostList> initialHosts = newerList(offered, process.takeKnownHosts());
+            initialHosts.ifPresent(hosts::apply);
+            process.startController(initialHosts);
             new Thread(process::runControlLoop, "control-loop").start();
             gateway.start(listener);
             gateway.awaitTables();
         } catch (StartException failure) {
             throw new PreparationException(failure.getMessage(), failure);
-        } catch (Exception failure) { // Jetty's start() declares any
-            throw new PreparationException("it cannot start: " + failure, failure);
+        } catch (Exception failure) { // Jetty's start() declares Exception
+            throw new PreparationException("the new process cannot start: " + failure, failure);
         }
     }
 
-    private static Optional<HostList> newer(Optional<HostList> offered, Optional<HostList> configured) {
+    private static Optional<HostList> newerList(Optional<HostList> offered, Optional<HostList> configured) {
         if (offered.isEmpty() || configured.isEmpty()) {
             return offered.or(() -> configured);
         }
@@ -167,17 +170,18 @@
 
     private ServerSocketChannel requireListener() throws PreparationException {
         try {
-            ServerSocketChannel listener =
-                    InheritedListener.find().orElseThrow(() -> new PreparationException("no listener was handed over"));
+            ServerSocketChannel listener = InheritedListener.find()
+                    .orElseThrow(
+                            () -> new PreparationException("no listening socket was handed over by the old process"));
             int port = ((InetSocketAddress) listener.getLocalAddress()).getPort();
             int configuredPort = gateway.settings().listen().getPort();
             if (configuredPort != 0 && configuredPort != port) {
-                throw new PreparationException(
-                        "the listener is at port " + port + ", and the settings say " + configuredPort);
+                throw new PreparationException("the inherited listener uses port " + port
+                        + ", but the settings specify port " + configuredPort);
             }
             return listener;
         } catch (IOException failure) {
-            throw new PreparationException("it cannot start: " + failure, failure);
+            throw new PreparationException("the new process cannot start: " + failure, failure);
         }
     }
 
--- a/src/main/java/linenring/cli/ProcessSignals.java
+++ b/src/main/java/linenring/cli/ProcessSignals.java
@@ -4,23 +4,23 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Installs handlers for POSIX signals. The JDK has no public replacement for {@code sun.misc.Signal}, and the compiler warns
- * of each use in a way that cannot be suppressed; so its classes are reached by reflection, here alone.
+ * Installs handlers for POSIX signals. The JDK has no public replacement for {@code sun.misc.Signal}, and the compiler's
+ * warning about each use cannot be suppressed; so this class, and no other, calls it by reflection.
  */
 final class ProcessSignals {
     static final String HANG_UP = "HUP";
     static final String TERMINATE = "TERM";
     static final String UPGRADE = "USR2";
 
-    private static final Class<?> SIGNAL = find("sun.misc.Signal");
-    private static final Class<?> HANDLER = find("sun.misc.SignalHandler");
+    private static final Class<?> SIGNAL = findClass("sun.misc.Signal");
+    private static final Class<?> HANDLER = findClass("sun.misc.SignalHandler");
 
     private ProcessSignals() {}
 
     /**
-     * Runs the action at each arrival of the signal, on a thread of the JVM's own.
+     * Runs the action each time the signal arrives, on a thread of the JVM.
      *
-     * @return whether the signal was ignored before, as the parent process had set it up; the JVM then leaves it ignored
+     * @return whether the parent process had set the signal to be ignored; the JVM then keeps ignoring it
      */
     static boolean handle(String signalName, Runnable action) {
         Object handler =
@@ -29,14 +29,15 @@
                     return null;
                 });
         try {
-            Object before = SIGNAL.getMethod("handle", SIGNAL, HANDLER).invoke(null, signal(signalName), handler);
-            return before == HANDLER.getField("SIG_IGN").get(null);
+            Object previousHandler =
+                    SIGNAL.getMethod("handle", SIGNAL, HANDLER).invoke(null, signal(signalName), handler);
+            return previousHandler == HANDLER.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException failure) {
-            throw new IllegalStateException("no handler can be installed for SIG" + signalName, failure);
+            throw new IllegalStateException("cannot install a handler for SIG" + signalName, failure);
         }
     }
 
-    /** Sends the signal to this process itself. */
+    /** Sends the signal to this process. */
     static void raise(String signalName) {
         try {
             SIGNAL.getMethod("raise", SIGNAL).invoke(null, signal(signalName));
@@ -49,7 +50,7 @@
         return SIGNAL.getConstructor(String.class).newInstance(name);
     }
 
-    private static Class<?> find(String className) {
+    private static Class<?> findClass(String className) {
         try {
             return MethodHandles.lookup().findClass(className);
         } catch (ReflectiveOperationException failure) {
--- a/src/main/java/linenring/cli/ProgramOutput.java
+++ b/src/main/java/linenring/cli/ProgramOutput.java
@@ -1,10 +1,10 @@
 package linenring.cli;
 
-/** What subcommands print for whoever called them. */
+/** Output of the subcommands for the user of the command line. */
 final class ProgramOutput {
     private ProgramOutput() {}
 
-    /** One line on standard error that begins with the program's name. */
+    /** Prints the message as one line on standard error, after the program's name. */
     static void error(String message) {
         System.err.println("linenring: " + message);
     }
--- a/src/main/java/linenring/cli/Release.java
+++ b/src/main/java/linenring/cli/Release.java
@@ -2,7 +2,7 @@
 
 import picocli.CommandLine;
 
-/** Which release this is, from the jar's manifest. */
+/** The release of this program, read from the jar's manifest. */
 final class Release {
     private Release() {}
 
@@ -11,7 +11,7 @@
         return version == null ? "(not from a jar)" : version;
     }
 
-    /** For {@code --version}. */
+    /** Supplies the text that {@code --version} prints. */
     static final class VersionProvider implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
--- a/src/main/java/linenring/cli/ReloadSignals.java
+++ b/src/main/java/linenring/cli/ReloadSignals.java
@@ -3,16 +3,21 @@
 import linenring.log.Log;
 
 /**
- * SIGHUP, from the first moment on: without a handler it ends the process. A signal that comes before there is anything to
- * reload is acted on once, as soon as there is; then each is, one at a time. Thread-safe: guarded by its own monitor.
+ * Handles SIGHUP from the start of the process, since without a handler the signal ends it. Signals that arrive before a
+ * reload action is set cause one reload as soon as the action is set; each later signal causes one reload, and reloads
+ * run one at a time. Thread-safe: guarded by its own monitor.
  */
 final class ReloadSignals {
-    private Runnable action; // null before there is anything to reload; @GuardedBy("this")
+    private Runnable action; // null until setReloadAction() is called; @GuardedBy("this")
     private boolean isPending; // @GuardedBy("this")
 
     private ReloadSignals() {}
 
-    /** Handles them from now on. Where the parent process had them ignored, the JVM leaves it so: {@code ifIgnored} is run. */
+    /**
+     * Installs the handler of SIGHUP.
+     *
+     * @param ifIgnored is run if the parent process had set SIGHUP to be ignored, which the JVM leaves in force
+     */
     static ReloadSignals install(Runnable ifIgnored) {
         ReloadSignals signals = new ReloadSignals();
         if (ProcessSignals.handle(ProcessSignals.HANG_UP, signals::onSignal)) {
@@ -29,8 +34,11 @@
         }
     }
 
-    /** Runs the reload at each signal from now on, and at once if one has come already; its faults are logged and end nothing. */
-    synchronized void onEach(Runnable reload, Log log) {
+    /**
+     * Runs the reload at each signal, and at once if a signal is pending. An exception of the reload is logged and does
+     * not propagate.
+     */
+    synchronized void setReloadAction(Runnable reload, Log log) {
         action = () -> {
             try {
                 reload.run();
--- a/src/main/java/linenring/cli/RootCommand.java
+++ b/src/main/java/linenring/cli/RootCommand.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Spec;
 
-/** The command line: each subcommand is a class of its own. Exit codes are those of {@link ExitCode}. */
+/** The command line of the program. Each subcommand has its own class; {@link ExitCode} lists the exit codes. */
 @Command(
         name = "linenring",
         mixinStandardHelpOptions = true,
@@ -20,12 +20,12 @@
             LoadCommand.class,
             ScaleSubcommand.class
         },
-        description = "A control plane for plain proxies: a controller that writes their endpoint tables.")
+        description = "A control plane for plain proxies: its controller computes and sends their endpoint tables.")
 public final class RootCommand implements Callable<Integer> {
     @Spec
     private CommandLine.Model.CommandSpec spec;
 
-    /** Runs one subcommand; returns its exit code. */
+    /** Runs the subcommand that the arguments name; returns its exit code. */
     public static int run(String... arguments) {
         return new CommandLine(new RootCommand())
                 .setCaseInsensitiveEnumValuesAllowed(true)
--- a/src/main/java/linenring/cli/ScaleSubcommand.java
+++ b/src/main/java/linenring/cli/ScaleSubcommand.java
@@ -10,15 +10,15 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code scale}: a scale run by its settings, or the tables of an earlier run's record again. */
+/** The {@code scale} subcommand: makes a scale run, or rewrites the tables of an earlier run from its record. */
 @Command(
         name = "scale",
         mixinStandardHelpOptions = true,
         description = {
-            "Measure what a controller uses as its surroundings grow: sweeps and scenarios, on loopback.",
-            "A real controller runs in a process of its own, with the flags of deploy/balancer.toml; simulated ones run beside it.",
-            "It ends by itself within the bounds of its settings. docs/capacity/README.md lists the settings' keys.",
-            "Exit codes: 0 measured, 2 usage, 3 settings at fault, 4 the record cannot be written."
+            "Measure the resources that a controller uses as its fleet grows, in sweeps and scenarios on loopback.",
+            "A real controller runs in a separate process, with the flags of deploy/balancer.toml, next to simulated controllers.",
+            "The run stays within the bounds of its settings and ends by itself. docs/capacity/README.md lists the keys of the settings.",
+            "Exit codes: 0 measured, 2 usage error, 3 invalid settings, 4 record cannot be written."
         })
 final class ScaleSubcommand implements Callable<Integer> {
     private static final String SETTINGS_SUFFIX = "\\.kdl$";
@@ -29,35 +29,35 @@
     @Parameters(
             paramLabel = "FILE",
             arity = "0..1",
-            description = "the settings, KDL; example/scale.kdl is a short run")
+            description = "settings of the run, in KDL; example/scale.kdl describes a short run")
     private Path file;
 
     @Option(
             names = "--from",
             paramLabel = "RECORD",
-            description = "measure nothing; write the tables, fits and plots of this record.json again")
+            description = "rewrite the tables, fits and plots of this record.json without measuring")
     private Path record;
 
-    @Option(names = "--seed", paramLabel = "N", description = "takes precedence over the settings' seed")
+    @Option(names = "--seed", paramLabel = "N", description = "seed that overrides the one in the settings")
     private Long seed;
 
     @Option(
             names = "--record",
             paramLabel = "DIR",
             defaultValue = ".",
-            description = "where the record, its tables and its plots are written (the current directory)")
+            description = "directory for the record, its tables and its plots (the current directory)")
     private Path directory;
 
     @Option(
             names = "--name",
             paramLabel = "NAME",
-            description = "that the record's files begin with (the settings' file name)")
+            description = "prefix of the record's file names (the name of the settings file)")
     private String name;
 
     @Option(
             names = "--build",
             paramLabel = "TEXT",
-            description = "what is measured, such as a commit, for the record (the release)")
+            description = "build that is measured, such as a commit, for the record (the release)")
     private String build;
 
     @Option(names = "--progress", description = "report progress on standard error")
@@ -67,7 +67,7 @@
     public Integer call() throws InterruptedException {
         if ((file == null) == (record == null)) {
             throw new CommandLine.ParameterException(
-                    spec.commandLine(), "scale: either the settings' FILE or --from RECORD is needed");
+                    spec.commandLine(), "scale: exactly one of FILE and --from RECORD is required");
         }
         ScaleCommand.Result result =
                 record != null ? ScaleCommand.rewriteTables(record) : new ScaleCommand(arguments()).run();
--- a/src/main/java/linenring/cli/ServeCommand.java
+++ b/src/main/java/linenring/cli/ServeCommand.java
@@ -5,13 +5,14 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code serve}: a controller on sockets, and a gateway beside it where its settings are named. */
+/** The {@code serve} subcommand: runs a controller that serves proxies, and a gateway if its settings file is given. */
 @Command(
         name = "serve",
         mixinStandardHelpOptions = true,
-        description = "Run a controller on sockets, as GW_CONFIG and the environment say.")
+        description =
+                "Run a controller that serves proxies over sockets, as configured by GW_CONFIG and the environment.")
 final class ServeCommand implements Callable<Integer> {
-    /** How the log is written. */
+    /** Format of the log lines. */
     enum LogFormat {
         TEXT,
         JSON
@@ -20,14 +21,14 @@
     @Option(
             names = "--front",
             paramLabel = "FILE",
-            description = "also run a gateway that takes requests over HTTP/2, as this file says (docs/front.md)")
+            description = "also run an HTTP/2 gateway with the settings in this file (docs/front.md)")
     private Path gatewayFile;
 
     @Option(
             names = "--log",
             paramLabel = "FORM",
             defaultValue = "text",
-            description = "text or json: how lines are written to standard error (text)")
+            description = "format of the log on standard error: text or json (text)")
     private LogFormat logFormat;
 
     @Override
--- a/src/main/java/linenring/cli/Shutdown.java
+++ b/src/main/java/linenring/cli/Shutdown.java
@@ -1,13 +1,14 @@
 package linenring.cli;
 
 /**
- * Whether the process shuts down. Accepting and the beginning of a shutdown come one after the other, in either order: accepting
- * after it would cancel the drain, and the process would neither serve nor end. Thread-safe: guarded by its own monitor.
+ * Records whether the shutdown of the process has begun, and serializes its beginning with other actions, such as starting to
+ * accept connections. Accepting after the shutdown has begun would cancel the drain, and the process would neither serve nor
+ * end. Thread-safe: guarded by its own monitor.
  */
 final class Shutdown {
     private boolean hasBegun; // @GuardedBy("this")
 
-    /** Begins the shutdown; false, and nothing is run, where it has begun before. */
+    /** Begins the shutdown by running the action; returns false, without running it, if the shutdown has begun before. */
     synchronized boolean begin(Runnable action) {
         if (hasBegun) {
             return false;
--- a/src/main/java/linenring/cli/SimulatorCommand.java
+++ b/src/main/java/linenring/cli/SimulatorCommand.java
@@ -5,11 +5,12 @@
 import linenring.simulator.SimulatorAdapter;
 import picocli.CommandLine.Command;
 
-/** {@code wirehost}: decides for the simulator. */
+/** The {@code wirehost} subcommand: runs a controller that makes the decisions for the simulator. */
 @Command(
         name = "wirehost",
         mixinStandardHelpOptions = true,
-        description = "Decide over the simulator's wire on standard input and output.")
+        description =
+                "Run a controller for the simulator, which sends inputs on standard input and reads decisions from standard output.")
 final class SimulatorCommand implements Callable<Integer> {
     @Override
     public Integer call() throws IOException {
--- a/src/main/java/linenring/cli/StartException.java
+++ b/src/main/java/linenring/cli/StartException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** The process cannot start. Says so in one or more lines, and by its exit code. */
+/** The process cannot start. Holds the lines of the error message and the exit code. */
 final class StartException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -23,7 +23,7 @@
         return exitCode;
     }
 
-    /** Prints the lines for whoever started the process; returns the exit code. */
+    /** Prints the error message on standard error; returns the exit code. */
     int report() {
         lines.forEach(ProgramOutput::error);
         return exitCode;
--- a/src/main/java/linenring/cli/TestBackendCommand.java
+++ b/src/main/java/linenring/cli/TestBackendCommand.java
@@ -16,11 +16,12 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** {@code node}: test backends that answer, fail or hang as the options say, until the process is ended. */
+/** The {@code node} subcommand: runs test backends that answer, fail or hang, as set by the options, until it is killed. */
 @Command(
         name = "node",
         mixinStandardHelpOptions = true,
-        description = "Run test backends, to try a gateway by hand: HTTP/2 with prior knowledge on loopback.")
+        description =
+                "Run test backends on loopback, for manual tests of a gateway. They serve HTTP/2 with prior knowledge.")
 final class TestBackendCommand implements Callable<Integer> {
     private static final int MAX_STREAMS_PER_BACKEND = 1000;
 
@@ -32,35 +33,36 @@
             paramLabel = "PORT",
             required = true,
             split = ",",
-            description = "where it listens; one backend for each of several")
+            description = "port to listen on; each port of a list gets its own backend")
     private List<Integer> ports;
 
     @Option(
             names = "--fault",
             paramLabel = "BEHAVIOUR",
             defaultValue = "ANSWER",
-            description = "what it does with each request: ${COMPLETION-CANDIDATES} (${DEFAULT-VALUE})")
+            description = "how the backend responds to each request: ${COMPLETION-CANDIDATES} (${DEFAULT-VALUE})")
     private Behaviour behaviour;
 
     @Option(
             names = "--path",
             paramLabel = "PATH",
             defaultValue = "/",
-            description = "to those whose path begins so; others are answered (${DEFAULT-VALUE})")
+            description =
+                    "path prefix of the requests that --fault applies to; other requests are answered (${DEFAULT-VALUE})")
     private String path;
 
     @Option(
             names = "--after",
             paramLabel = "DURATION",
             defaultValue = "0ms",
-            description = "after how long, such as 150ms (${DEFAULT-VALUE})")
+            description = "delay before the response or fault, such as 150ms (${DEFAULT-VALUE})")
     private String delay;
 
     @Option(
             names = "--bytes",
             paramLabel = "COUNT",
             defaultValue = "2",
-            description = "of an answer's body (${DEFAULT-VALUE})")
+            description = "size of a response body, in bytes (${DEFAULT-VALUE})")
     private int answerBytes;
 
     @Override
@@ -75,10 +77,10 @@
                 return ExitCode.CANNOT_START;
             }
         }
-        Map<TestBackend, Integer> requestsBefore = new HashMap<>();
-        while (true) { // until it is ended
+        Map<TestBackend, Integer> lastCounts = new HashMap<>();
+        while (true) { // until the process is killed
             TimeUnit.SECONDS.sleep(1);
-            backends.forEach(backend -> report(backend, requestsBefore));
+            backends.forEach(backend -> report(backend, lastCounts));
         }
     }
 
@@ -92,12 +94,12 @@
         return backend;
     }
 
-    private static void report(TestBackend backend, Map<TestBackend, Integer> requestsBefore) {
+    private static void report(TestBackend backend, Map<TestBackend, Integer> lastCounts) {
         int requests = backend.requests();
-        Integer before = requestsBefore.put(backend, requests);
-        if (requests > (before == null ? 0 : before)) {
+        Integer previousCount = lastCounts.put(backend, requests);
+        if (requests > (previousCount == null ? 0 : previousCount)) {
             System.out.println(
-                    backend.address() + " ran " + backend.executionsByPath() + " of " + requests + " requests");
+                    backend.address() + " executed " + backend.executionsByPath() + " of " + requests + " requests");
         }
     }
 }
--- a/src/main/java/linenring/cli/UpgradeCommand.java
+++ b/src/main/java/linenring/cli/UpgradeCommand.java
@@ -12,26 +12,28 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code upgrade}: requests that the process that serves hand over to a new one, and waits for the outcome. */
+/** The {@code upgrade} subcommand: requests a handover from the serving process to a new one and waits for the outcome. */
 @Command(
         name = "upgrade",
         mixinStandardHelpOptions = true,
         description = {
-            "Have the process that serves hand over to"
-                    + " a new one; ends with 0 once that one serves, with 5 if the old one goes on."
+            "Request a handover from the serving process to a new one; exits with 0 if the new process serves,"
+                    + " with 5 if the old process keeps serving or the outcome is unknown."
         })
 final class UpgradeCommand implements Callable<Integer> {
     @Spec
     private CommandLine.Model.CommandSpec spec;
 
-    @Parameters(paramLabel = "DIRECTORY", description = "handover's dir in the gateway's settings")
+    @Parameters(
+            paramLabel = "DIRECTORY",
+            description = "directory that the gateway's settings give as the dir of handover")
     private Path directory;
 
     @Option(
             names = "--wait",
             paramLabel = "DURATION",
             defaultValue = "2min",
-            description = "how long at most (${DEFAULT-VALUE})")
+            description = "maximum time to wait for the outcome (${DEFAULT-VALUE})")
     private String timeout;
 
     @Override
@@ -41,11 +43,12 @@
         try {
             outcome = UpgradeClient.request(directory, Durations.milliseconds(timeout));
         } catch (IOException failure) {
-            ProgramOutput.error("nobody can be upgraded at " + directory + ": " + failure.getMessage());
+            ProgramOutput.error(
+                    "no process that can be upgraded was reached at " + directory + ": " + failure.getMessage());
             return ExitCode.CANNOT_START;
         }
         if (outcome.isEmpty()) {
-            System.out.println("no outcome was received; see the log of the old process");
+            System.out.println("the old process reported no outcome; see its log");
             return ExitCode.NOT_UPGRADED;
         }
         boolean succeeded = outcome.get().getSucceeded();
--- a/src/main/java/linenring/configuration/ConfigurationException.java
+++ b/src/main/java/linenring/configuration/ConfigurationException.java
@@ -1,11 +1,11 @@
 package linenring.configuration;
 
-/** The configuration cannot be used. The message names the key at fault, and what is wrong with its value. */
+/** The configuration cannot be used. The message gives the key at fault and the fault of its value. */
 public final class ConfigurationException extends Exception {
-    /** Which kind of fault it is: the process's exit code says so. */
+    /** The kind of fault, which determines the exit code of the process. */
     public enum Kind {
         INVALID,
-        /** Nothing is wrong but that the host list does not fit the heap. */
+        /** The configuration is valid, but its host list does not fit the heap. */
         EXCEEDS_MEMORY
     }
 
@@ -23,7 +23,7 @@
         kind = Kind.INVALID;
     }
 
-    /** Which kind of fault it is. */
+    /** Returns the kind of fault. */
     public Kind kind() {
         return kind;
     }
--- a/src/main/java/linenring/configuration/ConfigurationText.java
+++ b/src/main/java/linenring/configuration/ConfigurationText.java
@@ -16,16 +16,17 @@
 import linenring.protocol.ServiceScope;
 
 /**
- * The configuration's text, read as a stream. The host list in it may be far longer than all the rest, and stand before the
- * names that it is decoded with: it is skipped at first, and read by itself once they are known.
+ * Reads the text of the configuration as a stream, in two passes. The host list may be far longer than all other parts,
+ * and may precede the names that are needed to decode it: the first pass skips the host list, and the second pass reads
+ * only the host list.
  */
 final class ConfigurationText {
-    /** Where the text is; each call begins it anew. */
+    /** Opens the text of the configuration at its beginning, at each call. */
     interface Source {
         InputStream fromStart() throws IOException;
     }
 
-    private static final String KNOWN = "known";
+    private static final String KNOWN_HOSTS_KEY = "known";
     private static final JsonFactory JSON =
             JsonFactory.builder().disable(StreamReadFeature.AUTO_CLOSE_SOURCE).build();
 
@@ -39,12 +40,12 @@
         this.source = source;
     }
 
-    /** Reads all but the host list; throws {@link InvalidSettingException} where the text is no configuration. */
+    /** Reads all parts but the host list; throws {@link InvalidSettingException} if the text is not a valid configuration. */
     static ConfigurationText read(Source source) throws IOException {
         ConfigurationText text = new ConfigurationText(source);
         try (JsonParser parser = JSON.createParser(source.fromStart())) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new InvalidSettingException("GW_CONFIG", ": the file holds no JSON object");
+                throw new InvalidSettingException("GW_CONFIG", ": the file does not contain a JSON object");
             }
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 String name = parser.currentName();
@@ -59,7 +60,7 @@
         boolean isObject = parser.currentToken() == JsonToken.START_OBJECT;
         if (isObject && name.equals("settings")) {
             settings.readObject(parser, "");
-        } else if (isObject && name.equals(KNOWN)) {
+        } else if (isObject && name.equals(KNOWN_HOSTS_KEY)) {
             hasKnownHosts = true;
             parser.skipChildren();
         } else if (name.equals("scope")) {
@@ -71,7 +72,7 @@
 
     private static ServiceScope readScope(JsonParser parser) throws IOException {
         if (parser.currentToken() == JsonToken.VALUE_NULL) {
-            return ServiceScope.ALL; // as if it were not there
+            return ServiceScope.ALL; // null has the same meaning as a missing scope
         }
         if (parser.currentToken() != JsonToken.START_ARRAY) {
             throw new InvalidSettingException("scope", "is not a list of service names");
@@ -89,7 +90,7 @@
         return ServiceScope.of(services);
     }
 
-    /** All but the settings, the scope and the host list. */
+    /** Returns the values of all keys other than the settings, the scope and the host list. */
     FlattenedJson values() {
         return values;
     }
@@ -102,23 +103,23 @@
         return scope;
     }
 
-    /** The host list in the text, as far as the filter keeps it; empty where the text has none. */
+    /** Reads the hosts of the text's host list that the filter retains; empty if the text has no host list. */
     Optional<DecodeResult<HostList>> readKnownHosts(Codec codec, HostListFilter filter) throws IOException {
         if (!hasKnownHosts) {
             return Optional.empty();
         }
-        DecodeResult<HostList> known = null;
+        DecodeResult<HostList> decoded = null;
         try (JsonParser parser = codec.hostListParser(source.fromStart())) {
             parser.nextToken();
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 String name = parser.currentName();
-                if (parser.nextToken() == JsonToken.START_OBJECT && name.equals(KNOWN)) {
-                    known = codec.decodeHostList(parser, filter);
+                if (parser.nextToken() == JsonToken.START_OBJECT && name.equals(KNOWN_HOSTS_KEY)) {
+                    decoded = codec.decodeHostList(parser, filter);
                 } else {
                     parser.skipChildren();
                 }
             }
         }
-        return Optional.ofNullable(known);
+        return Optional.ofNullable(decoded);
     }
 }
--- a/src/main/java/linenring/configuration/ControllerConfiguration.java
+++ b/src/main/java/linenring/configuration/ControllerConfiguration.java
@@ -10,16 +10,16 @@
 import linenring.settings.Names;
 
 /**
- * What one controller is started with.
+ * The configuration that one controller is started with.
  *
- * @param listen where proxies and collectors connect
- * @param discovery where discovery's agent is
- * @param maxSockets limit of the process
- * @param plannerSettings what the decisions depend on
- * @param names zones, machine kinds and operations, by index
- * @param scope the services whose hosts it serves
- * @param knownHosts the host list to begin with, if there is one that can be used
- * @param knownHostsFault what of the configured host list cannot be used, with its key, if anything
+ * @param listen address at which the controller accepts proxies and collectors
+ * @param discovery address of the discovery agent
+ * @param maxSockets maximum number of open sockets of the process
+ * @param plannerSettings settings of the planner
+ * @param names names of zones, machine kinds and operations, by index
+ * @param scope services whose hosts the controller manages
+ * @param knownHosts initial host list; empty if none is configured or the configured one cannot be used
+ * @param knownHostsFault description of the parts of the configured host list that cannot be used, with their key, if any
  */
 public record ControllerConfiguration(
         String name,
@@ -32,14 +32,14 @@
         Optional<HostList> knownHosts,
         Optional<String> knownHostsFault) {
 
-    /** The same with this host list and this fault of it. */
+    /** Returns a copy with this host list and this description of the list's faults. */
     public ControllerConfiguration withKnownHosts(Optional<HostList> list, Optional<String> fault) {
         return new ControllerConfiguration(
                 name, listen, discovery, maxSockets, plannerSettings, names, scope, list, fault);
     }
 
-    /** The keys under which the other has something else that cannot change while the controller runs. */
-    public List<String> fixedKeysThatDiffer(ControllerConfiguration other) {
+    /** Returns the keys whose values differ in the other configuration and cannot change while the controller runs. */
+    public List<String> changedFixedKeys(ControllerConfiguration other) {
         List<String> keys = new ArrayList<>();
         addIfDifferent(keys, "name", name, other.name);
         addIfDifferent(keys, "listen", listen, other.listen);
@@ -48,8 +48,8 @@
         return keys;
     }
 
-    private static void addIfDifferent(List<String> keys, String key, Object own, Object others) {
-        if (!own.equals(others)) {
+    private static void addIfDifferent(List<String> keys, String key, Object ownValue, Object otherValue) {
+        if (!ownValue.equals(otherValue)) {
             keys.add(key);
         }
     }
--- a/src/main/java/linenring/configuration/ControllerConfigurationReader.java
+++ b/src/main/java/linenring/configuration/ControllerConfigurationReader.java
@@ -25,30 +25,31 @@
 import linenring.settings.SettingsReader;
 
 /**
- * The one place where configuration is read, checked and given defaults. The file that {@code GW_CONFIG} names has all of it;
- * {@code GW_NAME} and {@code GW_LISTEN} take precedence over the file. {@code GW_DISCOVERY} only counts where the file names
- * none: the environment stays as it was at the start, and the file is replaced while the process runs.
+ * Reads the configuration, checks it and applies defaults. The file that {@code GW_CONFIG} names holds the whole
+ * configuration; {@code GW_NAME} and {@code GW_LISTEN} take precedence over the file. {@code GW_DISCOVERY} is used only
+ * if the file gives no discovery address, since the file can be replaced while the process runs and the environment
+ * cannot.
  */
 public final class ControllerConfigurationReader {
-    /** Where the file names no limit: the usual limit of a process. */
+    /** Socket limit if the file gives none: the usual limit of a process. */
     private static final int DEFAULT_MAX_SOCKETS = 1024;
 
-    /** The process itself needs about 20. */
-    private static final int LEAST_MAX_SOCKETS = 48;
+    /** Smallest socket limit that is accepted; the process itself needs about 20 sockets. */
+    private static final int MIN_MAX_SOCKETS = 48;
 
     private static final int MAX_PORT = 65535;
 
-    /** An address in digits: nothing is looked up. */
+    /** An IP address in digits, so that no name has to be resolved. */
     private static final Pattern NUMERIC_HOST = Pattern.compile("[0-9.]+|\\[[0-9a-fA-F:.]+]");
 
     private ControllerConfigurationReader() {}
 
-    /** Reads all of it, for a start. */
+    /** Reads the whole configuration, for the start of a process. */
     public static ControllerConfiguration read(Map<String, String> environment) throws ConfigurationException {
         return read(environment, true);
     }
 
-    /** As {@link #read}, without the known host list: only a start has a use for it. */
+    /** Reads the configuration without the known host list, for a reload: only the start of a process uses the list. */
     public static ControllerConfiguration readAgain(Map<String, String> environment) throws ConfigurationException {
         return read(environment, false);
     }
@@ -59,7 +60,7 @@
         if (file == null || file.isEmpty()) {
             throw new ConfigurationException(Kind.INVALID, "GW_CONFIG is missing");
         }
-        // one file throughout, even where another takes its name meanwhile
+        // both passes read the same file, even if it is replaced between them
         try (SeekableByteChannel channel = Files.newByteChannel(Path.of(file))) {
             return read(environment, new ChannelSource(channel), withKnownHosts, HostCapacity.ofThisProcess());
         } catch (IOException | RuntimeException failure) {
@@ -67,10 +68,13 @@
         }
     }
 
-    /** A file that is open. One that can be read only once, such as a pipe, will do where it has no host list. */
+    /**
+     * Reads an open file from its start. A file that can be read only once, such as a pipe, is supported if it has no
+     * host list.
+     */
     private static final class ChannelSource implements ConfigurationText.Source {
         private final SeekableByteChannel channel;
-        private boolean isBegun;
+        private boolean hasBeenRead;
 
         ChannelSource(SeekableByteChannel channel) {
             this.channel = channel;
@@ -78,10 +82,10 @@
 
         @Override
         public InputStream fromStart() throws IOException {
-            if (isBegun) {
+            if (hasBeenRead) {
                 channel.position(0);
             }
-            isBegun = true;
+            hasBeenRead = true;
             return Channels.newInputStream(channel);
         }
     }
@@ -95,7 +99,7 @@
             throws ConfigurationException {
         try {
             ConfigurationText text = ConfigurationText.read(source);
-            ControllerConfiguration configuration = check(environment, text);
+            ControllerConfiguration configuration = validate(environment, text);
             return withKnownHosts ? withKnownHosts(configuration, text, maxHosts) : configuration;
         } catch (InvalidSettingException failure) {
             throw new ConfigurationException(failure.getMessage(), failure);
@@ -106,22 +110,25 @@
         }
     }
 
-    /** Discovery sends the list in any case: a fault of this one prevents no start, unless it does not fit the memory. */
+    /**
+     * Adds the known host list. A faulty list does not prevent the start, since discovery sends the list anyway, unless
+     * the list exceeds the memory.
+     */
     private static ControllerConfiguration withKnownHosts(
             ControllerConfiguration configuration, ConfigurationText text, int maxHosts)
             throws IOException, ConfigurationException {
         HostListFilter filter = new HostListFilter(configuration.scope(), id -> false, maxHosts);
-        Optional<DecodeResult<HostList>> known = text.readKnownHosts(new Codec(configuration.names()), filter);
-        if (known.isEmpty()) {
+        Optional<DecodeResult<HostList>> decoded = text.readKnownHosts(new Codec(configuration.names()), filter);
+        if (decoded.isEmpty()) {
             return configuration;
         }
-        if (known.get() instanceof DecodeResult.Failed<HostList> failed) {
+        if (decoded.get() instanceof DecodeResult.Failed<HostList> failed) {
             return withoutKnownHosts(configuration, failed.error());
         }
-        HostList list = known.get().orElseThrow();
+        HostList list = decoded.get().orElseThrow();
         if (list.hasNoneInScope()) {
             String fault = "known lists " + list.outsideScopeCount()
-                    + " hosts and scope names none of them; begins without it";
+                    + " hosts but scope includes none of them; starting without a host list";
             return configuration.withKnownHosts(Optional.empty(), Optional.of(fault));
         }
         return configuration.withKnownHosts(
@@ -133,11 +140,11 @@
         if (error.stage() == DecodeError.Stage.SIZE) {
             throw new ConfigurationException(Kind.EXCEEDS_MEMORY, "known lists " + error.reason());
         }
-        String fault = "known: " + error.reason() + "; begins without it";
+        String fault = "known: " + error.reason() + "; starting without a host list";
         return configuration.withKnownHosts(Optional.empty(), Optional.of(fault));
     }
 
-    private static ControllerConfiguration check(Map<String, String> environment, ConfigurationText text) {
+    private static ControllerConfiguration validate(Map<String, String> environment, ConfigurationText text) {
         FlattenedJson values = text.values();
         overrideOrRequire(environment, "GW_NAME", values, "name");
         String listenKey = overrideOrRequire(environment, "GW_LISTEN", values, "listen");
@@ -149,8 +156,9 @@
         }
         Names names = SettingsReader.names(text.settings());
         int maxSockets = values.index("limits.sockets", DEFAULT_MAX_SOCKETS);
-        if (maxSockets < LEAST_MAX_SOCKETS) {
-            throw new InvalidSettingException("limits.sockets", ": " + maxSockets + " is under " + LEAST_MAX_SOCKETS);
+        if (maxSockets < MIN_MAX_SOCKETS) {
+            throw new InvalidSettingException(
+                    "limits.sockets", ": " + maxSockets + " is less than the minimum of " + MIN_MAX_SOCKETS);
         }
         return new ControllerConfiguration(
                 values.find("name"),
@@ -164,7 +172,7 @@
                 Optional.empty());
     }
 
-    /** Puts the environment's value in the place of the file's; returns the key that the value came from. */
+    /** Replaces the file's value with the environment's, if set; returns the key or variable that the value comes from. */
     private static String overrideOrRequire(
             Map<String, String> environment, String variable, FlattenedJson values, String key) {
         String value = environment.get(variable);
@@ -172,7 +180,7 @@
             values.override(key, value);
             return variable;
         }
-        values.text(key); // throws where it is missing
+        values.text(key); // throws if the key is missing
         return key;
     }
 
@@ -185,8 +193,8 @@
                 return new InetSocketAddress(InetAddress.getByName(host), port);
             }
         } catch (NumberFormatException | UnknownHostException failure) {
-            // reported below, like any other text that is no address
+            // reported below, like all other invalid addresses
         }
-        throw new InvalidSettingException(key, ": '" + value + "' is no ADDRESS:PORT");
+        throw new InvalidSettingException(key, ": '" + value + "' is not a numeric ADDRESS:PORT");
     }
 }
--- a/src/main/java/linenring/configuration/FlattenedJson.java
+++ b/src/main/java/linenring/configuration/FlattenedJson.java
@@ -8,14 +8,15 @@
 import linenring.settings.Lookup;
 
 /**
- * Nested JSON as paths: names joined by dots; items of a list of objects by number, with their count beside them; items of a
- * list of plain values joined by commas.
+ * Nested JSON as a flat map from paths to values. A path joins the names of nested objects with dots. The objects of a
+ * list get their number as a name, and the path of the list with {@code .count} has the number of objects. A list of
+ * scalar values is one value, with commas between its items.
  */
 final class FlattenedJson extends Lookup {
     private final Map<String, String> values = new TreeMap<>();
     private final String faultPrefix;
 
-    /** {@code faultPrefix} precedes the paths in messages about faults. */
+    /** Creates an empty map; {@code faultPrefix} precedes the paths in error messages. */
     FlattenedJson(String faultPrefix) {
         this.faultPrefix = faultPrefix;
     }
@@ -29,7 +30,7 @@
         return values.isEmpty();
     }
 
-    /** Puts a value in the place of what was read. */
+    /** Replaces the value that was read for the path. */
     void override(String path, String value) {
         values.put(path, value);
     }
@@ -39,7 +40,7 @@
         return new InvalidSettingException(faultPrefix + path, fault);
     }
 
-    /** Reads the object that the parser is at the beginning of. */
+    /** Reads the object whose first token is the parser's current token. */
     void readObject(JsonParser parser, String path) throws IOException {
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
@@ -48,33 +49,33 @@
         }
     }
 
-    /** Reads the value that the parser is at the beginning of. */
+    /** Reads the value whose first token is the parser's current token. */
     void readValue(JsonParser parser, String path) throws IOException {
         switch (parser.currentToken()) {
             case START_OBJECT -> readObject(parser, path);
             case START_ARRAY -> readList(parser, path);
-            case VALUE_NULL -> {} // as if it were not there
+            case VALUE_NULL -> {} // null has the same meaning as a missing key
             default -> values.put(path, parser.getText());
         }
     }
 
     private void readList(JsonParser parser, String path) throws IOException {
-        StringBuilder plainItems = new StringBuilder();
+        StringBuilder scalarItems = new StringBuilder();
         boolean isFirst = true;
-        int objects = 0;
+        int objectCount = 0;
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             if (parser.currentToken().isScalarValue()) {
-                plainItems.append(isFirst ? "" : ",").append(parser.getText());
+                scalarItems.append(isFirst ? "" : ",").append(parser.getText());
                 isFirst = false;
             } else {
-                readValue(parser, path + "." + objects);
-                objects++;
+                readValue(parser, path + "." + objectCount);
+                objectCount++;
             }
         }
-        if (objects > 0) {
-            values.put(path + ".count", Integer.toString(objects));
+        if (objectCount > 0) {
+            values.put(path + ".count", Integer.toString(objectCount));
         } else {
-            values.put(path, plainItems.toString());
+            values.put(path, scalarItems.toString());
         }
     }
 }
--- a/src/main/java/linenring/log/JsonSink.java
+++ b/src/main/java/linenring/log/JsonSink.java
@@ -11,8 +11,8 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * Writes each line as one JSON object, by logback. Subject and number of suppressed lines are key-value pairs, the latter
- * under the key {@code held} (docs/oncall.md).
+ * Writes each log line as one JSON object, encoded by Logback. The subject and the number of suppressed lines are key-value
+ * pairs; the number has the key {@code held} (docs/oncall.md).
  */
 public final class JsonSink implements Sink {
     private static final String SUBJECT_KEY = "subject";
@@ -20,10 +20,11 @@
 
     private final Logger logger;
 
-    /** A sink that writes to this stream. */
+    /** Creates a sink that writes to this stream. */
     public JsonSink(OutputStream out) {
         LoggerContext context = new LoggerContext();
-        context.setMDCAdapter(new LogbackMDCAdapter()); // events require one, though nothing is put into it
+        context.setMDCAdapter(
+                new LogbackMDCAdapter()); // Logback's events require an MDC adapter, although the MDC is not used
         context.start();
         OutputStreamAppender<ILoggingEvent> appender = new OutputStreamAppender<>();
         appender.setContext(context);
@@ -36,7 +37,7 @@
         logger = context.getLogger("linenring");
     }
 
-    /** Leaves out what is always empty here, and what the time already says. */
+    /** Creates an encoder without the fields that are always empty here or that repeat the time. */
     private static JsonEncoder encoder(LoggerContext context) {
         JsonEncoder encoder = new JsonEncoder();
         encoder.setContext(context);
--- a/src/main/java/linenring/log/Level.java
+++ b/src/main/java/linenring/log/Level.java
@@ -1,10 +1,10 @@
 package linenring.log;
 
-/** How much attention a line asks for. The names are those that appear in the log. */
+/** Severity of a log line. The names of the constants appear in the log. */
 public enum Level {
-    /** For the record. */
+    /** An event that needs no action. */
     INFO,
-    /** Something that may need an action, though service goes on. */
+    /** An event that may need an action, although the service continues. */
     WARN,
     /** A defect, or a loss of service. */
     ERROR
--- a/src/main/java/linenring/log/Log.java
+++ b/src/main/java/linenring/log/Log.java
@@ -7,52 +7,59 @@
 import java.util.Map;
 
 /**
- * The program's log, for the operators: time, level, subject, message. A failure that repeats itself thousands of times a
- * second would fill the disk and hide all other lines. So a subject gets {@link #MAX_LINES} lines in {@link #INTERVAL_MS};
- * further ones are counted, and the next line of that subject says how many there were. Subjects are constants of this
- * program and few, so the counters are bounded. Thread-safe.
+ * The program's log, for the operators. Each line has a time, a level, a subject and a message. Lines are rate limited
+ * for each subject, since a failure that repeats thousands of times a second would fill the disk and hide all other
+ * lines: each subject may write {@link #MAX_LINES_PER_INTERVAL} lines in {@link #INTERVAL_MS}. Further lines are
+ * suppressed, and the subject's first line in the next interval reports their number. Subjects are constants of this
+ * program, so the number of counters is bounded. Thread-safe.
  */
 public final class Log {
-    /** Enough for one line about each proxy of a small fleet. */
-    private static final int MAX_LINES = 20;
-    /** With {@link #MAX_LINES} it comes to two lines a second for each subject, which a person can follow. */
+    /** Line limit of a subject in one interval; sufficient for one line about each proxy of a small fleet. */
+    private static final int MAX_LINES_PER_INTERVAL = 20;
+    /**
+     * Interval of the rate limit; with {@link #MAX_LINES_PER_INTERVAL} each subject writes at most two lines a second,
+     * which a person can follow.
+     */
     private static final long INTERVAL_MS = 10_000;
 
     private static final char DELETE = 0x7f;
 
     /** The rate limit of one subject. */
-    private static final class Quota {
+    private static final class RateLimit {
         private long intervalStartMs;
         private int linesInInterval;
 
-        /** Begins a new interval if the last one is over; returns how many lines the last one held back. */
-        int beginIntervalIfOver(long nowMs) {
+        /**
+         * Starts a new interval if the current one has elapsed; returns the number of lines suppressed in the elapsed
+         * interval.
+         */
+        int startNextIntervalIfElapsed(long nowMs) {
             if (nowMs - intervalStartMs < INTERVAL_MS) {
                 return 0;
             }
-            int suppressed = Math.max(0, linesInInterval - MAX_LINES);
+            int suppressed = Math.max(0, linesInInterval - MAX_LINES_PER_INTERVAL);
             intervalStartMs = nowMs;
             linesInInterval = 0;
             return suppressed;
         }
 
-        /** Counts one line; false if it is beyond the limit. */
-        boolean admitsLine() {
+        /** Counts one line; returns whether the line is within the limit. */
+        boolean tryAcquireLine() {
             linesInInterval++;
-            return linesInInterval <= MAX_LINES;
+            return linesInInterval <= MAX_LINES_PER_INTERVAL;
         }
     }
 
     private final Sink sink;
     private final Clock clock;
-    private final Map<String, Quota> quotas = new HashMap<>(); // by subject; guarded by this
+    private final Map<String, RateLimit> rateLimits = new HashMap<>(); // keyed by subject; @GuardedBy("this")
 
-    /** A log of text lines. */
+    /** Creates a log that writes text lines to this stream. */
     public Log(PrintStream out) {
         this(new TextSink(out));
     }
 
-    /** A log that writes to this sink. */
+    /** Creates a log that writes to this sink. */
     public Log(Sink sink) {
         this(sink, Clock.systemUTC());
     }
@@ -79,14 +86,17 @@
 
     private synchronized void write(Level level, String subject, String message) {
         Instant now = clock.instant();
-        Quota quota = quotas.computeIfAbsent(subject, name -> new Quota());
-        int suppressedLines = quota.beginIntervalIfOver(now.toEpochMilli());
-        if (quota.admitsLine()) {
+        RateLimit rateLimit = rateLimits.computeIfAbsent(subject, name -> new RateLimit());
+        int suppressedLines = rateLimit.startNextIntervalIfElapsed(now.toEpochMilli());
+        if (rateLimit.tryAcquireLine()) {
             sink.write(now, level, subject, withoutControlCharacters(message), suppressedLines);
         }
     }
 
-    /** Messages may quote what a peer sent: line ends and terminal escapes in it must not forge or garble other lines. */
+    /**
+     * Replaces control characters: a message may quote bytes from a peer, whose line ends and escape sequences must not
+     * forge log lines.
+     */
     private static String withoutControlCharacters(String message) {
         StringBuilder line = new StringBuilder(message.length());
         for (int i = 0; i < message.length(); i++) {
--- a/src/main/java/linenring/log/Sink.java
+++ b/src/main/java/linenring/log/Sink.java
@@ -2,15 +2,15 @@
 
 import java.time.Instant;
 
-/** The output of a {@link Log}: takes the lines that the rate limit lets through, one call at a time. */
+/** Output of a {@link Log}, which calls the sink for each line that the rate limit admits, one call at a time. */
 public interface Sink {
     /**
      * Writes one line.
      *
      * @param time when the event was logged
-     * @param subject the part of the program that it is about
-     * @param message without control characters
-     * @param suppressedLines how many lines of this subject the rate limit has held back since the last one written
+     * @param subject part of the program that the line is about
+     * @param message text of the line, without control characters
+     * @param suppressedLines number of lines of this subject that the rate limit has suppressed since the last written line
      */
     void write(Instant time, Level level, String subject, String message, int suppressedLines);
 }
--- a/src/main/java/linenring/log/TextSink.java
+++ b/src/main/java/linenring/log/TextSink.java
@@ -6,8 +6,8 @@
 import java.time.format.DateTimeFormatter;
 
 /**
- * Writes lines as text: time (UTC), level, subject, message. It needs no library, since loading one would delay the start
- * of a controller without a gateway.
+ * Writes log lines as text: time (UTC), level, subject, message. Uses no logging library, since loading one would delay the
+ * start of a controller without a gateway.
  */
 final class TextSink implements Sink {
     private static final DateTimeFormatter TIME =
@@ -25,6 +25,6 @@
         out.println(
                 suppressedLines == 0
                         ? line
-                        : line + " (" + suppressedLines + " more of this subject were not written)");
+                        : line + " (" + suppressedLines + " more lines of this subject were suppressed)");
     }
 }
--- a/src/main/java/linenring/settings/Lookup.java
+++ b/src/main/java/linenring/settings/Lookup.java
@@ -3,19 +3,20 @@
 import java.util.List;
 
 /**
- * Values found by their path, wherever they were read from. Durations are microseconds there and milliseconds here. Each
- * method throws what {@link #bad} makes where the value is missing without a default, or not of its kind.
+ * Typed access to settings by path, for any source of settings. Sources hold durations in microseconds; the methods
+ * return milliseconds. Each method throws the exception that {@link #bad} creates if the value is of the wrong type, or
+ * is missing and has no default.
  */
 public abstract class Lookup {
     private static final double MICROS_PER_MS = 1000;
 
-    /** The value at the path, or null where there is none; a list of plain values has commas between them. */
+    /** Returns the value at the path, or null if there is none; a list of scalar values is joined with commas. */
     public abstract String find(String path);
 
-    /** What to throw for the value at the path; {@code fault} may begin with a colon. */
+    /** Creates the exception for an invalid value at the path; {@code fault} follows the path and may begin with a colon. */
     protected abstract RuntimeException bad(String path, String fault);
 
-    /** A text that is not empty. */
+    /** Returns the text at the path, which must not be empty. */
     public String text(String path) {
         String value = find(path);
         if (value == null || value.isEmpty()) {
@@ -24,8 +25,11 @@
         return value;
     }
 
-    /** A whole number; one beyond the range of a long wraps, as ids may be unsigned. */
-    public long whole(String path) {
+    /**
+     * Returns the integer at the path. Unsigned 64-bit values are accepted and returned as the long with the same bits,
+     * as ids may be unsigned.
+     */
+    public long wholeNumber(String path) {
         String value = text(path);
         try {
             return value.startsWith("-") ? Long.parseLong(value) : Long.parseUnsignedLong(value);
@@ -34,75 +38,75 @@
         }
     }
 
-    /** A whole number from 0 on. */
+    /** Returns the non-negative integer at the path. */
     public int index(String path) {
-        long value = whole(path);
+        long value = wholeNumber(path);
         if (value < 0 || value > Integer.MAX_VALUE) {
             throw bad(path, ": " + value + " is out of range");
         }
         return (int) value;
     }
 
-    /** A whole number from 0 on, or the default. */
+    /** Returns the non-negative integer at the path, or the default. */
     public int index(String path, int defaultValue) {
         return find(path) == null ? defaultValue : index(path);
     }
 
-    /** A finite number. */
+    /** Returns the finite number at the path. */
     public double number(String path) {
         return toNumber(path, text(path));
     }
 
-    /** A finite number, or the default. */
+    /** Returns the finite number at the path, or the default. */
     public double number(String path, double defaultValue) {
         String value = find(path);
         return value == null ? defaultValue : toNumber(path, value);
     }
 
-    /** A number of 0 or more, or the default. */
-    public double amount(String path, double defaultValue) {
+    /** Returns the non-negative number at the path, or the default. */
+    public double nonNegativeNumber(String path, double defaultValue) {
         double value = number(path, defaultValue);
         if (value < 0) {
-            throw bad(path, ": " + shown(value) + " is under 0");
+            throw bad(path, ": " + formatWithoutTrailingZeros(value) + " is negative");
         }
         return value;
     }
 
-    /** A number of more than 0, or the default. */
-    public double positive(String path, double defaultValue) {
+    /** Returns the positive number at the path, or the default. */
+    public double positiveNumber(String path, double defaultValue) {
         double value = number(path, defaultValue);
         if (value <= 0) {
-            throw bad(path, ": " + shown(value) + " is not over 0");
+            throw bad(path, ": " + formatWithoutTrailingZeros(value) + " is not greater than 0");
         }
         return value;
     }
 
-    private static String shown(double value) {
+    private static String formatWithoutTrailingZeros(double value) {
         return value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value);
     }
 
-    /** Whether the value is 1 or true. */
+    /** Whether the value at the path is 1 or true, rather than 0 or false. */
     public boolean flag(String path) {
         return toFlag(path, text(path));
     }
 
-    /** Whether the value is 1 or true, or the default. */
+    /** Whether the value at the path is 1 or true, rather than 0 or false; the default if it is missing. */
     public boolean flag(String path, boolean defaultValue) {
         String value = find(path);
         return value == null ? defaultValue : toFlag(path, value);
     }
 
-    /** A time, in ms; the value is in microseconds. */
+    /** Returns the time at the path, in ms; the source holds an integer in microseconds. */
     public double millis(String path) {
-        return whole(path) / MICROS_PER_MS;
+        return wholeNumber(path) / MICROS_PER_MS;
     }
 
-    /** A duration of 0 or more, in ms, or the default; the value is in microseconds. */
+    /** Returns the non-negative duration at the path, in ms, or the default; the source holds microseconds. */
     public double millis(String path, double defaultMs) {
-        return find(path) == null ? defaultMs : amount(path, 0) / MICROS_PER_MS;
+        return find(path) == null ? defaultMs : nonNegativeNumber(path, 0) / MICROS_PER_MS;
     }
 
-    /** The items of a list of plain values; none where it is missing. */
+    /** Returns the items of the list of scalar values at the path; empty if the list is missing. */
     public List<String> list(String path) {
         String value = find(path);
         return value == null || value.isEmpty() ? List.of() : List.of(value.split(",", 0));
@@ -115,7 +119,7 @@
                 return number;
             }
         } catch (NumberFormatException failure) {
-            // reported below, like an infinite number
+            // reported below, like infinite numbers
         }
         throw bad(path, ": '" + value + "' is not a number");
     }
@@ -124,7 +128,7 @@
         return switch (value) {
             case "1", "true" -> true;
             case "0", "false" -> false;
-            default -> throw bad(path, ": '" + value + "' is neither 0 nor 1");
+            default -> throw bad(path, ": '" + value + "' is not a boolean: 0, 1, false or true");
         };
     }
 }
--- a/src/main/java/linenring/settings/Names.java
+++ b/src/main/java/linenring/settings/Names.java
@@ -4,32 +4,32 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * What stands behind the indices: zones, machine kinds and operations by name, and how many proxies there are. Zones and kinds
- * grow, on any thread, as hosts are listed in such as the settings did not name.
+ * Names of zones, machine kinds and operations, by index, and the number of proxies. Zones and kinds that the settings do not
+ * name are added, on any thread, when a listed host has them.
  *
- * @param quantumMs inputs that are as close together are acted on together
+ * @param quantumMs length of the interval within which inputs are handled as one batch
  */
 public record Names(List<String> zones, List<String> kinds, List<String> operations, int proxyCount, double quantumMs) {
-    /** More zones or kinds are a fault of the list, and must not fill the memory. */
+    /** Limit on zones and on kinds, so that a faulty host list cannot exhaust the memory. */
     private static final int MAX_NAMES = 4096;
 
-    /** Copies the zones and kinds, which grow. */
+    /** Copies the zones and kinds into lists that can grow on any thread. */
     public Names {
         zones = new CopyOnWriteArrayList<>(zones);
         kinds = new CopyOnWriteArrayList<>(kinds);
     }
 
-    /** The index of a name among zones or kinds; a new one gets the next. -1 where there are too many. */
-    public static int indexOrAdd(List<String> known, String name) {
-        int index = known.indexOf(name);
+    /** Returns the index of a name among the zones or kinds, adding a new name at the end; -1 if there are too many names. */
+    public static int indexOrAdd(List<String> names, String name) {
+        int index = names.indexOf(name);
         if (index >= 0) {
             return index;
         }
-        synchronized (known) {
-            index = known.indexOf(name);
-            if (index < 0 && known.size() < MAX_NAMES) {
-                index = known.size();
-                known.add(name);
+        synchronized (names) {
+            index = names.indexOf(name);
+            if (index < 0 && names.size() < MAX_NAMES) {
+                index = names.size();
+                names.add(name);
             }
             return index;
         }
--- a/src/main/java/linenring/settings/SettingsReader.java
+++ b/src/main/java/linenring/settings/SettingsReader.java
@@ -6,17 +6,17 @@
 import linenring.planner.PlannerSettings.Measure;
 
 /**
- * Reads the settings that a controller is started with: the one place that knows both their keys and our names. What is absent
- * gets the value that changes nothing.
+ * Reads the settings that a controller is started with. Only this class maps the keys of the settings to the names of
+ * {@link PlannerSettings} and {@link Names}. A key that is absent gets a default that has no effect on decisions.
  */
 public final class SettingsReader {
-    /** Masks of operations are of 32 bits, one of them the sign. */
+    /** Bits of an int, which holds a mask of operations, without the sign. */
     private static final int MAX_OPERATIONS = 31;
 
-    /** Masks of zones and kinds are of 64 bits, one of them the sign. */
+    /** Bits of a long, which holds a mask of zones or kinds, without the sign. */
     private static final int MAX_MASK_BITS = 63;
 
-    private static final long MASK_OF_ALL = -1;
+    private static final long UNRESTRICTED_MASK = -1;
     private static final int MAX_PROXIES = 65_536;
 
     private static final double MICROS_PER_MS = 1000;
@@ -26,16 +26,17 @@
     private static final double DEFAULT_MESSAGE_LIMIT_SPAN_MS = 10_000;
     private static final double DEFAULT_DRAIN_GRACE_MS = 1000;
 
-    /** Inputs that are as close together are acted on together. */
+    /** Length of the interval within which inputs are handled as one batch. */
     private static final double DEFAULT_QUANTUM_MS = 4;
 
     private SettingsReader() {}
 
-    /** Reads what the decisions depend on. */
+    /** Reads the settings of the planner. */
     public static PlannerSettings read(Lookup source) {
         return new PlannerSettings(
                 operations(source),
-                new PlannerSettings.ColdStart(source.amount("Contract.ColdFrom", 1), source.millis("Contract.Cold", 0)),
+                new PlannerSettings.ColdStart(
+                        source.nonNegativeNumber("Contract.ColdFrom", 1), source.millis("Contract.Cold", 0)),
                 channel(source),
                 shards(source),
                 measure(source),
@@ -48,7 +49,7 @@
     private static List<PlannerSettings.Operation> operations(Lookup source) {
         int count = source.index("Classes.count", 0);
         if (count > MAX_OPERATIONS) {
-            throw source.bad("Classes.count", ": at most " + MAX_OPERATIONS + " operations are understood");
+            throw source.bad("Classes.count", ": at most " + MAX_OPERATIONS + " operations are supported");
         }
         List<String> zones = source.list("Azs");
         List<String> kinds = source.list("Kinds");
@@ -57,8 +58,8 @@
         for (int i = 0; i < count; i++) {
             String prefix = "Classes." + i + ".";
             operations.add(new PlannerSettings.Operation(
-                    source.positive(prefix + "Aim", DEFAULT_OBJECTIVE_MICROS) / MICROS_PER_MS,
-                    source.amount(prefix + "Points", 1),
+                    source.positiveNumber(prefix + "Aim", DEFAULT_OBJECTIVE_MICROS) / MICROS_PER_MS,
+                    source.nonNegativeNumber(prefix + "Points", 1),
                     mask(source.list(prefix + "OnlyZones"), zones),
                     mask(source.list(prefix + "OnlyKinds"), kinds),
                     i < homeZoneOnly.size() && homeZoneOnly.get(i).equals("true"),
@@ -69,9 +70,9 @@
 
     private static PlannerSettings.Channel channel(Lookup source) {
         return new PlannerSettings.Channel(
-                source.positive("Specifics.PushRate", DEFAULT_ENTRIES_PER_SECOND),
-                source.amount("Specifics.PerMessage", 0),
-                source.amount("Specifics.MostWaiting", DEFAULT_MAX_QUEUED_ENTRIES),
+                source.positiveNumber("Specifics.PushRate", DEFAULT_ENTRIES_PER_SECOND),
+                source.nonNegativeNumber("Specifics.PerMessage", 0),
+                source.nonNegativeNumber("Specifics.MostWaiting", DEFAULT_MAX_QUEUED_ENTRIES),
                 source.index("Specifics.UpdateCap", 0),
                 source.millis("Specifics.CountedOver", DEFAULT_MESSAGE_LIMIT_SPAN_MS),
                 source.millis("Specifics.Propagation", 0),
@@ -87,7 +88,10 @@
                 source.millis("Specifics.Lingers", 0));
     }
 
-    /** Reads the names behind the indices, which only a controller on sockets needs: without them it cannot start. */
+    /**
+     * Reads the names of zones, kinds and operations, which a controller needs only to serve on sockets and cannot
+     * start without.
+     */
     public static Names names(Lookup source) {
         source.text("Azs");
         source.text("Kinds");
@@ -117,14 +121,17 @@
         };
     }
 
-    /** A bit for each of the names that an operation is confined to, by name or index; none: all. */
-    private static long mask(List<String> confinedTo, List<String> names) {
+    /**
+     * Returns a mask with a bit for each name that an operation is restricted to, by name or index; all bits if it is
+     * not restricted.
+     */
+    private static long mask(List<String> allowedNames, List<String> names) {
         long mask = 0;
         for (int i = 0; i < names.size() && i < MAX_MASK_BITS; i++) {
-            if (confinedTo.contains(names.get(i)) || confinedTo.contains(Integer.toString(i))) {
+            if (allowedNames.contains(names.get(i)) || allowedNames.contains(Integer.toString(i))) {
                 mask |= 1L << i;
             }
         }
-        return mask == 0 ? MASK_OF_ALL : mask;
+        return mask == 0 ? UNRESTRICTED_MASK : mask;
     }
 }
--- a/src/test/java/linenring/cli/ControllerLauncherTest.java
+++ b/src/test/java/linenring/cli/ControllerLauncherTest.java
@@ -16,38 +16,46 @@
 
 class ControllerLauncherTest {
     @Test
-    void goesOnWithTheOldConfigurationWhereTheNewOneIsAtFault() {
-        ByteArrayOutputStream logged = new ByteArrayOutputStream();
+    void keepsCurrentConfigurationWhenTheNewOneCannotBeRead() {
+        ByteArrayOutputStream logOutput = new ByteArrayOutputStream();
         ControllerLauncher.reload(
                 null,
                 () -> ControllerConfigurationReader.read(Map.of("GW_CONFIG", "/nowhere/at/all")),
-                null, // neither is touched
-                new Log(new PrintStream(logged, true, StandardCharsets.UTF_8)));
-        assertEquals(1, logged.toString(StandardCharsets.UTF_8).lines().count());
-        assertTrue(logged.toString(StandardCharsets.UTF_8)
-                .endsWith(" WARN reload goes on as before: GW_CONFIG: cannot read /nowhere/at/all\n"));
+                null, // a failed reload uses neither the configuration nor the watch
+                new Log(new PrintStream(logOutput, true, StandardCharsets.UTF_8)));
+        assertEquals(1, logOutput.toString(StandardCharsets.UTF_8).lines().count());
+        assertTrue(logOutput
+                .toString(StandardCharsets.UTF_8)
+                .endsWith(" WARN reload keeping the current configuration because the new one cannot be used:"
+                        + " GW_CONFIG: cannot read /nowhere/at/all\n"));
     }
 
-    /** Without the handler this ends the whole run of the tests, as it ended a controller in service. */
+    /**
+     * Guards against a missing SIGHUP handler, with which the signal ended a serving controller; it would also end this
+     * test's JVM.
+     */
     @Test
     void reloadsAtSighup() throws Exception {
-        CountDownLatch both = new CountDownLatch(2);
-        ReloadSignals.install(() -> {}).onEach(both::countDown, new Log(System.err));
+        CountDownLatch reloads = new CountDownLatch(2);
+        ReloadSignals.install(() -> {}).setReloadAction(reloads::countDown, new Log(System.err));
         ProcessSignals.raise(ProcessSignals.HANG_UP);
-        for (int i = 0; i < 2000 && both.getCount() > 1; i++) {
-            TimeUnit.MILLISECONDS.sleep(10); // signals of one kind that come at once are one
+        for (int i = 0; i < 2000 && reloads.getCount() > 1; i++) {
+            TimeUnit.MILLISECONDS.sleep(10); // signals of one kind that arrive together are merged
         }
-        assertEquals(1, both.getCount());
+        assertEquals(1, reloads.getCount());
         ProcessSignals.raise(ProcessSignals.HANG_UP);
-        assertTrue(both.await(20, TimeUnit.SECONDS));
+        assertTrue(reloads.await(20, TimeUnit.SECONDS));
     }
 
-    /** One that came while the configuration was read: its file may be newer than what was read of it. */
+    /**
+     * A SIGHUP that arrives while the configuration is read must cause a reload: the file may be newer than the text
+     * that was read.
+     */
     @Test
     void reloadsAtStartAfterAnEarlierSighup() throws Exception {
         ReloadSignals signals = ReloadSignals.install(() -> {});
-        AtomicInteger times = new AtomicInteger();
-        synchronized (signals) { // the signal's thread has begun and waits: it always comes before the watch
+        AtomicInteger reloadCount = new AtomicInteger();
+        synchronized (signals) { // holds back the signal's thread, so that the signal precedes the reload action
             ProcessSignals.raise(ProcessSignals.HANG_UP);
             while (Thread.getAllStackTraces().keySet().stream()
                     .noneMatch(
@@ -57,32 +65,33 @@
         }
         while (Thread.getAllStackTraces().keySet().stream()
                 .anyMatch(thread -> thread.getName().contains("HUP"))) {
-            Thread.onSpinWait(); // until it has come
+            Thread.onSpinWait(); // wait until the signal has been handled
         }
-        signals.onEach(times::incrementAndGet, new Log(System.err));
-        assertEquals(1, times.get());
+        signals.setReloadAction(reloadCount::incrementAndGet, new Log(System.err));
+        assertEquals(1, reloadCount.get());
     }
 
     @Test
-    void logsAReloadThatFailsAndRunsTheNextOne() throws Exception {
-        ByteArrayOutputStream logged = new ByteArrayOutputStream();
+    void logsAFailedReloadAndRunsTheNextOne() throws Exception {
+        ByteArrayOutputStream logOutput = new ByteArrayOutputStream();
         ReloadSignals signals = ReloadSignals.install(() -> {});
-        CountDownLatch first = new CountDownLatch(1);
-        CountDownLatch both = new CountDownLatch(2);
-        signals.onEach(
+        CountDownLatch firstReload = new CountDownLatch(1);
+        CountDownLatch reloads = new CountDownLatch(2);
+        signals.setReloadAction(
                 () -> {
-                    first.countDown();
-                    both.countDown();
-                    throw new IllegalStateException("a fault of the reload");
+                    firstReload.countDown();
+                    reloads.countDown();
+                    throw new IllegalStateException("reload failure made by the test");
                 },
-                new Log(new PrintStream(logged, true, StandardCharsets.UTF_8)));
+                new Log(new PrintStream(logOutput, true, StandardCharsets.UTF_8)));
         ProcessSignals.raise(ProcessSignals.HANG_UP);
-        assertTrue(first.await(20, TimeUnit.SECONDS));
-        synchronized (signals) { // the first is through
-            assertTrue(logged.toString(StandardCharsets.UTF_8)
+        assertTrue(firstReload.await(20, TimeUnit.SECONDS));
+        synchronized (signals) { // the monitor is free only after the first reload has returned
+            assertTrue(logOutput
+                    .toString(StandardCharsets.UTF_8)
                     .contains(" ERROR fault a reload failed: java.lang.IllegalStateException"));
         }
         ProcessSignals.raise(ProcessSignals.HANG_UP);
-        assertTrue(both.await(20, TimeUnit.SECONDS));
+        assertTrue(reloads.await(20, TimeUnit.SECONDS));
     }
 }
--- a/src/test/java/linenring/cli/LargeCatalogueTest.java
+++ b/src/test/java/linenring/cli/LargeCatalogueTest.java
@@ -27,14 +27,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A catalogue of 73,000 hosts in 1,300 services meets processes with the heap of the deploy file or less: they must hold what is
- * in scope, and end with a clear line where that does not fit, and not by an OutOfMemoryError. Real processes.
+ * Starts real processes, with the heap of the deploy file or less, on a catalogue of 73,000 hosts in 1,300 services. A
+ * process must hold the hosts in its scope. If these do not fit the heap, it must end with one clear line and not with
+ * an OutOfMemoryError.
  */
 class LargeCatalogueTest {
     private static final int HOSTS = 73_000;
     private static final int SERVICES = 1300;
     private static final int SERVICES_IN_SCOPE = 20;
-    private static final long MAX_WAIT_NANOS = TimeUnit.SECONDS.toNanos(120); // ends the test, and is no measure
+    private static final long TEST_TIMEOUT_NANOS =
+            TimeUnit.SECONDS.toNanos(120); // only limits the duration of a failing test
 
     @TempDir
     private Path directory;
@@ -44,23 +46,23 @@
     private Process process;
 
     @BeforeEach
-    void listen() throws Exception {
+    void openAgentAndChoosePort() throws Exception {
         agent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        agent.setSoTimeout((int) TimeUnit.NANOSECONDS.toMillis(MAX_WAIT_NANOS));
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = free.getLocalPort();
+        agent.setSoTimeout((int) TimeUnit.NANOSECONDS.toMillis(TEST_TIMEOUT_NANOS));
+        try (ServerSocket probeSocket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            port = probeSocket.getLocalPort();
         }
     }
 
     @AfterEach
-    void end() throws Exception {
+    void closeAgentAndKillProcess() throws Exception {
         agent.close();
         if (process != null) {
             process.destroyForcibly().waitFor();
         }
     }
 
-    private static String entry(int host) {
+    private static String hostEntryJson(int host) {
         return "{\"id\":\"s-" + String.format("%08x", host * 2654435761L & 0xffffffffL) + "\",\"addr\":\"10."
                 + (host >> 16)
                 + "." + (host >> 8 & 255) + "." + (host & 255) + ":3000\",\"zone\":\"" + (host % 2 == 0 ? "a" : "b")
@@ -68,33 +70,33 @@
                 + ",\"state\":\"Ready\",\"weight\":1.0,\"started_ms\":0,\"service\":\"svc-" + host % SERVICES + "\"}";
     }
 
-    private interface Out {
+    private interface TextOutput {
         void write(String text) throws IOException;
     }
 
-    private static void catalogue(Out out, long version) throws IOException {
+    private static void writeCatalogue(TextOutput out, long version) throws IOException {
         out.write("{\"version\":" + version + ",\"full\":true,\"servers\":[");
         for (int i = 0; i < HOSTS; i++) {
-            out.write((i > 0 ? "," : "") + entry(i));
+            out.write((i > 0 ? "," : "") + hostEntryJson(i));
         }
         out.write("]}");
     }
 
-    private static String scope(int first) {
+    private static String scopeJson(int firstService) {
         List<String> services = new ArrayList<>();
-        for (int i = first; i < first + SERVICES_IN_SCOPE; i++) {
+        for (int i = firstService; i < firstService + SERVICES_IN_SCOPE; i++) {
             services.add("\"svc-" + i + "\"");
         }
         return "\"scope\":[" + String.join(",", services) + "],";
     }
 
-    private void configure(String scope, boolean withKnown) throws IOException {
+    private void writeConfiguration(String scopeMember, boolean withKnownHosts) throws IOException {
         Path file = directory.resolve("next.json");
         try (BufferedWriter out = Files.newBufferedWriter(file)) {
-            out.write("{" + scope);
-            if (withKnown) {
+            out.write("{" + scopeMember);
+            if (withKnownHosts) {
                 out.write("\"known\":");
-                catalogue(out::write, 41);
+                writeCatalogue(out::write, 41);
                 out.write(",");
             }
             out.write(
@@ -136,9 +138,9 @@
     }
 
     private void awaitPong() throws Exception {
-        long end = System.nanoTime() + MAX_WAIT_NANOS;
+        long deadline = System.nanoTime() + TEST_TIMEOUT_NANOS;
         while (!answersPing()) {
-            assertTrue(process.isAlive() && System.nanoTime() < end, log());
+            assertTrue(process.isAlive() && System.nanoTime() < deadline, log());
             TimeUnit.MILLISECONDS.sleep(50);
         }
     }
@@ -156,10 +158,12 @@
         }
     }
 
-    private void awaitLog(String part) throws Exception {
-        long end = System.nanoTime() + MAX_WAIT_NANOS;
-        while (!log().contains(part)) {
-            assertTrue(process.isAlive() && System.nanoTime() < end, part + " in\n" + log());
+    private void awaitLog(String expectedText) throws Exception {
+        long deadline = System.nanoTime() + TEST_TIMEOUT_NANOS;
+        while (!log().contains(expectedText)) {
+            assertTrue(
+                    process.isAlive() && System.nanoTime() < deadline,
+                    expectedText + " is missing from the log:\n" + log());
             TimeUnit.MILLISECONDS.sleep(20);
         }
     }
@@ -171,20 +175,20 @@
                 new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         assertEquals(request, reader.readLine());
         while (!reader.readLine().isEmpty()) {
-            // headers
+            // skip the request headers
         }
         return socket;
     }
 
-    private static void answerWhole(Socket socket, long version) throws IOException {
+    private static void answerWithFullCatalogue(Socket socket, long version) throws IOException {
         OutputStream out = new BufferedOutputStream(socket.getOutputStream(), 64 * 1024);
         out.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-        catalogue(text -> out.write(text.getBytes(StandardCharsets.US_ASCII)), version);
+        writeCatalogue(text -> out.write(text.getBytes(StandardCharsets.US_ASCII)), version);
         out.flush();
         socket.close();
     }
 
-    private static long count(int firstService) {
+    private static long hostsInScope(int firstService) {
         return IntStream.range(0, HOSTS)
                 .map(host -> host % SERVICES)
                 .filter(service -> service >= firstService && service < firstService + SERVICES_IN_SCOPE)
@@ -192,20 +196,20 @@
     }
 
     @Test
-    void startsWithAScopeOfAKnownCatalogueInASmallHeapAndReloadsAnother() throws Exception {
-        configure(scope(0), true);
+    void startsWithScopedKnownCatalogueInSmallHeapAndReloadsAnotherScope() throws Exception {
+        writeConfiguration(scopeJson(0), true);
         start("32m");
         awaitPong();
         try (Socket watch = acceptRequest("GET /catalog/members?watch=1&from=41 HTTP/1.1")) {
             watch.getOutputStream()
                     .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"
                             .getBytes(StandardCharsets.US_ASCII));
-            configure(scope(100), true);
+            writeConfiguration(scopeJson(100), true);
             new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
                     .start()
                     .waitFor();
-            answerWhole(acceptRequest("GET /catalog/members HTTP/1.1"), 42);
-            awaitLog("lists " + count(100) + " hosts in scope and " + (HOSTS - count(100)) + " outside");
+            answerWithFullCatalogue(acceptRequest("GET /catalog/members HTTP/1.1"), 42);
+            awaitLog("lists " + hostsInScope(100) + " hosts in scope and " + (HOSTS - hostsInScope(100)) + " outside");
             assertEquals(-1, watch.getInputStream().read());
         }
         acceptRequest("GET /catalog/members?watch=1&from=42 HTTP/1.1").close();
@@ -214,25 +218,25 @@
     }
 
     @Test
-    void readsAScopeOfACatalogueFromDiscoveryInASmallHeap() throws Exception {
-        configure(scope(0), false);
+    void readsScopedCatalogueFromDiscoveryInSmallHeap() throws Exception {
+        writeConfiguration(scopeJson(0), false);
         start("32m");
-        answerWhole(acceptRequest("GET /catalog/members HTTP/1.1"), 41);
-        awaitLog("lists " + count(0) + " hosts in scope and " + (HOSTS - count(0)) + " outside");
+        answerWithFullCatalogue(acceptRequest("GET /catalog/members HTTP/1.1"), 41);
+        awaitLog("lists " + hostsInScope(0) + " hosts in scope and " + (HOSTS - hostsInScope(0)) + " outside");
         acceptRequest("GET /catalog/members?watch=1&from=41 HTTP/1.1").close();
         awaitPong();
     }
 
     @Test
-    void holdsTheWholeCatalogueInTheDeployedHeapWhenItComesTwice() throws Exception {
-        configure("", true);
+    void holdsFullCatalogueInDeployedHeapWhenItIsSentTwice() throws Exception {
+        writeConfiguration("", true);
         start("64m");
         awaitPong();
         try (Socket watch = acceptRequest("GET /catalog/members?watch=1&from=41 HTTP/1.1")) {
             OutputStream out = watch.getOutputStream();
             out.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             OutputStream buffered = new BufferedOutputStream(out, 64 * 1024);
-            catalogue(text -> buffered.write(text.getBytes(StandardCharsets.US_ASCII)), 42);
+            writeCatalogue(text -> buffered.write(text.getBytes(StandardCharsets.US_ASCII)), 42);
             buffered.write('\n');
             buffered.flush();
         }
@@ -242,27 +246,27 @@
     }
 
     @Test
-    void refusesAKnownCatalogueThatDoesNotFitTheHeap() throws Exception {
-        configure("", true);
+    void rejectsKnownCatalogueThatDoesNotFitTheHeap() throws Exception {
+        writeConfiguration("", true);
         start("40m");
-        assertTrue(process.waitFor(MAX_WAIT_NANOS, TimeUnit.NANOSECONDS), log());
+        assertTrue(process.waitFor(TEST_TIMEOUT_NANOS, TimeUnit.NANOSECONDS), log());
         assertEquals(ExitCode.EXCEEDS_MEMORY, process.exitValue(), log());
         assertTrue(log().matches("linenring: known lists over \\d+ hosts, which is more than fits the heap\n"), log());
     }
 
     @Test
-    void endsWhereACatalogueFromDiscoveryDoesNotFitTheHeap() throws Exception {
-        configure("", false);
+    void exitsWhenCatalogueFromDiscoveryDoesNotFitTheHeap() throws Exception {
+        writeConfiguration("", false);
         start("40m");
         try {
-            answerWhole(acceptRequest("GET /catalog/members HTTP/1.1"), 41);
+            answerWithFullCatalogue(acceptRequest("GET /catalog/members HTTP/1.1"), 41);
         } catch (IOException failure) {
-            // it reads no further
+            // the process closes the connection before it has read the full list
         }
-        assertTrue(process.waitFor(MAX_WAIT_NANOS, TimeUnit.NANOSECONDS), log());
+        assertTrue(process.waitFor(TEST_TIMEOUT_NANOS, TimeUnit.NANOSECONDS), log());
         assertEquals(ExitCode.EXCEEDS_MEMORY, process.exitValue(), log());
         assertEquals(1, log().split("ERROR", -1).length - 1, log());
-        assertTrue(log().contains("ERROR controller ends: discovery lists over "), log());
+        assertTrue(log().contains("ERROR controller exiting because discovery lists over "), log());
         assertFalse(log().contains("\tat "), log());
     }
 }
--- a/src/test/java/linenring/cli/ScaleSubcommandTest.java
+++ b/src/test/java/linenring/cli/ScaleSubcommandTest.java
@@ -21,14 +21,14 @@
     private Path directory;
 
     @Test
-    void needsEitherSettingsOrARecord() throws IOException {
+    void requiresExactlyOneOfSettingsAndRecord() throws IOException {
         assertEquals(ExitCode.USAGE, RootCommand.run("scale"));
         Path file = Files.writeString(directory.resolve("a"), "");
         assertEquals(ExitCode.USAGE, RootCommand.run("scale", file.toString(), "--from", file.toString()));
     }
 
     @Test
-    void refusesSettingsAndRecordsAtFault() throws IOException {
+    void rejectsInvalidSettingsAndRecords() throws IOException {
         Path settings = Files.writeString(directory.resolve("a.kdl"), "scale {\n    seed \"one\"\n}\n");
         assertEquals(ExitCode.INVALID_CONFIGURATION, RootCommand.run("scale", settings.toString()));
         assertEquals(
@@ -39,10 +39,10 @@
     }
 
     @Test
-    void writesTheTablesOfARecordAgain() throws IOException {
+    void rewritesTheTablesOfARecord() throws IOException {
         Workload workload = new Workload(64, 64, 8, 4, 3, 2, 1, 20, 0);
-        Point dead = new Point(64, workload, null, null, "ended with exit code 3");
-        MeasuredSweep sweep = new MeasuredSweep(Variable.CATALOGUE_HOSTS, workload, List.of(dead));
+        Point failedPoint = new Point(64, workload, null, null, "ended with exit code 3");
+        MeasuredSweep sweep = new MeasuredSweep(Variable.CATALOGUE_HOSTS, workload, List.of(failedPoint));
         ScaleRun run = new ScaleRun("b1", "2026-12-02T05:00:00Z", 1, 8, "m", 3, 5, List.of(sweep), List.of());
         new RunReport(directory).writeRecord(run, "old");
         Path record = directory.resolve("old.json");
--- a/src/test/java/linenring/cli/ShutdownTest.java
+++ b/src/test/java/linenring/cli/ShutdownTest.java
@@ -9,30 +9,33 @@
 import org.junit.jupiter.api.Test;
 
 class ShutdownTest {
-    private final List<String> done = new ArrayList<>();
+    private final List<String> actions = new ArrayList<>();
     private final Shutdown shutdown = new Shutdown();
 
-    /** SIGTERM comes after the handler is installed and before accepting, at a start or as a handover falls back. */
+    /**
+     * SIGTERM arrives after the handler is installed and before connections are accepted, at a start or when a handover
+     * is aborted.
+     */
     @Test
-    void acceptsNobodyAfterShutdownHasBegun() {
-        assertTrue(shutdown.begin(() -> done.add("drains")));
-        shutdown.runUnlessBegun(() -> done.add("accepts"));
-        assertFalse(shutdown.begin(() -> done.add("drains again")));
-        assertEquals(List.of("drains"), done);
+    void acceptsNoConnectionsAfterShutdownHasBegun() {
+        assertTrue(shutdown.begin(() -> actions.add("drains")));
+        shutdown.runUnlessBegun(() -> actions.add("accepts"));
+        assertFalse(shutdown.begin(() -> actions.add("drains again")));
+        assertEquals(List.of("drains"), actions);
     }
 
-    /** SIGTERM comes while it begins to accept, on the signal's own thread. */
+    /** SIGTERM arrives, on the signal's thread, while the process starts to accept connections. */
     @Test
-    void finishesToAcceptBeforeItDrains() throws Exception {
-        Thread signal = new Thread(() -> shutdown.begin(() -> done.add("drains")));
+    void finishesStartingToAcceptBeforeDraining() throws Exception {
+        Thread signalThread = new Thread(() -> shutdown.begin(() -> actions.add("drains")));
         shutdown.runUnlessBegun(() -> {
-            signal.start();
-            while (signal.getState() != Thread.State.BLOCKED) {
+            signalThread.start();
+            while (signalThread.getState() != Thread.State.BLOCKED) {
                 Thread.onSpinWait();
             }
-            done.add("accepts");
+            actions.add("accepts");
         });
-        signal.join();
-        assertEquals(List.of("accepts", "drains"), done);
+        signalThread.join();
+        assertEquals(List.of("accepts", "drains"), actions);
     }
 }
--- a/src/test/java/linenring/cli/TerminationTest.java
+++ b/src/test/java/linenring/cli/TerminationTest.java
@@ -21,8 +21,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * SIGTERM comes while connections wait that the kernel has accepted and the process has not. Their peers must notice at once and
- * connect elsewhere, and not wait for a process that is gone. On loopback.
+ * SIGTERM arrives while connections are pending that the kernel has accepted and the process has not. The clients of
+ * these connections must see the connection end at once, so that they connect elsewhere and do not wait for a process
+ * that has ended. Uses a real process on loopback.
  */
 @Timeout(60)
 class TerminationTest {
@@ -30,7 +31,7 @@
     private static final int WAIT_MS = 10_000;
     private static final String SUBSCRIBE =
             "{\"@type\":\"SUBSCRIBE\",\"id\":%d,\"site\":\"a\",\"rps\":1,\"new\":true}\n";
-    private static final int TERMINATED = 128 + 15;
+    private static final int EXIT_CODE_AT_SIGTERM = 128 + 15;
 
     @TempDir
     private Path directory;
@@ -62,13 +63,13 @@
         builder.environment().put("GW_CONFIG", configuration.toString());
         process = builder.start();
         while (!isServing()) {
-            assertTrue(process.isAlive(), "it runs");
+            assertTrue(process.isAlive(), "the process ended before it answered a PING");
             TimeUnit.MILLISECONDS.sleep(20);
         }
     }
 
     @AfterEach
-    void end() throws InterruptedException {
+    void killProcess() throws InterruptedException {
         process.destroyForcibly().waitFor();
     }
 
@@ -97,7 +98,7 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private void signal(String name) throws Exception {
+    private void sendSignal(String name) throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
@@ -105,41 +106,44 @@
                         .waitFor());
     }
 
-    /** The process is stopped while they connect, so that it accepts none of them before the signal. */
+    /**
+     * The process is suspended while the clients connect, so that it accepts none of their connections before the
+     * SIGTERM.
+     */
     @Test
-    void endsConnectionsThatTheKernelAloneHasAcceptedAndThoseThatAreServed() throws Exception {
+    void endsPendingAndServedConnectionsAtSigterm() throws Exception {
         List<Socket> clients = new ArrayList<>();
-        Socket served = connect();
-        write(served, SUBSCRIBE.formatted(0));
-        assertEquals('{', served.getInputStream().read(), "it gets its table");
-        clients.add(served);
-        signal("STOP");
+        Socket servedClient = connect();
+        write(servedClient, SUBSCRIBE.formatted(0));
+        assertEquals('{', servedClient.getInputStream().read(), "the served client receives its endpoint table");
+        clients.add(servedClient);
+        sendSignal("STOP");
         for (int id = 1; id < CLIENTS; id++) {
             Socket socket = connect();
-            if (id % 2 == 0) { // the others have said nothing yet
+            if (id % 2 == 0) { // clients with an odd id have sent nothing when the process ends
                 write(socket, SUBSCRIBE.formatted(id));
             }
             clients.add(socket);
         }
-        signal("TERM");
-        signal("CONT");
+        sendSignal("TERM");
+        sendSignal("CONT");
         for (Socket client : clients) {
-            assertEnds(client);
+            assertConnectionEnds(client);
         }
-        assertTrue(process.waitFor(WAIT_MS, TimeUnit.MILLISECONDS), "the process has ended");
-        assertEquals(TERMINATED, process.exitValue());
+        assertTrue(process.waitFor(WAIT_MS, TimeUnit.MILLISECONDS), "the process did not end after SIGTERM");
+        assertEquals(EXIT_CODE_AT_SIGTERM, process.exitValue());
     }
 
-    /** Whatever is read before, it ends: by its peer's end, or reset. */
-    private static void assertEnds(Socket client) throws IOException {
+    /** Asserts that the connection ends, by end of stream or by a reset, after any data that was already sent. */
+    private static void assertConnectionEnds(Socket client) throws IOException {
         try (client) {
             while (client.getInputStream().read() >= 0) {
-                // an update that was on its way
+                // skip updates that were sent before the end
             }
         } catch (SocketTimeoutException failure) {
-            throw new AssertionError("a client does not notice the end", failure);
+            throw new AssertionError("a client's connection did not end in time", failure);
         } catch (IOException failure) {
-            // reset, which is an end as well
+            // a reset also ends the connection
         }
     }
 }
--- a/src/test/java/linenring/log/LogTest.java
+++ b/src/test/java/linenring/log/LogTest.java
@@ -17,13 +17,13 @@
 import org.junit.jupiter.api.Test;
 
 class LogTest {
-    private static final int MAX_LINES = 20;
+    private static final int MAX_LINES_PER_INTERVAL = 20;
     private static final Duration INTERVAL = Duration.ofSeconds(10);
 
     private final ByteArrayOutputStream output = new ByteArrayOutputStream();
     private final Log log = new Log(new PrintStream(output, true, StandardCharsets.UTF_8));
 
-    /** A clock that stands still until it is moved on. */
+    /** A clock whose time changes only by {@link #advance}. */
     private static final class ManualClock extends Clock {
         private Instant now = Instant.parse("2026-12-03T10:00:00Z");
 
@@ -51,35 +51,35 @@
         return output.toString(StandardCharsets.UTF_8).lines().toList();
     }
 
-    /** A broken peer logs a thousand times within a second. The log stays short, and other subjects are still heard. */
+    /** A faulty peer causes a thousand lines within a second. Only lines of that subject are suppressed. */
     @Test
     void limitsRepeatedLinesOfOneSubjectAndNoOther() {
         for (int i = 0; i < 1000; i++) {
             log.warn("stream", "sends nothing");
         }
         log.warn("discovery", "is down");
-        assertEquals(MAX_LINES + 1, lines().size());
-        assertTrue(lines().get(MAX_LINES).endsWith(" WARN discovery is down"));
+        assertEquals(MAX_LINES_PER_INTERVAL + 1, lines().size());
+        assertTrue(lines().get(MAX_LINES_PER_INTERVAL).endsWith(" WARN discovery is down"));
     }
 
     @Test
-    void tellsNumberOfSuppressedLinesInTheNextInterval() {
+    void reportsNumberOfSuppressedLinesInTheNextInterval() {
         ManualClock clock = new ManualClock();
-        Log timed = new Log(new TextSink(new PrintStream(output, true, StandardCharsets.UTF_8)), clock);
-        for (int i = 0; i < MAX_LINES + 7; i++) {
-            timed.info("stream", "ended");
+        Log logWithManualClock = new Log(new TextSink(new PrintStream(output, true, StandardCharsets.UTF_8)), clock);
+        for (int i = 0; i < MAX_LINES_PER_INTERVAL + 7; i++) {
+            logWithManualClock.info("stream", "ended");
         }
         clock.advance(INTERVAL);
-        timed.info("stream", "ended");
-        timed.info("stream", "ended");
-        assertEquals(MAX_LINES + 2, lines().size());
+        logWithManualClock.info("stream", "ended");
+        logWithManualClock.info("stream", "ended");
+        assertEquals(MAX_LINES_PER_INTERVAL + 2, lines().size());
         assertEquals(
-                "2026-12-03T10:00:10.000Z INFO stream ended (7 more of this subject were not written)",
-                lines().get(MAX_LINES));
-        assertEquals("2026-12-03T10:00:10.000Z INFO stream ended", lines().get(MAX_LINES + 1));
+                "2026-12-03T10:00:10.000Z INFO stream ended (7 more lines of this subject were suppressed)",
+                lines().get(MAX_LINES_PER_INTERVAL));
+        assertEquals("2026-12-03T10:00:10.000Z INFO stream ended", lines().get(MAX_LINES_PER_INTERVAL + 1));
     }
 
-    /** What a peer sent is quoted in the log. Line ends and escape sequences in it must not forge lines. */
+    /** Messages may quote bytes from a peer. Line ends and escape sequences in these must not forge log lines. */
     @Test
     void replacesControlCharacters() {
         log.info("stream", "unknown 'a\nb\r\u001b[31m'");
@@ -89,11 +89,11 @@
 
     @Test
     void writesOneJsonObjectForEachLineWithTheSameLimits() throws Exception {
-        Log json = new Log(new JsonSink(output));
+        Log jsonLog = new Log(new JsonSink(output));
         for (int i = 0; i < 100; i++) {
-            json.warn("stream", "says \"{}\"\nand more");
+            jsonLog.warn("stream", "says \"{}\"\nand more");
         }
-        assertEquals(MAX_LINES, lines().size());
+        assertEquals(MAX_LINES_PER_INTERVAL, lines().size());
         JsonNode line = new ObjectMapper().readTree(lines().get(0));
         assertEquals("WARN", line.get("level").asText());
         assertEquals("says \"{}\"?and more", line.get("message").asText());
