--- a/src/main/java/linenring/cli/CheckCommand.java
+++ b/src/main/java/linenring/cli/CheckCommand.java
@@ -32,7 +32,7 @@
             try {
                 names = ControllerConfigurationReader.read(environment).names();
             } catch (ConfigurationException failure) {
-                ProgramOutput.error(failure.getMessage());
+                ProgramOutput.printError(failure.getMessage());
                 return ControllerLauncher.exitCode(failure);
             }
         }
--- a/src/main/java/linenring/cli/ControllerProcess.java
+++ b/src/main/java/linenring/cli/ControllerProcess.java
@@ -25,7 +25,7 @@
  * builds and starts the process and then runs the control loop.
  */
 final class ControllerProcess {
-    /** Two selectors, the threads that assist them, and some spare threads. */
+    /** Maximum size of the thread pool: two selectors, the threads that assist them, and some spare threads. */
     private static final int MAX_THREADS = 8;
 
     private static final int MIN_THREADS = 2;
@@ -42,7 +42,7 @@
     private final Optional<GatewayLifecycle> gateway;
     private Optional<HostList> knownHosts; // empty after takeKnownHosts(), so that the memory of the list can be freed
     private ControlLoop controlLoop; // set by startController()
-    private StreamServer streams; // set by openStreams(); afterwards used by the upgrade thread
+    private StreamServer streams; // set by openStreams(), then used by the upgrade thread
 
     ControllerProcess(
             ControllerConfiguration configuration,
@@ -65,16 +65,16 @@
 
     /** Starts the process and serves; returns the exit code if the start fails or when the control loop ends. */
     int serve() {
-        Optional<ProcessHandover> handover = isUpgradable() ? Optional.of(handover()) : Optional.empty();
+        Optional<ProcessHandover> handover = isUpgradable() ? Optional.of(createHandover()) : Optional.empty();
         try {
             startController(takeKnownHosts());
             openStreams();
         } catch (ListenException failure) {
-            ProgramOutput.error(
+            ProgramOutput.printError(
                     "cannot listen at " + address() + "; last completed step and cause: " + failure.fault());
             return ExitCode.CANNOT_START;
         } catch (Exception failure) { // Jetty's start() declares Exception
-            ProgramOutput.error("cannot start: " + failure);
+            ProgramOutput.printError("cannot start: " + failure);
             return ExitCode.CANNOT_START;
         }
         Runtime.getRuntime().addShutdownHook(new Thread(() -> log.info(LOG_SUBJECT, "shutting down")));
@@ -99,10 +99,10 @@
 
     /** Takes over from the process that listens at this socket; returns the exit code if the handover is aborted. */
     int takeOver(Path socket) {
-        return handover().takeOver(socket);
+        return createHandover().takeOver(socket);
     }
 
-    private ProcessHandover handover() {
+    private ProcessHandover createHandover() {
         return new ProcessHandover(this, gateway.orElseThrow(), eventQueue, knownHosts, log);
     }
 
@@ -150,7 +150,7 @@
         watch.open();
         reloadSignals.setReloadAction( // reloads are enabled before the first PONG
                 () -> ControllerLauncher.reload(
-                        configuration, () -> ControllerConfigurationReader.readAgain(System.getenv()), watch, log),
+                        configuration, () -> ControllerConfigurationReader.readForReload(System.getenv()), watch, log),
                 log);
     }
 
--- a/src/main/java/linenring/cli/Durations.java
+++ b/src/main/java/linenring/cli/Durations.java
@@ -8,7 +8,7 @@
     private Durations() {}
 
     /** Fails the subcommand with a usage error if the option's value is not a duration. */
-    static void check(CommandLine.Model.CommandSpec spec, String option, String value, String example) {
+    static void requireDuration(CommandLine.Model.CommandSpec spec, String option, String value, String example) {
         if (!isDuration(value)) {
             throw new CommandLine.ParameterException(
                     spec.commandLine(), option + ": '" + value + "' is not a duration with a unit, such as " + example);
--- a/src/main/java/linenring/cli/GatewayLifecycle.java
+++ b/src/main/java/linenring/cli/GatewayLifecycle.java
@@ -13,7 +13,7 @@
 
 /** Starts the gateway of a process and shuts it down gracefully at SIGTERM. */
 final class GatewayLifecycle {
-    /** Time limit for the first table; a controller that has a host list sends it within some ms of a subscription. */
+    /** Time limit for the first table; a controller with a host list sends a table within some ms of a subscription. */
     private static final long MAX_TABLE_WAIT_MS = 2000;
 
     private static final long TABLE_POLL_MS = 10;
@@ -112,7 +112,7 @@
         try {
             gateway.awaitDrained();
         } catch (InterruptedException interrupted) {
-            // an interrupt does not stop the process from ending
+            // an interrupted drain also ends the process
         }
         log.info(LOG_SUBJECT, gateway.totals());
         System.exit(ExitCode.SUCCESS);
--- a/src/main/java/linenring/cli/LoadCommand.java
+++ b/src/main/java/linenring/cli/LoadCommand.java
@@ -95,7 +95,7 @@
             System.out.print(LoadGenerator.table(LoadGenerator.run(plan())));
             return ExitCode.SUCCESS;
         } catch (IOException failure) {
-            ProgramOutput.error(address + ": " + failure.getMessage());
+            ProgramOutput.printError(address + ": " + failure.getMessage());
             return ExitCode.CANNOT_START;
         }
     }
--- a/src/main/java/linenring/cli/ProcessHandover.java
+++ b/src/main/java/linenring/cli/ProcessHandover.java
@@ -48,7 +48,7 @@
         eventQueue.addHostListListener(hosts::apply);
     }
 
-    // ---- role of the old process: it serves and hands over
+    // Methods of the old process, which serves and hands over.
 
     /** Enables upgrades of this process: accepts upgrade requests at the socket and by signal. */
     void open() {
@@ -125,7 +125,7 @@
         return gateway.listener();
     }
 
-    // ---- role of the new process: it takes over
+    // Methods of the new process, which takes over.
 
     /** Takes over from the process that listens at this socket; returns the exit code if the handover is aborted. */
     int takeOver(Path socket) {
@@ -136,8 +136,7 @@
             SuccessorProcess successor = SuccessorProcess.greet(socket, identity, this, log);
             log.warn(LOG_SUBJECT, "exiting because the handover was aborted: " + successor.awaitEnd());
         } catch (IOException failure) {
-            ProgramOutput.error(
-                    "cannot reach the process to take over from at " + socket + ": " + failure.getMessage());
+            ProgramOutput.printError("cannot reach the old process at " + socket + ": " + failure.getMessage());
         } catch (InterruptedException interrupted) {
             // an interrupted handover ends this process
         }
--- a/src/main/java/linenring/cli/ProgramOutput.java
+++ b/src/main/java/linenring/cli/ProgramOutput.java
@@ -5,7 +5,7 @@
     private ProgramOutput() {}
 
     /** Prints the message as one line on standard error, after the program's name. */
-    static void error(String message) {
+    static void printError(String message) {
         System.err.println("linenring: " + message);
     }
 }
--- a/src/main/java/linenring/cli/ReloadSignals.java
+++ b/src/main/java/linenring/cli/ReloadSignals.java
@@ -16,7 +16,7 @@
     /**
      * Installs the handler of SIGHUP.
      *
-     * @param ifIgnored is run if the parent process had set SIGHUP to be ignored, which the JVM leaves in force
+     * @param ifIgnored action to run if the parent process had set SIGHUP to be ignored; the JVM then keeps ignoring it
      */
     static ReloadSignals install(Runnable ifIgnored) {
         ReloadSignals signals = new ReloadSignals();
--- a/src/main/java/linenring/cli/StartException.java
+++ b/src/main/java/linenring/cli/StartException.java
@@ -25,7 +25,7 @@
 
     /** Prints the error message on standard error; returns the exit code. */
     int report() {
-        lines.forEach(ProgramOutput::error);
+        lines.forEach(ProgramOutput::printError);
         return exitCode;
     }
 }
--- a/src/main/java/linenring/cli/TestBackendCommand.java
+++ b/src/main/java/linenring/cli/TestBackendCommand.java
@@ -67,13 +67,13 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        Durations.check(spec, "--after", delay, "150ms");
+        Durations.requireDuration(spec, "--after", delay, "150ms");
         List<TestBackend> backends = new ArrayList<>();
         for (int port : ports) {
             try {
-                backends.add(open(port));
+                backends.add(openBackend(port));
             } catch (IOException failure) {
-                ProgramOutput.error("cannot listen at 127.0.0.1:" + port + ": " + failure.getMessage());
+                ProgramOutput.printError("cannot listen at 127.0.0.1:" + port + ": " + failure.getMessage());
                 return ExitCode.CANNOT_START;
             }
         }
@@ -84,7 +84,7 @@
         }
     }
 
-    private TestBackend open(int port) throws IOException {
+    private TestBackend openBackend(int port) throws IOException {
         TestBackend backend = new TestBackend(port).withMaxStreams(MAX_STREAMS_PER_BACKEND);
         backend.onPath(
                 path,
--- a/src/main/java/linenring/cli/UpgradeCommand.java
+++ b/src/main/java/linenring/cli/UpgradeCommand.java
@@ -38,13 +38,12 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        Durations.check(spec, "--wait", timeout, "2min");
+        Durations.requireDuration(spec, "--wait", timeout, "2min");
         Optional<UpgradeOutcome> outcome;
         try {
             outcome = UpgradeClient.request(directory, Durations.milliseconds(timeout));
         } catch (IOException failure) {
-            ProgramOutput.error(
-                    "no process that can be upgraded was reached at " + directory + ": " + failure.getMessage());
+            ProgramOutput.printError("cannot reach a process to upgrade at " + directory + ": " + failure.getMessage());
             return ExitCode.CANNOT_START;
         }
         if (outcome.isEmpty()) {
--- a/src/main/java/linenring/configuration/ConfigurationException.java
+++ b/src/main/java/linenring/configuration/ConfigurationException.java
@@ -1,6 +1,6 @@
 package linenring.configuration;
 
-/** The configuration cannot be used. The message gives the key at fault and the fault of its value. */
+/** The configuration cannot be used. The message gives the key and the fault of its value. */
 public final class ConfigurationException extends Exception {
     /** The kind of fault, which determines the exit code of the process. */
     public enum Kind {
--- a/src/main/java/linenring/configuration/ConfigurationText.java
+++ b/src/main/java/linenring/configuration/ConfigurationText.java
@@ -23,7 +23,7 @@
 final class ConfigurationText {
     /** Opens the text of the configuration at its beginning, at each call. */
     interface Source {
-        InputStream fromStart() throws IOException;
+        InputStream openAtStart() throws IOException;
     }
 
     private static final String KNOWN_HOSTS_KEY = "known";
@@ -43,7 +43,7 @@
     /** Reads all parts but the host list; throws {@link InvalidSettingException} if the text is not a valid configuration. */
     static ConfigurationText read(Source source) throws IOException {
         ConfigurationText text = new ConfigurationText(source);
-        try (JsonParser parser = JSON.createParser(source.fromStart())) {
+        try (JsonParser parser = JSON.createParser(source.openAtStart())) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
                 throw new InvalidSettingException("GW_CONFIG", ": the file does not contain a JSON object");
             }
@@ -109,7 +109,7 @@
             return Optional.empty();
         }
         DecodeResult<HostList> decoded = null;
-        try (JsonParser parser = codec.hostListParser(source.fromStart())) {
+        try (JsonParser parser = codec.hostListParser(source.openAtStart())) {
             parser.nextToken();
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 String name = parser.currentName();
--- a/src/main/java/linenring/configuration/ControllerConfigurationReader.java
+++ b/src/main/java/linenring/configuration/ControllerConfigurationReader.java
@@ -31,7 +31,7 @@
  * cannot.
  */
 public final class ControllerConfigurationReader {
-    /** Socket limit if the file gives none: the usual limit of a process. */
+    /** Default limit on sockets: the usual limit of a process. */
     private static final int DEFAULT_MAX_SOCKETS = 1024;
 
     /** Smallest socket limit that is accepted; the process itself needs about 20 sockets. */
@@ -50,7 +50,7 @@
     }
 
     /** Reads the configuration without the known host list, for a reload: only the start of a process uses the list. */
-    public static ControllerConfiguration readAgain(Map<String, String> environment) throws ConfigurationException {
+    public static ControllerConfiguration readForReload(Map<String, String> environment) throws ConfigurationException {
         return read(environment, false);
     }
 
@@ -81,7 +81,7 @@
         }
 
         @Override
-        public InputStream fromStart() throws IOException {
+        public InputStream openAtStart() throws IOException {
             if (hasBeenRead) {
                 channel.position(0);
             }
@@ -111,8 +111,8 @@
     }
 
     /**
-     * Adds the known host list. A faulty list does not prevent the start, since discovery sends the list anyway, unless
-     * the list exceeds the memory.
+     * Adds the known host list to the configuration. An invalid list does not prevent the start, since discovery sends a
+     * list in any case; only a list that exceeds the memory does.
      */
     private static ControllerConfiguration withKnownHosts(
             ControllerConfiguration configuration, ConfigurationText text, int maxHosts)
@@ -162,8 +162,8 @@
         }
         return new ControllerConfiguration(
                 values.find("name"),
-                address(listenKey, values.find("listen")),
-                address(discoveryKey, values.find("discovery")),
+                parseAddress(listenKey, values.find("listen")),
+                parseAddress(discoveryKey, values.find("discovery")),
                 maxSockets,
                 SettingsReader.read(text.settings()),
                 names,
@@ -184,7 +184,7 @@
         return key;
     }
 
-    private static InetSocketAddress address(String key, String value) {
+    private static InetSocketAddress parseAddress(String key, String value) {
         int colon = value.lastIndexOf(':');
         try {
             int port = Integer.parseInt(value.substring(colon + 1));
@@ -193,7 +193,7 @@
                 return new InetSocketAddress(InetAddress.getByName(host), port);
             }
         } catch (NumberFormatException | UnknownHostException failure) {
-            // reported below, like all other invalid addresses
+            // invalid addresses are reported below
         }
         throw new InvalidSettingException(key, ": '" + value + "' is not a numeric ADDRESS:PORT");
     }
--- a/src/main/java/linenring/log/Level.java
+++ b/src/main/java/linenring/log/Level.java
@@ -6,6 +6,6 @@
     INFO,
     /** An event that may need an action, although the service continues. */
     WARN,
-    /** A defect, or a loss of service. */
+    /** A defect of the program or a loss of service. */
     ERROR
 }
--- a/src/main/java/linenring/settings/Lookup.java
+++ b/src/main/java/linenring/settings/Lookup.java
@@ -119,7 +119,7 @@
                 return number;
             }
         } catch (NumberFormatException failure) {
-            // reported below, like infinite numbers
+            // text that is not a number is reported below, as infinite numbers are
         }
         throw bad(path, ": '" + value + "' is not a number");
     }
--- a/src/main/java/linenring/settings/SettingsReader.java
+++ b/src/main/java/linenring/settings/SettingsReader.java
@@ -7,13 +7,13 @@
 
 /**
  * Reads the settings that a controller is started with. Only this class maps the keys of the settings to the names of
- * {@link PlannerSettings} and {@link Names}. A key that is absent gets a default that has no effect on decisions.
+ * {@link PlannerSettings} and {@link Names}. An absent key gets a neutral default.
  */
 public final class SettingsReader {
-    /** Bits of an int, which holds a mask of operations, without the sign. */
+    /** Maximum number of operations: a mask of operations is an int, whose sign bit is not used. */
     private static final int MAX_OPERATIONS = 31;
 
-    /** Bits of a long, which holds a mask of zones or kinds, without the sign. */
+    /** Maximum number of zones or kinds in a mask, which is a long whose sign bit is not used. */
     private static final int MAX_MASK_BITS = 63;
 
     private static final long UNRESTRICTED_MASK = -1;
@@ -60,8 +60,8 @@
             operations.add(new PlannerSettings.Operation(
                     source.positiveNumber(prefix + "Aim", DEFAULT_OBJECTIVE_MICROS) / MICROS_PER_MS,
                     source.nonNegativeNumber(prefix + "Points", 1),
-                    mask(source.list(prefix + "OnlyZones"), zones),
-                    mask(source.list(prefix + "OnlyKinds"), kinds),
+                    allowedMask(source.list(prefix + "OnlyZones"), zones),
+                    allowedMask(source.list(prefix + "OnlyKinds"), kinds),
                     i < homeZoneOnly.size() && homeZoneOnly.get(i).equals("true"),
                     zones.size()));
         }
@@ -125,7 +125,7 @@
      * Returns a mask with a bit for each name that an operation is restricted to, by name or index; all bits if it is
      * not restricted.
      */
-    private static long mask(List<String> allowedNames, List<String> names) {
+    private static long allowedMask(List<String> allowedNames, List<String> names) {
         long mask = 0;
         for (int i = 0; i < names.size() && i < MAX_MASK_BITS; i++) {
             if (allowedNames.contains(names.get(i)) || allowedNames.contains(Integer.toString(i))) {
--- a/src/test/java/linenring/cli/ControllerLauncherTest.java
+++ b/src/test/java/linenring/cli/ControllerLauncherTest.java
@@ -31,8 +31,8 @@
     }
 
     /**
-     * Guards against a missing SIGHUP handler, with which the signal ended a serving controller; it would also end this
-     * test's JVM.
+     * Guards against a missing SIGHUP handler: without one the signal ended a serving controller, and would end the JVM
+     * of this test.
      */
     @Test
     void reloadsAtSighup() throws Exception {
--- a/src/test/java/linenring/cli/LargeCatalogueTest.java
+++ b/src/test/java/linenring/cli/LargeCatalogueTest.java
@@ -32,8 +32,8 @@
  * an OutOfMemoryError.
  */
 class LargeCatalogueTest {
-    private static final int HOSTS = 73_000;
-    private static final int SERVICES = 1300;
+    private static final int HOST_COUNT = 73_000;
+    private static final int SERVICE_COUNT = 1300;
     private static final int SERVICES_IN_SCOPE = 20;
     private static final long TEST_TIMEOUT_NANOS =
             TimeUnit.SECONDS.toNanos(120); // only limits the duration of a failing test
@@ -67,7 +67,8 @@
                 + (host >> 16)
                 + "." + (host >> 8 & 255) + "." + (host & 255) + ":3000\",\"zone\":\"" + (host % 2 == 0 ? "a" : "b")
                 + "\",\"kind\":\"m1\",\"cell\":" + host % 9
-                + ",\"state\":\"Ready\",\"weight\":1.0,\"started_ms\":0,\"service\":\"svc-" + host % SERVICES + "\"}";
+                + ",\"state\":\"Ready\",\"weight\":1.0,\"started_ms\":0,\"service\":\"svc-" + host % SERVICE_COUNT
+                + "\"}";
     }
 
     private interface TextOutput {
@@ -76,7 +77,7 @@
 
     private static void writeCatalogue(TextOutput out, long version) throws IOException {
         out.write("{\"version\":" + version + ",\"full\":true,\"servers\":[");
-        for (int i = 0; i < HOSTS; i++) {
+        for (int i = 0; i < HOST_COUNT; i++) {
             out.write((i > 0 ? "," : "") + hostEntryJson(i));
         }
         out.write("]}");
@@ -189,8 +190,8 @@
     }
 
     private static long hostsInScope(int firstService) {
-        return IntStream.range(0, HOSTS)
-                .map(host -> host % SERVICES)
+        return IntStream.range(0, HOST_COUNT)
+                .map(host -> host % SERVICE_COUNT)
                 .filter(service -> service >= firstService && service < firstService + SERVICES_IN_SCOPE)
                 .count();
     }
@@ -209,7 +210,8 @@
                     .start()
                     .waitFor();
             answerWithFullCatalogue(acceptRequest("GET /catalog/members HTTP/1.1"), 42);
-            awaitLog("lists " + hostsInScope(100) + " hosts in scope and " + (HOSTS - hostsInScope(100)) + " outside");
+            awaitLog("lists " + hostsInScope(100) + " hosts in scope and " + (HOST_COUNT - hostsInScope(100))
+                    + " outside");
             assertEquals(-1, watch.getInputStream().read());
         }
         acceptRequest("GET /catalog/members?watch=1&from=42 HTTP/1.1").close();
@@ -222,7 +224,7 @@
         writeConfiguration(scopeJson(0), false);
         start("32m");
         answerWithFullCatalogue(acceptRequest("GET /catalog/members HTTP/1.1"), 41);
-        awaitLog("lists " + hostsInScope(0) + " hosts in scope and " + (HOSTS - hostsInScope(0)) + " outside");
+        awaitLog("lists " + hostsInScope(0) + " hosts in scope and " + (HOST_COUNT - hostsInScope(0)) + " outside");
         acceptRequest("GET /catalog/members?watch=1&from=41 HTTP/1.1").close();
         awaitPong();
     }
--- a/src/test/java/linenring/configuration/ControllerConfigurationReaderTest.java
+++ b/src/test/java/linenring/configuration/ControllerConfigurationReaderTest.java
@@ -230,7 +230,7 @@
         try {
             Files.writeString(file, VALID.replace("\"version\":41", "\"version\":\"x\""));
             Map<String, String> environment = Map.of("GW_CONFIG", file.toString());
-            ControllerConfiguration reloaded = ControllerConfigurationReader.readAgain(environment);
+            ControllerConfiguration reloaded = ControllerConfigurationReader.readForReload(environment);
             assertEquals(Optional.empty(), reloaded.knownHosts());
             assertEquals(Optional.empty(), reloaded.knownHostsFault());
             assertEquals(
@@ -247,7 +247,7 @@
             Files.writeString(file, VALID.substring(0, VALID.indexOf("s-1")));
             assertEquals(
                     "GW_CONFIG: the file is not JSON",
-                    faultOf(() -> ControllerConfigurationReader.readAgain(environment)));
+                    faultOf(() -> ControllerConfigurationReader.readForReload(environment)));
         } finally {
             Files.delete(file);
         }
