--- a/src/main/java/linenring/cli/ControllerProcess.java
+++ b/src/main/java/linenring/cli/ControllerProcess.java
@@ -91,7 +91,8 @@
         } catch (StartException failure) {
             System.exit(failure.report());
         }
-        // the SIGTERM handler is installed before the first request: without it SIGTERM ends the process at once
+        // the SIGTERM handler is installed before the first request: until then SIGTERM ends the process at once,
+        // which interrupts no request
         gateway.handleTermination(() -> handover.ifPresent(ProcessHandover::shutdownRequested));
         gateway.accept();
         handover.ifPresent(ProcessHandover::open);
--- a/src/main/java/linenring/log/Log.java
+++ b/src/main/java/linenring/log/Log.java
@@ -10,8 +10,8 @@
  * The program's log, for the operators. Each line has a time, a level, a subject and a message. Lines are rate limited
  * for each subject, since a failure that repeats thousands of times a second would fill the disk and hide all other
  * lines: each subject may write {@link #MAX_LINES_PER_INTERVAL} lines in {@link #INTERVAL_MS}. Further lines are
- * suppressed, and the subject's first line in the next interval reports their number. Subjects are constants of this
- * program, so the number of counters is bounded. Thread-safe.
+ * suppressed, and the subject's first line in the next interval reports their number. Subjects are few and
+ * constants of this program, so the number of counters is bounded. Thread-safe.
  */
 public final class Log {
     /** Line limit of a subject in one interval; sufficient for one line about each proxy of a small fleet. */
