--- a/src/main/java/linenring/scale/measurement/Variable.java
+++ b/src/main/java/linenring/scale/measurement/Variable.java
@@ -9,9 +9,9 @@
     ZONES("zones"),
     /** The number of controllers, real and simulated together. */
     STEWARDS("controllers that watch the catalogue"),
-    CHANGES_PER_SECOND("catalogue changes a second"),
+    CHANGES_PER_SECOND("changes of the catalogue a second"),
     REPORTS_PER_SECOND("reports to a controller a second"),
-    RESTARTS_PER_SECOND("host restarts a second");
+    RESTARTS_PER_SECOND("restarts of hosts a second");
 
     private final String description;
 
