--- a/src/main/java/linenring/routing/AdmissionControl.java
+++ b/src/main/java/linenring/routing/AdmissionControl.java
@@ -3,41 +3,48 @@
 import linenring.planner.PlannerSettings.Measure;
 
 /**
- * How much of one operation is admitted at one proxy, as the controller ordered it: a share of the requests, drawn anew
- * for each, or a rate in requests per second.
+ * Admission control for one operation at one proxy, with the limit that the controller has set: either a fraction of
+ * the requests, decided at random for each request, or a rate in requests per second.
  *
- * <p>It guards the hosts against more load than they can carry; that shows as rising latency and errors at all of them.
- * A rate is kept by a token bucket, so that what is shed is shed within the controller's next report. It does harm where
- * callers' bursts are longer than the bucket: a burst is then rejected though the mean rate is allowed.
+ * <p>Admission control protects hosts from more load than they can serve; overload shows as rising latency and errors
+ * on all hosts. A token bucket enforces the rate, so that load shedding shows in the next load report to the
+ * controller. The bucket rejects a burst of requests that is longer than its capacity, even when the mean rate is
+ * within the limit.
  */
 final class AdmissionControl {
-    /** Admits everything. */
+    /** Admits every request. */
     static final AdmissionControl ADMIT_ALL = new AdmissionControl(1, Measure.NONE);
 
-    /** What the bucket holds, in seconds of its rate: callers' bursts are shorter. */
+    /** Capacity of the token bucket, in seconds of its rate; bursts of callers are shorter. */
     private static final double BUCKET_SECONDS = 0.25;
 
-    /** A bucket always holds one token, or a rate under {@code 1 / BUCKET_SECONDS} would admit nothing. */
+    /**
+     * Minimum capacity of the token bucket; with less than 1 a rate below {@code 1 / BUCKET_SECONDS} would admit
+     * nothing.
+     */
     private static final double MIN_BUCKET_TOKENS = 1;
 
     private static final double MILLIS_PER_SECOND = 1000;
 
-    private final double limit; // a share in [0, 1], or requests per second
+    private final double limit; // admitted fraction in [0, 1], or requests per second
     private final Measure measure;
-    private double tokens; // guarded by this
-    private double filledAtMs = Double.NaN; // guarded by this; NaN until the first request
+    private double tokens; // guarded by this object's lock
+    private double lastRefillMs = Double.NaN; // guarded by this object's lock; NaN until the first request
 
     AdmissionControl(double limit, Measure measure) {
         this.limit = limit;
         this.measure = measure;
-        tokens = bucketTokens();
+        tokens = bucketCapacityTokens();
     }
 
-    private double bucketTokens() {
+    private double bucketCapacityTokens() {
         return Math.max(MIN_BUCKET_TOKENS, limit * BUCKET_SECONDS);
     }
 
-    /** 0 if the request is admitted, else ms after which it is worth trying again; infinity where that is not known. */
+    /**
+     * Returns 0 if the request is admitted, and otherwise the time in ms after which the client can retry; infinity if
+     * that time is unknown.
+     */
     double retryAfterMs(double nowMs, double draw) {
         return switch (measure) {
             case NONE -> 0;
@@ -50,10 +57,10 @@
         if (limit <= 0) {
             return Double.POSITIVE_INFINITY;
         }
-        if (!Double.isNaN(filledAtMs)) {
-            tokens = Math.min(bucketTokens(), tokens + (nowMs - filledAtMs) / MILLIS_PER_SECOND * limit);
+        if (!Double.isNaN(lastRefillMs)) {
+            tokens = Math.min(bucketCapacityTokens(), tokens + (nowMs - lastRefillMs) / MILLIS_PER_SECOND * limit);
         }
-        filledAtMs = nowMs;
+        lastRefillMs = nowMs;
         if (tokens >= 1) {
             tokens--;
             return 0;
@@ -61,9 +68,9 @@
         return (1 - tokens) / limit * MILLIS_PER_SECOND;
     }
 
-    /** The control for a newly ordered limit; an unchanged one goes on with the tokens it has. */
+    /** Returns the admission control for a new limit; an unchanged limit keeps this object and its tokens. */
     AdmissionControl withLimit(double newLimit, Measure newMeasure) {
-        boolean unchanged = limit == newLimit && measure == newMeasure;
-        return unchanged ? this : new AdmissionControl(newLimit, newMeasure);
+        boolean isUnchanged = limit == newLimit && measure == newMeasure;
+        return isUnchanged ? this : new AdmissionControl(newLimit, newMeasure);
     }
 }
--- a/src/main/java/linenring/routing/AttemptFailure.java
+++ b/src/main/java/linenring/routing/AttemptFailure.java
@@ -1,93 +1,100 @@
 package linenring.routing;
 
 /**
- * How one attempt at a host ended without the answer that was wanted.
+ * The failure of one attempt at a host.
  *
- * @param execution what is known about whether the host executed the request
- * @param cause     what ended the attempt, for the log and the answer
+ * @param execution what the failure proves about whether the host executed the request
+ * @param cause     what ended the attempt; used in the log and in the answer to the client
  */
 public record AttemptFailure(Execution execution, Cause cause) {
-    /** What the end of an attempt proves about execution. */
+    /** What the end of an attempt proves about the execution of the request. */
     public enum Execution {
-        /** Nothing of the request was written. */
+        /** No part of the request was written to the connection. */
         NEVER_SENT,
-        /** The host reported so: a refused stream, or one above the last of a GOAWAY (RFC 9113, 8.7). */
+        /** The host reported that it did not process the stream, by REFUSED_STREAM or by a GOAWAY (RFC 9113, 8.7). */
         NOT_PROCESSED,
-        /** Nothing is proven. */
+        /** The host may or may not have executed the request. */
         MAY_HAVE_RUN,
-        /** The host answered. */
+        /** The host executed the request, since it answered. */
         RAN
     }
 
-    /** What ended the attempt. */
+    /** The event that ended the attempt. */
     public enum Cause {
-        /** No connection, or none in time. */
+        /** No connection to the host could be opened in time. */
         UNREACHABLE,
-        /** The stream was refused (RFC 9113, 8.7). */
+        /** The host refused the stream (RFC 9113, 8.7). */
         REFUSED,
-        /** The host shuts the connection down in order (RFC 9113, 6.8). */
+        /** The host shuts the connection down gracefully with GOAWAY (RFC 9113, 6.8). */
         GOING_AWAY,
-        /** The stream was reset (RFC 9113, 6.4). */
+        /** The host reset the stream (RFC 9113, 6.4). */
         RESET,
-        /** The connection broke. */
+        /** The connection to the host was lost. */
         CONNECTION_LOST,
-        /** No answer within the attempt's time. */
+        /** The host sent no answer before the attempt timed out. */
         TIMED_OUT,
-        /** The host answered with an error of its own. */
+        /** The host answered with an error. */
         ANSWERED_ERRORED
     }
 
-    /** The attempt never got as far as a host: no connection, or none in time. */
+    /** Returns the failure of an attempt that was never sent, because no connection to the host was open in time. */
     public static AttemptFailure neverSent() {
         return new AttemptFailure(Execution.NEVER_SENT, Cause.UNREACHABLE);
     }
 
-    /** The client library made no stream for it, and so has written nothing. */
+    /**
+     * Returns the failure of an attempt for which the HTTP client library created no stream, so that nothing was
+     * written.
+     */
     public static AttemptFailure streamNotCreated() {
         return new AttemptFailure(Execution.NEVER_SENT, Cause.REFUSED);
     }
 
     /**
-     * The host reset the stream. REFUSED_STREAM says that nothing was processed (RFC 9113, 8.7), unless the host has
-     * begun to answer all the same.
+     * Returns the failure of an attempt whose stream the host reset. REFUSED_STREAM proves that the host did not
+     * process the request (RFC 9113, 8.7), unless the host has already started an answer.
      */
-    public static AttemptFailure reset(boolean refused, boolean answerStarted) {
-        return refused && !answerStarted
+    public static AttemptFailure reset(boolean isRefused, boolean hasAnswerStarted) {
+        return isRefused && !hasAnswerStarted
                 ? new AttemptFailure(Execution.NOT_PROCESSED, Cause.REFUSED)
                 : new AttemptFailure(Execution.MAY_HAVE_RUN, Cause.RESET);
     }
 
     /**
-     * The stream ended with its connection. A stream above the last one that a GOAWAY names was not processed (RFC 9113,
-     * 6.8); of any other nothing is known.
+     * Returns the failure of an attempt whose connection was lost. A stream above the last stream identifier of a
+     * GOAWAY frame was not processed (RFC 9113, 6.8); any other stream may have been executed.
      */
-    public static AttemptFailure connectionLost(boolean aboveLastStreamOfGoAway) {
-        return aboveLastStreamOfGoAway
+    public static AttemptFailure connectionLost(boolean isAboveLastStreamOfGoAway) {
+        return isAboveLastStreamOfGoAway
                 ? new AttemptFailure(Execution.NOT_PROCESSED, Cause.GOING_AWAY)
                 : new AttemptFailure(Execution.MAY_HAVE_RUN, Cause.CONNECTION_LOST);
     }
 
-    /** The attempt's time is over; {@code sent}: its head was handed over for writing. */
-    public static AttemptFailure timedOut(boolean sent) {
-        return sent ? new AttemptFailure(Execution.MAY_HAVE_RUN, Cause.TIMED_OUT) : neverSent();
+    /** Returns the failure of an attempt that timed out; {@code wasSent}: its header frame was passed on for writing. */
+    public static AttemptFailure timedOut(boolean wasSent) {
+        return wasSent ? new AttemptFailure(Execution.MAY_HAVE_RUN, Cause.TIMED_OUT) : neverSent();
     }
 
-    /** The host began its answer and then sent nothing more of it. */
+    /** Returns the failure of an attempt whose host started an answer and then stalled. */
     public static AttemptFailure answerStalled() {
         return new AttemptFailure(Execution.RAN, Cause.TIMED_OUT);
     }
 
-    /** The host answered with an error of its own. */
+    /** Returns the failure of an attempt that the host answered with an error. */
     public static AttemptFailure answeredErrored() {
         return new AttemptFailure(Execution.RAN, Cause.ANSWERED_ERRORED);
     }
 
-    /** Whether the failure counts against the host; one that shuts a connection down in order has not failed. */
+    /**
+     * Whether the failure counts for outlier ejection of the host; a graceful shutdown of a connection does not count.
+     */
     public boolean countsAgainstHost() {
         return cause != Cause.GOING_AWAY;
     }
 
-    /** Whether it is proven that the host did not execute the request, so that a second attempt is the first execution. */
+    /**
+     * Whether the failure proves that the host did not execute the request, so that a retry cannot execute it twice.
+     */
     boolean isProvenNotExecuted() {
         return execution == Execution.NEVER_SENT || execution == Execution.NOT_PROCESSED;
     }
--- a/src/main/java/linenring/routing/ConnectionPool.java
+++ b/src/main/java/linenring/routing/ConnectionPool.java
@@ -5,44 +5,49 @@
 import java.util.List;
 
 /**
- * The decisions about the connections to one host: which one carries the next stream, when one is opened, closed or
- * given up. {@code C} names a connection, {@code W} who waits for a stream. Not thread-safe: the caller holds a lock.
+ * The connection pool of one host. It decides which connection carries the next stream, and when connections are opened
+ * and closed; the caller does the I/O. {@code C} is the type of a connection, {@code W} the type of a waiter, which is
+ * a request waiting for a stream. Not thread-safe: the caller holds a lock.
  *
- * <p>Rules: the fullest open connection that has capacity carries the next stream, so that spare ones fall idle. Where
- * none has and there are fewer than the limit, one more is opened and the caller waits; else it waits as long as the
- * queue is short. A connection that goes away, or whose host is retired, takes nothing new and is closed once its
- * streams are done. A failed dial is repeated only after a backoff that doubles, and whoever waits meanwhile is
- * rejected at once: a host that cannot be reached would else hold requests that another host could serve.
+ * <p>The open connection with the most active streams below its limit carries the next stream, so that spare
+ * connections become idle. If no connection has capacity, the pool opens another one up to its limit, and the request
+ * waits in a bounded queue. A connection that is going away, or whose host is retired, is closed once its streams have
+ * ended; a connection that is going away takes no new streams. A failed dial is repeated only after an exponential
+ * backoff, and the pool rejects waiters at once in the meantime: an unreachable host would otherwise hold requests that
+ * another host could serve.
  */
 public final class ConnectionPool<C, W> {
-    /** The reply to a request for a stream. */
+    /** The result of a request for a stream. */
     public sealed interface StreamGrant<C> {
-        /** A stream of this connection; it counts as active until {@link ConnectionPool#streamClosed}. */
+        /** The request gets a stream on the connection; it is active until {@link ConnectionPool#streamClosed}. */
         record Granted<C>(C connection) implements StreamGrant<C> {}
 
-        /** The caller waits in the queue; {@code openConnection}: one more is to be opened. */
+        /** The request waits in the queue; {@code openConnection}: the caller must also open a connection. */
         record Queued<C>(boolean openConnection) implements StreamGrant<C> {}
 
-        /** No stream, and nothing was sent: the queue is full, or the host could not be reached just now. */
+        /**
+         * The request gets no stream, because the queue is full or the last dial to the host failed; nothing was sent.
+         */
         record Rejected<C>() implements StreamGrant<C> {}
     }
 
-    /** One who waited and now has a stream of a connection. */
+    /** A waiter that gets a stream on a connection. */
     public record Assignment<C, W>(W waiter, C connection) {}
 
-    /** What the caller does after an event, in this order of components. */
+    /** The actions that the owner of the pool must take after an event, in the order of the record components. */
     public record Actions<C, W>(
             List<Assignment<C, W>> assigned, List<W> rejected, List<C> connectionsToClose, boolean openConnection) {}
 
     /**
-     * Sizes and times.
+     * The limits of a connection pool.
      *
-     * @param maxConnections to the host
-     * @param maxStreams     on one connection, and what one is expected to carry before the host has sent its settings
-     * @param maxWaiters     in the queue
-     * @param maxIdleMs      after which a connection without streams is closed
+     * @param maxConnections maximum number of connections to the host
+     * @param maxStreams     maximum number of streams on one connection; also assumed until the host has sent its
+     *                       settings
+     * @param maxWaiters     maximum number of requests that wait in the queue
+     * @param maxIdleMs      time after which a connection without streams is closed
      * @param minRedialMs    backoff after the first failed dial
-     * @param maxRedialMs    to which the backoff doubles
+     * @param maxRedialMs    upper limit of the exponential backoff after failed dials
      */
     public record Limits(
             int maxConnections,
@@ -78,168 +83,172 @@
     private final Limits limits;
     private final List<PooledConnection<C>> connections = new ArrayList<>();
     private final ArrayDeque<W> waiters = new ArrayDeque<>();
-    private int dialing;
-    private int expectedStreams; // of the next connection: as many as the last one that was opened
+    private int dialsInProgress;
+    private int expectedStreamsPerConnection; // stream limit of the connection that was opened last
     private boolean retired;
     private double redialBackoffMs;
-    private double noDialBeforeMs = Double.NEGATIVE_INFINITY;
+    private double nextDialNotBeforeMs = Double.NEGATIVE_INFINITY;
 
-    /** A pool without connections. */
+    /** Creates a pool without connections. */
     public ConnectionPool(Limits limits) {
         this.limits = limits;
-        expectedStreams = limits.maxStreams();
+        expectedStreamsPerConnection = limits.maxStreams();
     }
 
-    /** Somebody wants a stream. */
+    /** Requests a stream for a waiter: grants one, queues the waiter or rejects it. */
     public StreamGrant<C> requestStream(W waiter, double nowMs) {
-        PooledConnection<C> fullest = fullestWithCapacity();
-        if (fullest != null) {
-            fullest.activeStreams++;
-            return new StreamGrant.Granted<>(fullest.connection);
+        PooledConnection<C> fullestConnection = fullestConnectionWithCapacity();
+        if (fullestConnection != null) {
+            fullestConnection.activeStreams++;
+            return new StreamGrant.Granted<>(fullestConnection.connection);
         }
         if (waiters.size() >= limits.maxWaiters()) {
             return new StreamGrant.Rejected<>();
         }
-        boolean open = mayOpen(nowMs);
-        if (!open && dialing == 0 && allGoingAway()) {
+        boolean shouldOpen = canOpenConnection(nowMs);
+        if (!shouldOpen && dialsInProgress == 0 && areAllGoingAway()) {
             return new StreamGrant.Rejected<>();
         }
         waiters.add(waiter);
-        dialing += open ? 1 : 0;
-        return new StreamGrant.Queued<>(open);
+        dialsInProgress += shouldOpen ? 1 : 0;
+        return new StreamGrant.Queued<>(shouldOpen);
     }
 
-    /** Who waited no longer does; false if it had its reply already. */
+    /** Removes a waiter from the queue; false if the waiter was already assigned a stream or rejected. */
     public boolean cancel(W waiter) {
         return waiters.remove(waiter);
     }
 
-    /** A dial succeeded, and the connection takes {@code maxStreams} streams. */
+    /** Adds a connection whose dial succeeded and on which the host accepts {@code maxStreams} streams. */
     public Actions<C, W> connectionOpened(C connection, int maxStreams, double nowMs) {
-        dialing--;
+        dialsInProgress--;
         redialBackoffMs = 0;
-        expectedStreams = Math.max(1, maxStreams);
+        expectedStreamsPerConnection = Math.max(1, maxStreams);
         connections.add(new PooledConnection<>(connection, maxStreams, nowMs));
-        return settle(nowMs);
+        return actionsAfterEvent(nowMs);
     }
 
-    /** A dial failed. */
+    /** Records a failed dial and starts the backoff before the next one. */
     public Actions<C, W> dialFailed(double nowMs) {
-        dialing--;
+        dialsInProgress--;
         redialBackoffMs = Math.min(limits.maxRedialMs(), Math.max(limits.minRedialMs(), 2 * redialBackoffMs));
-        noDialBeforeMs = nowMs + redialBackoffMs;
-        return settle(nowMs);
+        nextDialNotBeforeMs = nowMs + redialBackoffMs;
+        return actionsAfterEvent(nowMs);
     }
 
-    /** The host limits how many streams it takes on a connection (RFC 9113, 6.5.2). */
+    /** Changes the number of concurrent streams that the host accepts on a connection (RFC 9113, 6.5.2). */
     public Actions<C, W> maxStreamsChanged(C connection, int maxStreams, double nowMs) {
         for (PooledConnection<C> pooled : connections) {
             if (pooled.connection.equals(connection)) {
                 pooled.maxStreams = maxStreams;
             }
         }
-        return settle(nowMs);
+        return actionsAfterEvent(nowMs);
     }
 
-    /** A stream of a connection is over. */
+    /** Records that a stream of a connection has ended. */
     public Actions<C, W> streamClosed(C connection, double nowMs) {
         for (PooledConnection<C> pooled : connections) {
             if (pooled.connection.equals(connection)) {
                 pooled.streamClosed(nowMs);
             }
         }
-        return settle(nowMs);
+        return actionsAfterEvent(nowMs);
     }
 
-    /** The host takes nothing new on a connection; active streams go on (RFC 9113, 6.8). */
+    /** Records a GOAWAY: the connection takes no new streams, and its active streams continue (RFC 9113, 6.8). */
     public Actions<C, W> connectionGoingAway(C connection, double nowMs) {
         for (PooledConnection<C> pooled : connections) {
             if (pooled.connection.equals(connection)) {
                 pooled.goingAway = true;
             }
         }
-        return settle(nowMs);
+        return actionsAfterEvent(nowMs);
     }
 
-    /** A connection broke or was closed; its streams end by themselves. */
+    /** Removes a connection that was lost or closed; the transport ends its streams. */
     public Actions<C, W> connectionLost(C connection, double nowMs) {
         connections.removeIf(pooled -> pooled.connection.equals(connection));
-        return settle(nowMs);
+        return actionsAfterEvent(nowMs);
     }
 
-    /** The host is not to be used any more, or is again: idle connections are closed, active streams are left. */
-    public Actions<C, W> setRetired(boolean newRetired, double nowMs) {
-        retired = newRetired;
-        return settle(nowMs);
+    /**
+     * Sets whether the host is retired: a retired host's idle connections are closed, and its active streams continue.
+     */
+    public Actions<C, W> setRetired(boolean isRetired, double nowMs) {
+        retired = isRetired;
+        return actionsAfterEvent(nowMs);
     }
 
-    /** Closes what has been idle for too long; to be called periodically. */
+    /** Closes connections that have been idle for too long; the caller calls this method periodically. */
     public Actions<C, W> closeIdle(double nowMs) {
-        return settle(nowMs);
+        return actionsAfterEvent(nowMs);
     }
 
-    /** Streams that are active on all connections. */
+    /** Returns the number of active streams on all connections. */
     public int activeStreams() {
         return connections.stream().mapToInt(pooled -> pooled.activeStreams).sum();
     }
 
-    /** One more connection may be opened while those that are being dialed would not carry all who wait. */
-    private boolean mayOpen(double nowMs) {
-        long usable = connections.stream().filter(pooled -> !pooled.goingAway).count();
-        return nowMs >= noDialBeforeMs
-                && usable + dialing < limits.maxConnections()
-                && waiters.size() >= dialing * expectedStreams;
+    /** Whether another connection can be opened; this requires that the dials in progress cannot serve all waiters. */
+    private boolean canOpenConnection(double nowMs) {
+        long usableConnections =
+                connections.stream().filter(pooled -> !pooled.goingAway).count();
+        return nowMs >= nextDialNotBeforeMs
+                && usableConnections + dialsInProgress < limits.maxConnections()
+                && waiters.size() >= dialsInProgress * expectedStreamsPerConnection;
     }
 
-    private boolean allGoingAway() {
+    private boolean areAllGoingAway() {
         return connections.stream().allMatch(pooled -> pooled.goingAway);
     }
 
-    private PooledConnection<C> fullestWithCapacity() {
-        PooledConnection<C> fullest = null;
+    private PooledConnection<C> fullestConnectionWithCapacity() {
+        PooledConnection<C> fullestConnection = null;
         for (PooledConnection<C> pooled : connections) {
-            if (pooled.hasCapacity() && (fullest == null || pooled.activeStreams > fullest.activeStreams)) {
-                fullest = pooled;
+            if (pooled.hasCapacity()
+                    && (fullestConnection == null || pooled.activeStreams > fullestConnection.activeStreams)) {
+                fullestConnection = pooled;
             }
         }
-        return fullest;
+        return fullestConnection;
     }
 
-    private Actions<C, W> settle(double nowMs) {
+    private Actions<C, W> actionsAfterEvent(double nowMs) {
         List<Assignment<C, W>> assigned = assignWaiters();
         List<W> rejected = new ArrayList<>();
-        boolean open = false;
-        if (!waiters.isEmpty() && dialing == 0 && allGoingAway()) { // nothing will carry them
-            open = mayOpen(nowMs);
-            if (!open) {
+        boolean shouldOpen = false;
+        if (!waiters.isEmpty() && dialsInProgress == 0 && areAllGoingAway()) { // no connection will serve the waiters
+            shouldOpen = canOpenConnection(nowMs);
+            if (!shouldOpen) {
                 rejected.addAll(waiters);
                 waiters.clear();
             }
         }
-        dialing += open ? 1 : 0;
-        return new Actions<>(assigned, rejected, removeUnused(nowMs), open);
+        dialsInProgress += shouldOpen ? 1 : 0;
+        return new Actions<>(assigned, rejected, removeUnusedConnections(nowMs), shouldOpen);
     }
 
     private List<Assignment<C, W>> assignWaiters() {
         List<Assignment<C, W>> assigned = new ArrayList<>();
-        PooledConnection<C> fullest = fullestWithCapacity();
-        while (fullest != null && !waiters.isEmpty()) {
-            fullest.activeStreams++;
-            assigned.add(new Assignment<>(waiters.poll(), fullest.connection));
-            fullest = fullestWithCapacity();
+        PooledConnection<C> fullestConnection = fullestConnectionWithCapacity();
+        while (fullestConnection != null && !waiters.isEmpty()) {
+            fullestConnection.activeStreams++;
+            assigned.add(new Assignment<>(waiters.poll(), fullestConnection.connection));
+            fullestConnection = fullestConnectionWithCapacity();
         }
         return assigned;
     }
 
-    private List<C> removeUnused(double nowMs) {
+    private List<C> removeUnusedConnections(double nowMs) {
         List<C> removed = new ArrayList<>();
         connections.removeIf(pooled -> {
-            boolean idleTooLong = nowMs - pooled.idleSinceMs >= limits.maxIdleMs();
-            boolean unused = pooled.activeStreams <= 0 && (pooled.goingAway || retired || idleTooLong);
-            if (unused) {
+            boolean isIdleTooLong = nowMs - pooled.idleSinceMs >= limits.maxIdleMs();
+            boolean isUnused = pooled.activeStreams <= 0 && (pooled.goingAway || retired || isIdleTooLong);
+            if (isUnused) {
                 removed.add(pooled.connection);
             }
-            return unused;
+            return isUnused;
         });
         return removed;
     }
--- a/src/main/java/linenring/routing/DuplicateGuard.java
+++ b/src/main/java/linenring/routing/DuplicateGuard.java
@@ -1,25 +1,29 @@
 package linenring.routing;
 
 /**
- * Where and since when one request may have been executed, and so which repeats of it are safe.
+ * Tracks where and since when one request may have been executed, and decides which retries of it are safe.
  *
- * <p>It guards against an effect that happens twice: a booking, say, whose first host lost its connection after it had
- * executed the request. Hosts drop a repeat by its idempotency key, but only in their group and inside their window;
- * therefore a repeat stays in the group of the first host that may have executed the request, and sets out before the
- * window that began there is nearly over. It does harm where no execution happened after all: the request then fails
- * though another host could have served it. Not thread-safe: its {@link RetryDecision} holds the lock.
+ * <p>The guard prevents duplicate side effects, such as a second booking when the first host executed the request and
+ * then lost its connection. Hosts drop a duplicate by its idempotency key, but only within their deduplication scope
+ * and deduplication window. A retry therefore stays in the scope of the first host that may have executed the request,
+ * and is sent before the window that started there has nearly ended. If that host did not execute the request after
+ * all, the request fails although another host could have served it. Not thread-safe: its {@link RetryDecision} holds
+ * the lock.
  */
 final class DuplicateGuard {
-    /** Share of the deduplication window reserved for the repeat's transit, which exceeds the first attempt's by less. */
+    /**
+     * Fraction of the deduplication window that is reserved for network latency: a retry takes longer to arrive than
+     * the first attempt by less than this time.
+     */
     private static final double WINDOW_MARGIN = 0.2;
 
-    private static final int NOWHERE = -1;
+    private static final int UNASSIGNED_HOST = -1;
 
     private final OperationPolicy policy;
     private final boolean hasIdempotencyKey;
     private final HostRegistry hosts;
-    private int mayHaveRunAt = NOWHERE; // the first host that may have executed it
-    private double mayHaveRunSinceMs; // when it was sent there
+    private int firstPossibleExecutor = UNASSIGNED_HOST; // the first host that may have executed the request
+    private double firstPossibleExecutionMs; // when the request was sent to that host
 
     DuplicateGuard(OperationPolicy policy, boolean hasIdempotencyKey, HostRegistry hosts) {
         this.policy = policy;
@@ -27,20 +31,20 @@
         this.hosts = hosts;
     }
 
-    /** A failed attempt that was sent to a host at this time. */
+    /** Records a failed attempt that was sent to {@code host} at {@code sentAtMs}. */
     void recordFailure(AttemptFailure failure, int host, double sentAtMs) {
-        if (!failure.isProvenNotExecuted() && !mayHaveRun()) {
-            mayHaveRunAt = host;
-            mayHaveRunSinceMs = sentAtMs;
+        if (!failure.isProvenNotExecuted() && !hasPossibleExecution()) {
+            firstPossibleExecutor = host;
+            firstPossibleExecutionMs = sentAtMs;
         }
     }
 
-    boolean mayHaveRun() {
-        return mayHaveRunAt != NOWHERE;
+    boolean hasPossibleExecution() {
+        return firstPossibleExecutor != UNASSIGNED_HOST;
     }
 
-    /** Whether hosts can cope with a repeat at all. */
-    boolean isRepeatable() {
+    /** Whether the request is idempotent or carries an idempotency key, so that a second execution does no harm. */
+    boolean isSafeToRetry() {
         return switch (policy.idempotence()) {
             case IDEMPOTENT -> true;
             case FINGERPRINTED -> hasIdempotencyKey;
@@ -48,17 +52,17 @@
         };
     }
 
-    /** Until when a repeat may set out. */
-    double sendByMs() {
-        return mayHaveRun() && policy.idempotence() == Idempotence.FINGERPRINTED
-                ? mayHaveRunSinceMs + policy.deduplicationWindowMs() * (1 - WINDOW_MARGIN)
+    /** Returns the latest time at which a retry may be sent; infinity if there is no limit. */
+    double sendDeadlineMs() {
+        return hasPossibleExecution() && policy.idempotence() == Idempotence.FINGERPRINTED
+                ? firstPossibleExecutionMs + policy.deduplicationWindowMs() * (1 - WINDOW_MARGIN)
                 : Double.POSITIVE_INFINITY;
     }
 
-    /** Whether a repeat at this host would be recognised, or need not be. */
-    boolean allows(int host) {
-        return !mayHaveRun()
+    /** Whether a retry at this host is safe: the host recognizes a duplicate of the request or does not need to. */
+    boolean canRetryAt(int host) {
+        return !hasPossibleExecution()
                 || policy.idempotence() != Idempotence.FINGERPRINTED
-                || hosts.deduplicateTogether(policy.deduplicationScope(), mayHaveRunAt, host);
+                || hosts.shareIdempotencyKeys(policy.deduplicationScope(), firstPossibleExecutor, host);
     }
 }
--- a/src/main/java/linenring/routing/FailureReason.java
+++ b/src/main/java/linenring/routing/FailureReason.java
@@ -1,13 +1,13 @@
 package linenring.routing;
 
-/** Why a request gets no answer of a host. */
+/** Why the gateway answers a request with a failure instead of a host's answer. */
 public enum FailureReason {
-    /** The operation's admission control rejected it. */
+    /** The admission control of the operation rejected the request. */
     RATE_LIMITED,
-    /** No host may be picked: the table is empty or all its hosts are ejected. */
+    /** No host is eligible: the endpoint table is empty or the controller has ejected all its hosts. */
     NO_HOST,
-    /** Its attempts failed. */
+    /** All attempts of the request failed. */
     ERRORED,
-    /** Its last attempt took too long. */
+    /** The last attempt of the request timed out. */
     TIMED_OUT
 }
--- a/src/main/java/linenring/routing/Idempotence.java
+++ b/src/main/java/linenring/routing/Idempotence.java
@@ -1,11 +1,13 @@
 package linenring.routing;
 
-/** What it would do if a request were executed a second time. */
+/** The effect of executing a request of an operation a second time. */
 public enum Idempotence {
-    /** Nothing: it may be repeated. */
+    /** A second execution has no effect, so the request can be retried. */
     IDEMPOTENT,
-    /** Nothing while hosts remember its idempotency key, inside the group of hosts that remember it together. */
+    /**
+     * Hosts drop a duplicate by its idempotency key, within the deduplication scope and window of the first execution.
+     */
     FINGERPRINTED,
-    /** Harm: it is never repeated, unless it is proven that it was not executed. */
+    /** A second execution does harm, so a request is retried only if it is proven that it was not executed. */
     SIDE_EFFECTING
 }
--- a/src/main/java/linenring/routing/NextStep.java
+++ b/src/main/java/linenring/routing/NextStep.java
@@ -1,29 +1,29 @@
 package linenring.routing;
 
-/** What a {@link RetryDecision} wants done next. */
+/** The next step of a request, as decided by its {@link RetryDecision}. */
 public sealed interface NextStep {
-    /** Nothing: nobody waits any more, or the answer has begun. */
+    /** Take no action: the client is gone or its answer has started. */
     NextStep NOTHING = new Nothing();
 
-    /** Forward what the host has answered. */
+    /** Forward the host's answer to the client. */
     NextStep FORWARD = new Forward();
 
     /**
-     * Send the request to this host.
+     * Send the request to a host.
      *
-     * @param host       its index
-     * @param sendByMs   send it until then or not at all: a repeat that sets out later may come after the time in which
-     *                   hosts recognise it
-     * @param giveUpAtMs when this attempt has taken too long
+     * @param host       index of the host
+     * @param sendByMs   latest time at which the request may be sent: a retry that is sent later may arrive after the
+     *                   deduplication window of the hosts has ended
+     * @param giveUpAtMs time at which the attempt times out
      */
     record Send(int host, double sendByMs, double giveUpAtMs) implements NextStep {}
 
-    /** Answer with a failure now; {@code retryAfterMs} is infinity where no time to come back is known. */
+    /** Answer the request with a failure; {@code retryAfterMs} is infinity if no retry time is known. */
     record Reject(FailureReason reason, double retryAfterMs) implements NextStep {}
 
-    /** See {@link #FORWARD}. */
+    /** The type of {@link #FORWARD}. */
     record Forward() implements NextStep {}
 
-    /** See {@link #NOTHING}. */
+    /** The type of {@link #NOTHING}. */
     record Nothing() implements NextStep {}
 }
--- a/src/main/java/linenring/routing/OperationPolicy.java
+++ b/src/main/java/linenring/routing/OperationPolicy.java
@@ -1,14 +1,14 @@
 package linenring.routing;
 
 /**
- * One operation as callers and hosts know it.
+ * The properties of one operation that decide how the gateway retries its requests.
  *
- * @param operation             its name
- * @param idempotence           what a second execution would do
- * @param deduplicationScope    which hosts recognise each other's repeats
- * @param deduplicationWindowMs how long they drop a repeat of a request with an idempotency key
- * @param latencyObjectiveMs    the latency that its callers are promised
- * @param timeoutMs             past which nobody waits for an answer
+ * @param operation             name of the operation
+ * @param idempotence           effect of executing a request a second time
+ * @param deduplicationScope    group of hosts that recognize each other's duplicates
+ * @param deduplicationWindowMs time for which hosts drop a duplicate of a request with an idempotency key
+ * @param latencyObjectiveMs    latency that callers are promised
+ * @param timeoutMs             time after which callers stop waiting for an answer
  */
 public record OperationPolicy(
         String operation,
@@ -17,27 +17,27 @@
         double deduplicationWindowMs,
         double latencyObjectiveMs,
         double timeoutMs) {
-    /** Which hosts remember an idempotency key together. */
+    /** The group of hosts that share their idempotency keys. */
     public enum DeduplicationScope {
-        /** All of them. */
+        /** All hosts share their idempotency keys. */
         ALL,
-        /** Those of one zone. */
+        /** The hosts of one zone share their idempotency keys. */
         ZONE,
-        /** Those of one cell of a zone. */
+        /** The hosts of one cell of a zone share their idempotency keys. */
         CELL
     }
 
-    /** Checks that the times can be used. */
+    /** Checks that objective and timeout are positive and that the window is not negative. */
     public OperationPolicy {
         requireTime(operation, "latency objective", latencyObjectiveMs, latencyObjectiveMs > 0);
         requireTime(operation, "timeout", timeoutMs, timeoutMs > 0);
         requireTime(operation, "deduplication window", deduplicationWindowMs, deduplicationWindowMs >= 0);
     }
 
-    private static void requireTime(String operation, String name, double valueMs, boolean valid) {
-        if (!valid) {
-            throw new IllegalArgumentException("operation " + operation + ": " + name + " of " + valueMs
-                    + " ms; objective and timeout are over 0, the window is not under 0");
+    private static void requireTime(String operation, String name, double valueMs, boolean isValid) {
+        if (!isValid) {
+            throw new IllegalArgumentException("operation " + operation + ": invalid " + name + " of " + valueMs
+                    + " ms; objective and timeout must be above 0, and the window must be at least 0");
         }
     }
 }
--- a/src/main/java/linenring/routing/OperationTable.java
+++ b/src/main/java/linenring/routing/OperationTable.java
@@ -5,21 +5,22 @@
 import linenring.planner.Commands.RetryPolicy;
 
 /**
- * What a proxy holds for one operation. Never changed once {@link Tables} has it.
+ * The endpoint table, admission control and retry policy of one operation at a proxy. {@link Tables} uses it as an
+ * immutable snapshot.
  *
- * @param weights     over 0, by host
- * @param admission   how much is admitted
- * @param retryPolicy how often a request is sent to another host
+ * @param weights     weights above 0, by host index
+ * @param admission   admission control of the operation
+ * @param retryPolicy how often and when a request is retried at another host
  */
 record OperationTable(TreeMap<Integer, Double> weights, AdmissionControl admission, RetryPolicy retryPolicy) {
-    /** What proxies do until the controller has ordered something else. */
+    /** The retry policy of a proxy until the controller sets another one. */
     static final RetryPolicy DEFAULT_RETRY_POLICY = RetryPolicy.ONE_IF_NOT_EXECUTED;
 
-    /** The table of a proxy that has received none. */
+    /** The table of a proxy that has not received one yet. */
     static final OperationTable EMPTY =
             new OperationTable(new TreeMap<>(), AdmissionControl.ADMIT_ALL, DEFAULT_RETRY_POLICY);
 
-    /** The same with some entries changed; weight 0 removes one. */
+    /** Returns a copy of this table with changed entries; weight 0 removes an entry. */
     OperationTable withEntries(Map<Integer, Double> changes) {
         if (changes.isEmpty()) {
             return this;
--- a/src/main/java/linenring/routing/OutlierEjection.java
+++ b/src/main/java/linenring/routing/OutlierEjection.java
@@ -3,79 +3,81 @@
 import java.util.Arrays;
 
 /**
- * Ejects, for a while, a host at which this proxy's own attempts failed several times in a row.
+ * Outlier ejection at one proxy: temporarily ejects a host after several consecutive failures of this proxy's attempts.
  *
- * <p>It guards against a host that fails before any report has reached the controller; that shows as consecutive
- * failures at one proxy. Own attempts alone count, as with any proxy, so nothing has to be waited for. It does harm
- * where failures come from the requests and not from the host: then all hosts are ejected in turn, and {@link Tables}
- * picks among all of them again.
+ * <p>It reacts to a failing host before a load report has reached the controller, which is possible because only this
+ * proxy's own attempts count. If failures are caused by the requests and not by the host, all hosts are ejected in
+ * turn; {@link Tables} then picks among all of them again.
  *
- * <p>It ejects for this proxy alone. The controller ejects for all proxies, by the load reports of all of them
- * ({@code planner.OutlierDetector}); {@link Tables} picks no host that either has ejected.
+ * <p>An ejection by this class applies to this proxy only. The controller ejects hosts for all proxies, based on the
+ * load reports of all proxies ({@code planner.OutlierDetector}). {@link Tables} never picks a host that the controller
+ * has ejected, and avoids hosts that this class has ejected as long as another host is eligible.
  */
 final class OutlierEjection {
-    /** As the number of failures: no host is ever ejected. */
+    /** Value of {@code failuresToEject} that disables outlier ejection. */
     static final int NEVER = 0;
 
-    /** The number of hosts by which arrays grow, so that a fleet's first failures do not copy them each time. */
+    /** Number of hosts by which the arrays grow, so that the first failure of each host does not copy the arrays. */
     private static final int GROWTH_HOSTS = 16;
 
-    private final int failuresInARow;
+    private final int failuresToEject;
     private final double ejectionMs;
-    private int[] consecutiveFailures = {}; // by host; guarded by this
-    private double[] ejectedUntilMs = {}; // by host, 0 if it is not ejected; guarded by this
-    private volatile double nextReturnMs = Double.POSITIVE_INFINITY; // written under this
-    private volatile int version; // written under this
+    private int[] consecutiveFailures = {}; // number of failures by host index; guarded by this object's lock
+    private double[]
+            ejectedUntilMs = {}; // end of the ejection by host index, 0 if the host is not ejected; guarded by this
+    // object's lock
+    private volatile double nextEjectionEndMs = Double.POSITIVE_INFINITY; // written under this object's lock
+    private volatile int version; // written under this object's lock
 
-    /** {@code failuresInARow} failed attempts eject a host for {@code ejectionMs}. */
-    OutlierEjection(int failuresInARow, double ejectionMs) {
-        this.failuresInARow = failuresInARow;
+    /** Ejects a host for {@code ejectionMs} after {@code failuresToEject} consecutive failures. */
+    OutlierEjection(int failuresToEject, double ejectionMs) {
+        this.failuresToEject = failuresToEject;
         this.ejectionMs = ejectionMs;
     }
 
-    /** Changes whenever a host is ejected or returns. */
+    /** Returns a version number that changes whenever a host is ejected or its ejection ends. */
     int version(double nowMs) {
-        if (nowMs >= nextReturnMs) {
-            returnHosts(nowMs);
+        if (nowMs >= nextEjectionEndMs) {
+            endExpiredEjections(nowMs);
         }
         return version;
     }
 
-    private synchronized void returnHosts(double nowMs) {
-        double next = Double.POSITIVE_INFINITY;
-        boolean returned = false;
+    private synchronized void endExpiredEjections(double nowMs) {
+        double nextEndMs = Double.POSITIVE_INFINITY;
+        boolean hasReturnedHosts = false;
         for (int host = 0; host < ejectedUntilMs.length; host++) {
             if (ejectedUntilMs[host] > nowMs) {
-                next = Math.min(next, ejectedUntilMs[host]);
+                nextEndMs = Math.min(nextEndMs, ejectedUntilMs[host]);
             } else if (ejectedUntilMs[host] > 0) {
                 ejectedUntilMs[host] = 0;
-                returned = true;
+                hasReturnedHosts = true;
             }
         }
-        nextReturnMs = next;
-        version += returned ? 1 : 0;
+        nextEjectionEndMs = nextEndMs;
+        version += hasReturnedHosts ? 1 : 0;
     }
 
     synchronized boolean isEjected(int host) {
         return host < ejectedUntilMs.length && ejectedUntilMs[host] > 0;
     }
 
-    /** Records the end of one own attempt; true if the host is ejected from now on. */
-    synchronized boolean recordOutcome(int host, boolean success, double nowMs) {
+    /** Records the outcome of an attempt by this proxy; true if the attempt causes the ejection of the host. */
+    synchronized boolean recordOutcome(int host, boolean isSuccess, double nowMs) {
         if (host >= consecutiveFailures.length) {
-            if (success) {
+            if (isSuccess) {
                 return false;
             }
             consecutiveFailures = Arrays.copyOf(consecutiveFailures, host + GROWTH_HOSTS);
             ejectedUntilMs = Arrays.copyOf(ejectedUntilMs, host + GROWTH_HOSTS);
         }
-        consecutiveFailures[host] = success ? 0 : consecutiveFailures[host] + 1;
-        if (failuresInARow == NEVER || consecutiveFailures[host] < failuresInARow) {
+        consecutiveFailures[host] = isSuccess ? 0 : consecutiveFailures[host] + 1;
+        if (failuresToEject == NEVER || consecutiveFailures[host] < failuresToEject) {
             return false;
         }
-        consecutiveFailures[host] = 0; // the next ejection needs as many again
+        consecutiveFailures[host] = 0; // the next ejection requires the full number of failures
         ejectedUntilMs[host] = nowMs + ejectionMs;
-        nextReturnMs = Math.min(nextReturnMs, ejectedUntilMs[host]);
+        nextEjectionEndMs = Math.min(nextEjectionEndMs, ejectedUntilMs[host]);
         version++;
         return true;
     }
--- a/src/main/java/linenring/routing/RetryBudget.java
+++ b/src/main/java/linenring/routing/RetryBudget.java
@@ -1,62 +1,66 @@
 package linenring.routing;
 
 /**
- * Retries as a share of first attempts, over a sliding window.
+ * A retry budget: limits retries to a fraction of the first attempts in a sliding window.
  *
- * <p>It guards against a retry storm: where all hosts fail, retries multiply the load just when it can least be borne.
- * The share bounds that whatever the controller's retry policy allows, and also holds against a caller whose requests
- * fail by its own doing. It does harm where few requests come; therefore a few retries are allowed in any case.
+ * <p>The budget prevents a retry storm: when all hosts fail, retries multiply the load during an overload. It limits
+ * retries under any retry policy of the controller, and also for a client whose requests fail through its own fault.
+ * At a low request rate the fraction would allow almost no retries, so a minimum number of retries is always allowed.
  */
 public final class RetryBudget {
-    /** The window slides in tenths: a burst at its edge counts one tenth too long. */
+    /**
+     * Number of buckets of the sliding window; a burst at the edge of the window counts for up to one bucket too long.
+     */
     private static final int BUCKETS = 10;
 
     private final double share;
     private final int minRetries;
     private final double bucketMs;
-    // All below are guarded by this.
+    // The fields below are guarded by this object's lock.
     private final long[] firstAttempts = new long[BUCKETS];
     private final long[] retries = new long[BUCKETS];
-    private long newestBucket = Long.MIN_VALUE; // counted since time 0
+    private long newestBucketNumber = Long.MIN_VALUE; // number of the bucket, counted from time 0
     private long firstAttemptsInWindow;
     private long retriesInWindow;
 
-    /** Allows {@code share} of the first attempts of the last {@code windowMs}, and {@code minRetries} in any case. */
+    /**
+     * Allows retries up to {@code share} of the first attempts in {@code windowMs}, and at least {@code minRetries}.
+     */
     public RetryBudget(double share, int minRetries, double windowMs) {
         this.share = share;
         this.minRetries = minRetries;
         bucketMs = windowMs / BUCKETS;
     }
 
-    private void slide(double nowMs) {
+    private void advanceWindow(double nowMs) {
         long bucket = (long) Math.floor(nowMs / bucketMs);
-        if (newestBucket == Long.MIN_VALUE) {
-            newestBucket = bucket;
+        if (newestBucketNumber == Long.MIN_VALUE) {
+            newestBucketNumber = bucket;
         }
-        for (long steps = Math.min(BUCKETS, bucket - newestBucket); steps > 0; steps--) {
+        for (long steps = Math.min(BUCKETS, bucket - newestBucketNumber); steps > 0; steps--) {
             int oldest = Math.floorMod(bucket - steps + 1, BUCKETS);
             firstAttemptsInWindow -= firstAttempts[oldest];
             retriesInWindow -= retries[oldest];
             firstAttempts[oldest] = 0;
             retries[oldest] = 0;
         }
-        newestBucket = Math.max(newestBucket, bucket); // a clock that steps back fills the newest bucket
+        newestBucketNumber = Math.max(newestBucketNumber, bucket); // if the clock steps back, the newest bucket is used
     }
 
-    /** Records a first attempt. */
+    /** Records the first attempt of a request. */
     public synchronized void recordFirstAttempt(double nowMs) {
-        slide(nowMs);
-        firstAttempts[Math.floorMod(newestBucket, BUCKETS)]++;
+        advanceWindow(nowMs);
+        firstAttempts[Math.floorMod(newestBucketNumber, BUCKETS)]++;
         firstAttemptsInWindow++;
     }
 
-    /** Takes one retry from the budget; false if there is none left. */
+    /** Takes one retry from the budget; false if the budget is exhausted. */
     public synchronized boolean tryTakeRetry(double nowMs) {
-        slide(nowMs);
+        advanceWindow(nowMs);
         if (retriesInWindow + 1 > Math.max(minRetries, share * firstAttemptsInWindow)) {
             return false;
         }
-        retries[Math.floorMod(newestBucket, BUCKETS)]++;
+        retries[Math.floorMod(newestBucketNumber, BUCKETS)]++;
         retriesInWindow++;
         return true;
     }
--- a/src/main/java/linenring/routing/RetryContext.java
+++ b/src/main/java/linenring/routing/RetryContext.java
@@ -3,13 +3,13 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * What the decisions of all requests of one gateway share.
+ * The state that the retry decisions of all requests of one gateway share.
  *
- * @param tables            which hosts may be picked
+ * @param tables            endpoint tables that hosts are picked from
  * @param hosts             all listed hosts
- * @param budget            of retries
- * @param attemptObjectives latency objectives that an attempt gets if another one may follow it
- * @param draw              random numbers in [0, 1)
+ * @param budget            retry budget of the gateway
+ * @param attemptObjectives timeout of an attempt that can be retried, as a multiple of the latency objective
+ * @param draw              source of random numbers in [0, 1)
  */
 public record RetryContext(
         Tables tables, HostRegistry hosts, RetryBudget budget, double attemptObjectives, DoubleSupplier draw) {}
--- a/src/main/java/linenring/routing/RetryDecision.java
+++ b/src/main/java/linenring/routing/RetryDecision.java
@@ -4,43 +4,47 @@
 import linenring.planner.Commands.RetryPolicy;
 
 /**
- * The decisions about one request: whether it is admitted, which host gets each attempt and how long, and when it is
- * over. One attempt runs at a time. Calls come one after the other, from any thread, and hold this object's lock. Times
- * are ms on the caller's clock.
+ * Decides about one request: whether it is admitted, which host each attempt is sent to, when each attempt times out
+ * and whether a failed attempt is retried. One attempt runs at a time. Calls arrive one after the other, from any
+ * thread, and hold this object's lock. Times are ms on the caller's clock.
  *
- * <p>A failed attempt is followed by another unless one of these forbids it, checked in this order:
+ * <p>A failed attempt is retried unless one of these conditions forbids it, checked in this order:
  * <ol>
  *   <li>the client is gone or has its answer;
- *   <li>the controller's retry policy is used up, the timeout is over, or the body is not retained;
- *   <li>it may have been executed, and the policy demands proof that it was not, or a repeat is not safe
+ *   <li>the number of retries of the controller's retry policy is reached, the request has timed out, or its body is
+ *       not retained;
+ *   <li>the request may have been executed, and the policy requires proof that it was not, or a retry is not safe
  *       ({@link DuplicateGuard});
- *   <li>no other host is eligible, of the same deduplication scope where it may have been executed;
- *   <li>the retry budget is spent ({@link RetryBudget}).
+ *   <li>no other host is eligible; if the request may have been executed, only hosts of the same deduplication scope
+ *       are eligible;
+ *   <li>the retry budget is exhausted ({@link RetryBudget}).
  * </ol>
  *
- * <p>Retries guard against single hosts that fail while others do not; what they could harm is what these rules exclude:
- * an effect twice, and load on hosts that fail by overload.
+ * <p>Retries help when single hosts fail while others do not. The conditions above prevent their possible damage:
+ * duplicate side effects and additional load on hosts that fail because of overload.
  *
- * <p>The gateway classifies results: {@code gateway.Responses} says which answers of a host are failures, and
- * {@link AttemptFailure} what the end of an attempt proves about execution. The planner commands only NONE and
- * ONE_IF_NOT_EXECUTED, so that under this controller no answer of a host is followed by a retry.
+ * <p>The gateway classifies results: {@code gateway.Responses} decides which answers of a host are failures, and
+ * {@link AttemptFailure} describes what the end of an attempt proves about execution. The planner sets only the policies
+ * NONE and ONE_IF_NOT_EXECUTED, so under this controller a request that a host has answered is never retried.
  */
 public final class RetryDecision {
-    private static final int UNASSIGNED = -1;
+    private static final int UNASSIGNED_HOST = -1;
 
     private final RetryContext context;
     private final int operation;
     private final OperationPolicy policy;
     private final double deadlineMs;
     private final DuplicateGuard duplicateGuard;
-    // All below are guarded by this.
+    // The fields below are guarded by this object's lock.
     private final BitSet triedHosts = new BitSet();
     private int retries;
-    private int host = UNASSIGNED; // of the latest attempt
+    private int host = UNASSIGNED_HOST; // host of the current or last attempt
     private double sentAtMs;
-    private boolean over;
+    private boolean closed;
 
-    /** {@code hasIdempotencyKey}: the request carries the key by which hosts recognise a repeat. */
+    /**
+     * Creates the decision; {@code hasIdempotencyKey}: the request carries a key by which hosts recognize a duplicate.
+     */
     public RetryDecision(
             RetryContext context, int operation, OperationPolicy policy, boolean hasIdempotencyKey, double nowMs) {
         this.context = context;
@@ -50,40 +54,41 @@
         duplicateGuard = new DuplicateGuard(policy, hasIdempotencyKey, context.hosts());
     }
 
-    /** The first step: admits the request and picks a host, or rejects it. */
-    public synchronized NextStep begin(double nowMs, boolean bodyRetained) {
+    /** Returns the first step: admits the request and picks a host, or rejects the request. */
+    public synchronized NextStep begin(double nowMs, boolean isBodyRetained) {
         double retryAfterMs = context.tables()
                 .admissionRetryAfterMs(operation, nowMs, context.draw().getAsDouble());
         if (retryAfterMs > 0) {
-            over = true;
+            closed = true;
             return new NextStep.Reject(FailureReason.RATE_LIMITED, retryAfterMs);
         }
-        int first = context.tables().pick(operation, nowMs, context.draw().getAsDouble());
-        if (first == Tables.NONE) {
-            over = true;
+        int firstHost = context.tables().pick(operation, nowMs, context.draw().getAsDouble());
+        if (firstHost == Tables.NONE) {
+            closed = true;
             return new NextStep.Reject(FailureReason.NO_HOST, Double.POSITIVE_INFINITY);
         }
         context.budget().recordFirstAttempt(nowMs);
-        return send(first, nowMs, bodyRetained);
+        return send(firstHost, nowMs, isBodyRetained);
     }
 
-    /** The step after a failed attempt; {@code bodyRetained}: the whole body can be sent again. */
-    public synchronized NextStep attemptFailed(AttemptFailure failure, double nowMs, boolean bodyRetained) {
-        if (over) {
+    /** Returns the step after a failed attempt; {@code isBodyRetained}: the complete body can be sent again. */
+    public synchronized NextStep attemptFailed(AttemptFailure failure, double nowMs, boolean isBodyRetained) {
+        if (closed) {
             return NextStep.NOTHING;
         }
         if (failure.countsAgainstHost()) {
             context.tables().recordOutcome(host, false, nowMs);
         }
         duplicateGuard.recordFailure(failure, host, sentAtMs);
-        if (mayRetry(failure, nowMs, bodyRetained)) {
-            int next = context.tables().pick(operation, nowMs, context.draw().getAsDouble(), this::mayRetryAt);
-            if (next != Tables.NONE && context.budget().tryTakeRetry(nowMs)) {
+        if (canRetry(failure, nowMs, isBodyRetained)) {
+            int nextHost =
+                    context.tables().pick(operation, nowMs, context.draw().getAsDouble(), this::canRetryAt);
+            if (nextHost != Tables.NONE && context.budget().tryTakeRetry(nowMs)) {
                 retries++;
-                return send(next, nowMs, bodyRetained);
+                return send(nextHost, nowMs, isBodyRetained);
             }
         }
-        over = true;
+        closed = true;
         return switch (failure.cause()) {
             case ANSWERED_ERRORED -> NextStep.FORWARD;
             case TIMED_OUT -> new NextStep.Reject(FailureReason.TIMED_OUT, Double.POSITIVE_INFINITY);
@@ -91,45 +96,48 @@
         };
     }
 
-    /** The host's answer is good and goes to the client: nothing is tried after this. */
+    /** Records a successful attempt, whose answer is forwarded to the client; no retry follows. */
     public synchronized NextStep attemptSucceeded(double nowMs) {
-        if (over) {
+        if (closed) {
             return NextStep.NOTHING;
         }
-        over = true;
+        closed = true;
         context.tables().recordOutcome(host, true, nowMs);
         return NextStep.FORWARD;
     }
 
-    /** The client is gone, or gets an answer of the gateway: nothing is tried after this. False if it was over. */
+    /**
+     * Ends the request because the client is gone or gets an answer of the gateway; no retry follows. Returns false if
+     * the request had ended already.
+     */
     public synchronized boolean abandon() {
-        boolean wasOver = over;
-        over = true;
-        return !wasOver;
+        boolean wasClosed = closed;
+        closed = true;
+        return !wasClosed;
     }
 
-    /** Attempts begun so far. */
+    /** Returns the number of attempts that have started. */
     public synchronized int attempts() {
-        return host == UNASSIGNED ? 0 : retries + 1;
+        return host == UNASSIGNED_HOST ? 0 : retries + 1;
     }
 
-    private NextStep send(int next, double nowMs, boolean bodyRetained) {
-        host = next;
+    private NextStep send(int nextHost, double nowMs, boolean isBodyRetained) {
+        host = nextHost;
         sentAtMs = nowMs;
-        triedHosts.set(next);
-        return new NextStep.Send(next, duplicateGuard.sendByMs(), giveUpAtMs(nowMs, bodyRetained));
+        triedHosts.set(nextHost);
+        return new NextStep.Send(nextHost, duplicateGuard.sendDeadlineMs(), attemptDeadlineMs(nowMs, isBodyRetained));
     }
 
     /**
-     * An attempt that may be followed by another even though it may have been executed gets some latency objectives, so
-     * that time is left for the other one; any other attempt gets all the time there is.
+     * Returns the time at which an attempt times out. An attempt that can be retried after a timeout gets a multiple of
+     * the latency objective, so that time is left for the retry; any other attempt gets all the remaining time.
      */
-    private double giveUpAtMs(double nowMs, boolean bodyRetained) {
-        boolean mayBeFollowed = context.tables().retryPolicy(operation).compareTo(RetryPolicy.ONE) >= 0
+    private double attemptDeadlineMs(double nowMs, boolean isBodyRetained) {
+        boolean canBeRetried = context.tables().retryPolicy(operation).compareTo(RetryPolicy.ONE) >= 0
                 && retries < maxRetries()
-                && duplicateGuard.isRepeatable()
-                && bodyRetained;
-        return mayBeFollowed
+                && duplicateGuard.isSafeToRetry()
+                && isBodyRetained;
+        return canBeRetried
                 ? Math.min(deadlineMs, nowMs + context.attemptObjectives() * policy.latencyObjectiveMs())
                 : deadlineMs;
     }
@@ -142,19 +150,19 @@
         };
     }
 
-    private boolean mayRetry(AttemptFailure failure, double nowMs, boolean bodyRetained) {
-        if (retries >= maxRetries() || nowMs >= deadlineMs || !bodyRetained) {
+    private boolean canRetry(AttemptFailure failure, double nowMs, boolean isBodyRetained) {
+        if (retries >= maxRetries() || nowMs >= deadlineMs || !isBodyRetained) {
             return false;
         }
-        if (failure.isProvenNotExecuted() && !duplicateGuard.mayHaveRun()) {
+        if (failure.isProvenNotExecuted() && !duplicateGuard.hasPossibleExecution()) {
             return true;
         }
         return context.tables().retryPolicy(operation) != RetryPolicy.ONE_IF_NOT_EXECUTED
-                && duplicateGuard.isRepeatable()
-                && nowMs <= duplicateGuard.sendByMs();
+                && duplicateGuard.isSafeToRetry()
+                && nowMs <= duplicateGuard.sendDeadlineMs();
     }
 
-    private boolean mayRetryAt(int other) {
-        return !triedHosts.get(other) && duplicateGuard.allows(other);
+    private boolean canRetryAt(int candidateHost) {
+        return !triedHosts.get(candidateHost) && duplicateGuard.canRetryAt(candidateHost);
     }
 }
--- a/src/main/java/linenring/routing/RollingStatistics.java
+++ b/src/main/java/linenring/routing/RollingStatistics.java
@@ -5,17 +5,17 @@
 import java.util.TreeMap;
 import linenring.protocol.InboundMessage;
 
-/** A proxy's attempts by host and requests by operation, added up from one report to the next. */
+/** Counts a proxy's attempts by host and its requests by operation between two load reports. */
 public final class RollingStatistics {
     private static final class HostTotals {
         private int attempts;
         private int failures;
-        private double successMs; // latency of all successes together
+        private double successMs; // sum of the latencies of all successful attempts
 
-        void add(boolean success, double latencyMs) {
+        void add(boolean isSuccess, double latencyMs) {
             attempts++;
-            failures += success ? 0 : 1;
-            successMs += success ? latencyMs : 0;
+            failures += isSuccess ? 0 : 1;
+            successMs += isSuccess ? latencyMs : 0;
         }
 
         double meanSuccessMs() {
@@ -26,45 +26,46 @@
     private final int proxy;
     private final int zone;
     private final HostRegistry hosts;
-    // All below are guarded by this.
+    // The fields below are guarded by this object's lock.
     private final TreeMap<Integer, HostTotals> totalsByHost = new TreeMap<>();
     private final int[] requestsByOperation;
-    private double sinceMs;
+    private double periodStartMs;
 
-    /** Of the proxy with this number in this zone (an index), from now on. */
+    /** Creates empty statistics of a proxy; {@code zone} is the index of the proxy's zone. */
     public RollingStatistics(int proxy, int zone, HostRegistry hosts, int operations, double nowMs) {
         this.proxy = proxy;
         this.zone = zone;
         this.hosts = hosts;
         requestsByOperation = new int[operations];
-        sinceMs = nowMs;
+        periodStartMs = nowMs;
     }
 
-    /** Records that a client asked for an operation. */
+    /** Records a client's request for an operation. */
     public synchronized void recordRequest(int operation) {
         requestsByOperation[operation]++;
     }
 
     /** Records that an attempt at a host ended after {@code latencyMs}. */
-    public synchronized void recordAttempt(int host, boolean success, double latencyMs) {
-        totalsByHost.computeIfAbsent(host, index -> new HostTotals()).add(success, latencyMs);
+    public synchronized void recordAttempt(int host, boolean isSuccess, double latencyMs) {
+        totalsByHost.computeIfAbsent(host, index -> new HostTotals()).add(isSuccess, latencyMs);
     }
 
-    /** The load reports and request rates since the last call, as a collector and a proxy would send them. */
+    /** Returns the load reports and request rates since the previous call, and resets the counters. */
     public synchronized List<InboundMessage> drainReport(double nowMs) {
-        double spanMs = nowMs - sinceMs;
+        double periodMs = nowMs - periodStartMs;
         List<InboundMessage> report = new ArrayList<>();
-        if (!(spanMs > 0)) {
+        if (!(periodMs > 0)) {
             return report;
         }
         totalsByHost.forEach((host, totals) -> report.add(new InboundMessage.LoadReport(
-                hosts.host(host).id(), zone, totals.attempts, totals.failures, totals.meanSuccessMs(), spanMs)));
+                hosts.host(host).id(), zone, totals.attempts, totals.failures, totals.meanSuccessMs(), periodMs)));
         for (int operation = 0; operation < requestsByOperation.length; operation++) {
-            report.add(new InboundMessage.RequestRateReport(proxy, operation, requestsByOperation[operation], spanMs));
+            report.add(
+                    new InboundMessage.RequestRateReport(proxy, operation, requestsByOperation[operation], periodMs));
             requestsByOperation[operation] = 0;
         }
         totalsByHost.clear();
-        sinceMs = nowMs;
+        periodStartMs = nowMs;
         return report;
     }
 }
--- a/src/main/java/linenring/routing/StallDetector.java
+++ b/src/main/java/linenring/routing/StallDetector.java
@@ -1,76 +1,76 @@
 package linenring.routing;
 
 /**
- * Notices that an answer no longer moves on: that the client has not taken what it was sent, or that the host has sent
- * nothing more of an answer that it began.
+ * Detects a stalled answer: the client does not read the data that was sent to it, or the host sends no more data of an
+ * answer that it has started.
  *
- * <p>It guards against requests that hold buffers and a place for ever, since no timeout of an attempt applies once its
- * answer has begun; that shows as a count of active requests that never falls. Every byte that moves starts the time
- * anew, so a slow answer is not ended, only one that stands still. Written by the request's serialized tasks, read by
- * any thread. Times are ns of one clock that never shows 0 to a request.
+ * <p>The timeout of an attempt no longer applies once its answer has started, so a stalled request would keep its
+ * buffers and its place among the active requests forever; the number of active requests would never fall. Each
+ * transfer of data restarts the time, so a slow answer is not ended. Fields are written by the request's serialized
+ * tasks and read by any thread. Times are ns on one clock, which never returns 0.
  */
 public final class StallDetector {
     private static final long NOT_WAITING = 0;
 
-    /** Who has kept an answer from moving on for too long. */
+    /** The side that has stalled an answer. */
     public enum Stall {
-        /** Nobody. */
+        /** Neither side has stalled. */
         NONE,
-        /** The client does not take it. */
+        /** The client does not read the answer. */
         CLIENT,
-        /** The host sends nothing more. */
+        /** The host sends no more data of the answer. */
         HOST
     }
 
     private final long maxStallNanos;
     private volatile long clientWriteSinceNanos = NOT_WAITING;
-    private volatile long hostSilentSinceNanos = NOT_WAITING;
+    private volatile long hostWaitSinceNanos = NOT_WAITING;
 
-    /** A stall is one of at least this length. */
+    /** Creates a detector that reports stalls of at least {@code maxStallNanos}. */
     public StallDetector(long maxStallNanos) {
         this.maxStallNanos = maxStallNanos;
     }
 
-    /** The client was sent something and has not taken it yet. */
+    /** Records that a write to the client has started. */
     public void clientWriteStarted(long nowNanos) {
         clientWriteSinceNanos = nowNanos;
     }
 
-    /** The client has taken what it was sent. */
+    /** Records that the client has accepted the data of the last write. */
     public void clientWriteEnded() {
         clientWriteSinceNanos = NOT_WAITING;
     }
 
-    /** Whether something is on its way to the client. */
+    /** Whether a write to the client is in progress. */
     public boolean isWritingToClient() {
         return clientWriteSinceNanos != NOT_WAITING;
     }
 
-    /** All that the host has sent so far was read. */
+    /** Records that all data from the host was read and more is expected. */
     public void hostWaitStarted(long nowNanos) {
-        hostSilentSinceNanos = nowNanos;
+        hostWaitSinceNanos = nowNanos;
     }
 
-    /** The host has sent more. */
+    /** Records that the host has sent more data. */
     public void hostWaitEnded() {
-        hostSilentSinceNanos = NOT_WAITING;
+        hostWaitSinceNanos = NOT_WAITING;
     }
 
-    /** Nothing is waited for any more. */
+    /** Stops the detection of stalls. */
     public void stop() {
         clientWriteSinceNanos = NOT_WAITING;
-        hostSilentSinceNanos = NOT_WAITING;
+        hostWaitSinceNanos = NOT_WAITING;
     }
 
-    /** Who stalls at this time. */
+    /** Returns the side that is stalled at {@code nowNanos}. */
     public Stall check(long nowNanos) {
-        if (isTooLong(clientWriteSinceNanos, nowNanos)) {
+        if (isStalled(clientWriteSinceNanos, nowNanos)) {
             return Stall.CLIENT;
         }
-        return isTooLong(hostSilentSinceNanos, nowNanos) ? Stall.HOST : Stall.NONE;
+        return isStalled(hostWaitSinceNanos, nowNanos) ? Stall.HOST : Stall.NONE;
     }
 
-    private boolean isTooLong(long sinceNanos, long nowNanos) {
-        return sinceNanos != NOT_WAITING && nowNanos - sinceNanos >= maxStallNanos;
+    private boolean isStalled(long waitSinceNanos, long nowNanos) {
+        return waitSinceNanos != NOT_WAITING && nowNanos - waitSinceNanos >= maxStallNanos;
     }
 }
--- a/src/main/java/linenring/routing/TableUpdate.java
+++ b/src/main/java/linenring/routing/TableUpdate.java
@@ -10,11 +10,11 @@
 import linenring.protocol.ConfigurationUpdate;
 
 /**
- * The tables after one configuration update: starts from those that are there and applies the parts one by one, so that
- * {@link Tables} takes over all of them or, where one cannot be used, none. Used by one thread, once.
+ * Applies the parts of one configuration update to copies of the current tables, so that {@link Tables} replaces all
+ * tables at once, or none if a part is invalid. An object of this class is used by one thread for one update.
  */
 final class TableUpdate {
-    /** By their code in a {@link ConfigurationUpdate.AdmissionPolicy}. */
+    /** Retry policies by their code in a {@link ConfigurationUpdate.AdmissionPolicy}. */
     static final List<RetryPolicy> RETRY_POLICIES =
             List.of(RetryPolicy.NONE, RetryPolicy.ONE_IF_NOT_EXECUTED, RetryPolicy.ONE, RetryPolicy.TWO);
 
@@ -25,7 +25,7 @@
     private final BitSet ejectedHosts;
     private final List<Integer> nonces = new ArrayList<>();
 
-    /** Of copies of these tables and ejections. */
+    /** Starts from copies of the given tables and ejections. */
     TableUpdate(
             List<String> operationNames,
             HostRegistry hosts,
@@ -40,10 +40,10 @@
     }
 
     void apply(ConfigurationUpdate.Part part) throws UnusableUpdateException {
-        BitSet operations = operations(part);
-        Map<Integer, Double> entries = entries(part);
+        BitSet operations = operationIndices(part);
+        Map<Integer, Double> entries = weightsByHost(part);
         checkAdmission(part.admission());
-        operations.stream().forEach(operation -> tables[operation] = changed(tables[operation], part, entries));
+        operations.stream().forEach(operation -> tables[operation] = tableWithPart(tables[operation], part, entries));
         setEjected(part.ejected(), true);
         setEjected(part.restored(), false);
         if (part.nonce() != ConfigurationUpdate.WITHOUT_NONCE) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /** By operation. */
+    /** Returns the updated tables, by operation index. */
     OperationTable[] tables() {
         return tables;
     }
@@ -60,13 +60,13 @@
         return ejectedHosts;
     }
 
-    /** Of the parts that ask for an acknowledgement, in their order. */
+    /** Returns the nonces of the parts that request an acknowledgement, in the order of the parts. */
     List<Integer> nonces() {
         return nonces;
     }
 
-    /** The operations that a part names; all if it names none. */
-    private BitSet operations(ConfigurationUpdate.Part part) throws UnusableUpdateException {
+    /** Returns the indices of the operations that a part names, or of all operations if it names none. */
+    private BitSet operationIndices(ConfigurationUpdate.Part part) throws UnusableUpdateException {
         BitSet operations = new BitSet();
         for (String name : part.operations()) {
             int operation = operationNames.indexOf(name);
@@ -81,10 +81,10 @@
         return operations;
     }
 
-    private Map<Integer, Double> entries(ConfigurationUpdate.Part part) throws UnusableUpdateException {
+    private Map<Integer, Double> weightsByHost(ConfigurationUpdate.Part part) throws UnusableUpdateException {
         Map<Integer, Double> weights = new TreeMap<>();
         for (ConfigurationUpdate.TableEntry entry : part.entries()) {
-            int host = listedHost(entry.host());
+            int host = requireListedHost(entry.host());
             if (!(entry.weight() >= 0) || Double.isInfinite(entry.weight())) {
                 throw UnusableUpdateException.invalidWeight(entry.host(), entry.weight());
             }
@@ -94,18 +94,22 @@
     }
 
     private static void checkAdmission(ConfigurationUpdate.AdmissionPolicy admission) throws UnusableUpdateException {
-        int policies = RETRY_POLICIES.size();
+        int policyCount = RETRY_POLICIES.size();
         if (admission != null
                 && (!(admission.admissionRatio() >= 0)
                         || admission.retryPolicyCode() < 0
-                        || admission.retryPolicyCode() >= policies)) {
+                        || admission.retryPolicyCode() >= policyCount)) {
             throw UnusableUpdateException.invalidAdmission(
-                    admission.admissionRatio(), admission.retryPolicyCode(), policies);
+                    admission.admissionRatio(), admission.retryPolicyCode(), policyCount);
         }
     }
 
-    /** A complete table replaces the entries; without an admission policy it also forgets the one that was ordered before. */
-    private OperationTable changed(OperationTable before, ConfigurationUpdate.Part part, Map<Integer, Double> entries) {
+    /**
+     * Returns a table with the changes of a part applied. A complete table replaces all entries; if the part has no
+     * admission policy, a complete table also resets admission control and retry policy to their defaults.
+     */
+    private OperationTable tableWithPart(
+            OperationTable before, ConfigurationUpdate.Part part, Map<Integer, Double> entries) {
         OperationTable next = (part.replacesTable() ? OperationTable.EMPTY : before).withEntries(entries);
         ConfigurationUpdate.AdmissionPolicy admission = part.admission();
         if (admission == null) {
@@ -118,11 +122,11 @@
 
     private void setEjected(List<String> ids, boolean ejected) throws UnusableUpdateException {
         for (String id : ids) {
-            ejectedHosts.set(listedHost(id), ejected);
+            ejectedHosts.set(requireListedHost(id), ejected);
         }
     }
 
-    private int listedHost(String id) throws UnusableUpdateException {
+    private int requireListedHost(String id) throws UnusableUpdateException {
         int host = hosts.index(id);
         if (host < 0) {
             throw UnusableUpdateException.unlistedHost(id);
--- a/src/main/java/linenring/routing/Tables.java
+++ b/src/main/java/linenring/routing/Tables.java
@@ -11,33 +11,36 @@
 import linenring.protocol.ConfigurationUpdate;
 
 /**
- * The endpoint tables of one proxy as the controller has ordered them, and the hosts that are picked from them. Updates
- * are applied under this object's lock; picks come from any thread and see the tables before or after an update, never
- * between. Hosts and operations are indices; times are ms on the caller's clock.
+ * The endpoint tables of one proxy, as set by the controller, and the picker that chooses hosts from them. Updates are
+ * applied under this object's lock; picks run on any thread and use an immutable snapshot of the tables from before or
+ * after an update. Hosts and operations are indices; times are ms on the caller's clock.
  *
- * <p>A host is picked by weight. Those that the controller has ejected are never picked; those that this proxy has
- * ejected by itself ({@link OutlierEjection}) only where no other is left.
+ * <p>A host is picked at random by weight. Hosts that the controller has ejected are never picked; hosts that this
+ * proxy's {@link OutlierEjection} has ejected are picked only when no other host is eligible.
  */
 public final class Tables {
-    /** No host may be picked. */
-    public static final int NONE = HostSelection.NONE;
+    /** The result of a pick when no host is eligible. */
+    public static final int NONE = WeightedHostPicker.NONE;
 
-    /** What may be picked from, as of one state of the tables and of the proxy's own ejections. */
-    private record Candidates(int ejectionVersion, HostSelection preferred, HostSelection all) {}
+    /** The pickers of one operation, for one version of the tables and of the proxy's own ejections. */
+    private record Candidates(int ejectionVersion, WeightedHostPicker preferred, WeightedHostPicker all) {}
 
     private final List<String> operations;
     private final HostRegistry hosts;
     private final Measure measure;
     private final OutlierEjection outlierEjection;
-    private volatile OperationTable[] tables; // replaced under this, never changed
-    private BitSet ejectedByController = new BitSet(); // guarded by this; outlives streams; replaced, never changed
-    private final AtomicReferenceArray<Candidates> candidates; // by operation; null: to be made anew
+    private volatile OperationTable[] tables; // immutable snapshots, replaced under this object's lock
+    private BitSet ejectedByController =
+            new BitSet(); // guarded by this object's lock; an update replaces the set; it outlives streams to the
+    // controller
+    private final AtomicReferenceArray<Candidates>
+            candidates; // pickers by operation index; null from an update until the next pick
 
     /**
-     * Empty tables.
+     * Creates empty tables.
      *
-     * @param failuresToEject own failed attempts in a row after which the proxy ejects a host; 0: never
-     * @param ejectionMs      how long
+     * @param failuresToEject consecutive failures of the proxy's own attempts that eject a host; 0 disables ejection
+     * @param ejectionMs      duration of an ejection
      */
     public Tables(
             List<String> operations, HostRegistry hosts, Measure measure, int failuresToEject, double ejectionMs) {
@@ -53,8 +56,8 @@
     /**
      * Applies all parts of an update.
      *
-     * @return the nonces to acknowledge, in order
-     * @throws UnusableUpdateException where a part cannot be used; then nothing has changed
+     * @return the nonces to acknowledge, in the order of the parts
+     * @throws UnusableUpdateException if a part is invalid; the tables are then unchanged
      */
     public synchronized List<Integer> apply(ConfigurationUpdate update) throws UnusableUpdateException {
         TableUpdate next = new TableUpdate(operations, hosts, measure, tables, ejectedByController);
@@ -69,7 +72,7 @@
         return next.nonces();
     }
 
-    /** Whether no table has an entry: what a proxy says when it subscribes. */
+    /** Whether no table has an entry; a proxy reports this when it subscribes. */
     public boolean isEmpty() {
         for (OperationTable table : tables) {
             if (!table.weights().isEmpty()) {
@@ -79,12 +82,15 @@
         return true;
     }
 
-    /** A host by weight for {@code draw} in [0, 1), or {@link #NONE}. */
+    /** Picks a host by weight for a random number {@code draw} in [0, 1); {@link #NONE} if no host is eligible. */
     public int pick(int operation, double nowMs, double draw) {
         return candidates(operation, nowMs).preferred().pick(draw);
     }
 
-    /** The same among the hosts that are {@code allowed}; those that the proxy ejected where there is no other. */
+    /**
+     * Picks a host by weight among the hosts that are {@code allowed}. A host that the proxy itself has ejected is
+     * picked only if no other allowed host is eligible.
+     */
     int pick(int operation, double nowMs, double draw, IntPredicate allowed) {
         Candidates current = candidates(operation, nowMs);
         int preferred = current.preferred().pick(draw, allowed);
@@ -94,20 +100,22 @@
     private Candidates candidates(int operation, double nowMs) {
         int ejectionVersion = outlierEjection.version(nowMs);
         Candidates current = candidates.get(operation);
-        boolean valid = current != null && current.ejectionVersion() == ejectionVersion;
-        return valid ? current : selectCandidates(operation, ejectionVersion);
+        boolean isCurrent = current != null && current.ejectionVersion() == ejectionVersion;
+        return isCurrent ? current : selectCandidates(operation, ejectionVersion);
     }
 
     private synchronized Candidates selectCandidates(int operation, int ejectionVersion) {
-        HostSelection all = select(operation, host -> true);
-        HostSelection preferred = select(operation, host -> !outlierEjection.isEjected(host));
+        WeightedHostPicker all = selectHosts(operation, host -> true);
+        WeightedHostPicker preferred = selectHosts(operation, host -> !outlierEjection.isEjected(host));
         Candidates selected = new Candidates(ejectionVersion, preferred.isEmpty() ? all : preferred, all);
         candidates.set(operation, selected);
         return selected;
     }
 
-    /** Of the hosts in a table that the controller has not ejected. The caller holds the lock. */
-    private HostSelection select(int operation, IntPredicate allowed) {
+    /**
+     * Creates a picker for the allowed hosts of a table that the controller has not ejected. The caller holds the lock.
+     */
+    private WeightedHostPicker selectHosts(int operation, IntPredicate allowed) {
         TreeMap<Integer, Double> entries = tables[operation].weights();
         int[] selected = new int[entries.size()];
         double[] weights = new double[entries.size()];
@@ -119,10 +127,13 @@
                 count++;
             }
         }
-        return new HostSelection(selected, weights, count);
+        return new WeightedHostPicker(selected, weights, count);
     }
 
-    /** 0 if a request is admitted now, else ms after which to try again; infinity where that is not known. */
+    /**
+     * Returns 0 if a request is admitted, and otherwise the time in ms after which the client can retry; infinity if
+     * that time is unknown.
+     */
     double admissionRetryAfterMs(int operation, double nowMs, double draw) {
         return tables[operation].admission().retryAfterMs(nowMs, draw);
     }
@@ -131,12 +142,12 @@
         return tables[operation].retryPolicy();
     }
 
-    /** Whether a host is in the table of this operation and not ejected by the controller. */
+    /** Whether a host is in the table of an operation and is not ejected by the controller. */
     public synchronized boolean isEligible(int operation, int host) {
         return tables[operation].weights().containsKey(host) && !ejectedByController.get(host);
     }
 
-    /** Whether a host is in any table and not ejected by the controller. */
+    /** Whether a host is in the table of any operation and is not ejected by the controller. */
     public synchronized boolean isEligibleAnywhere(int host) {
         for (int operation = 0; operation < operations.size(); operation++) {
             if (isEligible(operation, host)) {
@@ -146,17 +157,19 @@
         return false;
     }
 
-    /** Weight by host as the table of an operation has it, ejected hosts included. */
+    /** Returns the weights in the table of an operation, by host index and including ejected hosts. */
     public Map<Integer, Double> weights(int operation) {
         return Map.copyOf(tables[operation].weights());
     }
 
-    /** Records the end of an own attempt at a host; true if the proxy ejects that host from now on. */
-    public boolean recordOutcome(int host, boolean success, double nowMs) {
-        return outlierEjection.recordOutcome(host, success, nowMs);
+    /**
+     * Records the outcome of the proxy's own attempt at a host; true if the attempt causes the ejection of the host.
+     */
+    public boolean recordOutcome(int host, boolean isSuccess, double nowMs) {
+        return outlierEjection.recordOutcome(host, isSuccess, nowMs);
     }
 
-    /** The names of the operations; their positions are the indices. */
+    /** Returns the names of the operations, in the order of their indices. */
     public List<String> operations() {
         return operations;
     }
--- a/src/main/java/linenring/routing/UnusableUpdateException.java
+++ b/src/main/java/linenring/routing/UnusableUpdateException.java
@@ -2,19 +2,19 @@
 
 import java.util.List;
 
-/** A configuration update that a proxy cannot apply; its tables are as they were before. */
+/** Signals a configuration update that a proxy cannot apply; the proxy's tables are unchanged. */
 public final class UnusableUpdateException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** What is wrong with the update. */
+    /** The kind of error in an update. */
     public enum Problem {
-        /** It names an operation that the proxy does not know. */
+        /** The update names an operation that the proxy does not have. */
         UNKNOWN_OPERATION,
-        /** It names a host that was never listed. */
+        /** The update names a host that no endpoint list has contained. */
         UNLISTED_HOST,
-        /** A weight is no finite number from 0 on. */
+        /** A weight is not a finite number of at least 0. */
         INVALID_WEIGHT,
-        /** An admission ratio is under 0, or there is no such retry policy. */
+        /** An admission ratio is below 0, or the code of a retry policy is unknown. */
         INVALID_ADMISSION
     }
 
@@ -25,10 +25,10 @@
         this.problem = problem;
     }
 
-    static UnusableUpdateException unknownOperation(String operation, List<String> known) {
+    static UnusableUpdateException unknownOperation(String operation, List<String> knownOperations) {
         return new UnusableUpdateException(
                 Problem.UNKNOWN_OPERATION,
-                "unknown operation '" + operation + "'; known are " + String.join(", ", known));
+                "unknown operation '" + operation + "'; expected one of " + String.join(", ", knownOperations));
     }
 
     static UnusableUpdateException unlistedHost(String host) {
@@ -38,17 +38,17 @@
     static UnusableUpdateException invalidWeight(String host, double weight) {
         return new UnusableUpdateException(
                 Problem.INVALID_WEIGHT,
-                "weight " + weight + " of host '" + host + "'; a finite number from 0 on is expected");
+                "invalid weight " + weight + " of host '" + host + "'; expected a finite number of at least 0");
     }
 
-    static UnusableUpdateException invalidAdmission(double admissionRatio, int retryPolicy, int retryPolicies) {
+    static UnusableUpdateException invalidAdmission(double admissionRatio, int retryPolicy, int retryPolicyCount) {
         return new UnusableUpdateException(
                 Problem.INVALID_ADMISSION,
-                "admission ratio " + admissionRatio + " with retry policy " + retryPolicy
-                        + "; a ratio from 0 on and a policy from 0 to " + (retryPolicies - 1) + " are expected");
+                "invalid admission ratio " + admissionRatio + " or retry policy " + retryPolicy
+                        + "; expected a ratio of at least 0 and a retry policy from 0 to " + (retryPolicyCount - 1));
     }
 
-    /** What is wrong with the update. */
+    /** Returns the kind of error in the update. */
     public Problem problem() {
         return problem;
     }
--- a/src/main/java/linenring/routing/HostSelection.java
+++ b/src/main/java/linenring/routing/WeightedHostPicker.java
@@ -3,16 +3,16 @@
 import java.util.Arrays;
 import java.util.function.IntPredicate;
 
-/** Hosts with weights over 0, to be drawn from by weight. Immutable; a draw takes O(log n). */
-final class HostSelection {
-    /** No host. */
+/** Picks hosts at random in proportion to their weights, which are above 0. Immutable; a pick takes O(log n) time. */
+final class WeightedHostPicker {
+    /** The result of a pick when no host can be picked. */
     static final int NONE = -1;
 
     private final int[] hosts;
     private final double[] cumulativeWeights;
 
-    /** Of the first {@code count} hosts. */
-    HostSelection(int[] hosts, double[] weights, int count) {
+    /** Creates a picker for the first {@code count} hosts of the array. */
+    WeightedHostPicker(int[] hosts, double[] weights, int count) {
         this.hosts = Arrays.copyOf(hosts, count);
         cumulativeWeights = new double[count];
         double sum = 0;
@@ -26,7 +26,7 @@
         return hosts.length == 0;
     }
 
-    /** A host by weight, for {@code draw} in [0, 1); {@link #NONE} where there is none. */
+    /** Picks a host by weight for a random number {@code draw} in [0, 1); {@link #NONE} if there are no hosts. */
     int pick(double draw) {
         if (hosts.length == 0) {
             return NONE;
@@ -34,7 +34,7 @@
         double target = draw * cumulativeWeights[hosts.length - 1];
         int low = 0;
         int high = hosts.length - 1;
-        while (low < high) { // the first whose cumulative weight is over the target
+        while (low < high) { // binary search for the first cumulative weight above the target
             int middle = (low + high) >>> 1;
             if (cumulativeWeights[middle] > target) {
                 high = middle;
@@ -45,24 +45,24 @@
         return hosts[low];
     }
 
-    /** The same among the hosts that are allowed; O(n), so for retries alone. */
+    /** Picks a host by weight among the allowed hosts. It takes O(n) time and is therefore used for retries only. */
     int pick(double draw, IntPredicate allowed) {
         double allowedWeight = 0;
         for (int i = 0; i < hosts.length; i++) {
             allowedWeight += allowed.test(hosts[i]) ? weight(i) : 0;
         }
-        double remaining = draw * allowedWeight;
-        int last = NONE;
+        double remainingWeight = draw * allowedWeight;
+        int lastAllowed = NONE;
         for (int i = 0; i < hosts.length; i++) {
             if (allowed.test(hosts[i])) {
-                last = hosts[i];
-                remaining -= weight(i);
-                if (remaining < 0) {
-                    return last;
+                lastAllowed = hosts[i];
+                remainingWeight -= weight(i);
+                if (remainingWeight < 0) {
+                    return lastAllowed;
                 }
             }
         }
-        return last; // rounding left a remainder
+        return lastAllowed; // a rounding error left a remainder
     }
 
     private double weight(int position) {
--- a/src/test/java/linenring/routing/AttemptFailureTest.java
+++ b/src/test/java/linenring/routing/AttemptFailureTest.java
@@ -6,7 +6,10 @@
 import org.junit.jupiter.api.Test;
 
 class AttemptFailureTest {
-    /** A refused stream proves it, but not behind an answer that has begun: the host has then executed the request. */
+    /**
+     * A refused stream proves that the request was not executed, unless the answer has already started: then the host
+     * has executed the request.
+     */
     @Test
     void refusedStreamProvesThatNothingWasExecutedUnlessAnswerStarted() {
         assertTrue(AttemptFailure.reset(true, false).isProvenNotExecuted());
@@ -15,7 +18,7 @@
     }
 
     @Test
-    void lostConnectionProvesNothingUnlessGoAwayLeftStreamOut() {
+    void lostConnectionProvesNothingUnlessGoAwayExcludesStream() {
         assertTrue(AttemptFailure.connectionLost(true).isProvenNotExecuted());
         assertFalse(AttemptFailure.connectionLost(false).isProvenNotExecuted());
     }
@@ -27,7 +30,7 @@
     }
 
     @Test
-    void countsAgainstHostUnlessHostGoesAwayInOrder() {
+    void countsAgainstHostUnlessHostShutsDownGracefully() {
         assertFalse(AttemptFailure.connectionLost(true).countsAgainstHost());
         assertTrue(AttemptFailure.connectionLost(false).countsAgainstHost());
         assertTrue(AttemptFailure.neverSent().countsAgainstHost());
--- a/src/test/java/linenring/routing/ConnectionPoolTest.java
+++ b/src/test/java/linenring/routing/ConnectionPoolTest.java
@@ -19,7 +19,7 @@
 class ConnectionPoolTest {
     private final ConnectionPool<String, Integer> pool = createPool();
 
-    /** Two connections of one stream each until the host allows more, five waiters, redials after 100 ms to 1 s. */
+    /** Creates a pool of 2 connections with 1 stream each, 5 waiters and a redial backoff of 100 ms to 1 s. */
     private static ConnectionPool<String, Integer> createPool() {
         return new ConnectionPool<>(new ConnectionPool.Limits(2, 1, 5, 15_000, 100, 1000));
     }
@@ -34,14 +34,14 @@
     }
 
     @Test
-    void opensConnectionForFirstRequestAndQueuesThoseBehindIt() {
+    void opensConnectionForFirstRequestAndQueuesLaterRequests() {
         assertTrue(opensConnection(1, 0));
         assertEquals(
                 List.of(new Assignment<>(1, "a")),
                 pool.connectionOpened("a", 2, 1).assigned());
         assertEquals(new StreamGrant.Granted<>("a"), pool.requestStream(2, 2));
         assertTrue(opensConnection(3, 3));
-        // A stream is free before the second connection is open.
+        // A stream ends before the second connection has opened.
         assertEquals(1, pool.streamClosed("a", 4).assigned().size());
     }
 
@@ -55,7 +55,9 @@
         assertInstanceOf(StreamGrant.Queued.class, pool.requestStream(7, 0));
     }
 
-    /** The host does not accept: those who wait go elsewhere at once, and it is not dialed again without a pause. */
+    /**
+     * An unreachable host must not hold requests: waiters are rejected at once, and the next dial waits for a backoff.
+     */
     @Test
     void rejectsWaitersWhenDialFailsAndBacksOffBeforeNextDial() {
         opensConnection(1, 0);
@@ -109,68 +111,71 @@
                 List.of(new Assignment<>(3, "a")), pool.streamClosed("a", 4).assigned());
     }
 
-    /** No stream over what a connection takes, no more connections than the limit, nobody left waiting for nothing. */
+    /**
+     * The pool never exceeds its stream and connection limits and never leaves a waiter without a dial or active
+     * stream.
+     */
     @Property(tries = 500, seed = "1")
     void keepsLimitsInAnyOrderOfEvents(@ForAll @IntRange(max = 1 << 24) int seed) {
         RandomEvents events = new RandomEvents(seed);
         for (int step = 0; step < 200; step++) {
-            events.next(step, step * 40);
+            events.applyRandomEvent(step, step * 40);
             events.assertLimits();
         }
     }
 
-    /** What the pool's owner would see: connections with their streams, dials and waiters. */
+    /** Applies random events to a pool and models its connections, streams, dials and waiters. */
     private static final class RandomEvents {
-        private static final int STREAMS = 3;
+        private static final int MAX_STREAMS = 3;
 
         private final ConnectionPool<String, Integer> pool = createPool();
         private final Map<String, Integer> activeByConnection = new HashMap<>();
         private final Random random;
-        private int dialing;
-        private int waiting;
-        private int opened;
+        private int dialsInProgress;
+        private int waiterCount;
+        private int openedCount;
 
         RandomEvents(int seed) {
             random = new Random(seed);
         }
 
-        void next(int step, double nowMs) {
+        void applyRandomEvent(int step, double nowMs) {
             int event = random.nextInt(5);
-            if (event == 0 && dialing > 0) {
-                dialing--;
-                String connection = "c" + opened++;
+            if (event == 0 && dialsInProgress > 0) {
+                dialsInProgress--;
+                String connection = "c" + openedCount++;
                 activeByConnection.put(connection, 0);
-                follow(pool.connectionOpened(connection, STREAMS, nowMs));
-            } else if (event == 1 && dialing > 0) {
-                dialing--;
-                follow(pool.dialFailed(nowMs));
+                apply(pool.connectionOpened(connection, MAX_STREAMS, nowMs));
+            } else if (event == 1 && dialsInProgress > 0) {
+                dialsInProgress--;
+                apply(pool.dialFailed(nowMs));
             } else if (event == 2 && hasActiveStreams()) {
                 String connection = firstActive();
                 activeByConnection.merge(connection, -1, Integer::sum);
-                follow(pool.streamClosed(connection, nowMs));
+                apply(pool.streamClosed(connection, nowMs));
             } else if (event == 3 && !activeByConnection.isEmpty() && random.nextInt(4) == 0) {
                 String connection = activeByConnection.keySet().iterator().next();
                 activeByConnection.remove(connection);
-                follow(pool.connectionLost(connection, nowMs));
+                apply(pool.connectionLost(connection, nowMs));
             } else {
-                follow(pool.requestStream(step, nowMs));
+                apply(pool.requestStream(step, nowMs));
             }
         }
 
-        private void follow(StreamGrant<String> grant) {
+        private void apply(StreamGrant<String> grant) {
             if (grant instanceof StreamGrant.Granted<String> granted) {
                 activeByConnection.merge(granted.connection(), 1, Integer::sum);
             } else if (grant instanceof StreamGrant.Queued<String> queued) {
-                waiting++;
-                dialing += queued.openConnection() ? 1 : 0;
+                waiterCount++;
+                dialsInProgress += queued.openConnection() ? 1 : 0;
             }
         }
 
-        private void follow(Actions<String, Integer> actions) {
+        private void apply(Actions<String, Integer> actions) {
             actions.assigned().forEach(assigned -> activeByConnection.merge(assigned.connection(), 1, Integer::sum));
-            waiting -= actions.assigned().size() + actions.rejected().size();
+            waiterCount -= actions.assigned().size() + actions.rejected().size();
             actions.connectionsToClose().forEach(activeByConnection::remove);
-            dialing += actions.openConnection() ? 1 : 0;
+            dialsInProgress += actions.openConnection() ? 1 : 0;
         }
 
         private boolean hasActiveStreams() {
@@ -186,9 +191,11 @@
         }
 
         void assertLimits() {
-            assertTrue(activeByConnection.values().stream().allMatch(active -> active >= 0 && active <= STREAMS));
-            assertTrue(activeByConnection.size() + dialing <= 2);
-            assertTrue(waiting == 0 || dialing > 0 || hasActiveStreams(), "waits for nothing");
+            assertTrue(activeByConnection.values().stream().allMatch(active -> active >= 0 && active <= MAX_STREAMS));
+            assertTrue(activeByConnection.size() + dialsInProgress <= 2);
+            assertTrue(
+                    waiterCount == 0 || dialsInProgress > 0 || hasActiveStreams(),
+                    "a request waits, but no dial is in progress and no stream is active");
         }
     }
 }
--- a/src/test/java/linenring/routing/PickBenchmark.java
+++ b/src/test/java/linenring/routing/PickBenchmark.java
@@ -19,7 +19,7 @@
 import org.openjdk.jmh.runner.RunnerException;
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 
-/** Picks a second, from a table as it is and after an update; run by hand, see docs/results.md. */
+/** Measures picks per second with and without table updates; run manually, see docs/results.md. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.Throughput)
 @OutputTimeUnit(TimeUnit.SECONDS)
@@ -37,7 +37,7 @@
     private ConfigurationUpdate change;
     private final SplittableRandom random = new SplittableRandom(1);
 
-    /** Makes the tables. */
+    /** Creates the endpoint tables and the update that the benchmarks use. */
     @Setup
     public void createTables() {
         fixture = new RoutingFixture(hosts).withCompleteTables(hosts, null);
@@ -45,26 +45,26 @@
                 RoutingFixture.part(List.of(), false, null, RoutingFixture.entry(0, HALF_WEIGHT)));
     }
 
-    /** A first attempt. */
+    /** Picks a host for a first attempt. */
     @Benchmark
     public int pick() {
         return fixture.tables().pick(0, 0, random.nextDouble());
     }
 
-    /** A retry: one host is not allowed. */
+    /** Picks a host for a retry, for which one host is excluded. */
     @Benchmark
     public int pickElsewhere() {
         return fixture.tables().pick(0, 0, random.nextDouble(), host -> host != OTHER_HOST);
     }
 
-    /** An update, after which the candidates are selected anew. */
+    /** Applies a table update and picks a host, which rebuilds the pickers. */
     @Benchmark
     public int updateThenPick() {
         fixture.apply(change);
         return fixture.tables().pick(0, 0, random.nextDouble());
     }
 
-    /** Runs all of them. */
+    /** Runs all benchmarks of this class. */
     public static void main(String[] args) throws RunnerException {
         new Runner(new OptionsBuilder()
                         .include(PickBenchmark.class.getSimpleName())
--- a/src/test/java/linenring/routing/RoutingFixture.java
+++ b/src/test/java/linenring/routing/RoutingFixture.java
@@ -10,7 +10,7 @@
 import linenring.protocol.ConfigurationUpdate;
 import linenring.protocol.HostList;
 
-/** Hosts s-0, s-1, ... in zones 0 and 1 alternately, three operations, tables as a controller orders them. */
+/** Creates hosts s-0, s-1 and so on, alternating between zones 0 and 1, three operations and their endpoint tables. */
 final class RoutingFixture {
     static final OperationPolicy QUOTE =
             new OperationPolicy("quote", Idempotence.IDEMPOTENT, OperationPolicy.DeduplicationScope.ALL, 0, 750, 2000);
@@ -18,7 +18,7 @@
             "book", Idempotence.FINGERPRINTED, OperationPolicy.DeduplicationScope.ZONE, 2500, 1200, 4000);
     static final OperationPolicy ASSIGN = new OperationPolicy(
             "assign", Idempotence.SIDE_EFFECTING, OperationPolicy.DeduplicationScope.ALL, 0, 750, 2000);
-    static final List<OperationPolicy> ALL = List.of(QUOTE, BOOK, ASSIGN);
+    static final List<OperationPolicy> ALL_OPERATIONS = List.of(QUOTE, BOOK, ASSIGN);
 
     private static final double ATTEMPT_OBJECTIVES = 1.2;
     private static final int FAILURES_TO_EJECT = 3;
@@ -41,7 +41,11 @@
         }
         hosts.apply(new HostList(1, true, entries));
         tables = new Tables(
-                ALL.stream().map(OperationPolicy::operation).toList(), hosts, measure, FAILURES_TO_EJECT, EJECTION_MS);
+                ALL_OPERATIONS.stream().map(OperationPolicy::operation).toList(),
+                hosts,
+                measure,
+                FAILURES_TO_EJECT,
+                EJECTION_MS);
     }
 
     HostRegistry hosts() {
@@ -70,12 +74,12 @@
 
     static ConfigurationUpdate.Part part(
             List<String> operations,
-            boolean complete,
+            boolean replacesTable,
             ConfigurationUpdate.AdmissionPolicy admission,
             ConfigurationUpdate.TableEntry... entries) {
         return new ConfigurationUpdate.Part(
                 operations,
-                complete,
+                replacesTable,
                 Arrays.asList(entries),
                 admission,
                 List.of(),
@@ -91,7 +95,7 @@
         return update(new ConfigurationUpdate.Part(List.of(), false, List.of(), null, ejected, restored, nonce));
     }
 
-    /** Applies an update that is expected to be usable. */
+    /** Applies an update that is expected to be valid. */
     List<Integer> apply(ConfigurationUpdate update) {
         try {
             return tables.apply(update);
@@ -100,7 +104,7 @@
         }
     }
 
-    /** Replaces all tables by one that holds the first hosts, with equal weights. */
+    /** Replaces all tables by one that contains the first {@code count} hosts with equal weights. */
     RoutingFixture withCompleteTables(int count, ConfigurationUpdate.AdmissionPolicy admission) {
         ConfigurationUpdate.TableEntry[] entries = IntStream.range(0, count)
                 .mapToObj(host -> entry(host, 1))
@@ -112,14 +116,14 @@
     RetryDecision request(OperationPolicy policy, boolean hasIdempotencyKey, double nowMs) {
         return new RetryDecision(
                 new RetryContext(tables, hosts, budget, ATTEMPT_OBJECTIVES, random::nextDouble),
-                ALL.indexOf(policy),
+                ALL_OPERATIONS.indexOf(policy),
                 policy,
                 hasIdempotencyKey,
                 nowMs);
     }
 
-    /** The host of a step that sends, or -1. */
-    static int sentTo(NextStep step) {
+    /** Returns the host that a step sends the request to, or -1 for any other step. */
+    static int targetHost(NextStep step) {
         return step instanceof NextStep.Send send ? send.host() : -1;
     }
 }
--- a/src/test/java/linenring/routing/StallDetectorTest.java
+++ b/src/test/java/linenring/routing/StallDetectorTest.java
@@ -6,33 +6,33 @@
 import org.junit.jupiter.api.Test;
 
 class StallDetectorTest {
-    private final StallDetector stalls = new StallDetector(100);
+    private final StallDetector stallDetector = new StallDetector(100);
 
     @Test
     void reportsClientThatTakesNothingForMaxStall() {
-        stalls.clientWriteStarted(1000);
-        assertEquals(Stall.NONE, stalls.check(1099));
-        assertEquals(Stall.CLIENT, stalls.check(1100));
-        stalls.clientWriteEnded();
-        assertEquals(Stall.NONE, stalls.check(5000));
+        stallDetector.clientWriteStarted(1000);
+        assertEquals(Stall.NONE, stallDetector.check(1099));
+        assertEquals(Stall.CLIENT, stallDetector.check(1100));
+        stallDetector.clientWriteEnded();
+        assertEquals(Stall.NONE, stallDetector.check(5000));
     }
 
     @Test
     void reportsHostThatSendsNothingForMaxStall() {
-        stalls.hostWaitStarted(1000);
-        assertEquals(Stall.HOST, stalls.check(1100));
-        stalls.hostWaitEnded();
-        assertEquals(Stall.NONE, stalls.check(5000));
+        stallDetector.hostWaitStarted(1000);
+        assertEquals(Stall.HOST, stallDetector.check(1100));
+        stallDetector.hostWaitEnded();
+        assertEquals(Stall.NONE, stallDetector.check(5000));
     }
 
-    /** A slow answer is not ended: every piece starts the time anew. */
+    /** A slow answer is not reported as stalled, since each write restarts the time. */
     @Test
-    void reportsNothingWhilePiecesMoveOn() {
+    void reportsNoStallWhileDataKeepsMoving() {
         for (long nowNanos = 1000; nowNanos < 10_000; nowNanos += 99) {
-            assertEquals(Stall.NONE, stalls.check(nowNanos));
-            stalls.clientWriteStarted(nowNanos);
+            assertEquals(Stall.NONE, stallDetector.check(nowNanos));
+            stallDetector.clientWriteStarted(nowNanos);
         }
-        stalls.stop();
-        assertEquals(Stall.NONE, stalls.check(50_000));
+        stallDetector.stop();
+        assertEquals(Stall.NONE, stallDetector.check(50_000));
     }
 }
--- a/src/test/java/linenring/routing/TablesTest.java
+++ b/src/test/java/linenring/routing/TablesTest.java
@@ -26,12 +26,12 @@
 import org.junit.jupiter.api.Test;
 
 class TablesTest {
-    private static Set<Integer> picked(RoutingFixture fixture, double nowMs) {
-        Set<Integer> picked = new TreeSet<>();
+    private static Set<Integer> pickedHosts(RoutingFixture fixture, double nowMs) {
+        Set<Integer> pickedHosts = new TreeSet<>();
         for (int i = 0; i < 2000; i++) {
-            picked.add(fixture.tables().pick(0, nowMs, fixture.random().nextDouble()));
+            pickedHosts.add(fixture.tables().pick(0, nowMs, fixture.random().nextDouble()));
         }
-        return picked;
+        return pickedHosts;
     }
 
     private static Set<Integer> hosts(Integer... hosts) {
@@ -44,7 +44,7 @@
         fixture.apply(update(part(List.of("quote"), false, null, entry(0, 0), entry(3, 2))));
         assertEquals(Map.of(1, 1.0, 2, 1.0, 3, 2.0), fixture.tables().weights(0));
         assertEquals(Map.of(0, 1.0, 1, 1.0, 2, 1.0), fixture.tables().weights(1));
-        assertEquals(hosts(1, 2, 3), picked(fixture, 0));
+        assertEquals(hosts(1, 2, 3), pickedHosts(fixture, 0));
     }
 
     @Test
@@ -68,28 +68,28 @@
     @Test
     void changesNothingWhenOnePartOfUpdateIsUnusable() {
         RoutingFixture fixture = new RoutingFixture(2).withCompleteTables(1, null);
-        ConfigurationUpdate.Part usable = part(List.of(), true, null, entry(1, 1));
-        Map<ConfigurationUpdate.Part, Problem> unusable = Map.of(
+        ConfigurationUpdate.Part validPart = part(List.of(), true, null, entry(1, 1));
+        Map<ConfigurationUpdate.Part, Problem> invalidParts = Map.of(
                 part(List.of("lookup"), false, null, entry(1, 1)), Problem.UNKNOWN_OPERATION,
                 part(List.of(), false, null, entry(9, 1)), Problem.UNLISTED_HOST,
                 part(List.of(), false, null, entry(1, -1)), Problem.INVALID_WEIGHT,
                 part(List.of(), false, null, entry(1, Double.NaN)), Problem.INVALID_WEIGHT,
                 part(List.of(), false, new ConfigurationUpdate.AdmissionPolicy(-1, 0)), Problem.INVALID_ADMISSION,
                 part(List.of(), false, new ConfigurationUpdate.AdmissionPolicy(1, 4)), Problem.INVALID_ADMISSION);
-        unusable.forEach((part, problem) -> assertUnusable(fixture, problem, update(usable, part)));
+        invalidParts.forEach((part, problem) -> assertUnusable(fixture, problem, update(validPart, part)));
         assertUnusable(fixture, Problem.UNLISTED_HOST, ejections(List.of("s-0", "s-9"), List.of(), 4));
         assertEquals(0, fixture.tables().pick(0, 0, 0.5));
     }
 
     @Test
-    void neverPicksEjectedHostUntilItIsRestoredWhateverTablesCome() {
+    void neverPicksEjectedHostUntilItIsRestoredEvenAfterNewTables() {
         RoutingFixture fixture = new RoutingFixture(3).withCompleteTables(3, null);
         fixture.apply(ejections(List.of("s-1"), List.of(), ConfigurationUpdate.WITHOUT_NONCE));
-        fixture.withCompleteTables(3, null); // as a new stream brings it
-        assertEquals(hosts(0, 2), picked(fixture, 0));
+        fixture.withCompleteTables(3, null); // a new stream starts with a complete table
+        assertEquals(hosts(0, 2), pickedHosts(fixture, 0));
         assertFalse(fixture.tables().isEligibleAnywhere(1));
         fixture.apply(ejections(List.of(), List.of("s-1"), ConfigurationUpdate.WITHOUT_NONCE));
-        assertEquals(hosts(0, 1, 2), picked(fixture, 0));
+        assertEquals(hosts(0, 1, 2), pickedHosts(fixture, 0));
     }
 
     @Test
@@ -120,11 +120,11 @@
         fixture.tables().recordOutcome(0, true, 2);
         fixture.tables().recordOutcome(0, false, 3);
         fixture.tables().recordOutcome(0, false, 4);
-        assertEquals(2, picked(fixture, 5).size());
+        assertEquals(2, pickedHosts(fixture, 5).size());
         assertTrue(fixture.tables().recordOutcome(0, false, 10));
-        assertEquals(hosts(1), picked(fixture, 11));
-        assertEquals(hosts(1), picked(fixture, 5009));
-        assertEquals(hosts(0, 1), picked(fixture, 5010));
+        assertEquals(hosts(1), pickedHosts(fixture, 11));
+        assertEquals(hosts(1), pickedHosts(fixture, 5009));
+        assertEquals(hosts(0, 1), pickedHosts(fixture, 5010));
     }
 
     @Test
@@ -135,15 +135,15 @@
                 fixture.tables().recordOutcome(h, false, 0);
             }
         }
-        assertEquals(3, picked(fixture, 1).size());
+        assertEquals(3, pickedHosts(fixture, 1).size());
     }
 
     @Test
-    void admitsOrderedRateAndSaysWhenToRetry() {
+    void admitsOrderedRateAndReturnsRetryAfter() {
         RoutingFixture fixture = new RoutingFixture(1, Measure.PER_SECOND)
                 .withCompleteTables(1, admission(20, RetryPolicy.ONE_IF_NOT_EXECUTED));
         int admitted = 0;
-        for (double nowMs = 0; nowMs < 10_000; nowMs += 10) { // 100 requests a second
+        for (double nowMs = 0; nowMs < 10_000; nowMs += 10) { // 100 requests per second
             admitted += fixture.tables().admissionRetryAfterMs(0, nowMs, 0.5) == 0 ? 1 : 0;
         }
         assertEquals(200, admitted, 6);
@@ -160,18 +160,20 @@
         hosts.apply(new HostList(2, true, List.of(new HostList.Entry("s-2", 0, 0, HostList.State.READY, 1, 0))));
         assertEquals(2, hosts.index("s-2"));
         assertEquals(HostList.State.GONE, hosts.host(0).state());
-        assertEquals("127.0.0.1:1002", hosts.host(2).address()); // not listed again: as it was
+        assertEquals(
+                "127.0.0.1:1002",
+                hosts.host(2).address()); // the second list has no address, so the earlier one is kept
     }
 
-    /** Chi-square over 60,000 picks; 43.8 is the 0.999 quantile for 19 degrees of freedom. */
+    /** Chi-square test over 60,000 picks; the bound of 43.8 is the 0.999 quantile for 19 degrees of freedom. */
     @Test
     void picksFollowWeights() {
         RoutingFixture fixture = new RoutingFixture(20);
         ConfigurationUpdate.TableEntry[] entries = new ConfigurationUpdate.TableEntry[20];
-        double sum = 0;
+        double weightSum = 0;
         for (int h = 0; h < 20; h++) {
             entries[h] = entry(h, 1 + h % 5);
-            sum += 1 + h % 5;
+            weightSum += 1 + h % 5;
         }
         fixture.apply(update(part(List.of(), true, null, entries)));
         int[] picks = new int[20];
@@ -180,7 +182,7 @@
         }
         double chiSquare = 0;
         for (int h = 0; h < 20; h++) {
-            double expected = 60_000 * (1 + h % 5) / sum;
+            double expected = 60_000 * (1 + h % 5) / weightSum;
             chiSquare += Math.pow(picks[h] - expected, 2) / expected;
         }
         assertTrue(chiSquare < 43.8, "chi-square " + chiSquare);
@@ -212,15 +214,15 @@
 
     private static void assertPicksEligible(RoutingFixture fixture, int operation, double nowMs) {
         Tables tables = fixture.tables();
-        int pick = tables.pick(operation, nowMs, fixture.random().nextDouble());
+        int pickedHost = tables.pick(operation, nowMs, fixture.random().nextDouble());
         boolean anyEligible =
                 tables.weights(operation).keySet().stream().anyMatch(host -> tables.isEligible(operation, host));
-        assertEquals(anyEligible, pick != Tables.NONE);
-        assertTrue(pick == Tables.NONE || tables.isEligible(operation, pick));
+        assertEquals(anyEligible, pickedHost != Tables.NONE);
+        assertTrue(pickedHost == Tables.NONE || tables.isEligible(operation, pickedHost));
     }
 
     @Test
-    void picksFromTableForDrawsAtTheEdges() {
+    void picksHostForSmallestAndLargestDraw() {
         RoutingFixture fixture = new RoutingFixture(3).withCompleteTables(3, null);
         assertNotEquals(Tables.NONE, fixture.tables().pick(0, 0, 0));
         assertNotEquals(Tables.NONE, fixture.tables().pick(0, 0, Math.nextDown(1.0)));
