--- a/src/main/java/linenring/gateway/settings/GatewayDefaults.java
+++ b/src/main/java/linenring/gateway/settings/GatewayDefaults.java
@@ -1,96 +1,119 @@
 package linenring.gateway.settings;
 
-/** What holds where a gateway's file does not say otherwise, and why. */
+/** Default values of a gateway's settings. */
 final class GatewayDefaults {
-    /** A host lost in five is retried entirely. */
-    static final String RETRY_BUDGET = "20%";
+    /** Retry budget as a fraction of first attempts; it covers all requests of one lost host in five. */
+    static final String RETRY_BUDGET_SHARE = "20%";
 
-    /** Longer than any operation's timeout. */
+    /** Sliding window of the retry budget; longer than the timeout of any operation. */
     static final String RETRY_BUDGET_WINDOW = "10s";
 
-    /** One a second where next to nothing comes. */
-    static final int MIN_RETRIES = 10;
+    /**
+     * Number of retries that each window of the retry budget always allows: 1 per second at a very low request rate.
+     */
+    static final int MIN_RETRIES_PER_WINDOW = 10;
 
-    /** The deployments' own value. */
-    static final double ATTEMPT_OBJECTIVES = 1.2;
+    /**
+     * Timeout of an attempt that can be retried, as a multiple of the latency objective; the deployments use this
+     * value.
+     */
+    static final double ATTEMPT_TIMEOUT_OBJECTIVES = 1.2;
 
-    /** The deployments' sidecars have 5 to 8. */
-    static final int CONSECUTIVE_FAILURES = 8;
+    /** Number of consecutive failures that eject a host; the deployments' sidecars use 5 to 8. */
+    static final int FAILURES_TO_EJECT = 8;
 
-    /** The deployments' sidecars have 2.2 to 7.2 s. */
-    static final String EJECTION = "4s";
+    /** Duration of an outlier ejection; the deployments' sidecars use 2.2 to 7.2 s. */
+    static final String EJECTION_TIME = "4s";
 
-    /** 4 times 32 streams are more than a host of 4 cores runs. */
-    static final int HOST_CONNECTIONS = 4;
+    /** Maximum number of connections to a host; 4 times 32 streams exceed the concurrency of a host with 4 cores. */
+    static final int MAX_CONNECTIONS_PER_HOST = 4;
 
-    /** The deployments' sidecars have the same. */
-    static final int HOST_STREAMS = 32;
+    /** Maximum number of streams on a connection to a host; the deployments' sidecars use the same value. */
+    static final int MAX_STREAMS_PER_HOST_CONNECTION = 32;
 
-    /** Twice what the connections to a host carry may wait for a dial, which takes 1 ms in one network. */
-    static final int HOST_WAITERS = 256;
+    /**
+     * Maximum number of requests that wait for a connection to a host: twice the number of streams of all connections.
+     * A dial takes 1 ms within one network.
+     */
+    static final int MAX_WAITERS_PER_HOST = 256;
 
-    /** The deployments' keep-alive. */
-    static final String HOST_IDLE = "15s";
+    /** Time after which an idle connection to a host is closed; the keep-alive time of the deployments. */
+    static final String HOST_IDLE_TIMEOUT = "15s";
 
-    /** The deployments' connect timeout. */
+    /** Timeout for opening a connection to a host; the connect timeout of the deployments. */
     static final String DIAL_TIMEOUT = "250ms";
 
-    /** Far under the time of a host's restart, which takes seconds. */
+    /** Backoff after the first failed dial, in ms; much shorter than the restart of a host, which takes seconds. */
     static final double MIN_REDIAL_MS = 100;
 
-    /** A host's restart takes seconds. */
+    /** Maximum backoff after failed dials, in ms; the restart of a host takes seconds. */
     static final double MAX_REDIAL_MS = 5000;
 
-    /** No reason is known. */
-    static final int CLIENT_CONNECTIONS = 1024;
+    /** Maximum number of connections of all clients. */
+    static final int MAX_CLIENT_CONNECTIONS = 1024;
 
-    /** No reason is known. */
-    static final int CLIENT_STREAMS = 128;
+    /** Maximum number of concurrent streams on one client connection. */
+    static final int MAX_STREAMS_PER_CLIENT_CONNECTION = 128;
 
-    /** No reason is known. */
-    static final int ACTIVE_REQUESTS = 10_000;
+    /** Maximum number of active requests of all clients. */
+    static final int MAX_ACTIVE_REQUESTS = 10_000;
 
-    /** Ten times what the supplier's software sends. */
-    static final String HEADERS = "16KiB";
+    /** Maximum size of the headers of one request; ten times the size that the supplier's clients send. */
+    static final String MAX_HEADER_SIZE = "16KiB";
 
-    /** Longer than any operation's timeout. */
-    static final String CLIENT_IDLE = "60s";
+    /** Time after which an idle client connection is closed; longer than the timeout of any operation. */
+    static final String CLIENT_IDLE_TIMEOUT = "60s";
 
-    /** Longer than any operation's timeout. */
-    static final String STALL = "10s";
+    /** Time without progress after which a stalled answer is ended; longer than the timeout of any operation. */
+    static final String MAX_STALL = "10s";
 
-    /** Pings, settings, resets and empty frames of one connection; how the value was chosen is not known. */
-    static final int FRAMES_PER_SECOND = 200;
+    /** Maximum number of PING, SETTINGS, RST_STREAM and empty frames per second on one client connection. */
+    static final int MAX_CONTROL_FRAMES_PER_SECOND = 200;
 
-    /** No reason is known. */
-    static final String RETAINED = "16KiB";
+    /** Maximum size of a request body that is retained for retries. */
+    static final String MAX_RETAINED_BODY = "16KiB";
 
-    /** No reason is known. */
-    static final String RETAINED_IN_ALL = "16MiB";
+    /** Maximum total size of all request bodies that are retained for retries. */
+    static final String MAX_RETAINED_BODIES_TOTAL = "16MiB";
 
-    /** No reason is known. */
-    static final String WINDOW = "64KiB";
+    /** HTTP/2 flow-control window of one stream. */
+    static final String STREAM_WINDOW = "64KiB";
 
-    /** 4,000 uploads at a time, or 8,000 requests without a body. */
-    static final String WINDOWS_IN_ALL = "512MiB";
+    /**
+     * Maximum total size of the flow-control windows; enough for 4,000 concurrent uploads or 8,000 requests without a
+     * body.
+     */
+    static final String MAX_STREAM_WINDOWS_TOTAL = "512MiB";
 
-    /** The collectors' own interval. */
-    static final String REPORT = "500ms";
+    /** Interval between two load reports to the controller; the interval of the collectors. */
+    static final String REPORT_INTERVAL = "500ms";
 
-    /** No reason is known. */
-    static final String DRAIN = "30s";
+    /** Time after which a drain ends even if requests are still active. */
+    static final String MAX_DRAIN_TIME = "30s";
 
-    /** A start takes 2 s; a busy machine ten times that. */
-    static final String GREET = "20s";
+    /**
+     * Timeout for the greeting of the new process in a handover; a start takes 2 s, and ten times that on a busy
+     * machine.
+     */
+    static final String HANDOVER_GREETING_TIMEOUT = "20s";
 
-    /** A start takes 2 s; a busy machine ten times that. */
-    static final String PREPARE = "30s";
+    /**
+     * Timeout for the new process in a handover to become ready to accept connections; a start takes 2 s, and ten times
+     * that on a busy machine.
+     */
+    static final String HANDOVER_PREPARE_TIMEOUT = "30s";
 
-    /** Nobody accepts meanwhile; dials wait in the kernel. */
-    static final String TAKE = "5s";
+    /**
+     * Timeout for the new process in a handover to start accepting connections. Neither process accepts connections
+     * during this time, so new connections wait in the kernel.
+     */
+    static final String HANDOVER_TAKEOVER_TIMEOUT = "5s";
 
-    /** Faults of a new release that end it at once show within seconds. */
-    static final String PROBATION = "10s";
+    /**
+     * Time in a handover during which the old process takes over again if the new one exits; a fault that ends a new
+     * release immediately shows within seconds.
+     */
+    static final String HANDOVER_PROBATION_TIME = "10s";
 
     private GatewayDefaults() {}
 }
--- a/src/main/java/linenring/gateway/settings/GatewaySettings.java
+++ b/src/main/java/linenring/gateway/settings/GatewaySettings.java
@@ -7,24 +7,24 @@
 import linenring.routing.OperationPolicy;
 
 /**
- * The settings of a gateway, as its file has them or by default. Times are ms, sizes bytes.
+ * The settings of a gateway, from its settings file or from the defaults. Times are in ms, sizes in bytes.
  *
- * @param listen               where clients connect to
- * @param proxy                the number under which it subscribes to the controller
- * @param zone                 its zone (an index)
- * @param usualPerSecond       requests that usually come, as it says when it subscribes
- * @param idempotencyKeyHeader the header that carries a request's idempotency key, or null
- * @param operations           in the order of the controller's operations
- * @param routes               which requests are of which operation
- * @param retries              how many there may be
- * @param outlierEjection      of hosts whose attempts fail
- * @param pool                 connections to one host
- * @param dialTimeoutMs        after which a dial has failed
- * @param clients              what they may take
- * @param body                 what bodies may take
- * @param reportIntervalMs     between two reports to the controller
- * @param maxDrainMs           after which a drain is over whatever is active
- * @param handover             null where upgrades are not configured
+ * @param listen               address that clients connect to
+ * @param proxy                proxy number that the gateway uses when it subscribes to the controller
+ * @param zone                 index of the gateway's zone
+ * @param usualPerSecond       usual request rate, which the gateway sends when it subscribes
+ * @param idempotencyKeyHeader name of the header that carries the idempotency key of a request, or null
+ * @param operations           policies of the operations, in the order of the controller's operations
+ * @param routes               mapping of requests to operations
+ * @param retries              limits of retries
+ * @param outlierEjection      limits of outlier ejection
+ * @param pool                 limits of the connection pool of one host
+ * @param dialTimeoutMs        time after which a dial has failed
+ * @param clients              limits of client connections and requests
+ * @param body                 limits of request and response bodies
+ * @param reportIntervalMs     interval between two load reports to the controller
+ * @param maxDrainMs           time after which a drain ends even if requests are still active
+ * @param handover             settings of upgrades, or null if upgrades are not configured
  */
 public record GatewaySettings(
         InetSocketAddress listen,
@@ -44,32 +44,39 @@
         double maxDrainMs,
         Handover handover) {
 
-    /** Requests with this method and a path that begins so are of that operation (an index). */
+    /** Maps requests with a method and a path prefix to an operation, which is given by its index. */
     public record Route(String method, String prefix, int operation) {}
 
     /**
-     * The retry budget and the time of attempts.
+     * The retry budget and the timeout of attempts.
      *
-     * @param budgetShare       retries as a share of first attempts
-     * @param budgetWindowMs    over which the share is taken
-     * @param minRetries        allowed in each window in any case
-     * @param attemptObjectives latency objectives that an attempt gets if another one may follow it
+     * @param budgetShare       maximum number of retries as a fraction of first attempts
+     * @param budgetWindowMs    sliding window of the retry budget
+     * @param minRetries        number of retries that each window always allows
+     * @param attemptObjectives timeout of an attempt that can be retried, as a multiple of the latency objective
      */
     public record Retries(double budgetShare, double budgetWindowMs, int minRetries, double attemptObjectives) {}
 
-    /** After {@code consecutiveFailures} of its own attempts at a host the gateway ejects it for {@code ejectionMs}; 0: never. */
+    /**
+     * The limits of outlier ejection.
+     *
+     * @param consecutiveFailures number of consecutive failures of the gateway's attempts that eject a host; 0 disables
+     *                            ejection
+     * @param ejectionMs          duration of an ejection
+     */
     public record OutlierEjection(int consecutiveFailures, double ejectionMs) {}
 
     /**
-     * What clients may take.
+     * The limits of client connections and requests.
      *
-     * @param maxConnections     of all clients
-     * @param maxStreams         of one connection
-     * @param maxActiveRequests  of all clients
-     * @param maxHeaderBytes     of one request
-     * @param idleTimeoutMs      after which a connection without streams is closed
-     * @param maxStallMs         after which an answer that does not move on is ended
-     * @param maxFramesPerSecond of the frames with which a client could keep the gateway busy, on one connection
+     * @param maxConnections     maximum number of connections of all clients
+     * @param maxStreams         maximum number of concurrent streams on one connection
+     * @param maxActiveRequests  maximum number of active requests of all clients
+     * @param maxHeaderBytes     maximum size of the headers of one request
+     * @param idleTimeoutMs      time after which a connection without streams is closed
+     * @param maxStallMs         time without progress after which an answer is ended
+     * @param maxFramesPerSecond maximum rate of control and empty frames on one connection, which limits how much work
+     *                           a client can cause without sending requests
      */
     public record Clients(
             int maxConnections,
@@ -81,25 +88,25 @@
             int maxFramesPerSecond) {}
 
     /**
-     * What bodies may take.
+     * The limits of request and response bodies.
      *
-     * @param maxRetainedBytes      of one request, for its retries
-     * @param maxRetainedBytesInAll of all requests
-     * @param streamWindowBytes     the flow-control window of one stream
-     * @param maxWindowBytesInAll   of all active requests' streams
+     * @param maxRetainedBytes      maximum size of the body that is retained for retries of one request
+     * @param maxRetainedBytesInAll maximum total size of the bodies that are retained for retries of all requests
+     * @param streamWindowBytes     flow-control window of one stream
+     * @param maxWindowBytesInAll   maximum total size of the flow-control windows of all active requests
      */
     public record Body(
             int maxRetainedBytes, long maxRetainedBytesInAll, int streamWindowBytes, long maxWindowBytesInAll) {}
 
     /**
-     * Upgrades to a new process.
+     * The settings of a handover, which upgrades the gateway to a new process.
      *
-     * @param dir         of the socket
-     * @param command     that starts the new process; empty: this one's own
-     * @param greetMs     in which it has to say that it is there
-     * @param prepareMs   in which it has to be ready to accept
-     * @param takeMs      in which it has to accept
-     * @param probationMs in which the old process takes over again if the new one ends
+     * @param dir         directory of the handover socket
+     * @param command     command that starts the new process; if empty, the command of the current process is used
+     * @param greetMs     time in which the new process must send its greeting
+     * @param prepareMs   time in which the new process must become ready to accept connections
+     * @param takeMs      time in which the new process must start accepting connections
+     * @param probationMs time during which the old process takes over again if the new one exits
      */
     public record Handover(
             Path dir, List<String> command, double greetMs, double prepareMs, double takeMs, double probationMs) {}
--- a/src/main/java/linenring/gateway/settings/GatewaySettingsReader.java
+++ b/src/main/java/linenring/gateway/settings/GatewaySettingsReader.java
@@ -22,21 +22,22 @@
 import linenring.settings.Names;
 
 /**
- * Reads a gateway's settings: KDL, then the schema, then what a schema can't say. Each fault is one line that names the
- * file, the line, the key and what was expected. The keys of the file are mapped to {@link GatewaySettings} here alone.
+ * Reads a gateway's settings file: parses the KDL, validates it with the schema and then checks what a schema cannot
+ * express. Each fault is one line with the file, the line number, the key and what was expected. Only this class maps
+ * the keys of the file to {@link GatewaySettings}.
  */
 public final class GatewaySettingsReader {
-    /** Settings, or null and the faults. */
+    /** The result of reading a file: the settings, or null and the faults that were found. */
     public record Outcome(GatewaySettings settings, List<String> faults) {}
 
-    private static final Set<String> LISTS = Set.of("operation", "route");
+    private static final Set<String> REPEATED_NODES = Set.of("operation", "route");
     private static final int MAX_PORT = 65_535;
     private static final int MAX_HEADER_BYTES = 1 << 20;
     private static final int MAX_RETAINED_BYTES = 64 << 20;
     private static final int MAX_WINDOW_BYTES = 16 << 20;
-    private static final int MIN_WINDOW_BYTES = 16 << 10; // HTTP/2's least frame size (RFC 9113, 4.2)
+    private static final int MIN_WINDOW_BYTES = 16 << 10; // smallest SETTINGS_MAX_FRAME_SIZE of HTTP/2 (RFC 9113, 4.2)
 
-    private final Names names; // null: what depends on the controller's configuration is not checked
+    private final Names names; // null: checks against the controller's configuration are skipped
     private final SettingsDocument document;
 
     private GatewaySettingsReader(Names names, SettingsDocument document) {
@@ -44,7 +45,7 @@
         this.document = document;
     }
 
-    /** {@code names}: the controller's, or null, and what depends on them is not checked. */
+    /** Reads a file; {@code names} are the controller's names, or null to skip the checks that depend on them. */
     public static Outcome read(Path file, Names names) {
         try {
             return read(file.toString(), Files.readString(file), names);
@@ -55,12 +56,12 @@
 
     static Outcome read(String file, String text, Names names) {
         SettingsDocument document =
-                new SettingsSchema(GatewaySettingsReader.class, "front.schema.json", LISTS).read(file, text);
+                new SettingsSchema(GatewaySettingsReader.class, "front.schema.json", REPEATED_NODES).read(file, text);
         if (!document.isSound()) {
             return new Outcome(null, document.faults());
         }
         GatewaySettings settings = new GatewaySettingsReader(names, document)
-                .settings(document.root().get("front"));
+                .readSettings(document.root().get("front"));
         return new Outcome(document.isSound() ? settings : null, document.faults());
     }
 
@@ -68,29 +69,29 @@
         document.fault(pointer, description);
     }
 
-    private GatewaySettings settings(JsonNode root) {
-        List<OperationPolicy> operations = operations(root);
-        List<GatewaySettings.Route> routes = routes(root, operations);
+    private GatewaySettings readSettings(JsonNode root) {
+        List<OperationPolicy> operations = readOperations(root);
+        List<GatewaySettings.Route> routes = readRoutes(root, operations);
         JsonNode proxy = root.get("proxy");
         int zone = zone(proxy);
         checkProxy(proxy);
         JsonNode hosts = root.path("hosts");
         return new GatewaySettings(
-                address(root.get("listen").asText()),
+                parseAddress(root.get("listen").asText()),
                 proxy.get("id").asInt(),
                 zone,
                 proxy.path("usual").asDouble(0),
                 root.path("mark-header").asText(null),
                 operations,
                 routes,
-                retries(root.path("tries")),
-                outlierEjection(root.path("avoid")),
-                pool(hosts),
+                readRetries(root.path("tries")),
+                readOutlierEjection(root.path("avoid")),
+                readPoolLimits(hosts),
                 millis(hosts, "dial", GatewayDefaults.DIAL_TIMEOUT),
                 clients(root.path("clients")),
                 body(root.path("body")),
-                millis(root, "report", GatewayDefaults.REPORT),
-                millis(root, "drain", GatewayDefaults.DRAIN),
+                millis(root, "report", GatewayDefaults.REPORT_INTERVAL),
+                millis(root, "drain", GatewayDefaults.MAX_DRAIN_TIME),
                 root.has("handover") ? handover(root.get("handover")) : null);
     }
 
@@ -99,7 +100,8 @@
         if (zone < 0) {
             fault(
                     "/front/proxy/zone",
-                    "front.proxy.zone: the controller knows no zone " + proxy.get("zone") + "; it knows "
+                    "front.proxy.zone: zone " + proxy.get("zone")
+                            + " is not configured in the controller; expected one of "
                             + String.join(", ", names.zones()));
         }
         return zone;
@@ -109,72 +111,72 @@
         if (names != null && proxy.get("id").asInt() >= names.proxyCount()) {
             fault(
                     "/front/proxy/id",
-                    "front.proxy.id: " + proxy.get("id") + " is not under the controller's " + names.proxyCount()
-                            + " proxies");
+                    "front.proxy.id: " + proxy.get("id")
+                            + " must be below the controller's number of proxies, which is " + names.proxyCount());
         }
     }
 
-    private InetSocketAddress address(String text) {
+    private InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         int port = Integer.parseInt(text.substring(colon + 1));
         try {
             if (port <= MAX_PORT) {
-                // The schema accepts numeric addresses alone, so that no name is looked up.
+                // The schema accepts only numeric addresses, so this call does no DNS lookup.
                 return new InetSocketAddress(InetAddress.getByName(text.substring(0, colon)), port);
             }
-        } catch (UnknownHostException noAddress) {
-            // the fault below says so
+        } catch (UnknownHostException invalidAddress) {
+            // the fault of an invalid address is added below
         }
-        fault("/front/listen", "front.listen: \"" + text + "\" is no address and port");
+        fault("/front/listen", "front.listen: \"" + text + "\" is not a valid address and port");
         return null;
     }
 
-    private static GatewaySettings.Retries retries(JsonNode tries) {
+    private static GatewaySettings.Retries readRetries(JsonNode tries) {
         return new GatewaySettings.Retries(
-                Units.share(tries.path("budget").asText(GatewayDefaults.RETRY_BUDGET)),
+                Units.share(tries.path("budget").asText(GatewayDefaults.RETRY_BUDGET_SHARE)),
                 millis(tries, "over", GatewayDefaults.RETRY_BUDGET_WINDOW),
-                tries.path("least").asInt(GatewayDefaults.MIN_RETRIES),
-                tries.path("objectives").asDouble(GatewayDefaults.ATTEMPT_OBJECTIVES));
+                tries.path("least").asInt(GatewayDefaults.MIN_RETRIES_PER_WINDOW),
+                tries.path("objectives").asDouble(GatewayDefaults.ATTEMPT_TIMEOUT_OBJECTIVES));
     }
 
-    private static GatewaySettings.OutlierEjection outlierEjection(JsonNode avoid) {
+    private static GatewaySettings.OutlierEjection readOutlierEjection(JsonNode avoid) {
         return new GatewaySettings.OutlierEjection(
-                avoid.path("after").asInt(GatewayDefaults.CONSECUTIVE_FAILURES),
-                millis(avoid, "for", GatewayDefaults.EJECTION));
+                avoid.path("after").asInt(GatewayDefaults.FAILURES_TO_EJECT),
+                millis(avoid, "for", GatewayDefaults.EJECTION_TIME));
     }
 
-    private static ConnectionPool.Limits pool(JsonNode hosts) {
+    private static ConnectionPool.Limits readPoolLimits(JsonNode hosts) {
         return new ConnectionPool.Limits(
-                hosts.path("connections").asInt(GatewayDefaults.HOST_CONNECTIONS),
-                hosts.path("streams").asInt(GatewayDefaults.HOST_STREAMS),
-                hosts.path("waiting").asInt(GatewayDefaults.HOST_WAITERS),
-                millis(hosts, "idle", GatewayDefaults.HOST_IDLE),
+                hosts.path("connections").asInt(GatewayDefaults.MAX_CONNECTIONS_PER_HOST),
+                hosts.path("streams").asInt(GatewayDefaults.MAX_STREAMS_PER_HOST_CONNECTION),
+                hosts.path("waiting").asInt(GatewayDefaults.MAX_WAITERS_PER_HOST),
+                millis(hosts, "idle", GatewayDefaults.HOST_IDLE_TIMEOUT),
                 GatewayDefaults.MIN_REDIAL_MS,
                 GatewayDefaults.MAX_REDIAL_MS);
     }
 
     private GatewaySettings.Clients clients(JsonNode clients) {
         return new GatewaySettings.Clients(
-                clients.path("connections").asInt(GatewayDefaults.CLIENT_CONNECTIONS),
-                clients.path("streams").asInt(GatewayDefaults.CLIENT_STREAMS),
-                clients.path("running").asInt(GatewayDefaults.ACTIVE_REQUESTS),
-                bytes(clients, "headers", GatewayDefaults.HEADERS, MAX_HEADER_BYTES),
-                millis(clients, "idle", GatewayDefaults.CLIENT_IDLE),
-                millis(clients, "stall", GatewayDefaults.STALL),
-                clients.path("frames-per-second").asInt(GatewayDefaults.FRAMES_PER_SECOND));
+                clients.path("connections").asInt(GatewayDefaults.MAX_CLIENT_CONNECTIONS),
+                clients.path("streams").asInt(GatewayDefaults.MAX_STREAMS_PER_CLIENT_CONNECTION),
+                clients.path("running").asInt(GatewayDefaults.MAX_ACTIVE_REQUESTS),
+                readBytes(clients, "headers", GatewayDefaults.MAX_HEADER_SIZE, MAX_HEADER_BYTES),
+                millis(clients, "idle", GatewayDefaults.CLIENT_IDLE_TIMEOUT),
+                millis(clients, "stall", GatewayDefaults.MAX_STALL),
+                clients.path("frames-per-second").asInt(GatewayDefaults.MAX_CONTROL_FRAMES_PER_SECOND));
     }
 
     private GatewaySettings.Body body(JsonNode body) {
         GatewaySettings.Body settings = new GatewaySettings.Body(
-                bytes(body, "kept", GatewayDefaults.RETAINED, MAX_RETAINED_BYTES),
-                Units.bytes(body.path("kept-in-all").asText(GatewayDefaults.RETAINED_IN_ALL)),
-                bytes(body, "window", GatewayDefaults.WINDOW, MAX_WINDOW_BYTES),
-                Units.bytes(body.path("in-all").asText(GatewayDefaults.WINDOWS_IN_ALL)));
+                readBytes(body, "kept", GatewayDefaults.MAX_RETAINED_BODY, MAX_RETAINED_BYTES),
+                Units.bytes(body.path("kept-in-all").asText(GatewayDefaults.MAX_RETAINED_BODIES_TOTAL)),
+                readBytes(body, "window", GatewayDefaults.STREAM_WINDOW, MAX_WINDOW_BYTES),
+                Units.bytes(body.path("in-all").asText(GatewayDefaults.MAX_STREAM_WINDOWS_TOTAL)));
         if (settings.streamWindowBytes() < MIN_WINDOW_BYTES) {
             fault(
                     "/front/body/window",
                     "front.body.window: \"" + body.path("window").asText()
-                            + "\" is under 16KiB, the least frame of HTTP/2");
+                            + "\" is below 16KiB, the smallest frame size limit that HTTP/2 allows");
         }
         return settings;
     }
@@ -184,54 +186,58 @@
         return new GatewaySettings.Handover(
                 Path.of(handover.get("dir").asText()),
                 command == null ? List.of() : List.of("/bin/sh", "-c", "exec " + command.asText()),
-                millis(handover, "greet", GatewayDefaults.GREET),
-                millis(handover, "prepare", GatewayDefaults.PREPARE),
-                millis(handover, "take", GatewayDefaults.TAKE),
-                millis(handover, "probation", GatewayDefaults.PROBATION));
+                millis(handover, "greet", GatewayDefaults.HANDOVER_GREETING_TIMEOUT),
+                millis(handover, "prepare", GatewayDefaults.HANDOVER_PREPARE_TIMEOUT),
+                millis(handover, "take", GatewayDefaults.HANDOVER_TAKEOVER_TIMEOUT),
+                millis(handover, "probation", GatewayDefaults.HANDOVER_PROBATION_TIME));
     }
 
-    private static double millis(JsonNode parent, String key, String byDefault) {
-        return Units.millis(parent.path(key).asText(byDefault));
+    private static double millis(JsonNode parent, String key, String defaultValue) {
+        return Units.millis(parent.path(key).asText(defaultValue));
     }
 
-    private int bytes(JsonNode parent, String key, String byDefault, int maxBytes) {
-        long bytes = Units.bytes(parent.path(key).asText(byDefault));
+    private int readBytes(JsonNode parent, String key, String defaultValue, int maxBytes) {
+        long bytes = Units.bytes(parent.path(key).asText(defaultValue));
         if (bytes > maxBytes) {
-            fault("/front", "front: " + key + " of " + parent.path(key).asText() + " is over " + maxBytes + " bytes");
+            fault(
+                    "/front",
+                    "front: " + key + " of " + parent.path(key).asText() + " exceeds the maximum of " + maxBytes
+                            + " bytes");
             return maxBytes;
         }
         return (int) bytes;
     }
 
-    /** In the controller's order, where it is known. */
-    private List<OperationPolicy> operations(JsonNode root) {
+    /** Reads the operations and sorts them in the controller's order, if the controller's names are given. */
+    private List<OperationPolicy> readOperations(JsonNode root) {
         List<OperationPolicy> operations = new ArrayList<>();
-        Set<String> given = new HashSet<>();
+        Set<String> definedNames = new HashSet<>();
         for (int i = 0; i < root.get("operation").size(); i++) {
-            operations.add(
-                    operation(root.get("operation").get(i), "/front/operation/" + i, given, root.has("mark-header")));
+            operations.add(readOperation(
+                    root.get("operation").get(i), "/front/operation/" + i, definedNames, root.has("mark-header")));
         }
         if (names != null) {
             operations.sort(Comparator.comparingInt(policy -> names.operations().indexOf(policy.operation())));
             for (String operation : names.operations()) {
-                if (!given.contains(operation)) {
-                    fault("/front", "front: operation \"" + operation + "\" of the controller is missing");
+                if (!definedNames.contains(operation)) {
+                    fault("/front", "front: the controller's operation \"" + operation + "\" is missing");
                 }
             }
         }
         return operations;
     }
 
-    private OperationPolicy operation(JsonNode node, String pointer, Set<String> given, boolean hasKeyHeader) {
+    private OperationPolicy readOperation(
+            JsonNode node, String pointer, Set<String> definedNames, boolean hasKeyHeader) {
         String name = node.get("arguments").get(0).asText();
         String key = "operation \"" + name + "\"";
-        if (!given.add(name)) {
-            fault(pointer, key + " is given a second time");
+        if (!definedNames.add(name)) {
+            fault(pointer, key + " is defined more than once");
         }
         if (names != null && !names.operations().contains(name)) {
             fault(
                     pointer,
-                    key + ": the controller knows no such operation; it knows "
+                    key + ": not configured in the controller; expected one of "
                             + String.join(", ", names.operations()));
         }
         Idempotence idempotence = Idempotence.valueOf(
@@ -244,8 +250,9 @@
         if (!(objectiveMs > 0) || timeoutMs < objectiveMs) {
             fault(
                     pointer,
-                    key + ": its timeout " + node.get("timeout") + " is under its objective " + node.get("objective"));
-            objectiveMs = 1; // so that reading can go on; the fault is there
+                    key + ": timeout " + node.get("timeout") + " must be at least the objective "
+                            + node.get("objective") + ", which must be above 0");
+            objectiveMs = 1; // a valid value, so that reading continues after the fault
             timeoutMs = 1;
         }
         return new OperationPolicy(
@@ -260,40 +267,43 @@
 
     private void checkDeduplication(JsonNode node, String pointer, String key, boolean hasKeyHeader) {
         if (!node.has("window")) {
-            fault(pointer, key + ": a fingerprinted operation needs the window in which hosts drop a repeat");
+            fault(
+                    pointer,
+                    key
+                            + ": a fingerprinted operation requires window, the time for which hosts drop a duplicate request");
         }
         if (!hasKeyHeader) {
-            fault(pointer, key + ": a fingerprinted operation needs mark-header");
+            fault(pointer, key + ": a fingerprinted operation requires mark-header");
         }
     }
 
-    private List<GatewaySettings.Route> routes(JsonNode root, List<OperationPolicy> operations) {
+    private List<GatewaySettings.Route> readRoutes(JsonNode root, List<OperationPolicy> operations) {
         List<String> operationNames =
                 operations.stream().map(OperationPolicy::operation).toList();
         List<GatewaySettings.Route> routes = new ArrayList<>();
         for (int i = 0; i < root.get("route").size(); i++) {
-            routes.add(route(root.get("route").get(i), "/front/route/" + i, operationNames, routes));
+            routes.add(readRoute(root.get("route").get(i), "/front/route/" + i, operationNames, routes));
         }
         return routes;
     }
 
-    private GatewaySettings.Route route(
-            JsonNode node, String pointer, List<String> operationNames, List<GatewaySettings.Route> earlier) {
+    private GatewaySettings.Route readRoute(
+            JsonNode node, String pointer, List<String> operationNames, List<GatewaySettings.Route> precedingRoutes) {
         String method = node.get("arguments").get(0).asText();
         String prefix = node.get("arguments").get(1).asText();
         String key = "route \"" + method + "\" \"" + prefix + "\"";
         String operationName = node.get("operation").asText();
         int operation = operationNames.lastIndexOf(operationName);
         if (operation < 0) {
-            fault(pointer, key + ": there is no operation \"" + operationName + "\"");
+            fault(pointer, key + ": operation \"" + operationName + "\" is not defined");
         }
         if (!prefix.startsWith("/") || !method.matches("[A-Z]+")) {
-            fault(pointer, key + ": a method in capitals and a path that begins with / are expected");
+            fault(pointer, key + ": expected a method in upper case and a path that starts with /");
         }
-        if (earlier.stream()
+        if (precedingRoutes.stream()
                 .anyMatch(
                         route -> route.method().equals(method) && route.prefix().equals(prefix))) {
-            fault(pointer, key + " is given a second time");
+            fault(pointer, key + " is defined more than once");
         }
         return new GatewaySettings.Route(method, prefix, operation);
     }
--- a/src/test/java/linenring/gateway/settings/SettingsText.java
+++ b/src/test/java/linenring/gateway/settings/SettingsText.java
@@ -2,16 +2,16 @@
 
 import linenring.settings.Names;
 
-/** Settings from a test's text. */
+/** Parses gateway settings from the text of a test. */
 public final class SettingsText {
     private SettingsText() {}
 
-    /** Fails where the text has a mistake. */
+    /** Returns the parsed settings; fails the test if the text has a fault. */
     public static GatewaySettings parse(String text, Names names) {
-        GatewaySettingsReader.Outcome read = GatewaySettingsReader.read("test.kdl", text, names);
-        if (read.settings() == null) {
-            throw new AssertionError(String.join("\n", read.faults()));
+        GatewaySettingsReader.Outcome outcome = GatewaySettingsReader.read("test.kdl", text, names);
+        if (outcome.settings() == null) {
+            throw new AssertionError(String.join("\n", outcome.faults()));
         }
-        return read.settings();
+        return outcome.settings();
     }
 }
