--- a/src/main/java/linenring/simulator/CommandWriter.java
+++ b/src/main/java/linenring/simulator/CommandWriter.java
@@ -3,25 +3,26 @@
 import linenring.planner.Commands;
 
 /**
- * Writes the commands of one simulated controller as lines of the wire, in the wire's words: a table is a Sheet, a weight a Heft,
- * an operation mask a Mask, a proxy a Sidecar, an ejection a cordon, an acknowledgement request a stamp with its nonce as Rev.
+ * Encodes the commands of one simulated controller as lines of the simulator's protocol. In this protocol a table is a
+ * Sheet, a weight a Heft, an operation mask a Mask, a proxy a Sidecar, an ejection a cordon, and an acknowledgement
+ * request a stamp with its nonce as Rev.
  */
 final class CommandWriter implements Commands {
     private static final int ALARM_HANDLE = 1;
     private static final int MICROS_PER_MS = 1000;
-    private static final double WHOLE_NUMBERS_BELOW = 1e9;
-    private static final double DECIMALS = 1e4;
+    private static final double INTEGER_FORMAT_LIMIT = 1e9;
+    private static final double DECIMAL_SCALE = 1e4;
 
     private final int controllerId;
-    private final HostNumbers hosts;
+    private final HostIndices hosts;
     private final StringBuilder lines = new StringBuilder();
 
-    CommandWriter(int controllerId, HostNumbers hosts) {
+    CommandWriter(int controllerId, HostIndices hosts) {
         this.controllerId = controllerId;
         this.hosts = hosts;
     }
 
-    /** All lines since the last clearing. */
+    /** Returns all lines that were written since the last call of {@link #clear}. */
     String lines() {
         return lines.toString();
     }
@@ -30,35 +31,35 @@
         lines.setLength(0);
     }
 
-    /** Reports a fault in the decisions, in place of what they commanded. */
+    /** Replaces the commands written so far by a report of a failure of the planner. */
     void reportFault(String cause) {
         clear();
-        begin("broken")
-                .field("Words", cause.replace('\n', ' ').replace('\r', ' '))
-                .end();
+        beginLine("broken")
+                .appendField("Words", cause.replace('\n', ' ').replace('\r', ' '))
+                .endLine();
     }
 
-    private CommandWriter begin(String name) {
+    private CommandWriter beginLine(String name) {
         lines.append(name);
-        return field("StewardId", controllerId);
+        return appendField("StewardId", controllerId);
     }
 
-    private CommandWriter field(String name, Object value) {
+    private CommandWriter appendField(String name, Object value) {
         lines.append(' ').append(name).append('=').append(value);
         return this;
     }
 
-    private void end() {
+    private void endLine() {
         lines.append('\n');
     }
 
-    private static String number(double value) {
-        return value == Math.rint(value) && value < WHOLE_NUMBERS_BELOW
+    private static String formatNumber(double value) {
+        return value == Math.rint(value) && value < INTEGER_FORMAT_LIMIT
                 ? Long.toString((long) value)
-                : Double.toString(Math.round(value * DECIMALS) / DECIMALS);
+                : Double.toString(Math.round(value * DECIMAL_SCALE) / DECIMAL_SCALE);
     }
 
-    private static int onFailure(RetryPolicy retryPolicy) {
+    private static int onFailureCode(RetryPolicy retryPolicy) {
         return switch (retryPolicy) {
             case NONE -> 0;
             case ONE_IF_NOT_EXECUTED -> 1;
@@ -69,42 +70,42 @@
 
     @Override
     public void setWeight(int table, int host, double weight) {
-        begin("set_line")
-                .field("Sheet", table)
-                .field("Host", hosts.name(host))
-                .field("Heft", number(weight))
-                .end();
+        beginLine("set_line")
+                .appendField("Sheet", table)
+                .appendField("Host", hosts.name(host))
+                .appendField("Heft", formatNumber(weight))
+                .endLine();
     }
 
     @Override
     public void clearTable(int table) {
-        begin("wipe").field("Sheet", table).end();
+        beginLine("wipe").appendField("Sheet", table).endLine();
     }
 
     @Override
     public void setEjected(int host, boolean ejected) {
-        begin("cordon")
-                .field("Host", hosts.name(host))
-                .field("Flag", ejected ? 1 : 0)
-                .end();
+        beginLine("cordon")
+                .appendField("Host", hosts.name(host))
+                .appendField("Flag", ejected ? 1 : 0)
+                .endLine();
     }
 
     @Override
     public void bindProxy(int table, int operations, int proxy) {
-        begin("subscribe_to")
-                .field("Sheet", table)
-                .field("Mask", operations)
-                .field("Sidecar", proxy)
-                .end();
+        beginLine("subscribe_to")
+                .appendField("Sheet", table)
+                .appendField("Mask", operations)
+                .appendField("Sidecar", proxy)
+                .endLine();
     }
 
-    /** On this wire a bind ends the ejections of other controllers by itself. */
+    /** Returns 0, since a bind in the simulator's protocol implicitly ends the ejections of other controllers. */
     @Override
     public int extraEntriesOfBind(int table, int proxy) {
         return 0;
     }
 
-    /** On this wire an entry says no more than its weight. */
+    /** Returns 0, since a table entry in the simulator's protocol contains only its weight. */
     @Override
     public int extraEntriesOfWeight(int host, int proxy) {
         return 0;
@@ -112,20 +113,20 @@
 
     @Override
     public void setAdmission(int table, int operations, double admissionRatio, RetryPolicy retryPolicy) {
-        begin("level")
-                .field("Sheet", table)
-                .field("Mask", operations)
-                .field("Level", number(admissionRatio))
-                .field("OnFailure", onFailure(retryPolicy))
-                .end();
+        beginLine("level")
+                .appendField("Sheet", table)
+                .appendField("Mask", operations)
+                .appendField("Level", formatNumber(admissionRatio))
+                .appendField("OnFailure", onFailureCode(retryPolicy))
+                .endLine();
     }
 
     @Override
     public void requestAcknowledgement(int nonce) {
-        begin("stamp").field("Rev", nonce).field("Flag", 0).end();
+        beginLine("stamp").appendField("Rev", nonce).appendField("Flag", 0).endLine();
     }
 
-    /** This wire adds no entries to a message. */
+    /** Returns {@code expected}, since the simulator's protocol adds no entries to a message. */
     @Override
     public double entriesInMessage(int proxy, double expected) {
         return expected;
@@ -133,14 +134,14 @@
 
     @Override
     public void requestCall(double atMs) {
-        begin("set_alarm")
-                .field("Time", Math.round(atMs * MICROS_PER_MS))
-                .field("Handle", ALARM_HANDLE)
-                .end();
+        beginLine("set_alarm")
+                .appendField("Time", Math.round(atMs * MICROS_PER_MS))
+                .appendField("Handle", ALARM_HANDLE)
+                .endLine();
     }
 
     @Override
     public void watchHostList() {
-        begin("keep_informed").field("Flag", 1).end();
+        beginLine("keep_informed").appendField("Flag", 1).endLine();
     }
 }
--- a/src/main/java/linenring/simulator/HostLists.java
+++ b/src/main/java/linenring/simulator/HostLists.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import linenring.planner.Planner;
 
-/** The numbered host lists of the wire (each a Bank), kept until a newer list takes the number. */
+/** Stores the simulator's host lists by number (the protocol's Bank); a new list replaces the one with its number. */
 final class HostLists {
-    /** What a list says of a host; the wire's Mode. */
+    /** The state of a host in a list; the protocol's Mode. */
     enum Mode {
         READY("Running"),
         DRAINING("Stopping"),
@@ -19,7 +19,7 @@
             this.wireName = wireName;
         }
 
-        /** Throws {@link SimulatorInputException} for another word. */
+        /** Reads the mode of an entry; throws {@link SimulatorInputException} for an unknown value. */
         static Mode read(SimulatorMessage message) {
             String text = message.text("Mode");
             for (Mode mode : values()) {
@@ -27,13 +27,13 @@
                     return mode;
                 }
             }
-            throw message.invalid("field Mode: '" + text + "' is not known");
+            throw message.invalid("field Mode: unknown value '" + text + "'");
         }
     }
 
-    /** One host in a list; times in milliseconds. */
+    /** One host in a list; times are in ms. */
     record Entry(String host, double weight, int zone, int kind, double startedMs, Mode mode) {
-        /** Reads an entry; a start time of 0 stands for long ago. */
+        /** Reads an entry; a start time of 0 means that the host started long ago. */
         static Entry read(SimulatorMessage message) {
             Mode mode = Mode.read(message);
             double startedMs = message.millis("StartTime", 0);
@@ -47,29 +47,29 @@
         }
     }
 
-    private final Map<Integer, List<Entry>> lists = new HashMap<>();
+    private final Map<Integer, List<Entry>> listsByNumber = new HashMap<>();
 
-    void put(int number, List<Entry> entries) {
-        lists.put(number, List.copyOf(entries));
+    void put(int listNumber, List<Entry> entries) {
+        listsByNumber.put(listNumber, List.copyOf(entries));
     }
 
-    /** Has the planner read the list that a registry message names. */
-    void deliver(SimulatorMessage message, HostNumbers hosts, Planner planner) {
+    /** Delivers to the planner the host list that a registry message names. */
+    void deliver(SimulatorMessage message, HostIndices hosts, Planner planner) {
         String scope = message.text("Scope");
         if (scope.equals("broken")) {
-            return; // it is asked for again in time
+            return; // a broken list is ignored; the list is requested again later
         }
         if (!scope.equals("patch") && !scope.equals("whole") && !scope.equals("stale_copy")) {
-            throw message.invalid("field Scope: '" + scope + "' is not known");
+            throw message.invalid("field Scope: unknown value '" + scope + "'");
         }
-        int number = message.index("Bank");
-        List<Entry> entries = lists.get(number);
+        int listNumber = message.index("Bank");
+        List<Entry> entries = listsByNumber.get(listNumber);
         if (entries == null) {
-            throw message.invalid("field Bank: no list " + number + " has come");
+            throw message.invalid("field Bank: list " + listNumber + " was never received");
         }
         planner.beginHostList(!scope.equals("patch"));
         for (Entry entry : entries) {
-            deliver(entry, hosts.number(entry.host), planner);
+            deliver(entry, hosts.indexOf(entry.host), planner);
         }
         planner.endHostList();
     }
--- a/src/main/java/linenring/simulator/PlannerInputs.java
+++ b/src/main/java/linenring/simulator/PlannerInputs.java
@@ -2,12 +2,12 @@
 
 import linenring.planner.Planner;
 
-/** The wire's messages as inputs of a planner: the one place that knows both the wire's words and the planner's. */
+/** Translates messages of the simulator's protocol to inputs of a planner. */
 final class PlannerInputs {
     private PlannerInputs() {}
 
-    /** Calls the input that the message stands for; throws {@link SimulatorInputException} for an unknown message or field. */
-    static void deliver(SimulatorMessage message, HostLists lists, HostNumbers hosts, Planner planner) {
+    /** Calls the planner input of a message; throws {@link SimulatorInputException} for an unknown message or field. */
+    static void deliver(SimulatorMessage message, HostLists lists, HostIndices hosts, Planner planner) {
         switch (message.name()) {
             case "registry" -> lists.deliver(message, hosts, planner);
             case "joined" ->
@@ -25,16 +25,16 @@
             case "mandate" -> planner.setShardInCharge(message.index("Sheet"), message.flag("Flag"));
             case "held" ->
                 planner.setShardOwner(
-                        message.index("Sheet"), hosts.number(message.text("Host")), message.number("Heft", 1));
-            case "provision", "elapsed" -> {} // the reconciliation at the end of the batch is all that they ask for
-            case "key_load", "check_result", "heard" -> {} // no decision uses these
+                        message.index("Sheet"), hosts.indexOf(message.text("Host")), message.number("Heft", 1));
+            case "provision", "elapsed" -> {} // these messages only trigger the reconciliation at the end of the batch
+            case "key_load", "check_result", "heard" -> {} // the planner does not use these messages
             default -> throw message.invalid("unknown message");
         }
     }
 
-    private static void deliverReport(SimulatorMessage message, HostNumbers hosts, Planner planner) {
+    private static void deliverReport(SimulatorMessage message, HostIndices hosts, Planner planner) {
         planner.hostStatistics(
-                hosts.number(message.text("Host")),
+                hosts.indexOf(message.text("Host")),
                 message.index("Dc", 0),
                 message.index("Total"),
                 message.index("Bad", 0),
--- a/src/main/java/linenring/simulator/SimulatedController.java
+++ b/src/main/java/linenring/simulator/SimulatedController.java
@@ -3,9 +3,11 @@
 import linenring.planner.Planner;
 import linenring.settings.SettingsReader;
 
-/** One simulated controller: its planner while it runs, its own numbering of the hosts, and its commands in this reply. */
+/**
+ * One simulated controller: its planner, which is null unless the controller runs, its host indices and its commands.
+ */
 final class SimulatedController {
-    private final HostNumbers hosts = new HostNumbers();
+    private final HostIndices hosts = new HostIndices();
     private final CommandWriter commands;
     private Planner planner;
 
@@ -13,54 +15,56 @@
         commands = new CommandWriter(id, hosts);
     }
 
-    HostNumbers hosts() {
+    HostIndices hosts() {
         return hosts;
     }
 
-    /** Starts it anew by the settings in the message; nothing that it knew or commanded stays. */
+    /**
+     * Starts or restarts the controller with the settings in the message; all earlier state and commands are discarded.
+     */
     void start(SimulatorMessage settings) {
         hosts.clear();
         commands.clear();
         planner = new Planner(SettingsReader.read(settings), commands);
     }
 
-    /** It ends without a word; what it has commanded in this batch is lost. */
+    /** Stops the controller as in a crash; its commands of the current batch are lost. */
     void crash() {
         planner = null;
         commands.clear();
     }
 
-    /** Has its planner take what the message says, as of now. */
+    /** Advances the planner's clock to {@code nowMs} and passes the message to the planner. */
     void receive(SimulatorMessage message, HostLists lists, double nowMs) {
-        decide(running -> running.advanceClock(nowMs));
-        decide(running -> PlannerInputs.deliver(message, lists, hosts, running));
+        callPlanner(running -> running.advanceClock(nowMs));
+        callPlanner(running -> PlannerInputs.deliver(message, lists, hosts, running));
     }
 
-    /** Decides on what has come in this batch; the commands. */
+    /** Runs the planner's decisions for the current batch and returns the commands. */
     String reconcile() {
-        decide(Planner::reconcile);
+        callPlanner(Planner::reconcile);
         String lines = commands.lines();
         commands.clear();
         return lines;
     }
 
-    /** A step of the planner; it is passed over while the controller does not run. */
-    private interface Step {
+    /** A call of the planner; it is skipped while the controller does not run. */
+    private interface PlannerCall {
         void apply(Planner planner);
     }
 
-    /** Calls the decisions; a fault there is reported on the wire with its cause, and ends the controller. */
-    private void decide(Step step) {
+    /** Calls the planner; an unexpected exception is reported to the simulator and stops the controller. */
+    private void callPlanner(PlannerCall call) {
         if (planner == null) {
             return;
         }
         try {
-            step.apply(planner);
+            call.apply(planner);
         } catch (SimulatorInputException invalid) {
             throw invalid;
-        } catch (RuntimeException fault) {
-            StackTraceElement[] trace = fault.getStackTrace();
-            commands.reportFault(fault + (trace.length > 0 ? " at " + trace[0] : ""));
+        } catch (RuntimeException failure) {
+            StackTraceElement[] trace = failure.getStackTrace();
+            commands.reportFault(failure + (trace.length > 0 ? " at " + trace[0] : ""));
             planner = null;
         }
     }
--- a/src/main/java/linenring/simulator/SimulatorAdapter.java
+++ b/src/main/java/linenring/simulator/SimulatorAdapter.java
@@ -15,8 +15,9 @@
 import java.util.TreeMap;
 
 /**
- * Runs the decisions of simulated controllers on the simulator's wire. The input is a stream of batches: each has messages to
- * controllers, of which those concerned decide together at its end; the reply is their commands.
+ * Runs the planners of simulated controllers over the simulator's protocol. The input is a stream of batches of
+ * messages to controllers. At the end of a batch each controller that received a message makes its decisions; the reply
+ * to the batch contains the controllers' commands.
  */
 public final class SimulatorAdapter {
     private static final int INPUT_BUFFER_CHARS = 1 << 16;
@@ -26,8 +27,8 @@
     private final SimulatorMessage message = new SimulatorMessage();
     private final Map<Integer, SimulatedController> controllers = new TreeMap<>();
     private final HostLists lists = new HostLists();
-    /** Those that had a message in this batch, in the order of their first one. */
-    private final Set<SimulatedController> concerned = new LinkedHashSet<>();
+    /** Controllers that received a message in the current batch, in the order of their first message. */
+    private final Set<SimulatedController> controllersInBatch = new LinkedHashSet<>();
 
     private long lineNumber;
     private double nowMs;
@@ -37,7 +38,7 @@
         this.output = output;
     }
 
-    /** Serves until the input ends; the exit code, which is 1 for input that is not the wire. */
+    /** Serves batches until the input ends and returns the exit code, which is 1 for invalid input. */
     public static int run(InputStream input, PrintStream output, PrintStream errors) throws IOException {
         try {
             SimulatorAdapter adapter = new SimulatorAdapter(input, output);
@@ -51,7 +52,7 @@
         }
     }
 
-    /** Reads the next line into the message; false at the end of the input. */
+    /** Reads the next line into the current message; false at the end of the input. */
     private boolean readLine() throws IOException {
         String text = input.readLine();
         lineNumber++;
@@ -65,13 +66,13 @@
         return true;
     }
 
-    private void readLineOf(String whole) throws IOException {
+    private void requireLine(String enclosingBlock) throws IOException {
         if (!readLine()) {
-            throw new SimulatorInputException(lineNumber, "the input ends inside a " + whole);
+            throw new SimulatorInputException(lineNumber, "the input ends inside a " + enclosingBlock);
         }
     }
 
-    /** Reads and answers one batch; false where there is none any more. */
+    /** Reads one batch and replies to it; false at the end of the input. */
     private boolean serveBatch() throws IOException {
         do {
             if (!readLine()) {
@@ -82,12 +83,12 @@
             throw message.invalid("expected a batch");
         }
         nowMs = message.millis("Now");
-        readLineOf("batch");
+        requireLine("batch");
         while (!message.name().equals("eob")) {
             if (!message.name().isEmpty()) {
                 handleMessage();
             }
-            readLineOf("batch");
+            requireLine("batch");
         }
         reply();
         return true;
@@ -95,10 +96,10 @@
 
     private void reply() throws IOException {
         StringBuilder reply = new StringBuilder();
-        for (SimulatedController controller : concerned) {
+        for (SimulatedController controller : controllersInBatch) {
             reply.append(controller.reconcile());
         }
-        concerned.clear();
+        controllersInBatch.clear();
         output.write(reply.append("next\n").toString().getBytes(StandardCharsets.UTF_8));
     }
 
@@ -113,9 +114,9 @@
         }
         SimulatedController controller = controllers.get(id);
         if (controller == null) {
-            throw message.invalid("field StewardId: instance " + id + " was never started");
+            throw message.invalid("field StewardId: controller " + id + " was never started");
         }
-        concerned.add(controller);
+        controllersInBatch.add(controller);
         if (message.name().equals("crash_now")) {
             controller.crash();
         } else {
@@ -128,7 +129,7 @@
         int count = message.index("Items");
         List<HostLists.Entry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            readLineOf("list");
+            requireLine("list");
             if (!message.name().equals("entry")) {
                 throw message.invalid("expected an entry");
             }
--- a/src/main/java/linenring/simulator/SimulatorInputException.java
+++ b/src/main/java/linenring/simulator/SimulatorInputException.java
@@ -1,6 +1,6 @@
 package linenring.simulator;
 
-/** Input that is not the simulator's wire; the message names the line and what was expected there. */
+/** Signals input that violates the simulator's protocol; the message contains the line number and the error. */
 final class SimulatorInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -11,7 +11,7 @@
         this.lineNumber = lineNumber;
     }
 
-    /** Counted from 1. */
+    /** Returns the number of the invalid line, counted from 1. */
     long lineNumber() {
         return lineNumber;
     }
--- a/src/main/java/linenring/simulator/SimulatorMessage.java
+++ b/src/main/java/linenring/simulator/SimulatorMessage.java
@@ -4,8 +4,8 @@
 import linenring.settings.Lookup;
 
 /**
- * One line of the simulator's wire, cut into its name and fields. It is used again for each line, as the simulator sends millions
- * of them.
+ * One line of the simulator's protocol, split into its name and fields. The object is reused for each line, because the
+ * simulator sends millions of lines.
  */
 final class SimulatorMessage extends Lookup {
     private static final int INITIAL_FIELDS = 256;
@@ -16,42 +16,42 @@
     private long lineNumber;
     private String name = "";
 
-    /** The first word of the line; empty for an empty line. */
+    /** Returns the first word of the line; empty for an empty line. */
     String name() {
         return name;
     }
 
-    /** Takes the next line; throws {@link SimulatorInputException} for a field that has no name. */
+    /** Parses the next line; throws {@link SimulatorInputException} for a field that is not of the form name=value. */
     void read(String text, long newLineNumber) {
         lineNumber = newLineNumber;
         fieldCount = 0;
         int end = text.indexOf(' ');
         name = end < 0 ? text : text.substring(0, end);
         while (end >= 0 && end < text.length()) {
-            int start = end + 1;
-            end = text.indexOf(' ', start);
-            int stop = end < 0 ? text.length() : end;
-            if (stop > start) {
-                addField(text, start, stop);
+            int fieldStart = end + 1;
+            end = text.indexOf(' ', fieldStart);
+            int fieldEnd = end < 0 ? text.length() : end;
+            if (fieldEnd > fieldStart) {
+                addField(text, fieldStart, fieldEnd);
             }
         }
     }
 
-    private void addField(String text, int start, int stop) {
-        int equals = text.indexOf('=', start);
-        if (equals < 0 || equals >= stop) {
-            throw invalid("'" + text.substring(start, stop) + "' is not name=value");
+    private void addField(String text, int fieldStart, int fieldEnd) {
+        int equals = text.indexOf('=', fieldStart);
+        if (equals < 0 || equals >= fieldEnd) {
+            throw invalid("'" + text.substring(fieldStart, fieldEnd) + "' is not a field of the form name=value");
         }
         if (fieldCount == fieldNames.length) {
             fieldNames = Arrays.copyOf(fieldNames, 2 * fieldCount);
             fieldValues = Arrays.copyOf(fieldValues, 2 * fieldCount);
         }
-        fieldNames[fieldCount] = text.substring(start, equals);
-        fieldValues[fieldCount] = text.substring(equals + 1, stop);
+        fieldNames[fieldCount] = text.substring(fieldStart, equals);
+        fieldValues[fieldCount] = text.substring(equals + 1, fieldEnd);
         fieldCount++;
     }
 
-    /** What to throw where this line is not what was expected. */
+    /** Returns the exception to throw for an error in this line. */
     SimulatorInputException invalid(String detail) {
         return new SimulatorInputException(lineNumber, (name.isEmpty() ? "" : name + ": ") + detail);
     }
--- a/src/main/java/linenring/simulator/package-info.java
+++ b/src/main/java/linenring/simulator/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The decisions behind the simulator's wire: one line a message, on standard input and output. The wire has words of its own, which
- * are mapped to the planner's inputs and commands here and nowhere else.
+ * Connects planners to the simulator. Messages of the simulator's protocol are lines on standard input and output; only
+ * this package translates them to the planner's inputs and commands.
  */
 package linenring.simulator;
--- a/src/test/java/linenring/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/linenring/simulator/SimulatorAdapterTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The bytes of the simulator's wire, as they have always been. */
+/** Tests the exact bytes of the simulator's protocol. */
 class SimulatorAdapterTest {
     private static final String START = "provision StewardId=1 Azs=a Kinds=k Classes.count=1\n";
 
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void answersEachBatchWithCommandsInWordsOfTheWire() throws IOException {
+    void repliesToEachBatchWithCommandLines() throws IOException {
         Outcome outcome = run(BATCHES);
         assertEquals(0, outcome.exitCode(), outcome.errors());
         assertEquals("""
@@ -77,15 +77,18 @@
     }
 
     @Test
-    void saysNothingOfControllerThatHasCrashed() throws IOException {
+    void sendsNoCommandsOfCrashedController() throws IOException {
         Outcome outcome = run("batch Now=1\n" + START + "joined StewardId=1 Sidecar=0\ncrash_now StewardId=1\neob\n"
                 + "batch Now=2\nelapsed StewardId=1\neob\n");
         assertEquals("next\nnext\n", outcome.output());
     }
 
-    /** An index that the decisions cannot take makes them fail. The simulator must hear why, and the other controllers go on. */
+    /**
+     * A message with an index out of range makes the planner fail. The reply must contain the cause, and the adapter
+     * must continue.
+     */
     @Test
-    void reportsFaultInDecisionsInPlaceOfTheirCommands() throws IOException {
+    void reportsPlannerFailureInsteadOfItsCommands() throws IOException {
         Outcome outcome = run("batch Now=1\n" + START
                 + "traffic StewardId=1 Sidecar=0 Qos=99 Total=1 Elapsed=1\nelapsed StewardId=1\neob\n");
         assertEquals(0, outcome.exitCode(), outcome.errors());
@@ -101,16 +104,16 @@
             delimiter = '|',
             value = {
                 "hello                                                   | line 1: hello: expected a batch",
-                "batch Now=1;elapsed StewardId=7;eob                     | line 2: elapsed: field StewardId: instance 7 was never started",
-                "batch Now=1;elapsed StewardId;eob                       | line 2: elapsed: 'StewardId' is not name=value",
-                "batch Now=1;catalog Bank=1 Items=1;entry Host=a Mode=Odd;eob | line 3: entry: field Mode: 'Odd' is not known",
+                "batch Now=1;elapsed StewardId=7;eob                     | line 2: elapsed: field StewardId: controller 7 was never started",
+                "batch Now=1;elapsed StewardId;eob                       | line 2: elapsed: 'StewardId' is not a field of the form name=value",
+                "batch Now=1;catalog Bank=1 Items=1;entry Host=a Mode=Odd;eob | line 3: entry: field Mode: unknown value 'Odd'",
                 "batch Now=1;catalog Bank=1 Items=1                      | line 3: the input ends inside a list",
                 "batch Now=1                                             | line 2: the input ends inside a batch",
                 "batch Now=1;START;odd StewardId=1;eob                   | line 3: odd: unknown message",
-                "batch Now=1;START;registry StewardId=1 Scope=whole Bank=9;eob | line 3: registry: field Bank: no list 9 has come"
+                "batch Now=1;START;registry StewardId=1 Scope=whole Bank=9;eob | line 3: registry: field Bank: list 9 was never received"
             },
             quoteCharacter = '"')
-    void rejectsWhatIsNotTheWireWithLineAndField(String input, String expected) throws IOException {
+    void rejectsInvalidInputWithLineAndField(String input, String expected) throws IOException {
         String lines = input.replace("START", START.strip()).replace(';', '\n') + "\n";
         Outcome outcome = run(lines);
         assertEquals(1, outcome.exitCode());
