--- a/example/Toy.java
+++ b/example/Toy.java
@@ -16,10 +16,10 @@
 import java.util.regex.Pattern;
 
 /**
- * The surroundings of a controller on one machine: a discovery agent with four hosts, two proxies and a collector. No request
- * is made; the load reports are invented here, and commands change them. Host s-N is listed at 127.0.0.1:900N, where a test
- * backend may listen. Start it with {@code java example/Toy.java}, then a controller with example/configuration.json; type
- * {@code help}.
+ * Simulates the environment of a controller on one machine: a discovery agent with four hosts, two proxies and a collector. No
+ * requests are sent; the load reports contain fixed numbers, and commands change them. Host s-N is listed at 127.0.0.1:900N,
+ * where a test backend may listen. Start this program with {@code java example/Toy.java}, then start a controller with
+ * example/configuration.json, and type {@code help}.
  */
 public final class Toy {
     private static final String CONTROLLER = "127.0.0.1";
@@ -33,7 +33,7 @@
 
     private record Host(String zone, String state, long startedMs, long version) {}
 
-    // the host list and its version are guarded by the class
+    // hosts and version are guarded by the monitor of this class
     private static final Map<String, Host> hosts = new TreeMap<>();
     private static final Set<String> failing = ConcurrentHashMap.newKeySet();
     private static long version = 1;
@@ -57,9 +57,9 @@
         System.exit(0);
     }
 
-    // ---- discovery
+    // Discovery agent: serves the host list over HTTP.
 
-    /** The complete list, or the entries that have changed since a version. */
+    /** Returns the complete host list, or only the entries that have changed since a version. */
     private static synchronized String list(long sinceVersion, boolean complete) {
         StringBuilder text = new StringBuilder();
         hosts.forEach((id, host) -> {
@@ -68,7 +68,7 @@
                         .append("{\"id\":\"")
                         .append(id)
                         .append("\",\"addr\":\"127.0.0.1:900")
-                        .append(id.substring(id.length() - 1)) // where a test backend may listen
+                        .append(id.substring(id.length() - 1)) // port of an optional test backend
                         .append("\",\"zone\":\"")
                         .append(host.zone)
                         .append("\",\"kind\":\"small\",\"cell\":0,\"state\":\"")
@@ -88,7 +88,7 @@
         exchange.sendResponseHeaders(200, 0);
         try (OutputStream out = exchange.getResponseBody()) {
             out.write(list(known, known == 0).getBytes(StandardCharsets.UTF_8));
-            while (query.contains("watch=1")) { // a line for each change, a blank one where none comes
+            while (query.contains("watch=1")) { // sends a line for each change, or a blank line as keep-alive
                 known = currentVersion();
                 out.flush();
                 String line = awaitChange(known) ? list(known, false) : "\n";
@@ -118,7 +118,7 @@
         Toy.class.notifyAll();
     }
 
-    // ---- proxies and the collector
+    // Proxies and collector: clients of the controller.
 
     private interface Work {
         void run() throws IOException, InterruptedException;
@@ -129,7 +129,7 @@
             try {
                 work.run();
             } catch (IOException e) {
-                // the controller is not there or has ended the stream: connect again
+                // the controller is unreachable or has closed the stream; reconnect after a pause
             } catch (InterruptedException e) {
                 return;
             }
@@ -199,7 +199,7 @@
         }
     }
 
-    // ---- commands
+    // Commands on standard input that change hosts and load reports.
 
     private static void commands() throws IOException {
         String help = "drain HOST | gone HOST | start HOST | bad HOST | well HOST | quit";
--- a/src/main/antlr4/linenring/kdl/Kdl.g4
+++ b/src/main/antlr4/linenring/kdl/Kdl.g4
@@ -1,4 +1,4 @@
-// KDL 2.0.0 (kdl.dev/spec): nodes with arguments, properties and children. What a grammar can not express is checked in KdlNodeBuilder.
+// Grammar of KDL 2.0.0 (kdl.dev/spec): nodes with arguments, properties and children. KdlNodeBuilder checks the rules that a grammar cannot express.
 grammar Kdl;
 
 document : nodes EOF ;
@@ -21,7 +21,7 @@
 NUMBER : [+-]? ( '0x' HEX (HEX | '_')* | '0o' [0-7] [0-7_]* | '0b' [01] [01_]* | DIGITS ('.' DIGITS)? ([eE] [+-]? DIGITS)? ) ;
 fragment DIGITS : [0-9] [0-9_]* ;
 fragment HEX : [0-9a-fA-F] ;
-// 750ms: no number, and no text unless it stands in quotes
+// Matches text such as 750ms, which is neither a number nor a valid identifier and must be quoted.
 UNQUOTED : [+-]? '.'? [0-9] IDCHAR* ;
 IDENT : IDCHAR+ ;
 fragment IDCHAR : ~[\u0000-\u0020\\/(){};[\]"#=\u007F\u0085\u00A0\u1680\u2000-\u200F\u2028-\u202F\u205F\u2066-\u2069\u3000\uFEFF] ;
--- a/src/main/java/linenring/kdl/KdlError.java
+++ b/src/main/java/linenring/kdl/KdlError.java
@@ -1,9 +1,9 @@
 package linenring.kdl;
 
 /**
- * What is wrong with a text.
+ * One error in a KDL text.
  *
- * @param line the line that it is on, from 1
- * @param message what was found, and what was expected where that is known
+ * @param line line number of the error, counted from 1
+ * @param message what was found and, if known, what was expected
  */
 record KdlError(int line, String message) {}
--- a/src/main/java/linenring/kdl/KdlNode.java
+++ b/src/main/java/linenring/kdl/KdlNode.java
@@ -6,9 +6,9 @@
 /**
  * One node of a KDL document.
  *
- * @param type the annotation in brackets before the name, or null without one
- * @param properties by name, in the order of their first occurrence; of two with one name the last counts
- * @param line the line of the file on which it begins, from 1
+ * @param type type annotation in parentheses before the name, or null if the node has none
+ * @param properties property values by name, in order of first occurrence; a repeated property overrides the earlier value
+ * @param line number of the line on which the node begins, counted from 1
  */
 record KdlNode(
         String name,
@@ -20,9 +20,9 @@
     /**
      * An argument or the value of a property.
      *
-     * @param content a String, Long, Double, Boolean or null, as the file has it
-     * @param type the annotation in brackets before it, or null without one
-     * @param line the line of the file on which it begins, from 1
+     * @param content a String, Long, Double, Boolean or null, depending on the notation in the file
+     * @param type type annotation in parentheses before the value, or null if the value has none
+     * @param line number of the line on which the value begins, counted from 1
      */
     record Value(Object content, String type, int line) {}
 }
--- a/src/main/java/linenring/kdl/KdlNodeBuilder.java
+++ b/src/main/java/linenring/kdl/KdlNodeBuilder.java
@@ -10,35 +10,35 @@
 import org.antlr.v4.runtime.ParserRuleContext;
 import org.antlr.v4.runtime.tree.TerminalNode;
 
-/** Makes nodes of a parse tree and checks what the grammar can't express. One builder for one document. */
+/** Builds KDL nodes from a parse tree and checks rules that the grammar can't express. Use one builder for each document. */
 final class KdlNodeBuilder {
-    /** Words that KDL 2 writes with a number sign before them. */
+    /** Words that KDL 2 does not allow as bare identifiers; the keywords are written with a leading {@code #}. */
     private static final Set<String> RESERVED_WORDS = Set.of("true", "false", "null", "inf", "-inf", "nan");
 
-    private static final int PREFIX_LENGTH = 2; // of 0x, 0o, 0b
+    private static final int RADIX_PREFIX_CHARS = 2; // length of 0x, 0o and 0b
 
     private final List<KdlError> errors = new ArrayList<>();
 
-    /** The errors found so far, in the order of their lines. */
+    /** Returns the errors found so far, ordered by line. */
     List<KdlError> errors() {
         return errors;
     }
 
-    List<KdlNode> nodes(KdlParser.NodesContext context) {
+    List<KdlNode> buildNodes(KdlParser.NodesContext context) {
         List<KdlNode> nodes = new ArrayList<>();
         for (KdlParser.NodeContext node : context.node()) {
             boolean isCommentedOut = node.SLASHDASH() != null;
             if (!isCommentedOut) {
-                nodes.add(node(node));
+                nodes.add(buildNode(node));
             }
         }
         return nodes;
     }
 
-    private KdlNode node(KdlParser.NodeContext context) {
+    private KdlNode buildNode(KdlParser.NodeContext context) {
         List<KdlNode.Value> arguments = new ArrayList<>();
         Map<String, KdlNode.Value> properties = new LinkedHashMap<>();
-        List<KdlNode> children = null; // until a block of them has come
+        List<KdlNode> children = null; // null until a block of children is found
         for (KdlParser.EntryContext entry : context.entry()) {
             boolean isCommentedOut = entry.SLASHDASH() != null;
             if (isCommentedOut) {
@@ -46,77 +46,79 @@
             }
             if (entry.children() != null) {
                 if (children != null) {
-                    error(entry, "a second block of children");
+                    addError(entry, "expected at most one block of children, found a second one");
                 }
-                children = nodes(entry.children().nodes());
+                children = buildNodes(entry.children().nodes());
             } else if (children != null) {
-                error(
+                addError(
                         entry,
-                        "'" + entry.getText() + "' stands behind the children; end the line or put it before them");
+                        "expected the end of the node after its children, found '" + entry.getText()
+                                + "'; start a new line or move it before the children");
             } else if (entry.property() != null) {
                 properties.put(
-                        text(entry.property().key), value(entry.property().value()));
+                        stringContent(entry.property().key),
+                        buildValue(entry.property().value()));
             } else {
-                arguments.add(value(entry.value()));
+                arguments.add(buildValue(entry.value()));
             }
         }
         return new KdlNode(
-                text(context.name),
-                annotation(context.type()),
+                stringContent(context.name),
+                annotationName(context.type()),
                 arguments,
                 properties,
                 children == null ? List.of() : children,
                 context.name.getStart().getLine());
     }
 
-    private String annotation(KdlParser.TypeContext context) {
-        return context == null ? null : text(context.text());
+    private String annotationName(KdlParser.TypeContext context) {
+        return context == null ? null : stringContent(context.text());
     }
 
-    private KdlNode.Value value(KdlParser.ValueContext context) {
+    private KdlNode.Value buildValue(KdlParser.ValueContext context) {
         Object content;
         if (context.text() != null) {
-            content = text(context.text());
+            content = stringContent(context.text());
         } else if (context.number() != null) {
-            content = number(context.number());
+            content = numberValue(context.number());
         } else {
-            content = keyword(context.KEYWORD().getText());
+            content = keywordValue(context.KEYWORD().getText());
         }
         return new KdlNode.Value(
-                content, annotation(context.type()), context.getStart().getLine());
+                content, annotationName(context.type()), context.getStart().getLine());
     }
 
-    private static Object keyword(String word) {
+    private static Object keywordValue(String word) {
         return switch (word) {
             case "#true" -> true;
             case "#false" -> false;
             case "#inf" -> Double.POSITIVE_INFINITY;
             case "#-inf" -> Double.NEGATIVE_INFINITY;
             case "#nan" -> Double.NaN;
-            default -> null; // #null, the last one that the grammar has
+            default -> null; // #null, the only other keyword in the grammar
         };
     }
 
-    private Object number(KdlParser.NumberContext context) {
+    private Object numberValue(KdlParser.NumberContext context) {
         String text = context.getText().replace("_", "");
         boolean isNegative = text.startsWith("-");
-        String unsigned = isNegative || text.startsWith("+") ? text.substring(1) : text;
-        int radix = radix(unsigned);
+        String unsignedText = isNegative || text.startsWith("+") ? text.substring(1) : text;
+        int radix = radix(unsignedText);
         if (radix == Radix.DECIMAL
-                && (unsigned.indexOf('.') >= 0
-                        || unsigned.toLowerCase(java.util.Locale.ROOT).indexOf('e') >= 0)) {
+                && (unsignedText.indexOf('.') >= 0
+                        || unsignedText.toLowerCase(java.util.Locale.ROOT).indexOf('e') >= 0)) {
             return new BigDecimal(text).doubleValue();
         }
-        String digits = radix == Radix.DECIMAL ? unsigned : unsigned.substring(PREFIX_LENGTH);
+        String digits = radix == Radix.DECIMAL ? unsignedText : unsignedText.substring(RADIX_PREFIX_CHARS);
         BigInteger magnitude = new BigInteger(digits, radix);
         if (magnitude.bitLength() >= Long.SIZE) {
-            error(context, "'" + context.getText() + "' is out of range");
+            addError(context, "'" + context.getText() + "' is out of the range of 64-bit integers");
             return 0L;
         }
         return isNegative ? -magnitude.longValue() : magnitude.longValue();
     }
 
-    /** Bases of whole numbers. */
+    /** Number bases of integer literals. */
     private static final class Radix {
         private static final int BINARY = 2;
         private static final int OCTAL = 8;
@@ -124,40 +126,40 @@
         private static final int HEXADECIMAL = 16;
     }
 
-    private static int radix(String unsigned) {
-        if (unsigned.startsWith("0x")) {
+    private static int radix(String unsignedText) {
+        if (unsignedText.startsWith("0x")) {
             return Radix.HEXADECIMAL;
         }
-        if (unsigned.startsWith("0o")) {
+        if (unsignedText.startsWith("0o")) {
             return Radix.OCTAL;
         }
-        return unsigned.startsWith("0b") ? Radix.BINARY : Radix.DECIMAL;
+        return unsignedText.startsWith("0b") ? Radix.BINARY : Radix.DECIMAL;
     }
 
-    private String text(KdlParser.TextContext context) {
+    private String stringContent(KdlParser.TextContext context) {
         TerminalNode token = (TerminalNode) context.getChild(0);
         String text = token.getText();
         try {
             return switch (token.getSymbol().getType()) {
-                case KdlLexer.IDENT -> identifier(context, text);
-                case KdlLexer.RAW -> KdlStrings.raw(text);
-                case KdlLexer.MULTILINE -> KdlStrings.multiline(text);
-                default -> KdlStrings.quoted(text);
+                case KdlLexer.IDENT -> identifierContent(context, text);
+                case KdlLexer.RAW -> KdlStrings.decodeRaw(text);
+                case KdlLexer.MULTILINE -> KdlStrings.decodeMultiline(text);
+                default -> KdlStrings.decodeQuoted(text);
             };
         } catch (InvalidStringException invalid) {
-            error(context, invalid.getMessage());
+            addError(context, invalid.getMessage());
             return "";
         }
     }
 
-    private String identifier(KdlParser.TextContext context, String text) {
+    private String identifierContent(KdlParser.TextContext context, String text) {
         if (RESERVED_WORDS.contains(text)) {
-            error(context, "'" + text + "' is written #" + text + ", or in quotes if text is meant");
+            addError(context, "'" + text + "' is written #" + text + ", or in quotes if text is meant");
         }
         return text;
     }
 
-    private void error(ParserRuleContext place, String message) {
+    private void addError(ParserRuleContext place, String message) {
         errors.add(new KdlError(place.getStart().getLine(), message));
     }
 }
--- a/src/main/java/linenring/kdl/KdlReadResult.java
+++ b/src/main/java/linenring/kdl/KdlReadResult.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 
-/** What came of reading a KDL text. */
+/** Result of parsing a KDL text: its nodes or its errors. */
 sealed interface KdlReadResult {
-    /** The text is KDL; these are its top-level nodes. */
+    /** The text is valid KDL; {@code nodes} are its top-level nodes. */
     record Document(List<KdlNode> nodes) implements KdlReadResult {}
 
-    /** The text is no KDL; the errors are in the order of their lines and at least one. */
+    /** The text is not valid KDL; {@code errors} has at least one entry and is ordered by line. */
     record Invalid(List<KdlError> errors) implements KdlReadResult {}
 }
--- a/src/main/java/linenring/kdl/KdlReader.java
+++ b/src/main/java/linenring/kdl/KdlReader.java
@@ -9,37 +9,38 @@
 import org.antlr.v4.runtime.Recognizer;
 import org.antlr.v4.runtime.Token;
 
-/** Reads KDL 2 (kdl.dev/spec): parses a text and has {@link KdlNodeBuilder} make nodes of the parse tree. */
+/** Parses KDL 2 text (kdl.dev/spec) and builds its nodes from the parse tree with {@link KdlNodeBuilder}. */
 final class KdlReader {
     /**
-     * Limit of children within children. The parser recurses for each level, and a text of open braces alone would end
-     * it with a stack overflow. No settings file comes near it.
+     * Maximum nesting depth of children. The parser recurses once for each level, so a text of opening braces alone would
+     * cause a stack overflow. Settings files are nested far less deeply.
      */
-    private static final int MAX_DEPTH = 64;
+    private static final int MAX_NESTING_DEPTH = 64;
 
     private static final int MAX_QUOTED_CHARS = 40;
 
     private KdlReader() {}
 
     static KdlReadResult read(String text) {
-        if (depth(text) > MAX_DEPTH) {
-            return new KdlReadResult.Invalid(List.of(new KdlError(1, "children are nested deeper than " + MAX_DEPTH)));
+        if (nestingDepth(text) > MAX_NESTING_DEPTH) {
+            return new KdlReadResult.Invalid(
+                    List.of(new KdlError(1, "children are nested more deeply than the limit of " + MAX_NESTING_DEPTH)));
         }
         ErrorCollector syntaxErrors = new ErrorCollector();
         KdlParser.DocumentContext document = parse(text, syntaxErrors);
         if (!syntaxErrors.errors.isEmpty()) {
-            // only the first: those after it come from the parser's attempts to go on
+            // only the first syntax error is reported: later ones are artifacts of the parser's error recovery
             return new KdlReadResult.Invalid(List.of(syntaxErrors.errors.get(0)));
         }
         KdlNodeBuilder builder = new KdlNodeBuilder();
-        List<KdlNode> nodes = builder.nodes(document.nodes());
+        List<KdlNode> nodes = builder.buildNodes(document.nodes());
         return builder.errors().isEmpty()
                 ? new KdlReadResult.Document(nodes)
                 : new KdlReadResult.Invalid(builder.errors());
     }
 
-    /** The deepest nesting of braces, counted without parsing: those within quoted text count too. */
-    private static int depth(String text) {
+    /** Returns the deepest nesting of braces, counted without parsing, so braces inside quoted strings count too. */
+    private static int nestingDepth(String text) {
         int depth = 0;
         int deepest = 0;
         for (int i = 0; i < text.length(); i++) {
@@ -63,7 +64,7 @@
         return parser.document();
     }
 
-    /** Collects syntax errors with messages for whoever writes settings, in place of the parser's own. */
+    /** Collects syntax errors and replaces ANTLR's messages by ones that an author of settings files can understand. */
     private static final class ErrorCollector extends BaseErrorListener {
         private final List<KdlError> errors = new ArrayList<>();
 
@@ -75,26 +76,25 @@
                 int column,
                 String message,
                 RecognitionException cause) {
-            String words = symbol instanceof Token token ? describe(token) : "'" + message + "'";
-            errors.add(new KdlError(line, words));
+            String description = symbol instanceof Token token ? describe(token) : "'" + message + "'";
+            errors.add(new KdlError(line, description));
         }
 
         private static String describe(Token token) {
             String text = token.getText();
-            String quoted = "'" + shortened(text) + "'";
+            String quoted = "'" + shorten(text) + "'";
             return switch (token.getType()) {
                 case Token.EOF -> "the file ends before a '}' that is open";
                 case KdlLexer.UNQUOTED ->
-                    quoted + " is no number; text that begins with a digit stands in quotes: \"" + shortened(text)
-                            + "\"";
-                case KdlLexer.SEP -> "the line ends too early";
+                    quoted + " is no number; text that begins with a digit stands in quotes: \"" + shorten(text) + "\"";
+                case KdlLexer.SEP -> "expected more on this line, found its end";
                 case KdlLexer.STRAY ->
                     text.equals("\"") ? "a quote is opened and not closed on its line" : quoted + " can't stand here";
                 default -> quoted + " can't stand here";
             };
         }
 
-        private static String shortened(String text) {
+        private static String shorten(String text) {
             return text.length() <= MAX_QUOTED_CHARS ? text : text.substring(0, MAX_QUOTED_CHARS) + "...";
         }
     }
--- a/src/main/java/linenring/kdl/KdlToJson.java
+++ b/src/main/java/linenring/kdl/KdlToJson.java
@@ -11,44 +11,44 @@
 import java.util.Set;
 
 /**
- * Converts KDL nodes to the JSON tree that a JSON Schema checks. A node with one argument and nothing else becomes that
- * value; any other becomes an object of its properties and its children by name, with its arguments under {@code arguments}.
- * Nodes whose names are declared as lists become items of an array, even a single one; of others a second one with the same
- * name is an error.
+ * Converts KDL nodes to a JSON tree, which can be validated against a JSON Schema. A node that has exactly one argument, no
+ * properties and no children becomes a plain value. All other nodes become objects with their properties and children as
+ * members and their arguments in the array {@code arguments}. Nodes whose names are declared as lists become items of an
+ * array, even if there is only one; repeating any other node name is an error.
  */
 final class KdlToJson {
     /**
      * A converted document.
      *
-     * @param lines for the JSON pointer of each place, its line in the file
-     * @param error the first duplicate, if there is one
+     * @param lineByPointer line number in the file by JSON pointer
+     * @param duplicateError error for the first repeated node name, empty if none is repeated
      */
-    record Tree(ObjectNode root, Map<String, Integer> lines, Optional<KdlError> error) {}
+    record Tree(ObjectNode root, Map<String, Integer> lineByPointer, Optional<KdlError> duplicateError) {}
 
-    /** The key under which an object has its node's arguments. */
+    /** Member of a JSON object that holds the arguments of the KDL node. */
     static final String ARGUMENTS = "arguments";
 
-    private static final JsonNodeFactory JSON = JsonNodeFactory.instance;
+    private static final JsonNodeFactory JSON_NODES = JsonNodeFactory.instance;
 
     private final Set<String> listNames;
-    private final Map<String, Integer> lines = new HashMap<>();
-    private KdlError firstError;
+    private final Map<String, Integer> lineByPointer = new HashMap<>();
+    private KdlError duplicateError;
 
     private KdlToJson(Set<String> listNames) {
         this.listNames = listNames;
     }
 
     /**
-     * Converts a document.
+     * Converts the top-level nodes of a document.
      *
-     * @param listNames names of nodes that may occur more than once
+     * @param listNames names of nodes that may be repeated within one parent
      */
     static Tree convert(List<KdlNode> nodes, Set<String> listNames) {
         KdlToJson conversion = new KdlToJson(listNames);
-        ObjectNode root = JSON.objectNode();
-        conversion.lines.put("", 1);
+        ObjectNode root = JSON_NODES.objectNode();
+        conversion.lineByPointer.put("", 1);
         conversion.addAll(nodes, root, "");
-        return new Tree(root, conversion.lines, Optional.ofNullable(conversion.firstError));
+        return new Tree(root, conversion.lineByPointer, Optional.ofNullable(conversion.duplicateError));
     }
 
     private void addAll(List<KdlNode> nodes, ObjectNode parent, String parentPointer) {
@@ -56,36 +56,37 @@
             String pointer = parentPointer + "/" + node.name();
             if (listNames.contains(node.name())) {
                 ArrayNode items = parent.withArray(node.name());
-                lines.putIfAbsent(pointer, node.line());
-                items.add(json(node, pointer + "/" + items.size()));
+                lineByPointer.putIfAbsent(pointer, node.line());
+                items.add(toJson(node, pointer + "/" + items.size()));
             } else if (parent.has(node.name())) {
-                duplicate(node, lines.get(pointer));
+                reportDuplicate(node, lineByPointer.get(pointer));
             } else {
-                parent.set(node.name(), json(node, pointer));
+                parent.set(node.name(), toJson(node, pointer));
             }
         }
     }
 
-    private void duplicate(KdlNode node, int firstLine) {
-        if (firstError == null) {
-            firstError = new KdlError(node.line(), node.name() + " is given a second time, first on line " + firstLine);
+    private void reportDuplicate(KdlNode node, int firstLine) {
+        if (duplicateError == null) {
+            duplicateError =
+                    new KdlError(node.line(), node.name() + " is given a second time, first on line " + firstLine);
         }
     }
 
-    private JsonNode json(KdlNode node, String pointer) {
-        lines.put(pointer, node.line());
+    private JsonNode toJson(KdlNode node, String pointer) {
+        lineByPointer.put(pointer, node.line());
         if (isSingleValue(node)) {
-            return json(node.arguments().get(0).content());
+            return toJson(node.arguments().get(0).content());
         }
-        ObjectNode object = JSON.objectNode();
+        ObjectNode object = JSON_NODES.objectNode();
         if (!node.arguments().isEmpty()) {
             ArrayNode arguments = object.putArray(ARGUMENTS);
-            node.arguments().forEach(argument -> arguments.add(json(argument.content())));
-            lines.put(pointer + "/" + ARGUMENTS, node.line());
+            node.arguments().forEach(argument -> arguments.add(toJson(argument.content())));
+            lineByPointer.put(pointer + "/" + ARGUMENTS, node.line());
         }
         node.properties().forEach((name, value) -> {
-            object.set(name, json(value.content()));
-            lines.put(pointer + "/" + name, value.line());
+            object.set(name, toJson(value.content()));
+            lineByPointer.put(pointer + "/" + name, value.line());
         });
         addAll(node.children(), object, pointer);
         return object;
@@ -98,19 +99,19 @@
                 && !listNames.contains(node.name());
     }
 
-    private static JsonNode json(Object content) {
+    private static JsonNode toJson(Object content) {
         if (content == null) {
-            return JSON.nullNode();
+            return JSON_NODES.nullNode();
         }
         if (content instanceof String text) {
-            return JSON.textNode(text);
+            return JSON_NODES.textNode(text);
         }
         if (content instanceof Long number) {
-            return JSON.numberNode(number);
+            return JSON_NODES.numberNode(number);
         }
         if (content instanceof Boolean flag) {
-            return JSON.booleanNode(flag);
+            return JSON_NODES.booleanNode(flag);
         }
-        return JSON.numberNode((Double) content);
+        return JSON_NODES.numberNode((Double) content);
     }
 }
--- a/src/main/java/linenring/kdl/SettingsDocument.java
+++ b/src/main/java/linenring/kdl/SettingsDocument.java
@@ -5,50 +5,55 @@
 import java.util.List;
 import java.util.Map;
 
-/** One settings file: its content as a JSON tree, and the errors found so far, each with file, line and what was expected. */
+/** Content of one settings file as a JSON tree, with the errors found so far. Each error names the file and the line. */
 public final class SettingsDocument {
     private final String file;
     private final JsonNode root;
-    private final Map<String, Integer> lines;
-    private final List<String> faults = new ArrayList<>();
-
-    /** {@code lines}: for the JSON pointer of each place, its line in the file. */
-    SettingsDocument(String file, JsonNode root, Map<String, Integer> lines) {
+    private final Map<String, Integer> lineByPointer;
+    private final List<String> errors = new ArrayList<>();
+
+    /**
+     * Creates a document without errors.
+     *
+     * @param root the content, or null if the text is not valid KDL
+     * @param lineByPointer line number in the file by JSON pointer
+     */
+    SettingsDocument(String file, JsonNode root, Map<String, Integer> lineByPointer) {
         this.file = file;
         this.root = root;
-        this.lines = lines;
+        this.lineByPointer = lineByPointer;
     }
 
-    /** The tree; null where the text is no KDL. It matches the schema only where there are no errors. */
+    /** Returns the JSON tree, or null if the text is not valid KDL. The tree conforms to the schema only if there are no errors. */
     public JsonNode root() {
         return root;
     }
 
-    /** Each error once, as {@code file:line: message}, in the order found. */
+    /** Returns the distinct errors as {@code file:line: message}, in the order found. */
     public List<String> faults() {
-        return faults.stream().distinct().toList();
+        return errors.stream().distinct().toList();
     }
 
-    /** Whether no error was found. */
+    /** Whether no error has been found. */
     public boolean isSound() {
-        return faults.isEmpty();
+        return errors.isEmpty();
     }
 
-    /** Adds an error at the place of a JSON pointer into the tree. */
+    /** Adds an error at the line of the element that a JSON pointer identifies. */
     public void fault(String pointer, String message) {
-        faultOnLine(line(pointer), message);
+        addErrorOnLine(lineOf(pointer), message);
     }
 
-    void faultOnLine(int line, String message) {
-        faults.add(file + ":" + line + ": " + message);
+    void addErrorOnLine(int line, String message) {
+        errors.add(file + ":" + line + ": " + message);
     }
 
-    /** The line of the place, or of the nearest enclosing one that the file has. */
-    int line(String pointer) {
-        String place = pointer;
-        while (!lines.containsKey(place) && !place.isEmpty()) {
-            place = place.substring(0, Math.max(0, place.lastIndexOf('/')));
+    /** Returns the line of the element at a JSON pointer, or of its nearest ancestor that has a known line. */
+    int lineOf(String pointer) {
+        String ancestor = pointer;
+        while (!lineByPointer.containsKey(ancestor) && !ancestor.isEmpty()) {
+            ancestor = ancestor.substring(0, Math.max(0, ancestor.lastIndexOf('/')));
         }
-        return lines.getOrDefault(place, 1);
+        return lineByPointer.getOrDefault(ancestor, 1);
     }
 }
--- a/src/main/java/linenring/kdl/SettingsSchema.java
+++ b/src/main/java/linenring/kdl/SettingsSchema.java
@@ -16,8 +16,8 @@
 import java.util.Set;
 
 /**
- * Checks settings in KDL against a JSON Schema. The {@code description} of a property in the schema is what an error message says
- * was expected there.
+ * Validates settings in KDL against a JSON Schema. Error messages use the {@code description} of a property in the schema as
+ * the expected value.
  */
 public final class SettingsSchema {
     private static final int MAX_QUOTED_CHARS = 60;
@@ -26,11 +26,11 @@
     private final Set<String> listNames;
 
     /**
-     * Loads a schema.
+     * Loads a JSON Schema from the class path.
      *
-     * @param owner the class whose package holds the schema
-     * @param resource the schema's file
-     * @param listNames names of nodes that may occur more than once
+     * @param owner class whose package contains the schema file
+     * @param resource file name of the schema
+     * @param listNames names of KDL nodes that may be repeated within one parent
      */
     public SettingsSchema(Class<?> owner, String resource, Set<String> listNames) {
         this.listNames = listNames;
@@ -43,88 +43,88 @@
     }
 
     /**
-     * Reads and checks a text.
+     * Parses a KDL text and validates it against the schema.
      *
-     * @param file its name, for error messages
+     * @param file name of the settings file, used in error messages
      */
     public SettingsDocument read(String file, String text) {
         KdlReadResult result = KdlReader.read(text);
         if (result instanceof KdlReadResult.Invalid invalid) {
-            SettingsDocument unread = new SettingsDocument(file, null, Map.of());
-            invalid.errors().forEach(error -> unread.faultOnLine(error.line(), error.message()));
-            return unread;
+            SettingsDocument invalidDocument = new SettingsDocument(file, null, Map.of());
+            invalid.errors().forEach(error -> invalidDocument.addErrorOnLine(error.line(), error.message()));
+            return invalidDocument;
         }
-        return check(file, ((KdlReadResult.Document) result));
+        return validate(file, ((KdlReadResult.Document) result));
     }
 
-    private SettingsDocument check(String file, KdlReadResult.Document read) {
-        KdlToJson.Tree tree = KdlToJson.convert(read.nodes(), listNames);
-        SettingsDocument document = new SettingsDocument(file, tree.root(), tree.lines());
-        if (tree.error().isPresent()) {
-            KdlError error = tree.error().get();
-            document.faultOnLine(error.line(), error.message());
+    private SettingsDocument validate(String file, KdlReadResult.Document parsed) {
+        KdlToJson.Tree tree = KdlToJson.convert(parsed.nodes(), listNames);
+        SettingsDocument document = new SettingsDocument(file, tree.root(), tree.lineByPointer());
+        if (tree.duplicateError().isPresent()) {
+            KdlError error = tree.duplicateError().get();
+            document.addErrorOnLine(error.line(), error.message());
             return document;
         }
         schema.validate(tree.root()).stream()
                 .sorted(Comparator.comparingInt((Error error) ->
-                        document.line(error.getInstanceLocation().toString())))
-                .forEach(error -> addFault(document, error));
+                        document.lineOf(error.getInstanceLocation().toString())))
+                .forEach(error -> addError(document, error));
         return document;
     }
 
-    /** The name of a place as operators write it: {@code front.hosts.idle}. */
-    private static String key(String pointer) {
+    /** Returns the dotted name of a JSON pointer for error messages, such as {@code front.hosts.idle}. */
+    private static String dottedName(String pointer) {
         String key =
                 pointer.replaceAll("^/|/[0-9]+|/" + KdlToJson.ARGUMENTS, "").replace('/', '.');
         return key.isEmpty() ? "the file" : key;
     }
 
-    private void addFault(SettingsDocument document, Error error) {
+    private void addError(SettingsDocument document, Error error) {
         String pointer = error.getInstanceLocation().toString();
         String property = error.getProperty();
         boolean isArguments = KdlToJson.ARGUMENTS.equals(property);
         switch (error.getKeyword()) {
             case "required" -> {
                 String missing = isArguments ? "what it is called" : property;
-                document.fault(pointer, key(pointer) + ": " + missing + " is missing");
+                document.fault(pointer, dottedName(pointer) + ": " + missing + " is missing");
             }
             case "additionalProperties" -> {
                 String unexpected = isArguments
                         ? "a value stands where properties such as name=value are expected"
                         : property + " is not known here";
-                document.fault(pointer + "/" + property, key(pointer) + ": " + unexpected);
+                document.fault(pointer + "/" + property, dottedName(pointer) + ": " + unexpected);
             }
             default -> {
-                String expected = description(pointer, error).orElse(error.getMessage());
-                String found = shortened(error.getInstanceNode());
-                document.fault(pointer, key(pointer) + ": " + found + " is not " + expected);
+                String expected = expectedDescription(pointer, error).orElse(error.getMessage());
+                String found = shorten(error.getInstanceNode());
+                document.fault(pointer, dottedName(pointer) + ": " + found + " is not " + expected);
             }
         }
     }
 
-    /** The schema's description of the place or of the nearest enclosing one, found by walking the schema along the pointer. */
-    private Optional<String> description(String pointer, Error error) {
+    /** Returns the schema's description of the element at a JSON pointer, or of its nearest ancestor that has a description. */
+    private Optional<String> expectedDescription(String pointer, Error error) {
         if (error.getSchemaNode() == null) {
             return Optional.empty();
         }
         JsonNode root = schema.getSchemaNode();
-        JsonNode place = root;
+        JsonNode subschema = root;
         Optional<String> description = Optional.empty();
         for (String step : pointer.substring(1).split("/", -1)) {
-            place = step.matches("[0-9]+")
-                    ? place.path("items")
-                    : place.path("properties").path(step);
-            if (place.has("$ref")) {
-                place = root.at(place.get("$ref").asText().substring(1));
+            subschema = step.matches("[0-9]+")
+                    ? subschema.path("items")
+                    : subschema.path("properties").path(step);
+            if (subschema.has("$ref")) {
+                subschema = root.at(subschema.get("$ref").asText().substring(1));
             }
-            if (place.has("description")) {
-                description = Optional.of(place.get("description").asText());
+            if (subschema.has("description")) {
+                description = Optional.of(subschema.get("description").asText());
             }
         }
         return description;
     }
 
-    private static String shortened(JsonNode found) {
+    private static String shorten(JsonNode found) {
         String text = found == null ? "it" : found.toString();
         return text.length() <= MAX_QUOTED_CHARS ? text : text.substring(0, MAX_QUOTED_CHARS) + "...";
     }
--- a/src/main/java/linenring/kdl/Units.java
+++ b/src/main/java/linenring/kdl/Units.java
@@ -1,17 +1,17 @@
 package linenring.kdl;
 
-/** Durations, sizes and percentages as settings write them: a number and its unit. */
+/** Parses durations, sizes and percentages in settings, which are written as a number with a unit. */
 public final class Units {
-    /** The pattern of a duration, as the schemas have it too. */
+    /** Regular expression of a duration; the JSON Schemas contain the same pattern. */
     public static final String DURATION = "^[0-9]+(\\.[0-9]+)?(ms|s|min|h)$";
 
     private static final double SECOND_MS = 1000;
     private static final double MINUTE_MS = 60 * SECOND_MS;
     private static final double HOUR_MS = 60 * MINUTE_MS;
-    private static final long KIBIBYTE = 1L << 10;
-    private static final long MEBIBYTE = 1L << 20;
-    private static final long GIBIBYTE = 1L << 30;
-    private static final double PERCENT = 100;
+    private static final long KIBIBYTE_BYTES = 1L << 10;
+    private static final long MEBIBYTE_BYTES = 1L << 20;
+    private static final long GIBIBYTE_BYTES = 1L << 30;
+    private static final double PERCENT_PER_UNIT = 100;
 
     private Units() {}
 
@@ -23,7 +23,7 @@
         return start;
     }
 
-    /** Milliseconds; the text must match {@link #DURATION}. */
+    /** Parses a duration, which must match {@link #DURATION}, and returns it in milliseconds. */
     public static double millis(String text) {
         int unitStart = unitStart(text);
         double number = Double.parseDouble(text.substring(0, unitStart));
@@ -36,20 +36,20 @@
         return number * unitMs;
     }
 
-    /** Bytes; the text must be a whole number and B, KiB, MiB or GiB, as a schema has checked. */
+    /** Parses a size to bytes. The text must be an integer followed by B, KiB, MiB or GiB; the schema validates this. */
     public static long bytes(String text) {
         int unitStart = unitStart(text);
         long unitBytes = switch (text.substring(unitStart)) {
             case "B" -> 1;
-            case "KiB" -> KIBIBYTE;
-            case "MiB" -> MEBIBYTE;
-            default -> GIBIBYTE;
+            case "KiB" -> KIBIBYTE_BYTES;
+            case "MiB" -> MEBIBYTE_BYTES;
+            default -> GIBIBYTE_BYTES;
         };
         return Math.multiplyExact(Long.parseLong(text.substring(0, unitStart)), unitBytes);
     }
 
-    /** A fraction of 1; the text must be a number and %, as a schema has checked. */
+    /** Parses a percentage to a fraction of 1. The text must be a number followed by %; the schema validates this. */
     public static double share(String text) {
-        return Double.parseDouble(text.substring(0, text.length() - 1)) / PERCENT;
+        return Double.parseDouble(text.substring(0, text.length() - 1)) / PERCENT_PER_UNIT;
     }
 }
--- a/src/main/java/linenring/kdl/package-info.java
+++ b/src/main/java/linenring/kdl/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Settings files in KDL 2 (kdl.dev/spec): a reader, the tree that a JSON Schema checks, and units. Each error names the line of
- * the file and what was expected there. The grammar is {@code src/main/antlr4/linenring/kdl/Kdl.g4}.
+ * Reads settings files in KDL 2 (kdl.dev/spec): a parser, the conversion to a JSON tree, the validation against a JSON Schema,
+ * and values with units. Error messages name the line and the expected value. The grammar is {@code
+ * src/main/antlr4/linenring/kdl/Kdl.g4}.
  */
 package linenring.kdl;
--- a/src/main/java/linenring/load/CallEnd.java
+++ b/src/main/java/linenring/load/CallEnd.java
@@ -1,19 +1,19 @@
 package linenring.load;
 
 /**
- * How a call ended.
+ * How a call ended: with a response, a stream reset, or none of these.
  *
- * @param label      for tables
- * @param isAnswered whether an answer came, with any status
+ * @param label      text for the table of results
+ * @param isAnswered whether a response was received, with any status
  */
 record CallEnd(String label, boolean isAnswered) {
-    /** It was sent, and nothing is known of it. */
+    /** The call was sent, but it is unknown whether the server processed it. */
     static final CallEnd LOST = new CallEnd("lost", false);
 
-    /** It is proven that it was not processed (RFC 9113, 8.7 and 6.8). */
+    /** The server guaranteed that it did not process the call (RFC 9113, 8.7 and 6.8). */
     static final CallEnd REFUSED = new CallEnd("refused", false);
 
-    /** No connection took it. */
+    /** The call was not sent, since no connection could open a stream for it. */
     static final CallEnd UNSENT = new CallEnd("unsent", false);
 
     private static final int REFUSED_STREAM = 7;
--- a/src/main/java/linenring/load/CallOutcomes.java
+++ b/src/main/java/linenring/load/CallOutcomes.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 
-/** What came of one operation's calls. Written under the generator's lock, read once the load has ended. */
+/** Latencies and outcomes of one operation's calls. Written under the generator's lock and read after the load has ended. */
 public final class CallOutcomes {
     private static final int MAX_LATENCY_SECONDS = 60;
     private static final int SIGNIFICANT_DIGITS = 3;
@@ -16,38 +16,38 @@
     private final Map<String, Long> countsByEnd = new TreeMap<>();
     private long sent;
 
-    void recordSent() {
+    void recordScheduled() {
         sent++;
     }
 
-    void recordEnd(CallEnd end, long micros) {
+    void recordEnd(CallEnd end, long elapsedMicros) {
         countsByEnd.merge(end.label(), 1L, Long::sum);
         if (end.isAnswered()) {
-            latencyMicros.recordValue(Math.min(micros, latencyMicros.getHighestTrackableValue()));
+            latencyMicros.recordValue(Math.min(elapsedMicros, latencyMicros.getHighestTrackableValue()));
         }
     }
 
-    /** Calls that were due. */
+    /** Returns the number of calls that were scheduled, including calls that could not be sent. */
     public long sent() {
         return sent;
     }
 
-    /** Calls that were answered, with any status. */
+    /** Returns the number of calls that received a response, with any status. */
     public long answered() {
         return latencyMicros.getTotalCount();
     }
 
-    /** From when a call was due until its answer was complete, in microseconds, of those that were answered. */
+    /** Returns the latencies of answered calls in microseconds, from the scheduled time until the response was complete. */
     public Histogram latencyMicros() {
         return latencyMicros;
     }
 
-    /** How many ended how: by status, "reset N", "refused", "lost", "unsent". */
+    /** Returns the number of calls by outcome: the status, "reset N", "refused", "lost" or "unsent". */
     public Map<String, Long> countsByEnd() {
         return Collections.unmodifiableMap(countsByEnd);
     }
 
-    /** Sent, and neither answered nor known to be not processed. */
+    /** Returns the number of calls that were sent but have no response, so that the server may or may not have processed them. */
     public long lost() {
         return countsByEnd.getOrDefault(CallEnd.LOST.label(), 0L);
     }
--- a/src/main/java/linenring/load/LoadConnection.java
+++ b/src/main/java/linenring/load/LoadConnection.java
@@ -14,158 +14,170 @@
 import org.eclipse.jetty.http.HttpStatus;
 import org.eclipse.jetty.http.MetaData;
 
-/** One connection of a load; a thread of its own reads, the generator's thread sends. */
+/** One client connection of a load generator. A thread of its own reads responses; the generator's thread sends requests. */
 final class LoadConnection {
-    /** Takes the end of each call, once, on any thread. */
+    /** Receives the outcome of each call, exactly once and on any thread. */
     interface EndHandler {
-        void ended(int call, long dueNanos, CallEnd end);
+        void callEnded(int templateIndex, long dueNanos, CallEnd end);
     }
 
-    /** Wide open, so that flow control never delays an answer. */
+    /** Receive window of each stream, large enough that flow control never delays a response. */
     private static final int STREAM_WINDOW_BYTES = 1 << 24;
 
     private static final int CONNECTION_WINDOW_BYTES = STREAM_WINDOW_BYTES * 8;
-    private static final int INITIAL_CALLS = 1024;
-    private static final int ASSUMED_MAX_STREAMS = 100; // until the SETTINGS have come
-    private static final int FIRST_STREAM = 1;
-    private static final int STREAM_STEP = 2;
+    private static final int INITIAL_STREAM_CAPACITY = 1024;
+
+    /** Assumed limit of concurrent streams until the server's SETTINGS frame arrives. */
+    private static final int MAX_STREAMS_BEFORE_SETTINGS = 100;
+
+    private static final int FIRST_STREAM_ID = 1;
+    private static final int STREAM_ID_STEP = 2;
     private static final long NOT_OPEN = 0;
 
     private final FrameConnection frames;
     private final Thread reader;
     private final EndHandler endHandler;
-    private final Map<Integer, CallEnd> answersByStream = new HashMap<>(); // touched by the reader alone
-    // All below are guarded by this.
-    private long[] dueNanosByIndex = new long[INITIAL_CALLS]; // index: stream / 2; NOT_OPEN where none is open
-    private int[] callByIndex = new int[INITIAL_CALLS];
-    private int nextStream = FIRST_STREAM;
+    private final Map<Integer, CallEnd> responseEndByStream = new HashMap<>(); // accessed only by the reading thread
+    // The fields below are guarded by this object's monitor.
+    /** Scheduled time of each call, indexed by stream / 2; NOT_OPEN if there is no open stream. */
+    private long[] dueNanosByStreamIndex = new long[INITIAL_STREAM_CAPACITY];
+
+    /** Index of each call's template, indexed by stream / 2. */
+    private int[] templateIndexByStreamIndex = new int[INITIAL_STREAM_CAPACITY];
+
+    private int nextStream = FIRST_STREAM_ID;
     private int openStreams;
-    private int maxStreams = ASSUMED_MAX_STREAMS;
-    private int lastProcessedStream = Integer.MAX_VALUE; // as a GOAWAY says (RFC 9113, 6.8)
-    private boolean goingAway;
-    private boolean closed;
+    private int maxStreams = MAX_STREAMS_BEFORE_SETTINGS;
+    private int lastProcessedStream = Integer.MAX_VALUE; // last stream identifier of a GOAWAY frame (RFC 9113, 6.8)
+    private boolean isGoingAway;
+    private boolean isClosed;
 
-    /** Connects. */
+    /** Connects to the address and starts the reading thread. */
     LoadConnection(String address, int port, EndHandler endHandler) throws IOException {
         this.endHandler = endHandler;
         frames = new FrameConnection(new Socket(InetAddress.getByName(address), port));
         frames.sendBytes(FrameConnection.preface());
         frames.sendSettings(Frame.INITIAL_WINDOW_SIZE, STREAM_WINDOW_BYTES);
         frames.sendWindowUpdate(0, CONNECTION_WINDOW_BYTES);
-        reader = new Thread(this::read, "load");
+        reader = new Thread(this::readFrames, "load");
         reader.setDaemon(true);
         reader.start();
     }
 
-    /** A header block for {@link #send}. */
+    /** Encodes a request head to a header block for {@link #send}. */
     byte[] encode(MetaData head) {
         return frames.encode(head);
     }
 
-    /** Sends a call without a body; false, and no header block is made, if the connection takes no more now. */
-    boolean send(int call, long dueNanos, Supplier<byte[]> headerBlock) {
-        int stream = open(call, dueNanos);
-        if (stream < FIRST_STREAM) {
+    /**
+     * Sends a request without a body.
+     *
+     * @return false if the connection cannot open another stream now; the header block is then not encoded
+     */
+    boolean send(int templateIndex, long dueNanos, Supplier<byte[]> headerBlock) {
+        int stream = openStream(templateIndex, dueNanos);
+        if (stream < FIRST_STREAM_ID) {
             return false;
         }
         try {
             frames.sendFrame(Frame.HEADERS, Frame.END_HEADERS | Frame.END_STREAM, stream, headerBlock.get());
-        } catch (IOException lost) {
-            end(stream, CallEnd.LOST);
+        } catch (IOException sendFailure) {
+            endCall(stream, CallEnd.LOST);
         }
         return true;
     }
 
-    /** The call's stream, or 0 if none can be opened. */
-    private synchronized int open(int call, long dueNanos) {
+    /** Opens a stream for a call and returns its identifier, or 0 if no stream can be opened. */
+    private synchronized int openStream(int templateIndex, long dueNanos) {
         if (!isUsable() || openStreams >= maxStreams) {
             return 0;
         }
         int stream = nextStream;
-        nextStream += STREAM_STEP;
-        int index = stream / STREAM_STEP;
-        if (index >= dueNanosByIndex.length) {
-            dueNanosByIndex = Arrays.copyOf(dueNanosByIndex, dueNanosByIndex.length * 2);
-            callByIndex = Arrays.copyOf(callByIndex, callByIndex.length * 2);
+        nextStream += STREAM_ID_STEP;
+        int index = stream / STREAM_ID_STEP;
+        if (index >= dueNanosByStreamIndex.length) {
+            dueNanosByStreamIndex = Arrays.copyOf(dueNanosByStreamIndex, dueNanosByStreamIndex.length * 2);
+            templateIndexByStreamIndex =
+                    Arrays.copyOf(templateIndexByStreamIndex, templateIndexByStreamIndex.length * 2);
         }
-        dueNanosByIndex[index] = dueNanos;
-        callByIndex[index] = call;
+        dueNanosByStreamIndex[index] = dueNanos;
+        templateIndexByStreamIndex[index] = templateIndex;
         openStreams++;
         return stream;
     }
 
-    private void end(int stream, CallEnd end) {
-        int index = stream / STREAM_STEP;
+    private void endCall(int stream, CallEnd end) {
+        int index = stream / STREAM_ID_STEP;
         long dueNanos;
-        int call;
+        int templateIndex;
         synchronized (this) {
-            boolean isOwn = stream % STREAM_STEP == FIRST_STREAM && index < dueNanosByIndex.length;
-            if (!isOwn || dueNanosByIndex[index] == NOT_OPEN) {
+            boolean isOwn = stream % STREAM_ID_STEP == FIRST_STREAM_ID && index < dueNanosByStreamIndex.length;
+            if (!isOwn || dueNanosByStreamIndex[index] == NOT_OPEN) {
                 return;
             }
-            dueNanos = dueNanosByIndex[index];
-            call = callByIndex[index];
-            dueNanosByIndex[index] = NOT_OPEN;
+            dueNanos = dueNanosByStreamIndex[index];
+            templateIndex = templateIndexByStreamIndex[index];
+            dueNanosByStreamIndex[index] = NOT_OPEN;
             openStreams--;
         }
-        endHandler.ended(call, dueNanos, end);
+        endHandler.callEnded(templateIndex, dueNanos, end);
     }
 
-    private void read() {
+    private void readFrames() {
         try {
             for (Frame frame = frames.read(); frame != null; frame = frames.read()) {
-                received(frame);
+                handleFrame(frame);
             }
-        } catch (IOException | RuntimeException ended) {
-            // the connection's end, whichever side made it
+        } catch (IOException | RuntimeException connectionClosed) {
+            // the connection was closed, by either side
         }
         closeStreams();
     }
 
     private void closeStreams() {
-        List<Integer> left = new ArrayList<>();
+        List<Integer> openStreamIds = new ArrayList<>();
         int lastProcessed;
         synchronized (this) {
-            closed = true;
+            isClosed = true;
             lastProcessed = lastProcessedStream;
-            for (int index = 0; index < dueNanosByIndex.length; index++) {
-                if (dueNanosByIndex[index] != NOT_OPEN) {
-                    left.add(index * STREAM_STEP + FIRST_STREAM);
+            for (int index = 0; index < dueNanosByStreamIndex.length; index++) {
+                if (dueNanosByStreamIndex[index] != NOT_OPEN) {
+                    openStreamIds.add(index * STREAM_ID_STEP + FIRST_STREAM_ID);
                 }
             }
         }
-        left.forEach(stream -> end(stream, stream > lastProcessed ? CallEnd.REFUSED : CallEnd.LOST));
+        openStreamIds.forEach(stream -> endCall(stream, stream > lastProcessed ? CallEnd.REFUSED : CallEnd.LOST));
     }
 
-    private void received(Frame frame) throws IOException {
+    private void handleFrame(Frame frame) throws IOException {
         switch (frame.type()) {
             case Frame.SETTINGS -> {
-                settingsReceived(frame);
+                handleSettings(frame);
                 frames.acknowledge(frame);
             }
             case Frame.PING -> frames.acknowledge(frame);
             case Frame.HEADERS -> {
                 if (frames.decode(frame) instanceof MetaData.Response head && head.getStatus() >= HttpStatus.OK_200) {
-                    answersByStream.put(frame.stream(), CallEnd.answered(head.getStatus()));
+                    responseEndByStream.put(frame.stream(), CallEnd.answered(head.getStatus()));
                 }
-                endIfLast(frame);
+                endCallIfLastFrame(frame);
             }
             case Frame.DATA -> {
                 if (frame.payload().length > 0) {
                     frames.sendWindowUpdate(0, frame.payload().length);
                 }
-                endIfLast(frame);
+                endCallIfLastFrame(frame);
             }
             case Frame.RST_STREAM -> {
-                answersByStream.remove(frame.stream());
-                end(frame.stream(), CallEnd.reset(frame.uint31(0)));
+                responseEndByStream.remove(frame.stream());
+                endCall(frame.stream(), CallEnd.reset(frame.uint31(0)));
             }
-            case Frame.GOAWAY -> goAwayReceived(frame.uint31(0));
+            case Frame.GOAWAY -> handleGoAway(frame.uint31(0));
             default -> {}
         }
     }
 
-    private void settingsReceived(Frame settings) {
+    private void handleSettings(Frame settings) {
         settings.forEachSetting((id, value) -> {
             if (id == Frame.MAX_CONCURRENT_STREAMS) {
                 setMaxStreams(value);
@@ -177,27 +189,27 @@
         maxStreams = newMaxStreams;
     }
 
-    private synchronized void goAwayReceived(int lastStream) {
-        goingAway = true;
+    private synchronized void handleGoAway(int lastStream) {
+        isGoingAway = true;
         lastProcessedStream = lastStream;
     }
 
-    private void endIfLast(Frame frame) {
-        if (frame.has(Frame.END_STREAM)) {
-            end(frame.stream(), answersByStream.remove(frame.stream()));
+    private void endCallIfLastFrame(Frame frame) {
+        if (frame.hasFlag(Frame.END_STREAM)) {
+            endCall(frame.stream(), responseEndByStream.remove(frame.stream()));
         }
     }
 
-    /** Whether it may take calls, now or later. */
+    /** Whether the connection can open streams, now or after open ones have ended. */
     synchronized boolean isUsable() {
-        return !goingAway && !closed;
+        return !isGoingAway && !isClosed;
     }
 
     synchronized boolean hasOpenStreams() {
         return openStreams > 0;
     }
 
-    /** Ends it; what is still open counts as lost. */
+    /** Closes the connection. Calls in flight count as lost, or as refused if a GOAWAY frame excluded them. */
     void close() throws IOException, InterruptedException {
         frames.close();
         reader.join();
--- a/src/main/java/linenring/load/LoadGenerator.java
+++ b/src/main/java/linenring/load/LoadGenerator.java
@@ -17,54 +17,55 @@
 import org.eclipse.jetty.http.MetaData;
 
 /**
- * A load on an HTTP/2 port: at a steady rate whatever comes back (latency counts from when a call was due, so that a
- * stall is seen by all calls that it delays), or with a number of calls at a time.
+ * Generates load on an HTTP/2 port, either at a constant rate (open loop) or with a constant concurrency (closed loop).
+ * At a constant rate, latency is measured from the scheduled time of a call, so that a stall counts for all calls that it
+ * delays (no coordinated omission).
  */
 public final class LoadGenerator {
     /**
-     * One sort of call.
+     * Template of the requests of one operation.
      *
-     * @param operation         its name in the results
-     * @param method            of the request
-     * @param path              of the request
-     * @param weight            of all calls
-     * @param hasIdempotencyKey whether each carries a key of its own in x-mark
+     * @param operation         name of the operation in the results
+     * @param method            HTTP method of the request
+     * @param path              path of the request
+     * @param weight            relative frequency among all calls
+     * @param hasIdempotencyKey whether each request carries a unique idempotency key in the header x-mark
      */
     public record Call(String operation, String method, String path, double weight, boolean hasIdempotencyKey) {}
 
     /**
-     * What is sent.
+     * Parameters of one load.
      *
-     * @param address         of the port
-     * @param port            of the port
-     * @param calls           by weight
-     * @param callsPerSecond  0: as many at a time as {@code concurrency}
-     * @param concurrency     calls at a time, without a rate
-     * @param connections     over which calls are spread
-     * @param measuredSeconds how long calls count
-     * @param warmUpSeconds   how long calls are sent before that
-     * @param answerWaitMs    how long the last answers are waited for
-     * @param seed            of the mix of calls
+     * @param address           IP address to connect to
+     * @param port              port to connect to
+     * @param callTemplates     request templates, chosen at random by weight
+     * @param callsPerSecond    constant rate of calls, or 0 for a constant number of calls in flight
+     * @param concurrency       number of calls in flight if {@code callsPerSecond} is 0
+     * @param connections       number of connections, used in rotation
+     * @param measuredSeconds   duration of the measurement
+     * @param warmUpSeconds     duration of the load before the measurement starts
+     * @param responseTimeoutMs maximum wait for outstanding responses after the last call
+     * @param seed              random seed for the choice of calls and the idempotency keys
      */
     public record Plan(
             String address,
             int port,
-            List<Call> calls,
+            List<Call> callTemplates,
             double callsPerSecond,
             int concurrency,
             int connections,
             double measuredSeconds,
             double warmUpSeconds,
-            long answerWaitMs,
+            long responseTimeoutMs,
             long seed) {
         private boolean hasRate() {
             return callsPerSecond > 0;
         }
     }
 
-    /** What came of all calls, by operation. */
+    /** Outcomes of all measured calls by operation, and the duration of the measurement. */
     public record Outcomes(Map<String, CallOutcomes> byOperation, double seconds) {
-        /** Calls that were answered, with any status. */
+        /** Returns the number of calls of all operations that received a response, with any status. */
         public long answered() {
             return byOperation.values().stream()
                     .mapToLong(CallOutcomes::answered)
@@ -75,34 +76,34 @@
     private static final double NANOS_PER_SECOND = 1e9;
     private static final double MICROS_PER_MILLI = 1e3;
     private static final long NANOS_PER_MICRO = 1000;
-    private static final long POLL_MS = 5;
-    private static final long ACQUIRE_WAIT_MS = 100;
-    private static final double MEDIAN = 50;
-    private static final double P99 = 99;
-    private static final double P999 = 99.9;
+    private static final long POLL_INTERVAL_MS = 5;
+    private static final long ACQUIRE_TIMEOUT_MS = 100;
+    private static final double MEDIAN_PERCENTILE = 50;
+    private static final double P99_PERCENTILE = 99;
+    private static final double P999_PERCENTILE = 99.9;
 
     private final Plan plan;
-    private final byte[][] headerBlocks; // by call, of those without a key
-    private final SplittableRandom mix; // used by the sending thread
-    private final SplittableRandom keys; // used by the sending thread
-    private final List<CallOutcomes> outcomes = new ArrayList<>(); // by call; guarded by itself
-    private final Semaphore free; // used without a rate
-    private final LoadConnection[] connections; // used by the sending thread
-    private long measuredFromNanos; // set before the first call
+    private final byte[][] headerBlockByTemplate; // shared by all requests without an idempotency key
+    private final SplittableRandom templateRandom; // used only by the sending thread
+    private final SplittableRandom keyRandom; // used only by the sending thread
+    private final List<CallOutcomes> outcomesByTemplate = new ArrayList<>(); // guarded by its own monitor
+    private final Semaphore concurrencyPermits; // used only at constant concurrency
+    private final LoadConnection[] connections; // used only by the sending thread
+    private long measuredFromNanos; // set before the first call is sent
 
     private LoadGenerator(Plan plan) {
         this.plan = plan;
-        mix = new SplittableRandom(plan.seed());
-        keys = mix.split();
-        free = new Semaphore(plan.concurrency());
-        headerBlocks = new byte[plan.calls().size()][];
+        templateRandom = new SplittableRandom(plan.seed());
+        keyRandom = templateRandom.split();
+        concurrencyPermits = new Semaphore(plan.concurrency());
+        headerBlockByTemplate = new byte[plan.callTemplates().size()][];
         connections = new LoadConnection[plan.connections()];
     }
 
     /**
-     * Runs a load to its end.
+     * Generates the load, waits for outstanding responses and returns the outcomes.
      *
-     * @throws IOException where the port cannot be connected to at the start
+     * @throws IOException if one of the initial connections cannot be established
      */
     public static Outcomes run(Plan plan) throws IOException, InterruptedException {
         return new LoadGenerator(plan).run();
@@ -112,9 +113,9 @@
         for (int i = 0; i < connections.length; i++) {
             connections[i] = connect();
         }
-        for (int call = 0; call < headerBlocks.length; call++) {
-            outcomes.add(new CallOutcomes());
-            headerBlocks[call] = connections[0].encode(head(call, HttpFields.EMPTY));
+        for (int templateIndex = 0; templateIndex < headerBlockByTemplate.length; templateIndex++) {
+            outcomesByTemplate.add(new CallOutcomes());
+            headerBlockByTemplate[templateIndex] = connections[0].encode(requestHead(templateIndex, HttpFields.EMPTY));
         }
         long startNanos = System.nanoTime();
         measuredFromNanos = startNanos + (long) (plan.warmUpSeconds() * NANOS_PER_SECOND);
@@ -124,7 +125,7 @@
         } else {
             sendConcurrently(endNanos);
         }
-        awaitAnswers();
+        awaitOpenStreams();
         for (LoadConnection connection : connections) {
             connection.close();
         }
@@ -132,40 +133,41 @@
     }
 
     private LoadConnection connect() throws IOException {
-        return new LoadConnection(plan.address(), plan.port(), this::ended);
+        return new LoadConnection(plan.address(), plan.port(), this::recordCallEnd);
     }
 
-    private MetaData head(int call, HttpFields fields) {
-        Call sort = plan.calls().get(call);
-        return FrameConnection.request(sort.method(), sort.path(), fields);
+    private MetaData requestHead(int templateIndex, HttpFields fields) {
+        Call template = plan.callTemplates().get(templateIndex);
+        return FrameConnection.request(template.method(), template.path(), fields);
     }
 
-    private void awaitAnswers() throws InterruptedException {
-        long giveUpNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(plan.answerWaitMs());
-        while (System.nanoTime() < giveUpNanos && Arrays.stream(connections).anyMatch(LoadConnection::hasOpenStreams)) {
-            TimeUnit.MILLISECONDS.sleep(POLL_MS);
+    private void awaitOpenStreams() throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(plan.responseTimeoutMs());
+        while (System.nanoTime() < deadlineNanos
+                && Arrays.stream(connections).anyMatch(LoadConnection::hasOpenStreams)) {
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
     }
 
     private Outcomes outcomesByOperation() {
         Map<String, CallOutcomes> byOperation = new TreeMap<>();
-        for (int call = 0; call < outcomes.size(); call++) {
-            byOperation.put(plan.calls().get(call).operation(), outcomes.get(call));
+        for (int templateIndex = 0; templateIndex < outcomesByTemplate.size(); templateIndex++) {
+            byOperation.put(plan.callTemplates().get(templateIndex).operation(), outcomesByTemplate.get(templateIndex));
         }
         return new Outcomes(byOperation, plan.measuredSeconds());
     }
 
-    /** The next call, by weight. */
-    private int drawCall() {
-        double target = mix.nextDouble()
-                * plan.calls().stream().mapToDouble(Call::weight).sum();
-        for (int call = 0; call < headerBlocks.length; call++) {
-            target -= plan.calls().get(call).weight();
-            if (target < 0) {
-                return call;
+    /** Chooses the template of the next call at random by weight and returns its index. */
+    private int drawTemplateIndex() {
+        double remainingWeight = templateRandom.nextDouble()
+                * plan.callTemplates().stream().mapToDouble(Call::weight).sum();
+        for (int templateIndex = 0; templateIndex < headerBlockByTemplate.length; templateIndex++) {
+            remainingWeight -= plan.callTemplates().get(templateIndex).weight();
+            if (remainingWeight < 0) {
+                return templateIndex;
             }
         }
-        return headerBlocks.length - 1;
+        return headerBlockByTemplate.length - 1;
     }
 
     private void sendAtRate(long startNanos, long endNanos) {
@@ -174,81 +176,82 @@
         long dueNanos = startNanos;
         for (long i = 1; dueNanos < endNanos; i++) {
             parkUntil(dueNanos);
-            firstConnection = send(drawCall(), dueNanos, firstConnection);
+            firstConnection = send(drawTemplateIndex(), dueNanos, firstConnection);
             dueNanos = startNanos + (long) (i * intervalNanos);
         }
     }
 
     private static void parkUntil(long dueNanos) {
-        for (long wait = dueNanos - System.nanoTime(); wait > 0; wait = dueNanos - System.nanoTime()) {
-            LockSupport.parkNanos(wait);
+        for (long waitNanos = dueNanos - System.nanoTime(); waitNanos > 0; waitNanos = dueNanos - System.nanoTime()) {
+            LockSupport.parkNanos(waitNanos);
         }
     }
 
     private void sendConcurrently(long endNanos) throws InterruptedException {
         int firstConnection = 0;
         while (System.nanoTime() < endNanos) {
-            if (free.tryAcquire(ACQUIRE_WAIT_MS, TimeUnit.MILLISECONDS)) {
-                firstConnection = send(drawCall(), System.nanoTime(), firstConnection);
+            if (concurrencyPermits.tryAcquire(ACQUIRE_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
+                firstConnection = send(drawTemplateIndex(), System.nanoTime(), firstConnection);
             }
         }
     }
 
     /**
-     * Sends on the next connection that takes the call; one that goes away is replaced.
+     * Sends a call on the first connection that can open a stream, and replaces unusable connections on the way.
      *
-     * @return with which connection to begin the next time
+     * @return index of the connection to try first for the next call
      */
-    private int send(int call, long dueNanos, int firstConnection) {
+    private int send(int templateIndex, long dueNanos, int firstConnection) {
         if (dueNanos >= measuredFromNanos) {
-            synchronized (outcomes) {
-                outcomes.get(call).recordSent();
+            synchronized (outcomesByTemplate) {
+                outcomesByTemplate.get(templateIndex).recordScheduled();
             }
         }
         for (int i = 0; i < connections.length; i++) {
             int index = (firstConnection + i) % connections.length;
-            if (replaceIfUnusable(index) && connections[index].send(call, dueNanos, () -> headerBlock(call, index))) {
+            if (replaceIfUnusable(index)
+                    && connections[index].send(templateIndex, dueNanos, () -> headerBlock(templateIndex, index))) {
                 return index + 1;
             }
         }
-        ended(call, dueNanos, CallEnd.UNSENT);
+        recordCallEnd(templateIndex, dueNanos, CallEnd.UNSENT);
         return firstConnection + 1;
     }
 
-    /** False where a connection went away and no other can be opened. */
+    /** Replaces an unusable connection by a new one; returns false if the new connection cannot be established. */
     private boolean replaceIfUnusable(int index) {
         if (!connections[index].isUsable()) {
             try {
                 connections[index] = connect();
-            } catch (IOException unreachable) {
+            } catch (IOException connectFailure) {
                 return false;
             }
         }
         return true;
     }
 
-    private byte[] headerBlock(int call, int connection) {
-        if (!plan.calls().get(call).hasIdempotencyKey()) {
-            return headerBlocks[call];
+    private byte[] headerBlock(int templateIndex, int connection) {
+        if (!plan.callTemplates().get(templateIndex).hasIdempotencyKey()) {
+            return headerBlockByTemplate[templateIndex];
         }
-        HttpFields key = HttpFields.build().put("x-mark", Long.toHexString(keys.nextLong()));
-        return connections[connection].encode(head(call, key));
+        HttpFields key = HttpFields.build().put("x-mark", Long.toHexString(keyRandom.nextLong()));
+        return connections[connection].encode(requestHead(templateIndex, key));
     }
 
-    private void ended(int call, long dueNanos, CallEnd end) {
+    private void recordCallEnd(int templateIndex, long dueNanos, CallEnd end) {
         if (!plan.hasRate()) {
-            free.release();
+            concurrencyPermits.release();
         }
         if (dueNanos < measuredFromNanos) {
             return;
         }
-        long micros = Math.max(0, (System.nanoTime() - dueNanos) / NANOS_PER_MICRO);
-        synchronized (outcomes) {
-            outcomes.get(call).recordEnd(end, micros);
+        long elapsedMicros = Math.max(0, (System.nanoTime() - dueNanos) / NANOS_PER_MICRO);
+        synchronized (outcomesByTemplate) {
+            outcomesByTemplate.get(templateIndex).recordEnd(end, elapsedMicros);
         }
     }
 
-    /** A row for each operation, for people. */
+    /** Formats the outcomes as a text table with a row for each operation. */
     public static String table(Outcomes outcomes) {
         StringBuilder text = new StringBuilder(String.format(
                 Locale.ROOT,
@@ -271,9 +274,9 @@
                 "%-12s %9.0f %9.2f %9.2f %9.2f %9.2f  %s%n",
                 name,
                 outcomes.answered() / seconds,
-                latencyMicros.getValueAtPercentile(MEDIAN) / MICROS_PER_MILLI,
-                latencyMicros.getValueAtPercentile(P99) / MICROS_PER_MILLI,
-                latencyMicros.getValueAtPercentile(P999) / MICROS_PER_MILLI,
+                latencyMicros.getValueAtPercentile(MEDIAN_PERCENTILE) / MICROS_PER_MILLI,
+                latencyMicros.getValueAtPercentile(P99_PERCENTILE) / MICROS_PER_MILLI,
+                latencyMicros.getValueAtPercentile(P999_PERCENTILE) / MICROS_PER_MILLI,
                 latencyMicros.getMaxValue() / MICROS_PER_MILLI,
                 outcomes.countsByEnd());
     }
--- a/src/main/java/linenring/testserver/BackendStatistics.java
+++ b/src/main/java/linenring/testserver/BackendStatistics.java
@@ -6,25 +6,29 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.eclipse.jetty.http.HttpFields;
 
-/** What a test backend has seen and done. Thread-safe. */
+/** Counters of the requests that a test backend has received and executed. Thread-safe. */
 final class BackendStatistics {
     private final Map<String, Integer> executionsByPath = new TreeMap<>(); // guarded by this
     private final Map<String, Integer> executionsByKey = new TreeMap<>(); // guarded by this
     private final Map<String, Long> bodyBytesByPath = new ConcurrentHashMap<>();
     private final AtomicLong sentBytes = new AtomicLong();
-    private volatile HttpFields trailers = HttpFields.EMPTY;
-    private int requests; // guarded by this
+    private volatile HttpFields lastTrailers = HttpFields.EMPTY;
+    private int receivedRequests; // guarded by this
     private int activeRequests; // guarded by this
 
-    /** A request came; {@code key}: its idempotency key where it is executed, else null. */
+    /**
+     * Counts a received request.
+     *
+     * @param key idempotency key if the request has one and is executed, otherwise null
+     */
     synchronized void requestReceived(String key) {
-        requests++;
+        receivedRequests++;
         if (key != null) {
             executionsByKey.merge(key, 1, Integer::sum);
         }
     }
 
-    synchronized void executed(String path) {
+    synchronized void requestExecuted(String path) {
         executionsByPath.merge(path, 1, Integer::sum);
     }
 
@@ -45,7 +49,7 @@
     }
 
     void trailersReceived(HttpFields fields) {
-        trailers = fields;
+        lastTrailers = fields;
     }
 
     synchronized int executions(String path) {
@@ -60,8 +64,8 @@
         return executionsByKey.getOrDefault(key, 0);
     }
 
-    synchronized int requests() {
-        return requests;
+    synchronized int receivedRequests() {
+        return receivedRequests;
     }
 
     synchronized int activeRequests() {
@@ -76,7 +80,7 @@
         return sentBytes.get();
     }
 
-    HttpFields trailers() {
-        return trailers;
+    HttpFields lastTrailers() {
+        return lastTrailers;
     }
 }
--- a/src/main/java/linenring/testserver/Behaviour.java
+++ b/src/main/java/linenring/testserver/Behaviour.java
@@ -1,41 +1,41 @@
 package linenring.testserver;
 
-/** What a test backend does with a request. All but the first four execute it, and count it as executed. */
+/** How a test backend handles a request. REFUSE, GO_AWAY_BELOW, CLOSE and NO_WINDOW do not count it as executed; all others do. */
 public enum Behaviour {
     /** Resets the stream with REFUSED_STREAM (RFC 9113, 8.7). */
     REFUSE,
-    /** Sends a GOAWAY below this stream, and takes nothing more on the connection (RFC 9113, 6.8). */
+    /** Sends a GOAWAY whose last stream is below the request's, and ignores later requests on the connection (RFC 9113, 6.8). */
     GO_AWAY_BELOW,
-    /** Closes the connection. */
+    /** Closes the connection without executing the request. */
     CLOSE,
-    /** Never allows more of the body than the first window. */
+    /** Sends neither a WINDOW_UPDATE nor a response, so that the client can send only the initial window of the request body. */
     NO_WINDOW,
-    /** Answers as it should. */
+    /** Sends a normal, complete response. */
     ANSWER,
-    /** Answers with a status of 500 and more. */
+    /** Sends a response with a status of 500 or above. */
     ERROR,
-    /** Answers nothing, ever. */
+    /** Never sends a response. */
     HANG,
-    /** Resets the stream instead of an answer. */
+    /** Resets the stream instead of sending a response. */
     RESET,
-    /** Resets the stream behind the answer's headers. */
+    /** Resets the stream after the response headers. */
     RESET_AFTER_HEAD,
-    /** Resets the stream in the middle of the answer's body. */
+    /** Resets the stream in the middle of the response body. */
     RESET_IN_BODY,
-    /** Closes the connection instead of an answer. */
+    /** Executes the request and closes the connection instead of sending a response. */
     DIE,
-    /** Closes the connection in the middle of the answer's body. */
+    /** Closes the connection in the middle of the response body. */
     DIE_IN_BODY,
-    /** Sends half of the answer's body and no more. */
+    /** Sends half of the response body and then stalls. */
     HANG_IN_BODY,
-    /** Sends the answer's body a byte at a time. */
+    /** Sends the response body one byte at a time. */
     TRICKLE,
-    /** Sends a 103, then the answer, then trailers. */
+    /** Sends a 103 (Early Hints) response, the final response and trailers. */
     EARLY_HINTS_AND_TRAILERS,
-    /** Announces a longer content-length than it sends. */
+    /** Announces a larger content-length than the body that it sends. */
     LIE_ABOUT_LENGTH;
 
-    boolean executes() {
+    boolean executesRequest() {
         return compareTo(ANSWER) >= 0;
     }
 }
--- a/src/main/java/linenring/testserver/Frame.java
+++ b/src/main/java/linenring/testserver/Frame.java
@@ -5,86 +5,86 @@
 /**
  * One HTTP/2 frame (RFC 9113, 4.1).
  *
- * @param type    one of the constants of this class, or any other
- * @param flags   as sent
- * @param stream  its identifier, 0 for the connection
- * @param payload everything behind the header
+ * @param type    frame type, not limited to the constants of this class
+ * @param flags   flags byte of the frame header
+ * @param stream  stream identifier, or 0 for the connection
+ * @param payload bytes after the frame header
  */
-@SuppressWarnings("ArrayRecordComponent") // frames are never compared, and their payload is read in place
+@SuppressWarnings("ArrayRecordComponent") // frames are never compared, and the payload is read without a copy
 public record Frame(int type, int flags, int stream, byte[] payload) {
-    /** Type of a frame that carries a body (RFC 9113, 6.1). */
+    /** Type of a frame that carries a part of a request or response body (RFC 9113, 6.1). */
     public static final int DATA = 0;
 
-    /** Type of a frame that opens a stream or ends it with trailers (RFC 9113, 6.2). */
+    /** Type of a frame that carries the headers or trailers of a stream (RFC 9113, 6.2). */
     public static final int HEADERS = 1;
 
-    /** Type of a frame that ends a stream at once (RFC 9113, 6.4). */
+    /** Type of a frame that terminates a stream immediately (RFC 9113, 6.4). */
     public static final int RST_STREAM = 3;
 
-    /** Type of a frame with settings (RFC 9113, 6.5). */
+    /** Type of a frame that carries connection settings (RFC 9113, 6.5). */
     public static final int SETTINGS = 4;
 
-    /** Type of a frame that is to be answered by the same (RFC 9113, 6.7). */
+    /** Type of a frame that the peer acknowledges with the same payload (RFC 9113, 6.7). */
     public static final int PING = 6;
 
-    /** Type of a frame that announces the end of a connection (RFC 9113, 6.8). */
+    /** Type of a frame that announces the shutdown of a connection (RFC 9113, 6.8). */
     public static final int GOAWAY = 7;
 
-    /** Type of a frame that allows more data (RFC 9113, 6.9). */
+    /** Type of a frame that increases a flow control window (RFC 9113, 6.9). */
     public static final int WINDOW_UPDATE = 8;
 
-    /** Type of a frame that goes on with a header block (RFC 9113, 6.10). */
+    /** Type of a frame that continues a header block (RFC 9113, 6.10). */
     public static final int CONTINUATION = 9;
 
-    /** Flag of DATA and HEADERS. */
+    /** Flag of the last DATA or HEADERS frame that the sender sends on a stream. */
     public static final int END_STREAM = 1;
 
-    /** Flag of SETTINGS and PING. */
+    /** Flag of a SETTINGS or PING frame that acknowledges one of the peer. */
     public static final int ACK = 1;
 
-    /** Flag of HEADERS and CONTINUATION. */
+    /** Flag of a HEADERS or CONTINUATION frame that ends a header block. */
     public static final int END_HEADERS = 4;
 
-    /** Flag of DATA and HEADERS. */
+    /** Flag of a DATA or HEADERS frame that contains padding. */
     public static final int PADDED = 8;
 
-    /** Flag of HEADERS. */
+    /** Flag of a HEADERS frame that contains priority fields. */
     public static final int PRIORITY = 32;
 
-    /** Identifier of a setting: how many streams the peer may open (RFC 9113, 6.5.2). */
+    /** Identifier of the setting that limits the concurrent streams of the peer (RFC 9113, 6.5.2). */
     public static final int MAX_CONCURRENT_STREAMS = 3;
 
-    /** Identifier of a setting: with which window the sender's streams begin (RFC 9113, 6.5.2). */
+    /** Identifier of the setting for the initial flow control window of streams (RFC 9113, 6.5.2). */
     public static final int INITIAL_WINDOW_SIZE = 4;
 
-    /** The window of a connection, and of streams until SETTINGS say otherwise (RFC 9113, 6.9.2). */
+    /** Initial window of a connection, and of its streams unless SETTINGS set another value (RFC 9113, 6.9.2). */
     public static final int DEFAULT_WINDOW_BYTES = 65_535;
 
     private static final int SETTING_BYTES = 6;
     private static final int MAX_UINT31 = 0x7fffffff;
 
-    /** Takes one setting. */
+    /** Receives the settings of a SETTINGS frame. */
     public interface SettingHandler {
-        /** Called for each setting in their order. */
+        /** Handles one setting; called for each setting in the order of the frame. */
         void setting(int id, int value);
     }
 
-    /** Whether a flag is set. */
-    public boolean has(int flag) {
+    /** Whether the frame has a flag set. */
+    public boolean hasFlag(int flag) {
         return (flags & flag) != 0;
     }
 
-    /** Whether it is a SETTINGS or PING that its receiver has to acknowledge. */
-    boolean wantsAck() {
-        return !has(ACK);
+    /** Whether a SETTINGS or PING frame needs an acknowledgement, that is, is not one itself. */
+    boolean requiresAcknowledgement() {
+        return !hasFlag(ACK);
     }
 
-    /** The payload's four bytes from this offset on, without the reserved bit. */
+    /** Reads a 31-bit unsigned integer from four payload bytes; the reserved bit is ignored. */
     public int uint31(int offset) {
         return ByteBuffer.wrap(payload).getInt(offset) & MAX_UINT31;
     }
 
-    /** The settings of a SETTINGS frame. */
+    /** Calls the handler for each setting of a SETTINGS frame. */
     public void forEachSetting(SettingHandler handler) {
         ByteBuffer settings = ByteBuffer.wrap(payload);
         while (settings.remaining() >= SETTING_BYTES) {
--- a/src/main/java/linenring/testserver/FrameConnection.java
+++ b/src/main/java/linenring/testserver/FrameConnection.java
@@ -16,8 +16,8 @@
 import org.eclipse.jetty.http2.hpack.HpackException;
 
 /**
- * HTTP/2 frames (RFC 9113, 4.1 and 6) over a blocking socket, one by one and unchecked, so that a test client or backend
- * can send what no library would. One thread reads; any thread writes.
+ * Sends and receives single HTTP/2 frames (RFC 9113, 4.1 and 6) over a blocking socket. Frames are not validated, so that a
+ * test client or backend can violate the protocol. Only one thread may read; any thread may write.
  */
 public final class FrameConnection implements AutoCloseable {
     private static final byte[] PREFACE = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
@@ -30,11 +30,11 @@
 
     private final Socket socket;
     private final DataInputStream input;
-    private final OutputStream output; // written under this
-    private final HpackEncoder encoder = new HpackEncoder(); // used under this
+    private final OutputStream output; // guarded by this
+    private final HpackEncoder encoder = new HpackEncoder(); // guarded by this
     private final HpackDecoder decoder = new HpackDecoder(MAX_HEADER_BLOCK_BYTES, System::nanoTime);
 
-    /** Over a connected socket, which is closed with it. */
+    /** Creates a frame connection over a connected socket and takes ownership of the socket. */
     public FrameConnection(Socket socket) throws IOException {
         this.socket = socket;
         socket.setTcpNoDelay(true);
@@ -44,18 +44,18 @@
         encoder.setMaxHeaderListSize(MAX_HEADER_BLOCK_BYTES);
     }
 
-    /** The first bytes of a client (RFC 9113, 3.4). */
+    /** Returns the client connection preface (RFC 9113, 3.4). */
     public static byte[] preface() {
         return PREFACE.clone();
     }
 
-    /** The next frame; null at the end. */
+    /** Reads the next frame; returns null at the end of the stream of bytes. */
     public Frame read() throws IOException {
-        int first = input.read();
-        if (first < 0) {
+        int lengthHighByte = input.read();
+        if (lengthHighByte < 0) {
             return null;
         }
-        int length = (first << 16) | (input.readUnsignedByte() << 8) | input.readUnsignedByte();
+        int length = (lengthHighByte << 16) | (input.readUnsignedByte() << 8) | input.readUnsignedByte();
         int type = input.readUnsignedByte();
         int flags = input.readUnsignedByte();
         int stream = input.readInt() & MAX_UINT31;
@@ -68,12 +68,12 @@
         return bytes;
     }
 
-    /** Reads and ignores what a client begins with. */
-    void readPreface() throws IOException {
+    /** Reads and discards the client connection preface. */
+    void skipPreface() throws IOException {
         readFully(PREFACE.length);
     }
 
-    /** Sends a frame, whatever it says. */
+    /** Sends a frame without validating it. */
     public void sendFrame(int type, int flags, int stream, byte... payload) throws IOException {
         ByteBuffer frame = ByteBuffer.allocate(FRAME_HEADER_BYTES + payload.length);
         frame.put((byte) (payload.length >> 16))
@@ -85,13 +85,13 @@
         sendBytes(frame.array());
     }
 
-    /** Sends bytes as they are. */
+    /** Sends raw bytes, which need not be a valid frame. */
     public synchronized void sendBytes(byte[] bytes) throws IOException {
         output.write(bytes);
         output.flush();
     }
 
-    /** Sends settings as pairs of identifier and value. */
+    /** Sends a SETTINGS frame; the arguments are pairs of identifier and value. */
     public void sendSettings(int... pairs) throws IOException {
         ByteBuffer payload = ByteBuffer.allocate(pairs.length / 2 * SETTING_BYTES);
         for (int i = 0; i < pairs.length; i += 2) {
@@ -105,31 +105,31 @@
         sendFrame(Frame.SETTINGS, Frame.ACK, 0);
     }
 
-    /** Answers a PING. */
+    /** Acknowledges a PING frame. */
     void answerPing(Frame ping) throws IOException {
         sendFrame(Frame.PING, Frame.ACK, 0, ping.payload());
     }
 
-    /** Acknowledges a SETTINGS frame or answers a PING, where they want it. */
+    /** Acknowledges a SETTINGS or PING frame unless the frame is an acknowledgement itself. */
     public void acknowledge(Frame frame) throws IOException {
-        if (frame.wantsAck() && frame.type() == Frame.SETTINGS) {
+        if (frame.requiresAcknowledgement() && frame.type() == Frame.SETTINGS) {
             acknowledgeSettings();
-        } else if (frame.wantsAck() && frame.type() == Frame.PING) {
+        } else if (frame.requiresAcknowledgement() && frame.type() == Frame.PING) {
             answerPing(frame);
         }
     }
 
-    /** Allows the peer so much more data on a stream, or with 0 on the connection. */
+    /** Increases the peer's send window of a stream, or of the connection if {@code stream} is 0. */
     public void sendWindowUpdate(int stream, int bytes) throws IOException {
         sendFrame(Frame.WINDOW_UPDATE, 0, stream, uint32s(bytes));
     }
 
-    /** Ends a stream with an error code. */
+    /** Sends a RST_STREAM frame with an error code. */
     public void sendReset(int stream, int errorCode) throws IOException {
         sendFrame(Frame.RST_STREAM, 0, stream, uint32s(errorCode));
     }
 
-    /** Announces the end of the connection. */
+    /** Sends a GOAWAY frame. */
     public void sendGoAway(int lastStream, int errorCode) throws IOException {
         sendFrame(Frame.GOAWAY, 0, 0, uint32s(lastStream, errorCode));
     }
@@ -142,44 +142,44 @@
         return payload.array();
     }
 
-    /** Sends a header block: the encoder's order of blocks is that of the frames, so both are under one lock. */
-    public synchronized void sendHeaders(int stream, MetaData head, boolean last) throws IOException {
-        sendFrame(Frame.HEADERS, Frame.END_HEADERS | (last ? Frame.END_STREAM : 0), stream, encode(head));
+    /** Encodes and sends a header block under one lock, since HPACK requires that blocks are sent in the order of encoding. */
+    public synchronized void sendHeaders(int stream, MetaData head, boolean endsStream) throws IOException {
+        sendFrame(Frame.HEADERS, Frame.END_HEADERS | (endsStream ? Frame.END_STREAM : 0), stream, encode(head));
     }
 
-    /** A header block as {@link #sendHeaders} sends it. */
+    /** Encodes a request or response head to an HPACK header block. */
     public synchronized byte[] encode(MetaData head) {
         ByteBuffer block = ByteBuffer.allocate(MAX_HEADER_BLOCK_BYTES);
         try {
             encoder.encode(block, head);
-        } catch (HpackException tooLarge) {
-            throw new IllegalArgumentException(tooLarge);
+        } catch (HpackException encodingFailure) {
+            throw new IllegalArgumentException(encodingFailure);
         }
         byte[] bytes = new byte[block.flip().remaining()];
         block.get(bytes);
         return bytes;
     }
 
-    /** What a header block says; called by the reading thread, once for each block, in order. */
+    /** Decodes the header block of a HEADERS frame. The reading thread must decode every block once, in the order received. */
     public MetaData decode(Frame headers) throws IOException {
-        boolean padded = headers.has(Frame.PADDED);
-        int offset = (padded ? 1 : 0) + (headers.has(Frame.PRIORITY) ? PRIORITY_BYTES : 0);
-        int padding = padded ? Byte.toUnsignedInt(headers.payload()[0]) : 0;
+        boolean isPadded = headers.hasFlag(Frame.PADDED);
+        int offset = (isPadded ? 1 : 0) + (headers.hasFlag(Frame.PRIORITY) ? PRIORITY_BYTES : 0);
+        int padding = isPadded ? Byte.toUnsignedInt(headers.payload()[0]) : 0;
         int length = headers.payload().length - offset - padding;
         try {
             return decoder.decode(ByteBuffer.wrap(headers.payload(), offset, length));
-        } catch (HpackException invalid) {
-            throw new IOException(invalid);
+        } catch (HpackException decodingFailure) {
+            throw new IOException(decodingFailure);
         }
     }
 
-    /** The head of a request. */
+    /** Builds the head of a request. */
     public static MetaData request(String method, String path, HttpFields fields) {
         return new MetaData.Request(method, HttpURI.from("http", "dispatch", 80, path), HttpVersion.HTTP_2, fields);
     }
 
-    /** The head of an answer. */
-    public static MetaData response(int status, HttpFields fields) {
+    /** Builds the head of a response. */
+    public static MetaData responseHead(int status, HttpFields fields) {
         return new MetaData.Response(status, null, HttpVersion.HTTP_2, fields);
     }
 
--- a/src/main/java/linenring/testserver/LoadClient.java
+++ b/src/main/java/linenring/testserver/LoadClient.java
@@ -16,11 +16,11 @@
 import org.eclipse.jetty.http.MetaData;
 
 /**
- * A test client: one HTTP/2 connection of raw frames, which keeps to the protocol unless it is made to break it through
- * {@link #frames}. It keeps what came back for each stream. Any thread may call it.
+ * HTTP/2 test client with one connection. The client records the response of each stream and follows the protocol, unless a
+ * test violates it by sending frames through {@link #frames}. Thread-safe.
  */
 public final class LoadClient implements AutoCloseable {
-    /** What has come back on one stream. Written by the reading thread, read by any. */
+    /** Response received so far on one stream. Written by the reading thread, read by any thread. */
     public static final class Answer {
         private static final int NOT_RESET = -1;
 
@@ -29,55 +29,55 @@
         private volatile HttpFields fields;
         private volatile HttpFields trailers;
         private final AtomicLong bytes = new AtomicLong();
-        private volatile boolean complete;
+        private volatile boolean isComplete;
         private volatile int resetCode = NOT_RESET;
 
-        /** 0 while there is none. */
+        /** Returns the final status, or 0 if none has been received. */
         public int status() {
             return status;
         }
 
-        /** Null while there are none. */
+        /** Returns the header fields of the final response, or null if none have been received. */
         public HttpFields fields() {
             return fields;
         }
 
-        /** Null while there are none. */
+        /** Returns the trailers, or null if none have been received. */
         public HttpFields trailers() {
             return trailers;
         }
 
-        /** Those under 200. */
+        /** Returns the statuses of interim responses (1xx), oldest first. */
         public List<Integer> interimStatuses() {
             return List.copyOf(interimStatuses);
         }
 
-        /** Of its body. */
+        /** Returns the number of body bytes received. */
         public long bytes() {
             return bytes.get();
         }
 
-        /** Whether it ended as it should. */
+        /** Whether the response ended normally, with END_STREAM. */
         public boolean isComplete() {
-            return complete;
+            return isComplete;
         }
 
-        /** Whether the stream was reset. */
+        /** Whether the peer reset the stream. */
         public boolean isReset() {
             return resetCode != NOT_RESET;
         }
 
-        /** The error code, or -1. */
+        /** Returns the error code of the RST_STREAM frame, or -1 if the stream was not reset. */
         public int resetCode() {
             return resetCode;
         }
 
-        /** Whether nothing more comes. */
+        /** Whether the response is complete or the stream was reset. */
         public boolean isOver() {
-            return complete || isReset();
+            return isComplete || isReset();
         }
 
-        private void headersReceived(MetaData received, boolean last) {
+        private void handleHeaders(MetaData received, boolean endsStream) {
             if (!(received instanceof MetaData.Response head)) {
                 trailers = received.getHttpFields();
             } else if (head.getStatus() < HttpStatus.OK_200) {
@@ -86,119 +86,123 @@
                 status = head.getStatus();
                 fields = head.getHttpFields();
             }
-            complete = complete || last;
+            isComplete = isComplete || endsStream;
         }
     }
 
-    /** Past any limit in the tests: a test that waits so long has failed. */
+    /** Longer than any timeout under test, so that a test that waits this long has failed. */
     private static final long MAX_WAIT_MS = 15_000;
 
-    private static final long RECHECK_MS = 5;
+    private static final long RECHECK_INTERVAL_MS = 5;
 
     private final FrameConnection frames;
-    private final Map<Integer, Answer> answers = new ConcurrentHashMap<>(); // by stream
+    private final Map<Integer, Answer> answers = new ConcurrentHashMap<>(); // keyed by stream identifier
     private final List<Frame> goAways = new ArrayList<>(); // guarded by this
-    private final List<Frame> heldPings = new ArrayList<>(); // guarded by this
-    private volatile boolean opensWindows = true;
-    private volatile boolean answersPings = true;
-    private volatile boolean closed;
+    private final List<Frame> delayedPings = new ArrayList<>(); // guarded by this
+    private volatile boolean sendsWindowUpdates = true;
+    private volatile boolean acknowledgesPings = true;
+    private volatile boolean isClosed;
     private int nextStream = 1; // guarded by this
 
-    /** Connects to a port on loopback and sends its preface; {@code settings} as pairs of identifier and value. */
+    /** Connects to a loopback port and sends the preface. {@code settings} are pairs of identifier and value. */
     public LoadClient(int port, int... settings) throws IOException {
         frames = new FrameConnection(new Socket(InetAddress.getLoopbackAddress(), port));
         frames.sendBytes(FrameConnection.preface());
         frames.sendSettings(settings);
-        Thread reader = new Thread(this::read, "test-client");
+        Thread reader = new Thread(this::readFrames, "test-client");
         reader.setDaemon(true);
         reader.start();
     }
 
-    /** To send what a client should not. */
+    /** Returns the underlying connection, through which a test can send invalid frames. */
     public FrameConnection frames() {
         return frames;
     }
 
-    /** Answers no PING, as a client whose network or reading is slow, until {@link #answerPings}. */
+    /** Delays PING acknowledgements until {@link #answerPings}, like a client that reads slowly or has a slow network. */
     public LoadClient holdPings() {
-        answersPings = false;
+        acknowledgesPings = false;
         return this;
     }
 
-    /** Answers those that it held, and later ones at once. */
+    /** Acknowledges all delayed PING frames, and later ones immediately. */
     public synchronized void answerPings() throws IOException {
-        answersPings = true;
-        for (Frame ping : heldPings) {
+        acknowledgesPings = true;
+        for (Frame ping : delayedPings) {
             frames.answerPing(ping);
         }
-        heldPings.clear();
+        delayedPings.clear();
     }
 
-    /** How many PINGs wait for an answer. */
+    /** Returns the number of PING frames whose acknowledgement is delayed. */
     public synchronized int heldPings() {
-        return heldPings.size();
+        return delayedPings.size();
     }
 
-    /** From now on it allows no more data than it has. */
+    /** Stops sending WINDOW_UPDATE frames, so that the server can send only until its current windows are exhausted. */
     public LoadClient ignoreWindows() {
-        opensWindows = false;
+        sendsWindowUpdates = false;
         return this;
     }
 
-    /** Sends a request without a body; returns its stream. */
+    /** Sends a request without a body and returns its stream identifier. */
     public int send(String method, String path, String... fields) throws IOException {
         return sendHeaders(method, path, true, fields);
     }
 
-    /** Sends a request's headers, with fields as pairs; returns its stream. */
-    public synchronized int sendHeaders(String method, String path, boolean last, String... fields) throws IOException {
-        HttpFields.Mutable all = HttpFields.build();
+    /** Sends request headers and returns the stream identifier. {@code fields} are pairs of name and value. */
+    public synchronized int sendHeaders(String method, String path, boolean endsStream, String... fields)
+            throws IOException {
+        HttpFields.Mutable httpFields = HttpFields.build();
         for (int i = 0; i < fields.length; i += 2) {
-            all.put(fields[i], fields[i + 1]);
+            httpFields.put(fields[i], fields[i + 1]);
         }
         int stream = nextStream;
         nextStream += 2;
         answers.put(stream, new Answer());
-        frames.sendHeaders(stream, FrameConnection.request(method, path, all), last);
+        frames.sendHeaders(stream, FrameConnection.request(method, path, httpFields), endsStream);
         return stream;
     }
 
-    /** Sends so much of a request's body. */
-    public void sendData(int stream, int bytes, boolean last) throws IOException {
-        frames.sendFrame(Frame.DATA, last ? Frame.END_STREAM : 0, stream, new byte[bytes]);
+    /** Sends a part of the request body with the given number of bytes. */
+    public void sendData(int stream, int bytes, boolean endsStream) throws IOException {
+        frames.sendFrame(Frame.DATA, endsStream ? Frame.END_STREAM : 0, stream, new byte[bytes]);
     }
 
-    /** What has come back so far. */
+    /** Returns the response received so far on a stream. */
     public Answer answer(int stream) {
         return answers.get(stream);
     }
 
-    /** Waits until the stream is over, or the connection. */
+    /** Waits until the response on a stream has ended or the connection is closed. */
     public Answer await(int stream) {
-        await(() -> answer(stream).isOver() || closed, "stream " + stream + " is over");
+        await(() -> answer(stream).isOver() || isClosed, "stream " + stream + " has ended");
         return answer(stream);
     }
 
-    /** Sends a request without a body and waits for its answer. */
+    /** Sends a request without a body and waits for the response. */
     public Answer call(String method, String path, String... fields) throws IOException {
         return await(send(method, path, fields));
     }
 
-    /** Waits until a condition holds; fails after 15 s. */
+    /** Waits until a condition holds and fails the test after 15 s. */
     public void await(BooleanSupplier condition, String description) {
         await(this, condition, description);
     }
 
-    /** Waits on a lock that is notified, and looks again every 5 ms, until a condition holds; fails after 15 s. */
+    /**
+     * Waits until a condition holds and fails the test after 15 s. The condition is checked when {@code lock} is notified and
+     * every 5 ms.
+     */
     public static void await(Object lock, BooleanSupplier condition, String description) {
-        long giveUpNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_WAIT_MS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_WAIT_MS);
         synchronized (lock) {
             while (!condition.getAsBoolean()) {
-                if (System.nanoTime() > giveUpNanos) {
-                    throw new AssertionError("not in " + MAX_WAIT_MS + " ms: " + description);
+                if (System.nanoTime() > deadlineNanos) {
+                    throw new AssertionError("condition not met within " + MAX_WAIT_MS + " ms: " + description);
                 }
                 try {
-                    lock.wait(RECHECK_MS);
+                    lock.wait(RECHECK_INTERVAL_MS);
                 } catch (InterruptedException interrupted) {
                     throw new AssertionError(description, interrupted);
                 }
@@ -206,47 +210,47 @@
         }
     }
 
-    /** GOAWAY frames that came, oldest first. */
+    /** Returns the GOAWAY frames received, oldest first. */
     public synchronized List<Frame> goAways() {
         return List.copyOf(goAways);
     }
 
-    /** Whether the connection has ended. */
+    /** Whether the connection is closed. */
     public boolean isClosed() {
-        return closed;
+        return isClosed;
     }
 
-    private void read() {
+    private void readFrames() {
         try {
             for (Frame frame = frames.read(); frame != null; frame = frames.read()) {
                 synchronized (this) {
-                    received(frame);
+                    handleFrame(frame);
                     notifyAll();
                 }
             }
-        } catch (IOException | RuntimeException ended) {
-            // the connection's end, whichever side made it
+        } catch (IOException | RuntimeException connectionClosed) {
+            // the connection was closed, by either side
         } finally {
-            closed = true;
+            isClosed = true;
             synchronized (this) {
                 notifyAll();
             }
         }
     }
 
-    private void received(Frame frame) throws IOException {
+    private void handleFrame(Frame frame) throws IOException {
         Answer answer = answers.get(frame.stream());
         switch (frame.type()) {
             case Frame.SETTINGS -> frames.acknowledge(frame);
-            case Frame.PING -> pingReceived(frame);
+            case Frame.PING -> handlePing(frame);
             case Frame.GOAWAY -> goAways.add(frame);
             case Frame.HEADERS -> {
                 MetaData head = frames.decode(frame);
                 if (answer != null) {
-                    answer.headersReceived(head, frame.has(Frame.END_STREAM));
+                    answer.handleHeaders(head, frame.hasFlag(Frame.END_STREAM));
                 }
             }
-            case Frame.DATA -> dataReceived(frame, answer);
+            case Frame.DATA -> handleData(frame, answer);
             case Frame.RST_STREAM -> {
                 if (answer != null) {
                     answer.resetCode = frame.uint31(0);
@@ -256,26 +260,26 @@
         }
     }
 
-    private void pingReceived(Frame ping) throws IOException {
-        if (answersPings) {
+    private void handlePing(Frame ping) throws IOException {
+        if (acknowledgesPings) {
             frames.acknowledge(ping);
-        } else if (ping.wantsAck()) {
-            heldPings.add(ping);
+        } else if (ping.requiresAcknowledgement()) {
+            delayedPings.add(ping);
         }
     }
 
-    private void dataReceived(Frame data, Answer answer) throws IOException {
+    private void handleData(Frame data, Answer answer) throws IOException {
         int length = data.payload().length;
-        boolean last = data.has(Frame.END_STREAM);
-        if (length > 0 && opensWindows) {
+        boolean endsStream = data.hasFlag(Frame.END_STREAM);
+        if (length > 0 && sendsWindowUpdates) {
             frames.sendWindowUpdate(0, length);
-            if (!last) {
+            if (!endsStream) {
                 frames.sendWindowUpdate(data.stream(), length);
             }
         }
         if (answer != null) {
             answer.bytes.addAndGet(length);
-            answer.complete = answer.complete || last;
+            answer.isComplete = answer.isComplete || endsStream;
         }
     }
 
--- a/src/main/java/linenring/testserver/Reaction.java
+++ b/src/main/java/linenring/testserver/Reaction.java
@@ -3,33 +3,33 @@
 import org.eclipse.jetty.http.HttpStatus;
 
 /**
- * What a test backend does with a request, in full.
+ * How a test backend handles a request: the behaviour with its delay, status and body size.
  *
- * @param behaviour what
- * @param delayMs   after how long
- * @param status    of its answer
- * @param bytes     of its answer's body
+ * @param behaviour how the request is handled
+ * @param delayMs   delay before the response
+ * @param status    status of the response
+ * @param bodyBytes size of the response body
  */
-public record Reaction(Behaviour behaviour, long delayMs, int status, int bytes) {
-    private static final int DEFAULT_BYTES = 2;
+public record Reaction(Behaviour behaviour, long delayMs, int status, int bodyBytes) {
+    private static final int DEFAULT_BODY_BYTES = 2;
 
-    /** At once, with a short body. */
+    /** Returns a reaction without delay and with a short response body. */
     public static Reaction of(Behaviour behaviour) {
         int status = behaviour == Behaviour.ERROR ? HttpStatus.INTERNAL_SERVER_ERROR_500 : HttpStatus.OK_200;
-        return new Reaction(behaviour, 0, status, DEFAULT_BYTES);
+        return new Reaction(behaviour, 0, status, DEFAULT_BODY_BYTES);
     }
 
-    /** The same after so long. */
+    /** Returns a copy of this reaction with another delay. */
     public Reaction after(long newDelayMs) {
-        return new Reaction(behaviour, newDelayMs, status, bytes);
+        return new Reaction(behaviour, newDelayMs, status, bodyBytes);
     }
 
-    /** The same with a body of this length. */
-    public Reaction withBytes(int newBytes) {
-        return new Reaction(behaviour, delayMs, status, newBytes);
+    /** Returns a copy of this reaction with another size of the response body. */
+    public Reaction withBytes(int newBodyBytes) {
+        return new Reaction(behaviour, delayMs, status, newBodyBytes);
     }
 
-    boolean executes() {
-        return behaviour.executes();
+    boolean executesRequest() {
+        return behaviour.executesRequest();
     }
 }
--- a/src/main/java/linenring/testserver/SendWindows.java
+++ b/src/main/java/linenring/testserver/SendWindows.java
@@ -4,66 +4,66 @@
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 
-/** How much the peer still takes, on a connection and on each of its open streams (RFC 9113, 5.2). Thread-safe. */
+/** Flow control windows for sending on a connection and on each of its open streams (RFC 9113, 5.2). Thread-safe. */
 final class SendWindows {
-    private static final long RECHECK_MS = 1000;
+    private static final long RECHECK_INTERVAL_MS = 1000;
 
-    // All below are guarded by this.
-    private final Map<Integer, Integer> windowByStream = new HashMap<>();
-    private int connectionWindow = Frame.DEFAULT_WINDOW_BYTES;
-    private int initialWindow = Frame.DEFAULT_WINDOW_BYTES;
+    // The fields below are guarded by this object's monitor.
+    private final Map<Integer, Integer> windowBytesByStream = new HashMap<>();
+    private int connectionWindowBytes = Frame.DEFAULT_WINDOW_BYTES;
+    private int initialWindowBytes = Frame.DEFAULT_WINDOW_BYTES;
 
-    synchronized void open(int stream) {
-        windowByStream.put(stream, initialWindow);
+    synchronized void openStream(int stream) {
+        windowBytesByStream.put(stream, initialWindowBytes);
     }
 
-    synchronized boolean isOpen(int stream) {
-        return windowByStream.containsKey(stream);
+    synchronized boolean isStreamOpen(int stream) {
+        return windowBytesByStream.containsKey(stream);
     }
 
-    /** Whoever waits to send on it sends nothing more. */
-    synchronized void close(int stream) {
-        windowByStream.remove(stream);
+    /** Closes a stream; a thread that waits for window on this stream stops sending. */
+    synchronized void closeStream(int stream) {
+        windowBytesByStream.remove(stream);
         notifyAll();
     }
 
-    /** Wakes whoever waits. */
+    /** Wakes all threads that wait for window, after the connection was closed. */
     synchronized void connectionEnded() {
         notifyAll();
     }
 
-    /** A WINDOW_UPDATE of a stream, or with 0 of the connection (RFC 9113, 6.9). */
-    synchronized void update(int stream, int bytes) {
+    /** Applies a WINDOW_UPDATE to a stream, or to the connection if {@code stream} is 0 (RFC 9113, 6.9). */
+    synchronized void increaseWindow(int stream, int bytes) {
         if (stream == 0) {
-            connectionWindow += bytes;
+            connectionWindowBytes += bytes;
         } else {
-            windowByStream.computeIfPresent(stream, (id, window) -> window + bytes);
+            windowBytesByStream.computeIfPresent(stream, (id, windowBytes) -> windowBytes + bytes);
         }
         notifyAll();
     }
 
-    /** A new initial window changes those of open streams too (RFC 9113, 6.9.2). */
-    synchronized void setInitialWindow(int bytes) {
-        int change = bytes - initialWindow;
-        initialWindow = bytes;
-        windowByStream.replaceAll((stream, window) -> window + change);
+    /** Sets the initial window of streams and adjusts the windows of open streams by the difference (RFC 9113, 6.9.2). */
+    synchronized void setInitialWindowBytes(int bytes) {
+        int change = bytes - initialWindowBytes;
+        initialWindowBytes = bytes;
+        windowBytesByStream.replaceAll((stream, windowBytes) -> windowBytes + change);
         notifyAll();
     }
 
-    /** Waits until so much may be sent, and takes it; false if the stream or the connection ended instead. */
-    synchronized boolean take(int stream, int bytes, BooleanSupplier connectionEnded) throws InterruptedException {
-        while (isOpen(stream) && !connectionEnded.getAsBoolean() && available(stream) < bytes) {
-            wait(RECHECK_MS);
+    /** Waits until the bytes fit into both windows and reserves them; returns false if the stream or connection was closed. */
+    synchronized boolean reserve(int stream, int bytes, BooleanSupplier connectionEnded) throws InterruptedException {
+        while (isStreamOpen(stream) && !connectionEnded.getAsBoolean() && availableBytes(stream) < bytes) {
+            wait(RECHECK_INTERVAL_MS);
         }
-        if (!isOpen(stream) || connectionEnded.getAsBoolean()) {
+        if (!isStreamOpen(stream) || connectionEnded.getAsBoolean()) {
             return false;
         }
-        connectionWindow -= bytes;
-        windowByStream.merge(stream, -bytes, Integer::sum);
+        connectionWindowBytes -= bytes;
+        windowBytesByStream.merge(stream, -bytes, Integer::sum);
         return true;
     }
 
-    private int available(int stream) {
-        return Math.min(connectionWindow, windowByStream.get(stream));
+    private int availableBytes(int stream) {
+        return Math.min(connectionWindowBytes, windowBytesByStream.get(stream));
     }
 }
--- a/src/main/java/linenring/testserver/TestBackend.java
+++ b/src/main/java/linenring/testserver/TestBackend.java
@@ -18,9 +18,9 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * A test backend: a host that speaks HTTP/2 with prior knowledge on loopback, reacts to requests as it was set up to, and counts
- * what it executed. Reactions to the next requests go first, then those to their path; else it
- * answers. Any thread may call it.
+ * HTTP/2 test backend (prior knowledge, loopback only) that handles requests with configured reactions and counts the requests
+ * that it executes. Reactions from {@link #onNext} take precedence over reactions from {@link #onPath}; without any, the
+ * backend sends a normal response. Thread-safe.
  */
 public final class TestBackend implements AutoCloseable {
     private static final int ACCEPT_QUEUE_CONNECTIONS = 512;
@@ -28,22 +28,22 @@
 
     private final ServerSocket server;
     private final ExecutorService threads = Executors.newCachedThreadPool(daemonThreads());
-    private final Set<BackendConnection> connections = ConcurrentHashMap.newKeySet();
-    private final ArrayDeque<Reaction> nextReactions = new ArrayDeque<>(); // guarded by itself
+    private final Set<BackendConnection> openConnections = ConcurrentHashMap.newKeySet();
+    private final ArrayDeque<Reaction> nextReactions = new ArrayDeque<>(); // guarded by its own monitor
     private final Map<String, Reaction> reactionsByPrefix = new ConcurrentHashMap<>();
     private final BackendStatistics statistics = new BackendStatistics();
     private volatile int maxStreams = DEFAULT_MAX_STREAMS;
-    private volatile CountDownLatch mayGreet = new CountDownLatch(0);
+    private volatile CountDownLatch settingsAllowed = new CountDownLatch(0);
 
-    /** At any free port. */
+    /** Starts a backend on a free port. */
     public TestBackend() throws IOException {
         this(0);
     }
 
-    /** At this port. */
+    /** Starts a backend on the given port; 0 selects a free port. */
     public TestBackend(int port) throws IOException {
         server = new ServerSocket(port, ACCEPT_QUEUE_CONNECTIONS, InetAddress.getLoopbackAddress());
-        threads.execute(this::accept);
+        threads.execute(this::acceptConnections);
     }
 
     private static ThreadFactory daemonThreads() {
@@ -54,7 +54,7 @@
         };
     }
 
-    /** How it reacts to the next requests, one after the other. */
+    /** Adds reactions for the next requests; each reaction is used once, in the given order. */
     public TestBackend onNext(Reaction... reactions) {
         synchronized (nextReactions) {
             nextReactions.addAll(List.of(reactions));
@@ -62,70 +62,70 @@
         return this;
     }
 
-    /** How it reacts to requests whose path begins so; the longest beginning counts. */
+    /** Sets the reaction to requests whose path starts with a prefix; the longest matching prefix applies. */
     public TestBackend onPath(String prefix, Reaction reaction) {
         reactionsByPrefix.put(prefix, reaction);
         return this;
     }
 
-    /** How many streams a connection may have, for connections from now on. */
+    /** Sets the limit of concurrent streams for connections accepted from now on. */
     public TestBackend withMaxStreams(int newMaxStreams) {
         maxStreams = newMaxStreams;
         return this;
     }
 
-    /** Sends its SETTINGS on connections from now on only after this, as a host that is slow to accept. */
-    public TestBackend greetAfter(CountDownLatch newMayGreet) {
-        mayGreet = newMayGreet;
+    /** Delays the SETTINGS frame on new connections until a latch opens, like a host that is slow to accept. */
+    public TestBackend greetAfter(CountDownLatch newSettingsAllowed) {
+        settingsAllowed = newSettingsAllowed;
         return this;
     }
 
-    /** How many requests for a path it executed. */
+    /** Returns the number of executed requests for a path. */
     public int executions(String path) {
         return statistics.executions(path);
     }
 
-    /** How many requests it executed, by path. */
+    /** Returns the number of executed requests by path. */
     public Map<String, Integer> executionsByPath() {
         return statistics.executionsByPath();
     }
 
-    /** How many requests with this idempotency key it executed. */
+    /** Returns the number of executed requests with an idempotency key. */
     public int executionsOfKey(String key) {
         return statistics.executionsOfKey(key);
     }
 
-    /** How many requests came, whatever became of them. */
+    /** Returns the number of requests received, whether executed or not. */
     public int requests() {
-        return statistics.requests();
+        return statistics.receivedRequests();
     }
 
-    /** How many requests it answers now or will answer. */
+    /** Returns the number of complete requests whose response is pending or being sent. */
     public int activeRequests() {
         return statistics.activeRequests();
     }
 
-    /** Bytes of bodies that came for a path. */
+    /** Returns the number of request body bytes received for a path. */
     public long bodyBytes(String path) {
         return statistics.bodyBytes(path);
     }
 
-    /** Those of the last request that had any. */
+    /** Returns the trailers of the most recent request that had trailers. */
     public HttpFields trailers() {
-        return statistics.trailers();
+        return statistics.lastTrailers();
     }
 
-    /** Bytes of answers' bodies that it sent. */
+    /** Returns the number of response body bytes sent. */
     public long sentBytes() {
         return statistics.sentBytes();
     }
 
-    /** How many connections are open. */
+    /** Returns the number of open connections. */
     public int connections() {
-        return connections.size();
+        return openConnections.size();
     }
 
-    /** {@code IP:PORT}. */
+    /** Returns the listening address as {@code IP:PORT}. */
     public String address() {
         return "127.0.0.1:" + server.getLocalPort();
     }
@@ -138,8 +138,8 @@
         return maxStreams;
     }
 
-    void awaitMayGreet() throws InterruptedException {
-        mayGreet.await();
+    void awaitSettingsAllowed() throws InterruptedException {
+        settingsAllowed.await();
     }
 
     Reaction reactionTo(String path) {
@@ -166,26 +166,26 @@
     }
 
     void connectionEnded(BackendConnection connection) {
-        connections.remove(connection);
+        openConnections.remove(connection);
     }
 
-    private void accept() {
+    private void acceptConnections() {
         try {
             while (true) {
                 BackendConnection connection = new BackendConnection(this, server.accept());
-                connections.add(connection);
+                openConnections.add(connection);
                 threads.execute(connection::run);
             }
-        } catch (IOException closed) {
-            // the backend is closed
+        } catch (IOException serverClosed) {
+            // the listening socket was closed
         }
     }
 
-    /** Ends all connections and listens no more, as a process that dies. */
+    /** Closes the listening socket and all connections abruptly, like a process that crashes. */
     @Override
     public void close() throws IOException {
         server.close();
-        connections.forEach(BackendConnection::end);
+        openConnections.forEach(BackendConnection::close);
         threads.shutdownNow();
     }
 }
--- a/src/test/java/linenring/build/DocumentedLogLinesTest.java
+++ b/src/test/java/linenring/build/DocumentedLogLinesTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Engineers on call look a log line up by its words. Each literal text in a call of the log must stand on one of the
- * operators' pages as the code has it.
+ * Engineers on call search the documentation for the text of a log line. Each string literal in a log call must therefore
+ * appear verbatim on one of the operators' pages.
  */
 class DocumentedLogLinesTest {
     private static final Path SOURCES = Path.of("src/main/java/linenring");
@@ -25,7 +25,7 @@
 
     private static final Pattern LOG_CALL = Pattern.compile("\\blog(?:\\(\\))?\\.(?:info|warn|error)\\(");
     private static final Pattern LITERAL = Pattern.compile("\"((?:[^\"\\\\]|\\\\.)*)\"");
-    /** Shorter literals join variable parts and say nothing by themselves. */
+    /** Minimum length of a checked literal; shorter literals only separate variable parts of a message. */
     private static final int MIN_LETTERS = 6;
 
     private static String pages;
@@ -39,7 +39,7 @@
         pages = text.toString().replaceAll("\\s+", " ");
     }
 
-    /** Scale runs log for their own reports; no operator reads those lines. */
+    /** Returns the checked source files. Scale runs are excluded, since operators do not read their log lines. */
     private static List<Path> sources() throws IOException {
         try (Stream<Path> files = Files.walk(SOURCES)) {
             return files.filter(file -> file.toString().endsWith(".java"))
@@ -49,7 +49,7 @@
         }
     }
 
-    /** The arguments of the call whose opening bracket ends before {@code start}. */
+    /** Returns the argument list of a call whose opening parenthesis is just before {@code start}. */
     private static String arguments(String source, int start) {
         int depth = 1;
         boolean isQuoted = false;
@@ -68,7 +68,7 @@
         return source.substring(start, end - 1);
     }
 
-    /** The literal texts of one call beside its subject, the first argument, without what joins them. */
+    /** Returns the string literals of a log call except the subject (the first argument), without surrounding separators. */
     private static List<String> texts(String arguments) {
         List<String> texts = new ArrayList<>();
         Matcher literal = LITERAL.matcher(arguments.substring(arguments.indexOf(',')));
@@ -82,20 +82,21 @@
     }
 
     @Test
-    void everyLogLineStandsOnAnOperatorsPage() throws IOException {
+    void everyLogTextIsDocumentedOnAnOperatorsPage() throws IOException {
         List<String> undocumented = new ArrayList<>();
-        int calls = 0;
+        int callCount = 0;
         for (Path file : sources()) {
             String source = Files.readString(file);
             Matcher call = LOG_CALL.matcher(source);
             while (call.find()) {
-                calls++;
+                callCount++;
                 texts(arguments(source, call.end())).stream()
                         .filter(text -> !pages.contains(text))
                         .forEach(text -> undocumented.add(file.getFileName() + ": " + text));
             }
         }
         assertEquals(List.of(), undocumented);
-        assertTrue(calls > 30, "only " + calls + " log calls were found: the pattern no longer matches the code");
+        assertTrue(
+                callCount > 30, "only " + callCount + " log calls were found: the pattern no longer matches the code");
     }
 }
--- a/src/test/java/linenring/build/GlossaryTest.java
+++ b/src/test/java/linenring/build/GlossaryTest.java
@@ -12,25 +12,25 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** The glossary is the authority on names: a type that it gives with its package must be there under that name. */
+/** Checks that each type that the glossary names with its package exists, so that the glossary stays up to date. */
 class GlossaryTest {
     private static final Path GLOSSARY = Path.of("docs/glossary.md");
     private static final Path SOURCES = Path.of("src/main/java/linenring");
     private static final Pattern QUALIFIED_TYPE = Pattern.compile("`((?:[a-z]+\\.)+)([A-Z]\\w+)`");
 
     @Test
-    void everyTypeOfTheGlossaryExists() throws IOException {
-        List<String> absent = new ArrayList<>();
-        int types = 0;
+    void everyTypeInTheGlossaryExists() throws IOException {
+        List<String> missingTypes = new ArrayList<>();
+        int typeCount = 0;
         Matcher type = QUALIFIED_TYPE.matcher(Files.readString(GLOSSARY));
         while (type.find()) {
-            types++;
+            typeCount++;
             Path file = SOURCES.resolve(type.group(1).replace('.', '/')).resolve(type.group(2) + ".java");
             if (!Files.exists(file)) {
-                absent.add(type.group());
+                missingTypes.add(type.group());
             }
         }
-        assertEquals(List.of(), absent);
-        assertTrue(types > 30, "only " + types + " types were found: the pattern no longer matches the page");
+        assertEquals(List.of(), missingTypes);
+        assertTrue(typeCount > 30, "only " + typeCount + " types were found: the pattern no longer matches the page");
     }
 }
--- a/src/test/java/linenring/build/KnownRedTest.java
+++ b/src/test/java/linenring/build/KnownRedTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * How CI treats tests that are known to fail. A copy of the script runs beside a fake mvn, which records its arguments and
- * answers by the name of the test it is asked for: tests named "passes" pass, tests named "absent" are not found, all
- * other single tests fail, and the main run passes.
+ * Tests how the CI script handles tests that are known to fail. The script runs with a fake mvn, which records its arguments.
+ * The fake mvn lets the main run and single tests named "passes" pass, does not find tests named "absent", and lets all other
+ * single tests fail.
  */
 class KnownRedTest {
     private static final String ENTRY = "linenring.gateway.Http2GatewayTest#resetsStream,"
@@ -52,7 +52,8 @@
         ProcessBuilder builder = new ProcessBuilder("bash", ".ci/run")
                 .directory(directory.toFile())
                 .redirectErrorStream(true);
-        builder.environment().merge("PATH", directory.resolve("bin") + ":", (path, ours) -> ours + path);
+        builder.environment()
+                .merge("PATH", directory.resolve("bin") + ":", (path, binDirectory) -> binDirectory + path);
         Process process = builder.start();
         output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         return process.waitFor();
@@ -69,13 +70,13 @@
     }
 
     @Test
-    void runsTheWholeSuiteWithoutAList() throws Exception {
+    void runsTheCompleteSuiteWithoutAList() throws Exception {
         assertEquals(0, runWithoutList(), () -> output);
         assertEquals(List.of("-B test"), calls());
     }
 
     @Test
-    void leavesListedTestsOutRunsThemAloneAndPrintsThem() throws Exception {
+    void excludesListedTestsThenRunsEachAloneAndPrintsTheList() throws Exception {
         String list = ENTRY
                 + "linenring.stream.StreamServerTest#dropsIdlePeer, bin/score gtc-dispatch.toml --seed 5309,"
                 + " first seen under load, then every time, issue 28\n";
@@ -91,7 +92,7 @@
     }
 
     @Test
-    void acceptsAListWhoseLastLineHasNoEnd() throws Exception {
+    void acceptsAListWithoutAFinalLineBreak() throws Exception {
         assertEquals(0, run(ENTRY.stripTrailing()), () -> output);
         assertEquals(2, calls().size());
     }
@@ -103,7 +104,7 @@
     }
 
     @Test
-    void failsIfAListedTestIsNotThere() throws Exception {
+    void failsIfAListedTestDoesNotExist() throws Exception {
         assertNotEquals(0, run("linenring.gateway.Http2GatewayTest#absent, mvn -B test, a 502, issue 31\n"));
         assertTrue(output.contains("did not run"), output);
     }
@@ -141,7 +142,7 @@
     }
 
     @Test
-    void acceptsAsManyEntriesAsAllowed() throws Exception {
+    void acceptsTheMaximumNumberOfEntries() throws Exception {
         assertEquals(0, run(distinctEntries(3)), () -> output);
         assertEquals(4, calls().size());
     }
--- a/src/test/java/linenring/build/PackageDependenciesTest.java
+++ b/src/test/java/linenring/build/PackageDependenciesTest.java
@@ -20,38 +20,38 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The rules of docs/architecture.md on what a package may use. A rule that no longer fits is changed here and on that
- * page in the same commit.
+ * Checks the dependency rules between packages, which docs/architecture.md describes. Change a rule here and on that page in
+ * the same commit.
  */
 class PackageDependenciesTest {
     private static final String ROOT = "linenring";
 
-    /** For each package, the packages of the project that it may use. Test sources are not covered. */
+    /** Packages of the project that each package may use. Test sources are not checked. */
     private static final Map<String, Set<String>> ALLOWED = Map.ofEntries(
-            // values and decisions
+            // values and decisions: settings, codecs and the planner
             Map.entry("log", Set.of()),
             Map.entry("kdl", Set.of()),
             Map.entry("planner", Set.of()),
             Map.entry("settings", Set.of("planner")),
             Map.entry("protocol", Set.of("settings")),
             Map.entry("configuration", Set.of("planner", "protocol", "settings")),
-            // the controller
+            // controller: endpoint tables, discovery and streams to proxies
             Map.entry("event", Set.of("protocol")),
             Map.entry("stream", Set.of("event", "log", "protocol")),
             Map.entry("discovery", Set.of("event", "log", "protocol")),
             Map.entry("controller", Set.of("event", "log", "planner", "protocol", "settings")),
-            // the gateway
+            // gateway: HTTP/2 forwarding to hosts
             Map.entry("routing", Set.of("planner", "protocol")),
             Map.entry("gateway.settings", Set.of("kdl", "routing", "settings")),
             Map.entry("gateway", Set.of("event", "gateway.settings", "log", "planner", "protocol", "routing")),
-            // upgrade
+            // upgrade: handover of sockets between two processes
             Map.entry("handover.wire", Set.of()),
             Map.entry("handover", Set.of("handover.wire", "log", "protocol")),
-            // test tools
+            // test tools: test backend, load generator, simulator
             Map.entry("testserver", Set.of()),
             Map.entry("load", Set.of("testserver")),
             Map.entry("simulator", Set.of("planner", "settings")),
-            // scale runs
+            // scale runs: capacity measurements of a controller
             Map.entry("scale.measurement", Set.of()),
             Map.entry("scale.sockets", Set.of()),
             Map.entry("scale.report.fit", Set.of()),
@@ -82,7 +82,7 @@
                             "scale.process",
                             "scale.report",
                             "scale.settings")),
-            // the command line
+            // command line
             Map.entry(
                     "cli",
                     Set.of(
@@ -106,7 +106,7 @@
                             "stream",
                             "testserver")));
 
-    /** Routing reads the tables that the codec decodes; of the decisions it shares two enums of the settings. */
+    /** Types that routing may use from planner and protocol: decoded endpoint tables and inbound messages, and two settings enums. */
     private static final Set<String> SHARED_WITH_ROUTING = Set.of(
             "linenring.planner.Commands$RetryPolicy",
             "linenring.planner.PlannerSettings$Measure",
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void packagesUseOnlyWhatTheyMay() {
+    void packagesUseOnlyAllowedPackages() {
         ALLOWED.forEach((name, allowed) -> noClasses()
                 .that()
                 .resideInAPackage(ROOT + "." + name)
@@ -159,13 +159,13 @@
     }
 
     @Test
-    void packagesDoNotUseEachOtherInACycle() {
+    void packageDependenciesHaveNoCycles() {
         slices().matching(ROOT + ".(**)").should().beFreeOfCycles().check(PROJECT);
     }
 
-    /** The decisions see no I/O, no library and no clock of their own: a history played twice decides the same. */
+    /** The planner must not use I/O, libraries or a clock, so that replaying a history produces the same decisions. */
     @Test
-    void plannerUsesNothingButPlainJava() {
+    void plannerUsesOnlyTheJavaCoreLibrary() {
         classes()
                 .that()
                 .resideInAPackage(ROOT + ".planner..")
@@ -183,7 +183,7 @@
     }
 
     @Test
-    void routingSharesOnlyTheNamedTypesWithDecisionsAndProtocol() {
+    void routingUsesOnlyListedTypesOfPlannerAndProtocol() {
         noClasses()
                 .that()
                 .resideInAPackage(ROOT + ".routing")
@@ -193,10 +193,10 @@
                 .check(PROJECT);
     }
 
-    /** A library that reads or writes bytes stays with the packages whose business that is. */
+    /** Libraries for I/O, parsing and native access may be used only by the packages that are responsible for them. */
     @Test
-    void librariesStayInThePackagesThatNeedThem() {
-        onlyIn(
+    void librariesAreUsedOnlyByResponsiblePackages() {
+        assertUsedOnlyIn(
                 "org.eclipse.jetty..",
                 "stream",
                 "discovery",
@@ -206,14 +206,14 @@
                 "cli",
                 "scale.fleet",
                 "scale.run");
-        onlyIn("org.antlr..", "kdl");
-        onlyIn("com.networknt..", "kdl");
-        onlyIn("picocli..", "cli");
-        onlyIn("com.google.protobuf..", "handover", "handover.wire", "cli");
-        onlyIn("com.sun.jna..", "handover");
+        assertUsedOnlyIn("org.antlr..", "kdl");
+        assertUsedOnlyIn("com.networknt..", "kdl");
+        assertUsedOnlyIn("picocli..", "cli");
+        assertUsedOnlyIn("com.google.protobuf..", "handover", "handover.wire", "cli");
+        assertUsedOnlyIn("com.sun.jna..", "handover");
     }
 
-    private static void onlyIn(String library, String... packages) {
+    private static void assertUsedOnlyIn(String library, String... packages) {
         noClasses()
                 .that()
                 .resideOutsideOfPackages(qualified(Stream.of(packages)))
--- a/src/test/java/linenring/kdl/KdlReaderTest.java
+++ b/src/test/java/linenring/kdl/KdlReaderTest.java
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void omitsWhatIsCommentedOutByASlashDash() {
+    void skipsElementsCommentedOutWithSlashDash() {
         List<KdlNode> nodes = nodes("/- gone { x }\na 1 /-2 /-k=3 4 /-{ x }\n");
         assertEquals(1, nodes.size());
         assertEquals(List.of(1L, 4L), contents(nodes.get(0)));
@@ -75,40 +75,43 @@
     }
 
     @Test
-    void continuesALineBehindABackslash() {
+    void continuesANodeOnTheNextLineAfterABackslash() {
         assertEquals(
                 List.of(1L, 4L), contents(nodes("a 1 /-2 \\ // here\n  4\n").get(0)));
     }
 
     @Test
-    void namesTheLineOfAnError() {
+    void reportsTheLineOfAnError() {
         assertEquals(3, firstError("a\nb {\n").line());
         assertEquals(
                 new KdlError(2, "'null' is written #null, or in quotes if text is meant"), firstError("a\nb null"));
         assertEquals(
-                "'99999999999999999999' is out of range",
+                "'99999999999999999999' is out of the range of 64-bit integers",
                 firstError("a 99999999999999999999").message());
     }
 
-    /** A text of open braces made the recursive parser run out of stack, which ended the process. */
+    /** Guards against deeply nested braces, which overflowed the stack of the recursive parser and ended the process. */
     @Test
-    void rejectsDeepNestingBeforeItIsParsed() {
+    void rejectsDeepNestingBeforeParsing() {
         assertEquals(
-                "children are nested deeper than 64",
+                "children are nested more deeply than the limit of 64",
                 firstError("a {".repeat(5000)).message());
     }
 
     @Test
-    void rejectsEscapesThatNameNoCharacter() {
+    void rejectsInvalidUnicodeEscapes() {
         for (String escape : List.of("\\u{110000}", "\\u{d800}", "\\u{0000041}")) {
-            assertEquals(new KdlError(1, "\\u{...} names no character"), firstError("a \"" + escape + "\""), escape);
+            assertEquals(
+                    new KdlError(1, "\\u{...} is not a valid Unicode character"),
+                    firstError("a \"" + escape + "\""),
+                    escape);
         }
     }
 
     @Test
-    void rejectsTextOverSeveralLinesThatIsNotIndentedAsItsClosingQuotes() {
+    void rejectsMultiLineStringIndentedLessThanItsClosingQuotes() {
         assertEquals(
-                "a line of the text stands further left than its closing quotes",
+                "a line of a multi-line string is indented less than its closing quotes",
                 firstError("a \"\"\"\n  one\n    \"\"\"").message());
     }
 }
