--- a/src/test/java/linenring/scale/fleet/ListLedgerTest.java
+++ b/src/test/java/linenring/scale/fleet/ListLedgerTest.java
@@ -34,7 +34,8 @@
         receive(6, false, "s-2", HostList.State.READY);
         receive(6, false, "s-2", HostList.State.READY);
         receive(4, false, "s-3", HostList.State.READY);
-        assertEquals(List.of("version 6 received after version 6", "version 4 received after version 6"), ledger.faults());
+        assertEquals(
+                List.of("version 6 received after version 6", "version 4 received after version 6"), ledger.faults());
     }
 
     @Test
--- a/src/test/java/linenring/scale/fleet/SimulatedFleetTest.java
+++ b/src/test/java/linenring/scale/fleet/SimulatedFleetTest.java
@@ -93,7 +93,11 @@
     @Test
     void appliesAndAcknowledgesAnUpdateOnceTheChannelHasDeliveredIt() {
         SimulatedFleet fleet = fleet(1, 0);
-        fleet.receive(0, 1, table(NONCE, "s-1"), 1000); // 2 entries and an overhead of 4, each 1 ms, and 200 ms of propagation
+        fleet.receive(
+                0,
+                1,
+                table(NONCE, "s-1"),
+                1000); // 2 entries and an overhead of 4, each 1 ms, and 200 ms of propagation
         fleet.advance(1205.9);
         assertFalse(fleet.proxies().get(0).hasHosts());
         fleet.advance(1206);
