--- a/src/main/java/linenring/cli/ControllerLauncher.java
+++ b/src/main/java/linenring/cli/ControllerLauncher.java
@@ -40,7 +40,7 @@
         } catch (StartException failure) {
             return failure.report();
         }
-        String oldProcessSocket = System.getenv(UpgradeCoordinator.SOCKET_VARIABLE);
+        String oldProcessSocket = System.getenv(UpgradeCoordinator.SOCKET_ENVIRONMENT_VARIABLE);
         return process.isUpgradable() && oldProcessSocket != null
                 ? process.takeOver(Path.of(oldProcessSocket))
                 : process.serve();
--- a/src/main/java/linenring/cli/ControllerProcess.java
+++ b/src/main/java/linenring/cli/ControllerProcess.java
@@ -54,8 +54,8 @@
         this.reloadSignals = reloadSignals;
         this.log = log;
         codec = new Codec(configuration.names());
-        gateway = gatewaySettings.map(settings ->
-                new GatewayLifecycle(settings, configuration.plannerSettings().measure(), hosts, eventQueue, log));
+        gateway = gatewaySettings.map(settings -> new GatewayLifecycle(
+                settings, configuration.plannerSettings().admissionUnit(), hosts, eventQueue, log));
     }
 
     /** Whether the gateway's settings allow the process to be upgraded under load. */
@@ -71,7 +71,7 @@
             openStreams();
         } catch (ListenException failure) {
             ProgramOutput.printError(
-                    "cannot listen at " + address() + "; last completed step and cause: " + failure.fault());
+                    "cannot listen at " + address() + "; last completed step and cause: " + failure.failureSummary());
             return ExitCode.CANNOT_START;
         } catch (Exception failure) { // Jetty's start() declares Exception
             ProgramOutput.printError("cannot start: " + failure);
--- a/src/main/java/linenring/cli/Durations.java
+++ b/src/main/java/linenring/cli/Durations.java
@@ -16,10 +16,10 @@
     }
 
     static boolean isDuration(String value) {
-        return value.matches(Units.DURATION);
+        return value.matches(Units.DURATION_PATTERN);
     }
 
     static long milliseconds(String value) {
-        return (long) Units.millis(value);
+        return (long) Units.parseDurationMs(value);
     }
 }
--- a/src/main/java/linenring/cli/GatewayLifecycle.java
+++ b/src/main/java/linenring/cli/GatewayLifecycle.java
@@ -20,7 +20,7 @@
     private static final String LOG_SUBJECT = "gateway";
 
     private final GatewaySettings settings;
-    private final PlannerSettings.Measure measure;
+    private final PlannerSettings.AdmissionUnit measure;
     private final HostRegistry hosts;
     private final EventQueue eventQueue;
     private final Log log;
@@ -29,7 +29,7 @@
 
     GatewayLifecycle(
             GatewaySettings settings,
-            PlannerSettings.Measure measure,
+            PlannerSettings.AdmissionUnit measure,
             HostRegistry hosts,
             EventQueue eventQueue,
             Log log) {
--- a/src/main/java/linenring/cli/LoadCommand.java
+++ b/src/main/java/linenring/cli/LoadCommand.java
@@ -92,7 +92,7 @@
                     "a duration needs a unit, such as 10s, and the address must be on loopback: 127.0.0.1:PORT");
         }
         try {
-            System.out.print(LoadGenerator.table(LoadGenerator.run(plan())));
+            System.out.print(LoadGenerator.formatTable(LoadGenerator.run(plan())));
             return ExitCode.SUCCESS;
         } catch (IOException failure) {
             ProgramOutput.printError(address + ": " + failure.getMessage());
@@ -111,16 +111,16 @@
                 callsPerSecond,
                 concurrency,
                 connections,
-                Units.millis(duration) / MILLIS_PER_SECOND,
-                Units.millis(warmUp) / MILLIS_PER_SECOND,
+                Units.parseDurationMs(duration) / MILLIS_PER_SECOND,
+                Units.parseDurationMs(warmUp) / MILLIS_PER_SECOND,
                 CALL_TIMEOUT_MS,
                 seed);
     }
 
-    private LoadGenerator.Call parseCall(String name, String specification) {
+    private LoadGenerator.CallTemplate parseCall(String name, String specification) {
         String[] parts = specification.split(":", 0);
         String path = parts.length > 1 ? parts[1] : "/";
         double weight = parts.length > 2 ? Double.parseDouble(parts[2]) : 1;
-        return new LoadGenerator.Call(name, parts[0], path, weight, keyedCalls.contains(name));
+        return new LoadGenerator.CallTemplate(name, parts[0], path, weight, keyedCalls.contains(name));
     }
 }
--- a/src/main/java/linenring/cli/ProcessHandover.java
+++ b/src/main/java/linenring/cli/ProcessHandover.java
@@ -53,7 +53,10 @@
     /** Enables upgrades of this process: accepts upgrade requests at the socket and by signal. */
     void open() {
         HandoverSender.Timeouts timeouts = new HandoverSender.Timeouts(
-                settings.greetMs(), settings.prepareMs(), settings.takeMs(), settings.probationMs());
+                settings.greetingTimeoutMs(),
+                settings.prepareTimeoutMs(),
+                settings.takeoverTimeoutMs(),
+                settings.probationMs());
         try {
             coordinator = UpgradeCoordinator.open(settings.dir(), successorCommand(), timeouts, this, log);
             ProcessSignals.handle(ProcessSignals.UPGRADE, coordinator::requestUpgrade);
@@ -94,7 +97,8 @@
         } catch (ListenException failure) {
             log.error(
                     LOG_SUBJECT,
-                    "the controller cannot listen for proxies; last completed step and cause: " + failure.fault());
+                    "the controller cannot listen for proxies; last completed step and cause: "
+                            + failure.failureSummary());
         }
         // the SIGTERM handler is installed before the first request, so that a process that takes over can drain
         gateway.handleTermination(this::shutdownRequested);
@@ -133,8 +137,8 @@
         SuccessorProcess.Identity identity = new SuccessorProcess.Identity(
                 Release.name(), names.zones().size(), names.kinds().size());
         try {
-            SuccessorProcess successor = SuccessorProcess.greet(socket, identity, this, log);
-            log.warn(LOG_SUBJECT, "exiting because the handover was aborted: " + successor.awaitEnd());
+            SuccessorProcess successor = SuccessorProcess.startHandover(socket, identity, this, log);
+            log.warn(LOG_SUBJECT, "exiting because the handover was aborted: " + successor.awaitAbort());
         } catch (IOException failure) {
             ProgramOutput.printError("cannot reach the old process at " + socket + ": " + failure.getMessage());
         } catch (InterruptedException interrupted) {
--- a/src/main/java/linenring/cli/TestBackendCommand.java
+++ b/src/main/java/linenring/cli/TestBackendCommand.java
@@ -88,14 +88,16 @@
         TestBackend backend = new TestBackend(port).withMaxStreams(MAX_STREAMS_PER_BACKEND);
         backend.onPath(
                 path,
-                Reaction.of(behaviour).after(Durations.milliseconds(delay)).withBytes(answerBytes));
+                Reaction.of(behaviour)
+                        .withDelayMs(Durations.milliseconds(delay))
+                        .withBodyBytes(answerBytes));
         System.out.println(
                 "test backend at 127.0.0.1:" + port + ": " + behaviour.name().toLowerCase(Locale.ROOT));
         return backend;
     }
 
     private static void report(TestBackend backend, Map<TestBackend, Integer> lastCounts) {
-        int requests = backend.requests();
+        int requests = backend.receivedRequests();
         Integer previousCount = lastCounts.put(backend, requests);
         if (requests > (previousCount == null ? 0 : previousCount)) {
             System.out.println(
--- a/src/main/java/linenring/configuration/ControllerConfigurationReader.java
+++ b/src/main/java/linenring/configuration/ControllerConfigurationReader.java
@@ -126,7 +126,7 @@
             return withoutKnownHosts(configuration, failed.error());
         }
         HostList list = decoded.get().orElseThrow();
-        if (list.hasNoneInScope()) {
+        if (list.hasNoHostsInScope()) {
             String fault = "known lists " + list.outsideScopeCount()
                     + " hosts but scope includes none of them; starting without a host list";
             return configuration.withKnownHosts(Optional.empty(), Optional.of(fault));
--- a/src/main/java/linenring/configuration/FlattenedJson.java
+++ b/src/main/java/linenring/configuration/FlattenedJson.java
@@ -36,7 +36,7 @@
     }
 
     @Override
-    protected RuntimeException bad(String path, String fault) {
+    protected RuntimeException invalidValue(String path, String fault) {
         return new InvalidSettingException(faultPrefix + path, fault);
     }
 
--- a/src/main/java/linenring/controller/ControlLoop.java
+++ b/src/main/java/linenring/controller/ControlLoop.java
@@ -55,7 +55,7 @@
         this.eventQueue = eventQueue;
         this.log = log;
         this.clock = clock;
-        minRoundIntervalMs = names.quantumMs();
+        minRoundIntervalMs = names.batchIntervalMs();
         fleetState = new FleetState(names.operations(), names.proxyCount(), log);
         planner = new Planner(settings, fleetState);
         planner.advanceClock(clock.nowMs());
@@ -223,12 +223,12 @@
      */
     @Override
     public void onHostList(HostList list) {
-        boolean hasBegunList = runLoggingFault(() -> beginList(list.removesUnnamedHosts()));
+        boolean hasBegunList = runLoggingFault(() -> beginList(list.removesUnlistedHosts()));
         long failedEntries = list.entries().stream()
                 .filter(entry -> !runLoggingFault(() -> applyEntry(entry)))
                 .count();
         if (hasBegunList && failedEntries == 0) {
-            runLoggingFault(() -> endList(list.removesUnnamedHosts()));
+            runLoggingFault(() -> endList(list.removesUnlistedHosts()));
         }
     }
 
--- a/src/main/java/linenring/controller/ProxySessions.java
+++ b/src/main/java/linenring/controller/ProxySessions.java
@@ -40,7 +40,7 @@
     /** Whether the proxy's current stream was opened after the given stream. */
     boolean hasNewerStream(int proxy, ProxyStream stream) {
         ProxyStream current = get(proxy).stream();
-        return current != null && current.number() > stream.number();
+        return current != null && current.streamNumber() > stream.streamNumber();
     }
 
     /** Returns the proxy whose current stream this is, or empty for a collector's stream and for a replaced stream. */
--- a/src/main/java/linenring/discovery/VersionTracker.java
+++ b/src/main/java/linenring/discovery/VersionTracker.java
@@ -62,7 +62,7 @@
         if (!list.isComplete()) {
             return requiresCompleteList(source) ? Optional.of(Rejection.LACKS_BASE) : Optional.empty();
         }
-        if (!hasList || (source.hasRestarted() && !list.hasNoneInScope())) {
+        if (!hasList || (source.hasRestarted() && !list.hasNoHostsInScope())) {
             return Optional.empty();
         }
         if (hasOtherScope(source) && list.version() < version) {
@@ -70,7 +70,7 @@
             source.detectRestart(nowNanos);
             return Optional.of(Rejection.OLDER_UNDER_OTHER_SCOPE);
         }
-        if (list.hasNoneInScope() && !hosts.isCertainlyEmpty()) {
+        if (list.hasNoHostsInScope() && !hosts.isCertainlyEmpty()) {
             source.recordNoHostsInScope();
             return Optional.of(Rejection.NO_HOSTS_IN_SCOPE);
         }
--- a/src/main/java/linenring/event/ProxyStream.java
+++ b/src/main/java/linenring/event/ProxyStream.java
@@ -11,7 +11,7 @@
     void close(String reason);
 
     /** Returns the stream's number from {@link EventQueue#nextStreamNumber}, in opening order; 0 if it is unknown. */
-    default long number() {
+    default long streamNumber() {
         return 0;
     }
 }
--- a/src/main/java/linenring/gateway/Attempt.java
+++ b/src/main/java/linenring/gateway/Attempt.java
@@ -44,11 +44,11 @@
         startedAtMs = services.nowMs();
         host = step.host();
         upstream = services.upstreams().upstream(host);
-        sendDeadlineMs = step.sendByMs();
+        sendDeadlineMs = step.sendDeadlineMs();
         responseForwarder = new ResponseForwarder(request);
         requestBodyForwarder = new RequestBodyForwarder(request, this::isFailed);
         deadlineTask = services.schedule(
-                () -> request.execute(this::timedOut), Math.max(0, step.giveUpAtMs() - services.nowMs()));
+                () -> request.execute(this::timedOut), Math.max(0, step.attemptDeadlineMs() - services.nowMs()));
     }
 
     void begin() {
--- a/src/main/java/linenring/gateway/ControllerSubscription.java
+++ b/src/main/java/linenring/gateway/ControllerSubscription.java
@@ -9,9 +9,9 @@
 import linenring.log.Log;
 import linenring.protocol.ConfigurationUpdate;
 import linenring.protocol.InboundMessage;
-import linenring.routing.RollingStatistics;
-import linenring.routing.Tables;
-import linenring.routing.UnusableUpdateException;
+import linenring.routing.EndpointTables;
+import linenring.routing.InvalidUpdateException;
+import linenring.routing.LoadStatistics;
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
@@ -28,7 +28,7 @@
         private final long number = events.nextStreamNumber();
 
         @Override
-        public long number() {
+        public long streamNumber() {
             return number;
         }
 
@@ -45,8 +45,8 @@
 
     private final GatewaySettings settings;
     private final EventQueue events;
-    private final Tables tables;
-    private final RollingStatistics statistics;
+    private final EndpointTables tables;
+    private final LoadStatistics statistics;
     private final RequestServices services;
     private final SerialExecutor updateTasks;
     private final Log log;
@@ -56,7 +56,7 @@
     ControllerSubscription(
             GatewaySettings settings,
             EventQueue events,
-            Tables tables,
+            EndpointTables tables,
             RequestServices services,
             Executor executor,
             Log log) {
@@ -78,7 +78,7 @@
         events.enqueueMessage(
                 next,
                 new InboundMessage.Subscribe(
-                        settings.proxy(), settings.zone(), settings.usualPerSecond(), tables.isEmpty()));
+                        settings.proxy(), settings.zone(), settings.usualRequestsPerSecond(), tables.isEmpty()));
     }
 
     /** Sends load reports now and then periodically. */
@@ -87,7 +87,7 @@
         if (isUnsubscribed) {
             return;
         }
-        statistics.drainReport(services.nowMs()).forEach(message -> events.enqueueMessage(stream, message));
+        statistics.takeReports(services.nowMs()).forEach(message -> events.enqueueMessage(stream, message));
         scheduler().schedule(this::sendReport, (long) settings.reportIntervalMs(), TimeUnit.MILLISECONDS);
     }
 
@@ -106,7 +106,7 @@
         List<Integer> nonces;
         try {
             nonces = tables.apply(update);
-        } catch (UnusableUpdateException unusable) {
+        } catch (InvalidUpdateException unusable) {
             events.enqueueStreamClosed(stream);
             streamLost(stream, "a configuration update cannot be applied: " + unusable.getMessage());
             return;
--- a/src/main/java/linenring/gateway/Http2Gateway.java
+++ b/src/main/java/linenring/gateway/Http2Gateway.java
@@ -7,13 +7,13 @@
 import linenring.event.EventQueue;
 import linenring.gateway.settings.GatewaySettings;
 import linenring.log.Log;
-import linenring.planner.PlannerSettings.Measure;
+import linenring.planner.PlannerSettings.AdmissionUnit;
+import linenring.routing.EndpointTables;
 import linenring.routing.HostRegistry;
+import linenring.routing.LoadStatistics;
 import linenring.routing.OperationPolicy;
 import linenring.routing.RetryBudget;
 import linenring.routing.RetryContext;
-import linenring.routing.RollingStatistics;
-import linenring.routing.Tables;
 import org.eclipse.jetty.http2.client.HTTP2Client;
 
 /**
@@ -35,7 +35,7 @@
 
     private final GatewaySettings settings;
     private final Log log;
-    private final Tables tables;
+    private final EndpointTables tables;
     private final GatewayTransport transport;
     private final RequestServices services;
     private final GracefulShutdown shutdown;
@@ -44,7 +44,7 @@
 
     private Http2Gateway(
             GatewaySettings settings,
-            Measure measure,
+            AdmissionUnit measure,
             HostRegistry hosts,
             EventQueue events,
             Supplier<HTTP2Client> clientFactory,
@@ -54,7 +54,7 @@
         GatewayClock clock = new GatewayClock();
         List<String> operations =
                 settings.operations().stream().map(OperationPolicy::operation).toList();
-        tables = new Tables(
+        tables = new EndpointTables(
                 operations,
                 hosts,
                 measure,
@@ -65,7 +65,7 @@
                 clock,
                 transport.scheduler(),
                 new UpstreamRegistry(settings, hosts, tables, transport.client(), transport.scheduler(), clock),
-                new RollingStatistics(settings.proxy(), settings.zone(), hosts, operations.size(), clock.nowMs()),
+                new LoadStatistics(settings.proxy(), settings.zone(), hosts, operations.size(), clock.nowMs()),
                 new RequestOutcomes(operations, hosts, (long) settings.clients().maxStallMs(), log));
         shutdown = new GracefulShutdown(settings.maxDrainMs(), clock, transport.scheduler(), log);
         dispatcher = new RequestDispatcher(settings, services, retryContext(hosts), shutdown, log);
@@ -78,7 +78,7 @@
                 tables,
                 hosts,
                 new RetryBudget(retries.budgetShare(), retries.minRetries(), retries.budgetWindowMs()),
-                retries.attemptObjectives(),
+                retries.attemptTimeoutObjectives(),
                 new PerThreadRandom(System.nanoTime()));
     }
 
@@ -90,7 +90,7 @@
      */
     public static Http2Gateway start(
             GatewaySettings settings,
-            Measure measure,
+            AdmissionUnit measure,
             HostRegistry hosts,
             EventQueue events,
             ListenOptions options,
@@ -102,7 +102,7 @@
     /** Creates a gateway like the public method, with the caller's HTTP/2 client for connections to hosts. */
     static Http2Gateway start(
             GatewaySettings settings,
-            Measure measure,
+            AdmissionUnit measure,
             HostRegistry hosts,
             EventQueue events,
             ListenOptions options,
--- a/src/main/java/linenring/gateway/RequestDispatcher.java
+++ b/src/main/java/linenring/gateway/RequestDispatcher.java
@@ -39,8 +39,8 @@
         this.log = log;
         routes = new Routes(settings.routes());
         capacity = new RequestCapacity(
-                settings.clients().maxActiveRequests(), settings.body().maxWindowBytesInAll());
-        retainedBodyBudget = new BufferBudget(settings.body().maxRetainedBytesInAll());
+                settings.clients().maxActiveRequests(), settings.body().maxTotalWindowBytes());
+        retainedBodyBudget = new BufferBudget(settings.body().maxTotalRetainedBytes());
     }
 
     /** Returns the listener of the stream, or null if the gateway has rejected the request. */
--- a/src/main/java/linenring/gateway/RequestServices.java
+++ b/src/main/java/linenring/gateway/RequestServices.java
@@ -1,7 +1,7 @@
 package linenring.gateway;
 
 import java.util.concurrent.TimeUnit;
-import linenring.routing.RollingStatistics;
+import linenring.routing.LoadStatistics;
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
@@ -17,7 +17,7 @@
         GatewayClock clock,
         Scheduler scheduler,
         UpstreamRegistry upstreams,
-        RollingStatistics statistics,
+        LoadStatistics statistics,
         RequestOutcomes outcomes) {
     double nowMs() {
         return clock.nowMs();
--- a/src/main/java/linenring/gateway/UpstreamConnections.java
+++ b/src/main/java/linenring/gateway/UpstreamConnections.java
@@ -187,7 +187,8 @@
             waiter.granted(granted.connection());
         } else if (grant instanceof ConnectionPool.StreamGrant.Rejected<Connection>) {
             waiter.rejected();
-        } else if (grant instanceof ConnectionPool.StreamGrant.Queued<Connection> queued && queued.openConnection()) {
+        } else if (grant instanceof ConnectionPool.StreamGrant.Queued<Connection> queued
+                && queued.shouldOpenConnection()) {
             dial();
         }
     }
@@ -217,7 +218,7 @@
         actions.connectionsToClose().forEach(Connection::closeIdleSession);
         actions.assigned().forEach(assigned -> assigned.waiter().granted(assigned.connection()));
         actions.rejected().forEach(StreamWaiter::rejected);
-        if (actions.openConnection()) {
+        if (actions.shouldOpenConnection()) {
             dial();
         }
     }
--- a/src/main/java/linenring/gateway/UpstreamRegistry.java
+++ b/src/main/java/linenring/gateway/UpstreamRegistry.java
@@ -4,8 +4,8 @@
 import java.util.Objects;
 import java.util.concurrent.ConcurrentHashMap;
 import linenring.gateway.settings.GatewaySettings;
+import linenring.routing.EndpointTables;
 import linenring.routing.HostRegistry;
-import linenring.routing.Tables;
 import org.eclipse.jetty.http2.client.HTTP2Client;
 import org.eclipse.jetty.util.thread.Scheduler;
 
@@ -13,7 +13,7 @@
 final class UpstreamRegistry {
     private final GatewaySettings settings;
     private final HostRegistry hosts;
-    private final Tables tables;
+    private final EndpointTables tables;
     private final HTTP2Client client;
     private final Scheduler scheduler;
     private final GatewayClock clock;
@@ -22,7 +22,7 @@
     UpstreamRegistry(
             GatewaySettings settings,
             HostRegistry hosts,
-            Tables tables,
+            EndpointTables tables,
             HTTP2Client client,
             Scheduler scheduler,
             GatewayClock clock) {
@@ -52,7 +52,7 @@
             UpstreamConnections connections = entry.getValue();
             boolean hasMoved =
                     !Objects.equals(connections.address(), hosts.host(host).address());
-            boolean isUnused = !hosts.host(host).isListed() || !tables.isEligibleAnywhere(host);
+            boolean isUnused = !hosts.host(host).isReady() || !tables.isEligibleForAnyOperation(host);
             connections.setRetired(hasMoved || isUnused);
             return hasMoved;
         });
--- a/src/main/java/linenring/gateway/settings/GatewaySettings.java
+++ b/src/main/java/linenring/gateway/settings/GatewaySettings.java
@@ -12,7 +12,7 @@
  * @param listen               address that clients connect to
  * @param proxy                proxy number that the gateway uses when it subscribes to the controller
  * @param zone                 index of the gateway's zone
- * @param usualPerSecond       usual request rate, which the gateway sends when it subscribes
+ * @param usualRequestsPerSecond       usual request rate, which the gateway sends when it subscribes
  * @param idempotencyKeyHeader name of the header that carries the idempotency key of a request, or null
  * @param operations           policies of the operations, in the order of the controller's operations
  * @param routes               mapping of requests to operations
@@ -30,7 +30,7 @@
         InetSocketAddress listen,
         int proxy,
         int zone,
-        double usualPerSecond,
+        double usualRequestsPerSecond,
         String idempotencyKeyHeader,
         List<OperationPolicy> operations,
         List<Route> routes,
@@ -53,9 +53,9 @@
      * @param budgetShare       maximum number of retries as a fraction of first attempts
      * @param budgetWindowMs    sliding window of the retry budget
      * @param minRetries        number of retries that each window always allows
-     * @param attemptObjectives timeout of an attempt that can be retried, as a multiple of the latency objective
+     * @param attemptTimeoutObjectives timeout of an attempt that can be retried, as a multiple of the latency objective
      */
-    public record Retries(double budgetShare, double budgetWindowMs, int minRetries, double attemptObjectives) {}
+    public record Retries(double budgetShare, double budgetWindowMs, int minRetries, double attemptTimeoutObjectives) {}
 
     /**
      * The limits of outlier ejection.
@@ -91,23 +91,28 @@
      * The limits of request and response bodies.
      *
      * @param maxRetainedBytes      maximum size of the body that is retained for retries of one request
-     * @param maxRetainedBytesInAll maximum total size of the bodies that are retained for retries of all requests
+     * @param maxTotalRetainedBytes maximum total size of the bodies that are retained for retries of all requests
      * @param streamWindowBytes     flow-control window of one stream
-     * @param maxWindowBytesInAll   maximum total size of the flow-control windows of all active requests
+     * @param maxTotalWindowBytes   maximum total size of the flow-control windows of all active requests
      */
     public record Body(
-            int maxRetainedBytes, long maxRetainedBytesInAll, int streamWindowBytes, long maxWindowBytesInAll) {}
+            int maxRetainedBytes, long maxTotalRetainedBytes, int streamWindowBytes, long maxTotalWindowBytes) {}
 
     /**
      * The settings of a handover, which upgrades the gateway to a new process.
      *
      * @param dir         directory of the handover socket
      * @param command     command that starts the new process; if empty, the command of the current process is used
-     * @param greetMs     time in which the new process must send its greeting
-     * @param prepareMs   time in which the new process must become ready to accept connections
-     * @param takeMs      time in which the new process must start accepting connections
+     * @param greetingTimeoutMs     time in which the new process must send its greeting
+     * @param prepareTimeoutMs   time in which the new process must become ready to accept connections
+     * @param takeoverTimeoutMs      time in which the new process must start accepting connections
      * @param probationMs time during which the old process takes over again if the new one exits
      */
     public record Handover(
-            Path dir, List<String> command, double greetMs, double prepareMs, double takeMs, double probationMs) {}
+            Path dir,
+            List<String> command,
+            double greetingTimeoutMs,
+            double prepareTimeoutMs,
+            double takeoverTimeoutMs,
+            double probationMs) {}
 }
--- a/src/main/java/linenring/gateway/settings/GatewaySettingsReader.java
+++ b/src/main/java/linenring/gateway/settings/GatewaySettingsReader.java
@@ -57,16 +57,16 @@
     static Outcome read(String file, String text, Names names) {
         SettingsDocument document =
                 new SettingsSchema(GatewaySettingsReader.class, "front.schema.json", REPEATED_NODES).read(file, text);
-        if (!document.isSound()) {
-            return new Outcome(null, document.faults());
+        if (!document.isValid()) {
+            return new Outcome(null, document.errors());
         }
         GatewaySettings settings = new GatewaySettingsReader(names, document)
                 .readSettings(document.root().get("front"));
-        return new Outcome(document.isSound() ? settings : null, document.faults());
+        return new Outcome(document.isValid() ? settings : null, document.errors());
     }
 
-    private void fault(String pointer, String description) {
-        document.fault(pointer, description);
+    private void addError(String pointer, String description) {
+        document.addError(pointer, description);
     }
 
     private GatewaySettings readSettings(JsonNode root) {
@@ -98,7 +98,7 @@
     private int zone(JsonNode proxy) {
         int zone = names == null ? 0 : names.zones().indexOf(proxy.get("zone").asText());
         if (zone < 0) {
-            fault(
+            addError(
                     "/front/proxy/zone",
                     "front.proxy.zone: zone " + proxy.get("zone")
                             + " is not configured in the controller; expected one of "
@@ -109,7 +109,7 @@
 
     private void checkProxy(JsonNode proxy) {
         if (names != null && proxy.get("id").asInt() >= names.proxyCount()) {
-            fault(
+            addError(
                     "/front/proxy/id",
                     "front.proxy.id: " + proxy.get("id")
                             + " must be below the controller's number of proxies, which is " + names.proxyCount());
@@ -127,13 +127,13 @@
         } catch (UnknownHostException invalidAddress) {
             // the fault of an invalid address is added below
         }
-        fault("/front/listen", "front.listen: \"" + text + "\" is not a valid address and port");
+        addError("/front/listen", "front.listen: \"" + text + "\" is not a valid address and port");
         return null;
     }
 
     private static GatewaySettings.Retries readRetries(JsonNode tries) {
         return new GatewaySettings.Retries(
-                Units.share(tries.path("budget").asText(GatewayDefaults.RETRY_BUDGET_SHARE)),
+                Units.parsePercentage(tries.path("budget").asText(GatewayDefaults.RETRY_BUDGET_SHARE)),
                 millis(tries, "over", GatewayDefaults.RETRY_BUDGET_WINDOW),
                 tries.path("least").asInt(GatewayDefaults.MIN_RETRIES_PER_WINDOW),
                 tries.path("objectives").asDouble(GatewayDefaults.ATTEMPT_TIMEOUT_OBJECTIVES));
@@ -169,11 +169,11 @@
     private GatewaySettings.Body body(JsonNode body) {
         GatewaySettings.Body settings = new GatewaySettings.Body(
                 readBytes(body, "kept", GatewayDefaults.MAX_RETAINED_BODY, MAX_RETAINED_BYTES),
-                Units.bytes(body.path("kept-in-all").asText(GatewayDefaults.MAX_RETAINED_BODIES_TOTAL)),
+                Units.parseSizeBytes(body.path("kept-in-all").asText(GatewayDefaults.MAX_RETAINED_BODIES_TOTAL)),
                 readBytes(body, "window", GatewayDefaults.STREAM_WINDOW, MAX_WINDOW_BYTES),
-                Units.bytes(body.path("in-all").asText(GatewayDefaults.MAX_STREAM_WINDOWS_TOTAL)));
+                Units.parseSizeBytes(body.path("in-all").asText(GatewayDefaults.MAX_STREAM_WINDOWS_TOTAL)));
         if (settings.streamWindowBytes() < MIN_WINDOW_BYTES) {
-            fault(
+            addError(
                     "/front/body/window",
                     "front.body.window: \"" + body.path("window").asText()
                             + "\" is below 16KiB, the smallest frame size limit that HTTP/2 allows");
@@ -193,13 +193,13 @@
     }
 
     private static double millis(JsonNode parent, String key, String defaultValue) {
-        return Units.millis(parent.path(key).asText(defaultValue));
+        return Units.parseDurationMs(parent.path(key).asText(defaultValue));
     }
 
     private int readBytes(JsonNode parent, String key, String defaultValue, int maxBytes) {
-        long bytes = Units.bytes(parent.path(key).asText(defaultValue));
+        long bytes = Units.parseSizeBytes(parent.path(key).asText(defaultValue));
         if (bytes > maxBytes) {
-            fault(
+            addError(
                     "/front",
                     "front: " + key + " of " + parent.path(key).asText() + " exceeds the maximum of " + maxBytes
                             + " bytes");
@@ -220,7 +220,7 @@
             operations.sort(Comparator.comparingInt(policy -> names.operations().indexOf(policy.operation())));
             for (String operation : names.operations()) {
                 if (!definedNames.contains(operation)) {
-                    fault("/front", "front: the controller's operation \"" + operation + "\" is missing");
+                    addError("/front", "front: the controller's operation \"" + operation + "\" is missing");
                 }
             }
         }
@@ -232,10 +232,10 @@
         String name = node.get("arguments").get(0).asText();
         String key = "operation \"" + name + "\"";
         if (!definedNames.add(name)) {
-            fault(pointer, key + " is defined more than once");
+            addError(pointer, key + " is defined more than once");
         }
         if (names != null && !names.operations().contains(name)) {
-            fault(
+            addError(
                     pointer,
                     key + ": not configured in the controller; expected one of "
                             + String.join(", ", names.operations()));
@@ -245,10 +245,10 @@
         if (idempotence == Idempotence.FINGERPRINTED) {
             checkDeduplication(node, pointer, key, hasKeyHeader);
         }
-        double objectiveMs = Units.millis(node.get("objective").asText());
-        double timeoutMs = Units.millis(node.get("timeout").asText());
+        double objectiveMs = Units.parseDurationMs(node.get("objective").asText());
+        double timeoutMs = Units.parseDurationMs(node.get("timeout").asText());
         if (!(objectiveMs > 0) || timeoutMs < objectiveMs) {
-            fault(
+            addError(
                     pointer,
                     key + ": timeout " + node.get("timeout") + " must be at least the objective "
                             + node.get("objective") + ", which must be above 0");
@@ -267,13 +267,13 @@
 
     private void checkDeduplication(JsonNode node, String pointer, String key, boolean hasKeyHeader) {
         if (!node.has("window")) {
-            fault(
+            addError(
                     pointer,
                     key
                             + ": a fingerprinted operation requires window, the time for which hosts drop a duplicate request");
         }
         if (!hasKeyHeader) {
-            fault(pointer, key + ": a fingerprinted operation requires mark-header");
+            addError(pointer, key + ": a fingerprinted operation requires mark-header");
         }
     }
 
@@ -295,15 +295,15 @@
         String operationName = node.get("operation").asText();
         int operation = operationNames.lastIndexOf(operationName);
         if (operation < 0) {
-            fault(pointer, key + ": operation \"" + operationName + "\" is not defined");
+            addError(pointer, key + ": operation \"" + operationName + "\" is not defined");
         }
         if (!prefix.startsWith("/") || !method.matches("[A-Z]+")) {
-            fault(pointer, key + ": expected a method in upper case and a path that starts with /");
+            addError(pointer, key + ": expected a method in upper case and a path that starts with /");
         }
         if (precedingRoutes.stream()
                 .anyMatch(
                         route -> route.method().equals(method) && route.prefix().equals(prefix))) {
-            fault(pointer, key + " is defined more than once");
+            addError(pointer, key + " is defined more than once");
         }
         return new GatewaySettings.Route(method, prefix, operation);
     }
--- a/src/main/java/linenring/handover/SuccessorProcess.java
+++ b/src/main/java/linenring/handover/SuccessorProcess.java
@@ -52,7 +52,7 @@
     }
 
     /** Connects to the old process and starts the handover, which runs on separate threads. */
-    public static SuccessorProcess greet(Path socket, Identity identity, SuccessorService service, Log log)
+    public static SuccessorProcess startHandover(Path socket, Identity identity, SuccessorService service, Log log)
             throws IOException {
         long parentPid =
                 ProcessHandle.current().parent().map(ProcessHandle::pid).orElse(-1L);
@@ -88,7 +88,7 @@
     }
 
     /** Waits until the handover is aborted, and returns the reason. */
-    public String awaitEnd() throws InterruptedException {
+    public String awaitAbort() throws InterruptedException {
         endLatch.await();
         return receiver.endReason();
     }
--- a/src/main/java/linenring/handover/UpgradeCoordinator.java
+++ b/src/main/java/linenring/handover/UpgradeCoordinator.java
@@ -18,7 +18,7 @@
  */
 public final class UpgradeCoordinator {
     /** Environment variable with the path of the old process's socket, set for the new process. */
-    public static final String SOCKET_VARIABLE = "LINENRING_HANDOVER";
+    public static final String SOCKET_ENVIRONMENT_VARIABLE = "LINENRING_HANDOVER";
 
     /** File name of the socket in the upgrade directory. */
     public static final String SOCKET_FILE_NAME = "upgrade.sock";
@@ -200,7 +200,9 @@
                 .redirectOutput(ProcessBuilder.Redirect.INHERIT)
                 .redirectError(ProcessBuilder.Redirect.INHERIT);
         builder.environment()
-                .put(SOCKET_VARIABLE, directory.resolve(SOCKET_FILE_NAME).toString());
+                .put(
+                        SOCKET_ENVIRONMENT_VARIABLE,
+                        directory.resolve(SOCKET_FILE_NAME).toString());
         Process newProcess = builder.start();
         successor = newProcess;
         successorChannel = null;
--- a/src/main/java/linenring/kdl/SettingsDocument.java
+++ b/src/main/java/linenring/kdl/SettingsDocument.java
@@ -30,17 +30,17 @@
     }
 
     /** Returns the distinct errors as {@code file:line: message}, in the order found. */
-    public List<String> faults() {
+    public List<String> errors() {
         return errors.stream().distinct().toList();
     }
 
     /** Whether no error has been found. */
-    public boolean isSound() {
+    public boolean isValid() {
         return errors.isEmpty();
     }
 
     /** Adds an error at the line of the element that a JSON pointer identifies. */
-    public void fault(String pointer, String message) {
+    public void addError(String pointer, String message) {
         addErrorOnLine(lineOf(pointer), message);
     }
 
--- a/src/main/java/linenring/kdl/SettingsSchema.java
+++ b/src/main/java/linenring/kdl/SettingsSchema.java
@@ -86,18 +86,18 @@
         switch (error.getKeyword()) {
             case "required" -> {
                 String missing = isArguments ? "what it is called" : property;
-                document.fault(pointer, dottedName(pointer) + ": " + missing + " is missing");
+                document.addError(pointer, dottedName(pointer) + ": " + missing + " is missing");
             }
             case "additionalProperties" -> {
                 String unexpected = isArguments
                         ? "a value stands where properties such as name=value are expected"
                         : property + " is not known here";
-                document.fault(pointer + "/" + property, dottedName(pointer) + ": " + unexpected);
+                document.addError(pointer + "/" + property, dottedName(pointer) + ": " + unexpected);
             }
             default -> {
                 String expected = expectedDescription(pointer, error).orElse(error.getMessage());
                 String found = shorten(error.getInstanceNode());
-                document.fault(pointer, dottedName(pointer) + ": " + found + " is not " + expected);
+                document.addError(pointer, dottedName(pointer) + ": " + found + " is not " + expected);
             }
         }
     }
--- a/src/main/java/linenring/kdl/Units.java
+++ b/src/main/java/linenring/kdl/Units.java
@@ -3,7 +3,7 @@
 /** Parses durations, sizes and percentages in settings, which are written as a number with a unit. */
 public final class Units {
     /** Regular expression of a duration; the JSON Schemas contain the same pattern. */
-    public static final String DURATION = "^[0-9]+(\\.[0-9]+)?(ms|s|min|h)$";
+    public static final String DURATION_PATTERN = "^[0-9]+(\\.[0-9]+)?(ms|s|min|h)$";
 
     private static final double SECOND_MS = 1000;
     private static final double MINUTE_MS = 60 * SECOND_MS;
@@ -23,8 +23,8 @@
         return start;
     }
 
-    /** Parses a duration, which must match {@link #DURATION}, and returns it in milliseconds. */
-    public static double millis(String text) {
+    /** Parses a duration, which must match {@link #DURATION_PATTERN}, and returns it in milliseconds. */
+    public static double parseDurationMs(String text) {
         int unitStart = unitStart(text);
         double number = Double.parseDouble(text.substring(0, unitStart));
         double unitMs = switch (text.substring(unitStart)) {
@@ -37,7 +37,7 @@
     }
 
     /** Parses a size to bytes. The text must be an integer followed by B, KiB, MiB or GiB; the schema validates this. */
-    public static long bytes(String text) {
+    public static long parseSizeBytes(String text) {
         int unitStart = unitStart(text);
         long unitBytes = switch (text.substring(unitStart)) {
             case "B" -> 1;
@@ -49,7 +49,7 @@
     }
 
     /** Parses a percentage to a fraction of 1. The text must be a number followed by %; the schema validates this. */
-    public static double share(String text) {
+    public static double parsePercentage(String text) {
         return Double.parseDouble(text.substring(0, text.length() - 1)) / PERCENT_PER_UNIT;
     }
 }
--- a/src/main/java/linenring/load/CallOutcomes.java
+++ b/src/main/java/linenring/load/CallOutcomes.java
@@ -14,10 +14,10 @@
     private final Histogram latencyMicros =
             new Histogram(TimeUnit.SECONDS.toMicros(MAX_LATENCY_SECONDS), SIGNIFICANT_DIGITS);
     private final Map<String, Long> countsByEnd = new TreeMap<>();
-    private long sent;
+    private long scheduledCalls;
 
     void recordScheduled() {
-        sent++;
+        scheduledCalls++;
     }
 
     void recordEnd(CallEnd end, long elapsedMicros) {
@@ -28,12 +28,12 @@
     }
 
     /** Returns the number of calls that were scheduled, including calls that could not be sent. */
-    public long sent() {
-        return sent;
+    public long scheduledCalls() {
+        return scheduledCalls;
     }
 
     /** Returns the number of calls that received a response, with any status. */
-    public long answered() {
+    public long answeredCalls() {
         return latencyMicros.getTotalCount();
     }
 
@@ -48,7 +48,7 @@
     }
 
     /** Returns the number of calls that were sent but have no response, so that the server may or may not have processed them. */
-    public long lost() {
+    public long lostCalls() {
         return countsByEnd.getOrDefault(CallEnd.LOST.label(), 0L);
     }
 }
--- a/src/main/java/linenring/load/LoadConnection.java
+++ b/src/main/java/linenring/load/LoadConnection.java
@@ -170,9 +170,9 @@
             }
             case Frame.RST_STREAM -> {
                 responseEndByStream.remove(frame.stream());
-                endCall(frame.stream(), CallEnd.reset(frame.uint31(0)));
+                endCall(frame.stream(), CallEnd.reset(frame.readUint31(0)));
             }
-            case Frame.GOAWAY -> handleGoAway(frame.uint31(0));
+            case Frame.GOAWAY -> handleGoAway(frame.readUint31(0));
             default -> {}
         }
     }
--- a/src/main/java/linenring/load/LoadGenerator.java
+++ b/src/main/java/linenring/load/LoadGenerator.java
@@ -31,7 +31,8 @@
      * @param weight            relative frequency among all calls
      * @param hasIdempotencyKey whether each request carries a unique idempotency key in the header x-mark
      */
-    public record Call(String operation, String method, String path, double weight, boolean hasIdempotencyKey) {}
+    public record CallTemplate(
+            String operation, String method, String path, double weight, boolean hasIdempotencyKey) {}
 
     /**
      * Parameters of one load.
@@ -50,7 +51,7 @@
     public record Plan(
             String address,
             int port,
-            List<Call> callTemplates,
+            List<CallTemplate> callTemplates,
             double callsPerSecond,
             int concurrency,
             int connections,
@@ -66,9 +67,9 @@
     /** Outcomes of all measured calls by operation, and the duration of the measurement. */
     public record Outcomes(Map<String, CallOutcomes> byOperation, double seconds) {
         /** Returns the number of calls of all operations that received a response, with any status. */
-        public long answered() {
+        public long answeredCalls() {
             return byOperation.values().stream()
-                    .mapToLong(CallOutcomes::answered)
+                    .mapToLong(CallOutcomes::answeredCalls)
                     .sum();
         }
     }
@@ -137,8 +138,8 @@
     }
 
     private MetaData requestHead(int templateIndex, HttpFields fields) {
-        Call template = plan.callTemplates().get(templateIndex);
-        return FrameConnection.request(template.method(), template.path(), fields);
+        CallTemplate template = plan.callTemplates().get(templateIndex);
+        return FrameConnection.requestHead(template.method(), template.path(), fields);
     }
 
     private void awaitOpenStreams() throws InterruptedException {
@@ -160,7 +161,9 @@
     /** Chooses the template of the next call at random by weight and returns its index. */
     private int drawTemplateIndex() {
         double remainingWeight = templateRandom.nextDouble()
-                * plan.callTemplates().stream().mapToDouble(Call::weight).sum();
+                * plan.callTemplates().stream()
+                        .mapToDouble(CallTemplate::weight)
+                        .sum();
         for (int templateIndex = 0; templateIndex < headerBlockByTemplate.length; templateIndex++) {
             remainingWeight -= plan.callTemplates().get(templateIndex).weight();
             if (remainingWeight < 0) {
@@ -252,7 +255,7 @@
     }
 
     /** Formats the outcomes as a text table with a row for each operation. */
-    public static String table(Outcomes outcomes) {
+    public static String formatTable(Outcomes outcomes) {
         StringBuilder text = new StringBuilder(String.format(
                 Locale.ROOT,
                 "%-12s %9s %9s %9s %9s %9s  %s%n",
@@ -273,7 +276,7 @@
                 Locale.ROOT,
                 "%-12s %9.0f %9.2f %9.2f %9.2f %9.2f  %s%n",
                 name,
-                outcomes.answered() / seconds,
+                outcomes.answeredCalls() / seconds,
                 latencyMicros.getValueAtPercentile(MEDIAN_PERCENTILE) / MICROS_PER_MILLI,
                 latencyMicros.getValueAtPercentile(P99_PERCENTILE) / MICROS_PER_MILLI,
                 latencyMicros.getValueAtPercentile(P999_PERCENTILE) / MICROS_PER_MILLI,
--- a/src/main/java/linenring/planner/AdmissionController.java
+++ b/src/main/java/linenring/planner/AdmissionController.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.stream.IntStream;
 import linenring.planner.Commands.RetryPolicy;
-import linenring.planner.PlannerSettings.Measure;
+import linenring.planner.PlannerSettings.AdmissionUnit;
 import linenring.planner.PlannerSettings.Operation;
 
 /**
@@ -160,7 +160,8 @@
     }
 
     private double valuePerWork(int operation) {
-        return operations.get(operation).value() / operations.get(operation).objectiveMs();
+        return operations.get(operation).priorityWeight()
+                / operations.get(operation).objectiveMs();
     }
 
     /** Retry policy that proxies should follow now. */
@@ -202,8 +203,9 @@
     private void write(EndpointTable table, int operation) {
         double ratio = ratioByOperation[operation];
         table.setAdmissionRatio(operation, ratio);
-        double admission =
-                context.settings().measure() == Measure.PER_SECOND ? admittedPerSecond(table, operation) : ratio;
+        double admission = context.settings().admissionUnit() == AdmissionUnit.PER_SECOND
+                ? admittedPerSecond(table, operation)
+                : ratio;
         context.writer().writeAdmission(table, operation, admission, retryPolicy());
     }
 
--- a/src/main/java/linenring/planner/Commands.java
+++ b/src/main/java/linenring/planner/Commands.java
@@ -37,7 +37,7 @@
 
     /**
      * Sets the admission ratio of the operations in the mask, in the unit given by the settings' {@link
-     * PlannerSettings.Measure}, and how proxies retry these operations.
+     * PlannerSettings.AdmissionUnit}, and how proxies retry these operations.
      */
     void setAdmission(int table, int operations, double admissionRatio, RetryPolicy retryPolicy);
 
--- a/src/main/java/linenring/planner/FlowControl.java
+++ b/src/main/java/linenring/planner/FlowControl.java
@@ -100,7 +100,7 @@
         this.registry = registry;
         this.time = time;
         this.commands = commands;
-        roundTripMs = 2 * channel.transitMs();
+        roundTripMs = 2 * channel.usualTransitMs();
     }
 
     double roundTripMs() {
--- a/src/main/java/linenring/planner/PlannerSettings.java
+++ b/src/main/java/linenring/planner/PlannerSettings.java
@@ -9,7 +9,7 @@
  * @param coldStart capacity of a host before it is warm
  * @param channel the channel that carries updates to proxies
  * @param shards the shards of keys, if there are any
- * @param measure unit of an admission value
+ * @param admissionUnit unit of an admission value
  * @param listMustBePolled whether the host list arrives only when it is polled
  * @param pollListWithinMs longest interval between two polls of the host list
  * @param removedHostsKeepRunning whether a host that is removed from the list continues to serve
@@ -20,7 +20,7 @@
         ColdStart coldStart,
         Channel channel,
         Shards shards,
-        Measure measure,
+        AdmissionUnit admissionUnit,
         boolean listMustBePolled,
         double pollListWithinMs,
         boolean removedHostsKeepRunning,
@@ -39,7 +39,7 @@
      * An operation that proxies request.
      *
      * @param objectiveMs latency objective of the operation
-     * @param value priority weight of the operation: relative value of an answer within the objective, without a
+     * @param priorityWeight priority weight of the operation: relative value of an answer within the objective, without a
      *     unit
      * @param zones mask of the zones whose hosts may run the operation; -1 for all
      * @param kinds mask of the kinds (machine types) that may run the operation; -1 for all
@@ -47,7 +47,7 @@
      * @param zoneCount number of zones
      */
     public record Operation(
-            double objectiveMs, double value, long zones, long kinds, boolean homeZoneOnly, int zoneCount) {
+            double objectiveMs, double priorityWeight, long zones, long kinds, boolean homeZoneOnly, int zoneCount) {
         private static final long ALL = -1;
 
         /** Whether the other operation is open to exactly the same hosts as this operation. */
@@ -80,21 +80,21 @@
      * The channel that carries updates to proxies, with its costs and its limits.
      *
      * @param entriesPerSecond send rate of the channel
-     * @param headEntries overhead of a message, in entries
+     * @param messageOverheadEntries overhead of a message, in entries
      * @param maxQueuedEntries entries that may wait in the channel
      * @param maxMessages messages that one proxy may be sent within the span; 0 for no limit
      * @param messageLimitSpanMs span of the limit on messages
-     * @param transitMs usual transit time of a message, without its wait in the queue
+     * @param usualTransitMs usual transit time of a message, without its wait in the queue
      * @param longestTransitMs longest transit time of a message
      * @param drainGraceMs time for which a draining host still answers requests
      */
     public record Channel(
             double entriesPerSecond,
-            double headEntries,
+            double messageOverheadEntries,
             double maxQueuedEntries,
             int maxMessages,
             double messageLimitSpanMs,
-            double transitMs,
+            double usualTransitMs,
             double longestTransitMs,
             double drainGraceMs) {
         private static final double MILLIS_PER_SECOND = 1000;
@@ -108,7 +108,7 @@
          * acknowledgement request.
          */
         double messageCost() {
-            return headEntries + 1;
+            return messageOverheadEntries + 1;
         }
     }
 
@@ -116,19 +116,19 @@
      * Shards of keys, if there are any (count above 0).
      *
      * @param count number of shards
-     * @param singleOwner whether two hosts must never write the same shard
+     * @param requiresSingleOwner whether two hosts must never write the same shard
      * @param leaseMs time for which an owner may write after its controller has lost the shard
-     * @param lingeringMs time for which writes may continue after the lease
+     * @param lingeringWritesMs time for which writes may continue after the lease
      */
-    public record Shards(int count, boolean singleOwner, double leaseMs, double lingeringMs) {
+    public record Shards(int count, boolean requiresSingleOwner, double leaseMs, double lingeringWritesMs) {
         /** Time for which proxies may continue to write to a shard's owner after the controller has lost the shard. */
         double writesEndWithinMs() {
-            return leaseMs + lingeringMs;
+            return leaseMs + lingeringWritesMs;
         }
     }
 
     /** Unit of an admission value. */
-    public enum Measure {
+    public enum AdmissionUnit {
         /** Admission values are the share of requests that a proxy admits. */
         SHARE,
         /** Admission values are the requests a second that a proxy admits. */
--- a/src/main/java/linenring/planner/ShardPlacement.java
+++ b/src/main/java/linenring/planner/ShardPlacement.java
@@ -23,7 +23,7 @@
     ShardPlacement(PlannerContext context) {
         this.context = context;
         PlannerSettings settings = context.settings();
-        ownerChangeWaitMs = settings.shards().singleOwner()
+        ownerChangeWaitMs = settings.shards().requiresSingleOwner()
                 ? settings.shards().writesEndWithinMs() + settings.channel().drainGraceMs()
                 : IMMEDIATE_CHANGE_MS;
     }
--- a/src/main/java/linenring/protocol/HostList.java
+++ b/src/main/java/linenring/protocol/HostList.java
@@ -41,12 +41,12 @@
      * Whether hosts that are not in this list are removed. That requires a complete list without invalid entries, since a
      * skipped entry may belong to such a host.
      */
-    public boolean removesUnnamedHosts() {
+    public boolean removesUnlistedHosts() {
         return isComplete && invalidEntries.isEmpty();
     }
 
     /** Whether this is a complete list with hosts, none of which is in scope. */
-    public boolean hasNoneInScope() {
+    public boolean hasNoHostsInScope() {
         return isComplete && entries.isEmpty() && outsideScopeCount > 0;
     }
 
--- a/src/main/java/linenring/routing/AdmissionControl.java
+++ b/src/main/java/linenring/routing/AdmissionControl.java
@@ -1,6 +1,6 @@
 package linenring.routing;
 
-import linenring.planner.PlannerSettings.Measure;
+import linenring.planner.PlannerSettings.AdmissionUnit;
 
 /**
  * Admission control for one operation at one proxy, with the limit that the controller has set: either a fraction of
@@ -13,7 +13,7 @@
  */
 final class AdmissionControl {
     /** Admits every request. */
-    static final AdmissionControl ADMIT_ALL = new AdmissionControl(1, Measure.NONE);
+    static final AdmissionControl ADMIT_ALL = new AdmissionControl(1, AdmissionUnit.NONE);
 
     /** Capacity of the token bucket, in seconds of its rate; bursts of callers are shorter. */
     private static final double BUCKET_SECONDS = 0.25;
@@ -27,11 +27,11 @@
     private static final double MILLIS_PER_SECOND = 1000;
 
     private final double limit; // admitted fraction in [0, 1], or requests per second
-    private final Measure measure;
+    private final AdmissionUnit measure;
     private double tokens; // guarded by this object's lock
     private double lastRefillMs = Double.NaN; // guarded by this object's lock; NaN until the first request
 
-    AdmissionControl(double limit, Measure measure) {
+    AdmissionControl(double limit, AdmissionUnit measure) {
         this.limit = limit;
         this.measure = measure;
         tokens = bucketCapacityTokens();
@@ -69,7 +69,7 @@
     }
 
     /** Returns the admission control for a new limit; an unchanged limit keeps this object and its tokens. */
-    AdmissionControl withLimit(double newLimit, Measure newMeasure) {
+    AdmissionControl withLimit(double newLimit, AdmissionUnit newMeasure) {
         boolean isUnchanged = limit == newLimit && measure == newMeasure;
         return isUnchanged ? this : new AdmissionControl(newLimit, newMeasure);
     }
--- a/src/main/java/linenring/routing/ConnectionPool.java
+++ b/src/main/java/linenring/routing/ConnectionPool.java
@@ -23,7 +23,7 @@
         record Granted<C>(C connection) implements StreamGrant<C> {}
 
         /** The request waits in the queue; {@code openConnection}: the caller must also open a connection. */
-        record Queued<C>(boolean openConnection) implements StreamGrant<C> {}
+        record Queued<C>(boolean shouldOpenConnection) implements StreamGrant<C> {}
 
         /**
          * The request gets no stream, because the queue is full or the last dial to the host failed; nothing was sent.
@@ -36,7 +36,10 @@
 
     /** The actions that the owner of the pool must take after an event, in the order of the record components. */
     public record Actions<C, W>(
-            List<Assignment<C, W>> assigned, List<W> rejected, List<C> connectionsToClose, boolean openConnection) {}
+            List<Assignment<C, W>> assigned,
+            List<W> rejected,
+            List<C> connectionsToClose,
+            boolean shouldOpenConnection) {}
 
     /**
      * The limits of a connection pool.
@@ -46,16 +49,16 @@
      *                       settings
      * @param maxWaiters     maximum number of requests that wait in the queue
      * @param maxIdleMs      time after which a connection without streams is closed
-     * @param minRedialMs    backoff after the first failed dial
-     * @param maxRedialMs    upper limit of the exponential backoff after failed dials
+     * @param minRedialBackoffMs    backoff after the first failed dial
+     * @param maxRedialBackoffMs    upper limit of the exponential backoff after failed dials
      */
     public record Limits(
             int maxConnections,
             int maxStreams,
             int maxWaiters,
             double maxIdleMs,
-            double minRedialMs,
-            double maxRedialMs) {}
+            double minRedialBackoffMs,
+            double maxRedialBackoffMs) {}
 
     private static final class PooledConnection<C> {
         private final C connection;
@@ -131,7 +134,8 @@
     /** Records a failed dial and starts the backoff before the next one. */
     public Actions<C, W> dialFailed(double nowMs) {
         dialsInProgress--;
-        redialBackoffMs = Math.min(limits.maxRedialMs(), Math.max(limits.minRedialMs(), 2 * redialBackoffMs));
+        redialBackoffMs =
+                Math.min(limits.maxRedialBackoffMs(), Math.max(limits.minRedialBackoffMs(), 2 * redialBackoffMs));
         nextDialNotBeforeMs = nowMs + redialBackoffMs;
         return actionsAfterEvent(nowMs);
     }
--- a/src/main/java/linenring/routing/Tables.java
+++ b/src/main/java/linenring/routing/EndpointTables.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.atomic.AtomicReferenceArray;
 import java.util.function.IntPredicate;
 import linenring.planner.Commands.RetryPolicy;
-import linenring.planner.PlannerSettings.Measure;
+import linenring.planner.PlannerSettings.AdmissionUnit;
 import linenring.protocol.ConfigurationUpdate;
 
 /**
@@ -18,7 +18,7 @@
  * <p>A host is picked at random by weight. Hosts that the controller has ejected are never picked; hosts that this
  * proxy's {@link OutlierEjection} has ejected are picked only when no other host is eligible.
  */
-public final class Tables {
+public final class EndpointTables {
     /** The result of a pick when no host is eligible. */
     public static final int NONE = WeightedHostPicker.NONE;
 
@@ -27,7 +27,7 @@
 
     private final List<String> operations;
     private final HostRegistry hosts;
-    private final Measure measure;
+    private final AdmissionUnit measure;
     private final OutlierEjection outlierEjection;
     private volatile OperationTable[] tables; // immutable snapshots, replaced under this object's lock
     private BitSet ejectedByController =
@@ -42,8 +42,12 @@
      * @param failuresToEject consecutive failures of the proxy's own attempts that eject a host; 0 disables ejection
      * @param ejectionMs      duration of an ejection
      */
-    public Tables(
-            List<String> operations, HostRegistry hosts, Measure measure, int failuresToEject, double ejectionMs) {
+    public EndpointTables(
+            List<String> operations,
+            HostRegistry hosts,
+            AdmissionUnit measure,
+            int failuresToEject,
+            double ejectionMs) {
         this.operations = List.copyOf(operations);
         this.hosts = hosts;
         this.measure = measure;
@@ -57,9 +61,9 @@
      * Applies all parts of an update.
      *
      * @return the nonces to acknowledge, in the order of the parts
-     * @throws UnusableUpdateException if a part is invalid; the tables are then unchanged
+     * @throws InvalidUpdateException if a part is invalid; the tables are then unchanged
      */
-    public synchronized List<Integer> apply(ConfigurationUpdate update) throws UnusableUpdateException {
+    public synchronized List<Integer> apply(ConfigurationUpdate update) throws InvalidUpdateException {
         TableUpdate next = new TableUpdate(operations, hosts, measure, tables, ejectedByController);
         for (ConfigurationUpdate.Part part : update.parts()) {
             next.apply(part);
@@ -148,7 +152,7 @@
     }
 
     /** Whether a host is in the table of any operation and is not ejected by the controller. */
-    public synchronized boolean isEligibleAnywhere(int host) {
+    public synchronized boolean isEligibleForAnyOperation(int host) {
         for (int operation = 0; operation < operations.size(); operation++) {
             if (isEligible(operation, host)) {
                 return true;
--- a/src/main/java/linenring/routing/HostRegistry.java
+++ b/src/main/java/linenring/routing/HostRegistry.java
@@ -15,7 +15,7 @@
     /** One host as it was last listed; {@code address} is {@code IP:PORT}, or null if the list has no address. */
     public record Host(String id, String address, int zone, int cell, HostList.State state) {
         /** Whether requests may be sent to the host. */
-        public boolean isListed() {
+        public boolean isReady() {
             return state == HostList.State.READY;
         }
 
--- a/src/main/java/linenring/routing/UnusableUpdateException.java
+++ b/src/main/java/linenring/routing/InvalidUpdateException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** Signals a configuration update that a proxy cannot apply; the proxy's tables are unchanged. */
-public final class UnusableUpdateException extends Exception {
+public final class InvalidUpdateException extends Exception {
     private static final long serialVersionUID = 1;
 
     /** The kind of error in an update. */
@@ -20,29 +20,29 @@
 
     private final Problem problem;
 
-    private UnusableUpdateException(Problem problem, String message) {
+    private InvalidUpdateException(Problem problem, String message) {
         super(message);
         this.problem = problem;
     }
 
-    static UnusableUpdateException unknownOperation(String operation, List<String> knownOperations) {
-        return new UnusableUpdateException(
+    static InvalidUpdateException unknownOperation(String operation, List<String> knownOperations) {
+        return new InvalidUpdateException(
                 Problem.UNKNOWN_OPERATION,
                 "unknown operation '" + operation + "'; expected one of " + String.join(", ", knownOperations));
     }
 
-    static UnusableUpdateException unlistedHost(String host) {
-        return new UnusableUpdateException(Problem.UNLISTED_HOST, "host '" + host + "' was never listed");
+    static InvalidUpdateException unlistedHost(String host) {
+        return new InvalidUpdateException(Problem.UNLISTED_HOST, "host '" + host + "' was never listed");
     }
 
-    static UnusableUpdateException invalidWeight(String host, double weight) {
-        return new UnusableUpdateException(
+    static InvalidUpdateException invalidWeight(String host, double weight) {
+        return new InvalidUpdateException(
                 Problem.INVALID_WEIGHT,
                 "invalid weight " + weight + " of host '" + host + "'; expected a finite number of at least 0");
     }
 
-    static UnusableUpdateException invalidAdmission(double admissionRatio, int retryPolicy, int retryPolicyCount) {
-        return new UnusableUpdateException(
+    static InvalidUpdateException invalidAdmission(double admissionRatio, int retryPolicy, int retryPolicyCount) {
+        return new InvalidUpdateException(
                 Problem.INVALID_ADMISSION,
                 "invalid admission ratio " + admissionRatio + " or retry policy " + retryPolicy
                         + "; expected a ratio of at least 0 and a retry policy from 0 to " + (retryPolicyCount - 1));
--- a/src/main/java/linenring/routing/RollingStatistics.java
+++ b/src/main/java/linenring/routing/LoadStatistics.java
@@ -6,7 +6,7 @@
 import linenring.protocol.InboundMessage;
 
 /** Counts a proxy's attempts by host and its requests by operation between two load reports. */
-public final class RollingStatistics {
+public final class LoadStatistics {
     private static final class HostTotals {
         private int attempts;
         private int failures;
@@ -32,7 +32,7 @@
     private double periodStartMs;
 
     /** Creates empty statistics of a proxy; {@code zone} is the index of the proxy's zone. */
-    public RollingStatistics(int proxy, int zone, HostRegistry hosts, int operations, double nowMs) {
+    public LoadStatistics(int proxy, int zone, HostRegistry hosts, int operations, double nowMs) {
         this.proxy = proxy;
         this.zone = zone;
         this.hosts = hosts;
@@ -51,7 +51,7 @@
     }
 
     /** Returns the load reports and request rates since the previous call, and resets the counters. */
-    public synchronized List<InboundMessage> drainReport(double nowMs) {
+    public synchronized List<InboundMessage> takeReports(double nowMs) {
         double periodMs = nowMs - periodStartMs;
         List<InboundMessage> report = new ArrayList<>();
         if (!(periodMs > 0)) {
--- a/src/main/java/linenring/routing/NextStep.java
+++ b/src/main/java/linenring/routing/NextStep.java
@@ -12,11 +12,11 @@
      * Send the request to a host.
      *
      * @param host       index of the host
-     * @param sendByMs   latest time at which the request may be sent: a retry that is sent later may arrive after the
+     * @param sendDeadlineMs   latest time at which the request may be sent: a retry that is sent later may arrive after the
      *                   deduplication window of the hosts has ended
-     * @param giveUpAtMs time at which the attempt times out
+     * @param attemptDeadlineMs time at which the attempt times out
      */
-    record Send(int host, double sendByMs, double giveUpAtMs) implements NextStep {}
+    record Send(int host, double sendDeadlineMs, double attemptDeadlineMs) implements NextStep {}
 
     /** Answer the request with a failure; {@code retryAfterMs} is infinity if no retry time is known. */
     record Reject(FailureReason reason, double retryAfterMs) implements NextStep {}
--- a/src/main/java/linenring/routing/OperationTable.java
+++ b/src/main/java/linenring/routing/OperationTable.java
@@ -5,7 +5,7 @@
 import linenring.planner.Commands.RetryPolicy;
 
 /**
- * The endpoint table, admission control and retry policy of one operation at a proxy. {@link Tables} uses it as an
+ * The endpoint table, admission control and retry policy of one operation at a proxy. {@link EndpointTables} uses it as an
  * immutable snapshot.
  *
  * @param weights     weights above 0, by host index
--- a/src/main/java/linenring/routing/OutlierEjection.java
+++ b/src/main/java/linenring/routing/OutlierEjection.java
@@ -7,10 +7,10 @@
  *
  * <p>It reacts to a failing host before a load report has reached the controller, which is possible because only this
  * proxy's own attempts count. If failures are caused by the requests and not by the host, all hosts are ejected in
- * turn; {@link Tables} then picks among all of them again.
+ * turn; {@link EndpointTables} then picks among all of them again.
  *
  * <p>An ejection by this class applies to this proxy only. The controller ejects hosts for all proxies, based on the
- * load reports of all proxies ({@code planner.OutlierDetector}). {@link Tables} never picks a host that the controller
+ * load reports of all proxies ({@code planner.OutlierDetector}). {@link EndpointTables} never picks a host that the controller
  * has ejected, and avoids hosts that this class has ejected as long as another host is eligible.
  */
 final class OutlierEjection {
--- a/src/main/java/linenring/routing/RetryContext.java
+++ b/src/main/java/linenring/routing/RetryContext.java
@@ -8,8 +8,12 @@
  * @param tables            endpoint tables that hosts are picked from
  * @param hosts             all listed hosts
  * @param budget            retry budget of the gateway
- * @param attemptObjectives timeout of an attempt that can be retried, as a multiple of the latency objective
+ * @param attemptTimeoutObjectives timeout of an attempt that can be retried, as a multiple of the latency objective
  * @param draw              source of random numbers in [0, 1)
  */
 public record RetryContext(
-        Tables tables, HostRegistry hosts, RetryBudget budget, double attemptObjectives, DoubleSupplier draw) {}
+        EndpointTables tables,
+        HostRegistry hosts,
+        RetryBudget budget,
+        double attemptTimeoutObjectives,
+        DoubleSupplier draw) {}
--- a/src/main/java/linenring/routing/RetryDecision.java
+++ b/src/main/java/linenring/routing/RetryDecision.java
@@ -63,7 +63,7 @@
             return new NextStep.Reject(FailureReason.RATE_LIMITED, retryAfterMs);
         }
         int firstHost = context.tables().pick(operation, nowMs, context.draw().getAsDouble());
-        if (firstHost == Tables.NONE) {
+        if (firstHost == EndpointTables.NONE) {
             closed = true;
             return new NextStep.Reject(FailureReason.NO_HOST, Double.POSITIVE_INFINITY);
         }
@@ -83,7 +83,7 @@
         if (canRetry(failure, nowMs, isBodyRetained)) {
             int nextHost =
                     context.tables().pick(operation, nowMs, context.draw().getAsDouble(), this::canRetryAt);
-            if (nextHost != Tables.NONE && context.budget().tryTakeRetry(nowMs)) {
+            if (nextHost != EndpointTables.NONE && context.budget().tryTakeRetry(nowMs)) {
                 retries++;
                 return send(nextHost, nowMs, isBodyRetained);
             }
@@ -138,7 +138,7 @@
                 && duplicateGuard.isSafeToRetry()
                 && isBodyRetained;
         return canBeRetried
-                ? Math.min(deadlineMs, nowMs + context.attemptObjectives() * policy.latencyObjectiveMs())
+                ? Math.min(deadlineMs, nowMs + context.attemptTimeoutObjectives() * policy.latencyObjectiveMs())
                 : deadlineMs;
     }
 
--- a/src/main/java/linenring/routing/TableUpdate.java
+++ b/src/main/java/linenring/routing/TableUpdate.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 import linenring.planner.Commands.RetryPolicy;
-import linenring.planner.PlannerSettings.Measure;
+import linenring.planner.PlannerSettings.AdmissionUnit;
 import linenring.protocol.ConfigurationUpdate;
 
 /**
- * Applies the parts of one configuration update to copies of the current tables, so that {@link Tables} replaces all
+ * Applies the parts of one configuration update to copies of the current tables, so that {@link EndpointTables} replaces all
  * tables at once, or none if a part is invalid. An object of this class is used by one thread for one update.
  */
 final class TableUpdate {
@@ -20,7 +20,7 @@
 
     private final List<String> operationNames;
     private final HostRegistry hosts;
-    private final Measure measure;
+    private final AdmissionUnit measure;
     private final OperationTable[] tables;
     private final BitSet ejectedHosts;
     private final List<Integer> nonces = new ArrayList<>();
@@ -29,7 +29,7 @@
     TableUpdate(
             List<String> operationNames,
             HostRegistry hosts,
-            Measure measure,
+            AdmissionUnit measure,
             OperationTable[] tables,
             BitSet ejectedHosts) {
         this.operationNames = operationNames;
@@ -39,7 +39,7 @@
         this.ejectedHosts = (BitSet) ejectedHosts.clone();
     }
 
-    void apply(ConfigurationUpdate.Part part) throws UnusableUpdateException {
+    void apply(ConfigurationUpdate.Part part) throws InvalidUpdateException {
         BitSet operations = operationIndices(part);
         Map<Integer, Double> entries = weightsByHost(part);
         checkAdmission(part.admission());
@@ -66,12 +66,12 @@
     }
 
     /** Returns the indices of the operations that a part names, or of all operations if it names none. */
-    private BitSet operationIndices(ConfigurationUpdate.Part part) throws UnusableUpdateException {
+    private BitSet operationIndices(ConfigurationUpdate.Part part) throws InvalidUpdateException {
         BitSet operations = new BitSet();
         for (String name : part.operations()) {
             int operation = operationNames.indexOf(name);
             if (operation < 0) {
-                throw UnusableUpdateException.unknownOperation(name, operationNames);
+                throw InvalidUpdateException.unknownOperation(name, operationNames);
             }
             operations.set(operation);
         }
@@ -81,25 +81,25 @@
         return operations;
     }
 
-    private Map<Integer, Double> weightsByHost(ConfigurationUpdate.Part part) throws UnusableUpdateException {
+    private Map<Integer, Double> weightsByHost(ConfigurationUpdate.Part part) throws InvalidUpdateException {
         Map<Integer, Double> weights = new TreeMap<>();
         for (ConfigurationUpdate.TableEntry entry : part.entries()) {
             int host = requireListedHost(entry.host());
             if (!(entry.weight() >= 0) || Double.isInfinite(entry.weight())) {
-                throw UnusableUpdateException.invalidWeight(entry.host(), entry.weight());
+                throw InvalidUpdateException.invalidWeight(entry.host(), entry.weight());
             }
             weights.put(host, entry.weight());
         }
         return weights;
     }
 
-    private static void checkAdmission(ConfigurationUpdate.AdmissionPolicy admission) throws UnusableUpdateException {
+    private static void checkAdmission(ConfigurationUpdate.AdmissionPolicy admission) throws InvalidUpdateException {
         int policyCount = RETRY_POLICIES.size();
         if (admission != null
                 && (!(admission.admissionRatio() >= 0)
                         || admission.retryPolicyCode() < 0
                         || admission.retryPolicyCode() >= policyCount)) {
-            throw UnusableUpdateException.invalidAdmission(
+            throw InvalidUpdateException.invalidAdmission(
                     admission.admissionRatio(), admission.retryPolicyCode(), policyCount);
         }
     }
@@ -120,16 +120,16 @@
                 RETRY_POLICIES.get(admission.retryPolicyCode()));
     }
 
-    private void setEjected(List<String> ids, boolean ejected) throws UnusableUpdateException {
+    private void setEjected(List<String> ids, boolean ejected) throws InvalidUpdateException {
         for (String id : ids) {
             ejectedHosts.set(requireListedHost(id), ejected);
         }
     }
 
-    private int requireListedHost(String id) throws UnusableUpdateException {
+    private int requireListedHost(String id) throws InvalidUpdateException {
         int host = hosts.index(id);
         if (host < 0) {
-            throw UnusableUpdateException.unlistedHost(id);
+            throw InvalidUpdateException.unlistedHost(id);
         }
         return host;
     }
--- a/src/main/java/linenring/scale/fleet/InProcessFleets.java
+++ b/src/main/java/linenring/scale/fleet/InProcessFleets.java
@@ -124,7 +124,7 @@
         }
 
         @Override
-        public long number() {
+        public long streamNumber() {
             return number;
         }
     }
--- a/src/main/java/linenring/scale/fleet/SimulatedFleet.java
+++ b/src/main/java/linenring/scale/fleet/SimulatedFleet.java
@@ -10,7 +10,7 @@
 import linenring.protocol.ConfigurationUpdate;
 import linenring.protocol.InboundMessage;
 import linenring.routing.HostRegistry;
-import linenring.routing.UnusableUpdateException;
+import linenring.routing.InvalidUpdateException;
 
 /**
  * Simulates the proxies and collectors of one controller, without I/O: they subscribe, apply updates when the channel delivers
@@ -120,7 +120,7 @@
         List<Integer> nonces;
         try {
             nonces = proxy.apply(update);
-        } catch (UnusableUpdateException unusable) {
+        } catch (InvalidUpdateException unusable) {
             addFault("proxy " + proxy.id() + " cannot apply an update: " + unusable.getMessage());
             uplink.leave(proxy.id());
             streamLost(proxy.id(), stream, deliveredMs);
--- a/src/main/java/linenring/scale/fleet/SimulatedProxy.java
+++ b/src/main/java/linenring/scale/fleet/SimulatedProxy.java
@@ -4,11 +4,11 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import linenring.planner.PlannerSettings.Measure;
+import linenring.planner.PlannerSettings.AdmissionUnit;
 import linenring.protocol.ConfigurationUpdate;
+import linenring.routing.EndpointTables;
 import linenring.routing.HostRegistry;
-import linenring.routing.Tables;
-import linenring.routing.UnusableUpdateException;
+import linenring.routing.InvalidUpdateException;
 
 /** A proxy that applies updates to its tables but carries no requests. Modified by the fleet's thread, read by any thread. */
 public final class SimulatedProxy {
@@ -17,7 +17,7 @@
     private final int id;
     private final int zone;
     private final HostRegistry hosts;
-    private final Tables tables;
+    private final EndpointTables tables;
     private volatile boolean joined;
     private volatile boolean updated; // whether an update was applied on the current stream
     private volatile boolean hadHosts; // whether the proxy has ever had a host for each operation
@@ -27,7 +27,7 @@
         this.id = id;
         this.zone = zone;
         this.hosts = hosts;
-        tables = new Tables(operations, hosts, Measure.SHARE, NEVER_EJECT, 0);
+        tables = new EndpointTables(operations, hosts, AdmissionUnit.SHARE, NEVER_EJECT, 0);
     }
 
     /** Returns the proxy's id. */
@@ -66,7 +66,7 @@
         stream++;
     }
 
-    List<Integer> apply(ConfigurationUpdate update) throws UnusableUpdateException {
+    List<Integer> apply(ConfigurationUpdate update) throws InvalidUpdateException {
         List<Integer> nonces = tables.apply(update);
         updated = true;
         return nonces;
@@ -80,7 +80,7 @@
     /** Whether the proxy has a host for each operation. */
     public boolean hasHosts() {
         for (int operation = 0; operation < tables.operations().size(); operation++) {
-            if (tables.pick(operation, 0, 0.5) == Tables.NONE) {
+            if (tables.pick(operation, 0, 0.5) == EndpointTables.NONE) {
                 return false;
             }
         }
@@ -96,7 +96,7 @@
     /** Picks a host by weight, and returns its id, or null if the operation has no host. */
     String pick(int operation, double draw) {
         int host = tables.pick(operation, 0, draw);
-        return host == Tables.NONE ? null : hosts.host(host).id();
+        return host == EndpointTables.NONE ? null : hosts.host(host).id();
     }
 
     /** Returns the ids of the hosts in an operation's table that are not ejected. */
--- a/src/main/java/linenring/scale/fleet/SocketFleet.java
+++ b/src/main/java/linenring/scale/fleet/SocketFleet.java
@@ -28,11 +28,11 @@
 
     /** A connection that sends its identifying message when it is open. */
     private abstract class Peer implements SocketLink.Handler {
-        private final InboundMessage identification;
+        private final InboundMessage identificationMessage;
         private SocketLink link;
 
         Peer(InboundMessage identification) {
-            this.identification = identification;
+            this.identificationMessage = identification;
         }
 
         void open() {
@@ -42,7 +42,7 @@
         @Override
         public void connected(SocketLink opened) {
             link = opened;
-            send(identification);
+            send(identificationMessage);
         }
 
         void send(InboundMessage message) {
--- a/src/main/java/linenring/scale/measurement/Workload.java
+++ b/src/main/java/linenring/scale/measurement/Workload.java
@@ -71,7 +71,7 @@
     }
 
     /** Whether the controller's scope covers the catalogue, so that its tables may hold every host. */
-    public boolean scopeIsWhole() {
+    public boolean scopeCoversCatalogue() {
         return hostsInScope == catalogueHosts;
     }
 
@@ -80,11 +80,11 @@
      * catalogue size is also the number of hosts in scope if the workload has no scope; otherwise, it shrinks the scope if
      * necessary. A new number of hosts in scope enlarges the catalogue if necessary.
      */
-    public Workload with(Variable variable, double size) {
+    public Workload withSize(Variable variable, double size) {
         Map<Variable, Double> sizes = sizes();
         sizes.put(variable, size);
         if (variable == Variable.CATALOGUE_HOSTS) {
-            sizes.put(Variable.HOSTS_IN_SCOPE, scopeIsWhole() ? size : Math.min(size, hostsInScope));
+            sizes.put(Variable.HOSTS_IN_SCOPE, scopeCoversCatalogue() ? size : Math.min(size, hostsInScope));
         }
         if (variable == Variable.HOSTS_IN_SCOPE) {
             sizes.put(Variable.CATALOGUE_HOSTS, Math.max(size, catalogueHosts));
--- a/src/main/java/linenring/scale/report/MarkdownReport.java
+++ b/src/main/java/linenring/scale/report/MarkdownReport.java
@@ -67,7 +67,7 @@
         Workload base = sweep.base();
         return Arrays.stream(Variable.values())
                 .filter(variable -> variable != sweep.variable())
-                .filter(variable -> !(variable == Variable.HOSTS_IN_SCOPE && base.scopeIsWhole()))
+                .filter(variable -> !(variable == Variable.HOSTS_IN_SCOPE && base.scopeCoversCatalogue()))
                 .map(variable -> variable.description() + " " + number(base.size(variable)))
                 .collect(Collectors.joining(", "));
     }
--- a/src/main/java/linenring/scale/run/ScaleRunner.java
+++ b/src/main/java/linenring/scale/run/ScaleRunner.java
@@ -63,7 +63,7 @@
         sweeps.add(new MeasuredSweep(sweep.variable(), sweep.base(), points));
         for (double size : sweep.sizes()) {
             progress.report(sweep.variable().description() + ": " + size);
-            points.add(measure(size, sweep.base().with(sweep.variable(), size)));
+            points.add(measure(size, sweep.base().withSize(sweep.variable(), size)));
             sweeps.set(sweeps.size() - 1, new MeasuredSweep(sweep.variable(), sweep.base(), points));
             listener.accept(result());
         }
--- a/src/main/java/linenring/scale/settings/ScalePlanReader.java
+++ b/src/main/java/linenring/scale/settings/ScalePlanReader.java
@@ -47,11 +47,11 @@
     static Outcome read(String file, String text) {
         SettingsDocument document =
                 new SettingsSchema(ScalePlanReader.class, "scale.schema.json", REPEATED_KEYS).read(file, text);
-        if (!document.isSound()) {
-            return new Outcome(null, document.faults());
+        if (!document.isValid()) {
+            return new Outcome(null, document.errors());
         }
         ScalePlan plan = new ScalePlanReader(document).plan(document.root().get("scale"));
-        return new Outcome(document.isSound() ? plan : null, document.faults());
+        return new Outcome(document.isValid() ? plan : null, document.errors());
     }
 
     private ScalePlan plan(JsonNode scale) {
@@ -68,19 +68,19 @@
     }
 
     private static double seconds(JsonNode duration) {
-        return Units.millis(duration.asText()) / SECOND_MS;
+        return Units.parseDurationMs(duration.asText()) / SECOND_MS;
     }
 
     private static ScalePlan.Bounds bounds(JsonNode bounds) {
         return new ScalePlan.Bounds(
-                Units.bytes(bounds.get("memory").asText()),
+                Units.parseSizeBytes(bounds.get("memory").asText()),
                 bounds.get("processes").asInt(),
                 seconds(bounds.get("time")));
     }
 
     private void checkTime(ScalePlan plan, JsonNode bounds) {
         if (plan.sweepSeconds() > plan.bounds().seconds()) {
-            document.fault(
+            document.addError(
                     "/scale/bounds/time",
                     "scale.bounds.time: " + bounds.get("time") + " is less than the " + Math.round(plan.sweepSeconds())
                             + " s that warm-up and window of all points take");
@@ -109,10 +109,10 @@
         for (int i = 0; i < sizes.size(); i++) {
             double size = sizes.get(i);
             if (!variable.isRate() && size != Math.rint(size)) {
-                document.fault(pointer, key + size + " is not a whole number");
+                document.addError(pointer, key + size + " is not a whole number");
             }
             if (i > 0 && size <= sizes.get(i - 1)) {
-                document.fault(
+                document.addError(
                         pointer,
                         key + formatSize(size) + " is not greater than the preceding size "
                                 + formatSize(sizes.get(i - 1)));
@@ -140,7 +140,7 @@
         double hosts = sizes.get(Variable.CATALOGUE_HOSTS);
         double scope = sizes.get(Variable.HOSTS_IN_SCOPE);
         if (scope > hosts) {
-            document.fault(
+            document.addError(
                     pointer,
                     key + ": hosts-in-scope of " + formatSize(scope) + " exceeds catalogue-hosts of "
                             + formatSize(hosts));
--- a/src/main/java/linenring/settings/Lookup.java
+++ b/src/main/java/linenring/settings/Lookup.java
@@ -4,7 +4,7 @@
 
 /**
  * Typed access to settings by path, for any source of settings. Sources hold durations in microseconds; the methods
- * return milliseconds. Each method throws the exception that {@link #bad} creates if the value is of the wrong type, or
+ * return milliseconds. Each method throws the exception that {@link #invalidValue} creates if the value is of the wrong type, or
  * is missing and has no default.
  */
 public abstract class Lookup {
@@ -14,13 +14,13 @@
     public abstract String find(String path);
 
     /** Creates the exception for an invalid value at the path; {@code fault} follows the path and may begin with a colon. */
-    protected abstract RuntimeException bad(String path, String fault);
+    protected abstract RuntimeException invalidValue(String path, String fault);
 
     /** Returns the text at the path, which must not be empty. */
     public String text(String path) {
         String value = find(path);
         if (value == null || value.isEmpty()) {
-            throw bad(path, "is missing");
+            throw invalidValue(path, "is missing");
         }
         return value;
     }
@@ -34,7 +34,7 @@
         try {
             return value.startsWith("-") ? Long.parseLong(value) : Long.parseUnsignedLong(value);
         } catch (NumberFormatException failure) {
-            throw bad(path, ": '" + value + "' is not a whole number");
+            throw invalidValue(path, ": '" + value + "' is not a whole number");
         }
     }
 
@@ -42,7 +42,7 @@
     public int index(String path) {
         long value = wholeNumber(path);
         if (value < 0 || value > Integer.MAX_VALUE) {
-            throw bad(path, ": " + value + " is out of range");
+            throw invalidValue(path, ": " + value + " is out of range");
         }
         return (int) value;
     }
@@ -67,7 +67,7 @@
     public double nonNegativeNumber(String path, double defaultValue) {
         double value = number(path, defaultValue);
         if (value < 0) {
-            throw bad(path, ": " + formatWithoutTrailingZeros(value) + " is negative");
+            throw invalidValue(path, ": " + formatWithoutTrailingZeros(value) + " is negative");
         }
         return value;
     }
@@ -76,7 +76,7 @@
     public double positiveNumber(String path, double defaultValue) {
         double value = number(path, defaultValue);
         if (value <= 0) {
-            throw bad(path, ": " + formatWithoutTrailingZeros(value) + " is not greater than 0");
+            throw invalidValue(path, ": " + formatWithoutTrailingZeros(value) + " is not greater than 0");
         }
         return value;
     }
@@ -121,14 +121,14 @@
         } catch (NumberFormatException failure) {
             // text that is not a number is reported below, as infinite numbers are
         }
-        throw bad(path, ": '" + value + "' is not a number");
+        throw invalidValue(path, ": '" + value + "' is not a number");
     }
 
     private boolean toFlag(String path, String value) {
         return switch (value) {
             case "1", "true" -> true;
             case "0", "false" -> false;
-            default -> throw bad(path, ": '" + value + "' is not a boolean: 0, 1, false or true");
+            default -> throw invalidValue(path, ": '" + value + "' is not a boolean: 0, 1, false or true");
         };
     }
 }
--- a/src/main/java/linenring/settings/Names.java
+++ b/src/main/java/linenring/settings/Names.java
@@ -7,9 +7,10 @@
  * Names of zones, machine kinds and operations, by index, and the number of proxies. Zones and kinds that the settings do not
  * name are added, on any thread, when a listed host has them.
  *
- * @param quantumMs length of the interval within which inputs are handled as one batch
+ * @param batchIntervalMs length of the interval within which inputs are handled as one batch
  */
-public record Names(List<String> zones, List<String> kinds, List<String> operations, int proxyCount, double quantumMs) {
+public record Names(
+        List<String> zones, List<String> kinds, List<String> operations, int proxyCount, double batchIntervalMs) {
     /** Limit on zones and on kinds, so that a faulty host list cannot exhaust the memory. */
     private static final int MAX_NAMES = 4096;
 
--- a/src/main/java/linenring/settings/SettingsReader.java
+++ b/src/main/java/linenring/settings/SettingsReader.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import linenring.planner.PlannerSettings;
-import linenring.planner.PlannerSettings.Measure;
+import linenring.planner.PlannerSettings.AdmissionUnit;
 
 /**
  * Reads the settings that a controller is started with. Only this class maps the keys of the settings to the names of
@@ -49,7 +49,7 @@
     private static List<PlannerSettings.Operation> operations(Lookup source) {
         int count = source.index("Classes.count", 0);
         if (count > MAX_OPERATIONS) {
-            throw source.bad("Classes.count", ": at most " + MAX_OPERATIONS + " operations are supported");
+            throw source.invalidValue("Classes.count", ": at most " + MAX_OPERATIONS + " operations are supported");
         }
         List<String> zones = source.list("Azs");
         List<String> kinds = source.list("Kinds");
@@ -102,7 +102,7 @@
         }
         int proxies = source.index("Specifics.ProxyCount");
         if (proxies < 1 || proxies > MAX_PROXIES) {
-            throw source.bad("Specifics.ProxyCount", ": " + proxies + " is out of range");
+            throw source.invalidValue("Specifics.ProxyCount", ": " + proxies + " is out of range");
         }
         return new Names(
                 source.list("Azs"),
@@ -112,12 +112,12 @@
                 source.millis("Quantum", DEFAULT_QUANTUM_MS));
     }
 
-    private static Measure measure(Lookup source) {
+    private static AdmissionUnit measure(Lookup source) {
         String value = source.find("Specifics.ThrottleBy");
         return switch (value == null ? "" : value) {
-            case "fraction" -> Measure.SHARE;
-            case "per_second" -> Measure.PER_SECOND;
-            default -> Measure.NONE;
+            case "fraction" -> AdmissionUnit.SHARE;
+            case "per_second" -> AdmissionUnit.PER_SECOND;
+            default -> AdmissionUnit.NONE;
         };
     }
 
--- a/src/main/java/linenring/simulator/SimulatorMessage.java
+++ b/src/main/java/linenring/simulator/SimulatorMessage.java
@@ -57,7 +57,7 @@
     }
 
     @Override
-    protected SimulatorInputException bad(String field, String detail) {
+    protected SimulatorInputException invalidValue(String field, String detail) {
         return invalid("field " + field + (detail.startsWith(":") ? detail : " " + detail));
     }
 
--- a/src/main/java/linenring/stream/ListenException.java
+++ b/src/main/java/linenring/stream/ListenException.java
@@ -37,7 +37,7 @@
     }
 
     /** Returns the stage and the message of the cause, without the address. */
-    public String fault() {
+    public String failureSummary() {
         return lowerCase(stage) + ": " + getCause().getMessage();
     }
 }
--- a/src/main/java/linenring/stream/PeerConnection.java
+++ b/src/main/java/linenring/stream/PeerConnection.java
@@ -55,7 +55,7 @@
     }
 
     @Override
-    public long number() {
+    public long streamNumber() {
         return number;
     }
 
--- a/src/main/java/linenring/testserver/BackendConnection.java
+++ b/src/main/java/linenring/testserver/BackendConnection.java
@@ -73,7 +73,7 @@
                 }
             }
             case Frame.PING -> frames.acknowledge(frame);
-            case Frame.WINDOW_UPDATE -> windows.increaseWindow(frame.stream(), frame.uint31(0));
+            case Frame.WINDOW_UPDATE -> windows.increaseWindow(frame.stream(), frame.readUint31(0));
             case Frame.RST_STREAM -> closeStream(frame.stream());
             case Frame.HEADERS -> handleHeaders(frame);
             case Frame.DATA -> handleData(frame);
--- a/src/main/java/linenring/testserver/Frame.java
+++ b/src/main/java/linenring/testserver/Frame.java
@@ -80,7 +80,7 @@
     }
 
     /** Reads a 31-bit unsigned integer from four payload bytes; the reserved bit is ignored. */
-    public int uint31(int offset) {
+    public int readUint31(int offset) {
         return ByteBuffer.wrap(payload).getInt(offset) & MAX_UINT31;
     }
 
--- a/src/main/java/linenring/testserver/FrameConnection.java
+++ b/src/main/java/linenring/testserver/FrameConnection.java
@@ -174,7 +174,7 @@
     }
 
     /** Builds the head of a request. */
-    public static MetaData request(String method, String path, HttpFields fields) {
+    public static MetaData requestHead(String method, String path, HttpFields fields) {
         return new MetaData.Request(method, HttpURI.from("http", "dispatch", 80, path), HttpVersion.HTTP_2, fields);
     }
 
--- a/src/main/java/linenring/testserver/Reaction.java
+++ b/src/main/java/linenring/testserver/Reaction.java
@@ -20,12 +20,12 @@
     }
 
     /** Returns a copy of this reaction with another delay. */
-    public Reaction after(long newDelayMs) {
+    public Reaction withDelayMs(long newDelayMs) {
         return new Reaction(behaviour, newDelayMs, status, bodyBytes);
     }
 
     /** Returns a copy of this reaction with another size of the response body. */
-    public Reaction withBytes(int newBodyBytes) {
+    public Reaction withBodyBytes(int newBodyBytes) {
         return new Reaction(behaviour, delayMs, status, newBodyBytes);
     }
 
--- a/src/main/java/linenring/testserver/TestBackend.java
+++ b/src/main/java/linenring/testserver/TestBackend.java
@@ -75,7 +75,7 @@
     }
 
     /** Delays the SETTINGS frame on new connections until a latch opens, like a host that is slow to accept. */
-    public TestBackend greetAfter(CountDownLatch newSettingsAllowed) {
+    public TestBackend delaySettingsUntil(CountDownLatch newSettingsAllowed) {
         settingsAllowed = newSettingsAllowed;
         return this;
     }
@@ -96,7 +96,7 @@
     }
 
     /** Returns the number of requests received, whether executed or not. */
-    public int requests() {
+    public int receivedRequests() {
         return statistics.receivedRequests();
     }
 
@@ -111,7 +111,7 @@
     }
 
     /** Returns the trailers of the most recent request that had trailers. */
-    public HttpFields trailers() {
+    public HttpFields lastTrailers() {
         return statistics.lastTrailers();
     }
 
@@ -121,7 +121,7 @@
     }
 
     /** Returns the number of open connections. */
-    public int connections() {
+    public int openConnectionCount() {
         return openConnections.size();
     }
 
--- a/src/main/java/linenring/testserver/LoadClient.java
+++ b/src/main/java/linenring/testserver/TestClient.java
@@ -19,16 +19,16 @@
  * HTTP/2 test client with one connection. The client records the response of each stream and follows the protocol, unless a
  * test violates it by sending frames through {@link #frames}. Thread-safe.
  */
-public final class LoadClient implements AutoCloseable {
+public final class TestClient implements AutoCloseable {
     /** Response received so far on one stream. Written by the reading thread, read by any thread. */
-    public static final class Answer {
+    public static final class Response {
         private static final int NOT_RESET = -1;
 
         private final List<Integer> interimStatuses = new CopyOnWriteArrayList<>();
         private volatile int status;
         private volatile HttpFields fields;
         private volatile HttpFields trailers;
-        private final AtomicLong bytes = new AtomicLong();
+        private final AtomicLong bodyBytes = new AtomicLong();
         private volatile boolean isComplete;
         private volatile int resetCode = NOT_RESET;
 
@@ -53,8 +53,8 @@
         }
 
         /** Returns the number of body bytes received. */
-        public long bytes() {
-            return bytes.get();
+        public long bodyBytes() {
+            return bodyBytes.get();
         }
 
         /** Whether the response ended normally, with END_STREAM. */
@@ -73,7 +73,7 @@
         }
 
         /** Whether the response is complete or the stream was reset. */
-        public boolean isOver() {
+        public boolean hasEnded() {
             return isComplete || isReset();
         }
 
@@ -96,7 +96,7 @@
     private static final long RECHECK_INTERVAL_MS = 5;
 
     private final FrameConnection frames;
-    private final Map<Integer, Answer> answers = new ConcurrentHashMap<>(); // keyed by stream identifier
+    private final Map<Integer, Response> answers = new ConcurrentHashMap<>(); // keyed by stream identifier
     private final List<Frame> goAways = new ArrayList<>(); // guarded by this
     private final List<Frame> delayedPings = new ArrayList<>(); // guarded by this
     private volatile boolean sendsWindowUpdates = true;
@@ -105,7 +105,7 @@
     private int nextStream = 1; // guarded by this
 
     /** Connects to a loopback port and sends the preface. {@code settings} are pairs of identifier and value. */
-    public LoadClient(int port, int... settings) throws IOException {
+    public TestClient(int port, int... settings) throws IOException {
         frames = new FrameConnection(new Socket(InetAddress.getLoopbackAddress(), port));
         frames.sendBytes(FrameConnection.preface());
         frames.sendSettings(settings);
@@ -119,14 +119,14 @@
         return frames;
     }
 
-    /** Delays PING acknowledgements until {@link #answerPings}, like a client that reads slowly or has a slow network. */
-    public LoadClient holdPings() {
+    /** Delays PING acknowledgements until {@link #acknowledgePings}, like a client that reads slowly or has a slow network. */
+    public TestClient delayPingAcknowledgements() {
         acknowledgesPings = false;
         return this;
     }
 
     /** Acknowledges all delayed PING frames, and later ones immediately. */
-    public synchronized void answerPings() throws IOException {
+    public synchronized void acknowledgePings() throws IOException {
         acknowledgesPings = true;
         for (Frame ping : delayedPings) {
             frames.answerPing(ping);
@@ -135,12 +135,12 @@
     }
 
     /** Returns the number of PING frames whose acknowledgement is delayed. */
-    public synchronized int heldPings() {
+    public synchronized int delayedPingCount() {
         return delayedPings.size();
     }
 
     /** Stops sending WINDOW_UPDATE frames, so that the server can send only until its current windows are exhausted. */
-    public LoadClient ignoreWindows() {
+    public TestClient stopWindowUpdates() {
         sendsWindowUpdates = false;
         return this;
     }
@@ -159,8 +159,8 @@
         }
         int stream = nextStream;
         nextStream += 2;
-        answers.put(stream, new Answer());
-        frames.sendHeaders(stream, FrameConnection.request(method, path, httpFields), endsStream);
+        answers.put(stream, new Response());
+        frames.sendHeaders(stream, FrameConnection.requestHead(method, path, httpFields), endsStream);
         return stream;
     }
 
@@ -170,18 +170,18 @@
     }
 
     /** Returns the response received so far on a stream. */
-    public Answer answer(int stream) {
+    public Response response(int stream) {
         return answers.get(stream);
     }
 
     /** Waits until the response on a stream has ended or the connection is closed. */
-    public Answer await(int stream) {
-        await(() -> answer(stream).isOver() || isClosed, "stream " + stream + " has ended");
-        return answer(stream);
+    public Response await(int stream) {
+        await(() -> response(stream).hasEnded() || isClosed, "stream " + stream + " has ended");
+        return response(stream);
     }
 
     /** Sends a request without a body and waits for the response. */
-    public Answer call(String method, String path, String... fields) throws IOException {
+    public Response call(String method, String path, String... fields) throws IOException {
         return await(send(method, path, fields));
     }
 
@@ -239,7 +239,7 @@
     }
 
     private void handleFrame(Frame frame) throws IOException {
-        Answer answer = answers.get(frame.stream());
+        Response answer = answers.get(frame.stream());
         switch (frame.type()) {
             case Frame.SETTINGS -> frames.acknowledge(frame);
             case Frame.PING -> handlePing(frame);
@@ -253,7 +253,7 @@
             case Frame.DATA -> handleData(frame, answer);
             case Frame.RST_STREAM -> {
                 if (answer != null) {
-                    answer.resetCode = frame.uint31(0);
+                    answer.resetCode = frame.readUint31(0);
                 }
             }
             default -> {}
@@ -268,7 +268,7 @@
         }
     }
 
-    private void handleData(Frame data, Answer answer) throws IOException {
+    private void handleData(Frame data, Response answer) throws IOException {
         int length = data.payload().length;
         boolean endsStream = data.hasFlag(Frame.END_STREAM);
         if (length > 0 && sendsWindowUpdates) {
@@ -278,7 +278,7 @@
             }
         }
         if (answer != null) {
-            answer.bytes.addAndGet(length);
+            answer.bodyBytes.addAndGet(length);
             answer.isComplete = answer.isComplete || endsStream;
         }
     }
--- a/src/test/java/linenring/build/PackageDependenciesTest.java
+++ b/src/test/java/linenring/build/PackageDependenciesTest.java
@@ -109,7 +109,7 @@
     /** Types that routing may use from planner and protocol: decoded endpoint tables and inbound messages, and two settings enums. */
     private static final Set<String> SHARED_WITH_ROUTING = Set.of(
             "linenring.planner.Commands$RetryPolicy",
-            "linenring.planner.PlannerSettings$Measure",
+            "linenring.planner.PlannerSettings$AdmissionUnit",
             "linenring.protocol.ConfigurationUpdate",
             "linenring.protocol.ConfigurationUpdate$AdmissionPolicy",
             "linenring.protocol.ConfigurationUpdate$TableEntry",
--- a/src/test/java/linenring/configuration/ControllerConfigurationReaderTest.java
+++ b/src/test/java/linenring/configuration/ControllerConfigurationReaderTest.java
@@ -52,7 +52,7 @@
         assertTrue(configuration.plannerSettings().operations().get(1).homeZoneOnly());
         assertEquals(18_000, configuration.plannerSettings().coldStart().warmAfterMs());
         assertEquals(2500, configuration.plannerSettings().channel().drainGraceMs());
-        assertEquals(4, configuration.names().quantumMs());
+        assertEquals(4, configuration.names().batchIntervalMs());
         assertEquals(
                 1, configuration.knownHosts().orElseThrow().entries().get(0).zone());
         assertEquals("/127.0.0.4:3000", configuration.listen().toString());
--- a/src/test/java/linenring/controller/ChannelModel.java
+++ b/src/test/java/linenring/controller/ChannelModel.java
@@ -85,7 +85,7 @@
                         3 * TRANSIT_MS,
                         graceMs),
                 new PlannerSettings.Shards(0, false, 0, 0),
-                PlannerSettings.Measure.SHARE,
+                PlannerSettings.AdmissionUnit.SHARE,
                 false,
                 0,
                 false,
--- a/src/test/java/linenring/controller/ControlLoopFixture.java
+++ b/src/test/java/linenring/controller/ControlLoopFixture.java
@@ -72,7 +72,7 @@
                         2 * TRANSIT_MS,
                         GRACE_MS),
                 new PlannerSettings.Shards(0, false, 0, 0),
-                PlannerSettings.Measure.SHARE,
+                PlannerSettings.AdmissionUnit.SHARE,
                 false,
                 0,
                 false,
--- a/src/test/java/linenring/controller/ControllerSettings.java
+++ b/src/test/java/linenring/controller/ControllerSettings.java
@@ -30,7 +30,7 @@
     }
 
     @Override
-    protected RuntimeException bad(String path, String problem) {
+    protected RuntimeException invalidValue(String path, String problem) {
         return new IllegalArgumentException(path + problem);
     }
 }
--- a/src/test/java/linenring/controller/RecordingProxy.java
+++ b/src/test/java/linenring/controller/RecordingProxy.java
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public long number() {
+    public long streamNumber() {
         return streamNumber;
     }
 
--- a/src/test/java/linenring/gateway/FailedStreamsTest.java
+++ b/src/test/java/linenring/gateway/FailedStreamsTest.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import linenring.planner.Commands.RetryPolicy;
 import linenring.testserver.Behaviour;
-import linenring.testserver.LoadClient;
 import linenring.testserver.Reaction;
+import linenring.testserver.TestClient;
 import org.eclipse.jetty.http2.HTTP2Connection;
 import org.eclipse.jetty.http2.HTTP2Session;
 import org.eclipse.jetty.http2.api.Session;
@@ -88,7 +88,7 @@
         try (GatewayFixture fixture = new GatewayFixture(2, "", () -> new HTTP2Client(connector))) {
             fixture.backends().get(0).onPath("/assign", Reaction.of(Behaviour.GO_AWAY_BELOW));
             fixture.sendTable(new int[] {0}, 1, RetryPolicy.ONE_IF_NOT_EXECUTED);
-            LoadClient client = fixture.connect();
+            TestClient client = fixture.connect();
             assertEquals(200, client.call("GET", "/quote").status()); // opens a connection to the host
             fixture.awaitIdle();
             SlowWriteEndPoint endPoint = connector.firstEndPoint;
@@ -153,7 +153,7 @@
         };
         try (GatewayFixture fixture = new GatewayFixture(2, "avoid after=0\ntries least=40", () -> dialer)) {
             fixture.sendTable(new int[] {0}, 1, RetryPolicy.ONE_IF_NOT_EXECUTED);
-            LoadClient client = fixture.connect();
+            TestClient client = fixture.connect();
             assertEquals(200, client.call("GET", "/quote").status()); // opens a connection to the host
             fixture.awaitIdle();
             fixture.sendTableOfAllHosts(RetryPolicy.ONE_IF_NOT_EXECUTED);
--- a/src/test/java/linenring/gateway/GatewayBesideControllerTest.java
+++ b/src/test/java/linenring/gateway/GatewayBesideControllerTest.java
@@ -17,9 +17,9 @@
 import linenring.protocol.HostList;
 import linenring.routing.HostRegistry;
 import linenring.testserver.Behaviour;
-import linenring.testserver.LoadClient;
 import linenring.testserver.Reaction;
 import linenring.testserver.TestBackend;
+import linenring.testserver.TestClient;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -44,7 +44,7 @@
                 new PlannerSettings.ColdStart(0.2, 1000),
                 new PlannerSettings.Channel(5000, 4, 5000, 0, 10_000, 10, 50, 1000),
                 new PlannerSettings.Shards(0, false, 0, 0),
-                PlannerSettings.Measure.SHARE,
+                PlannerSettings.AdmissionUnit.SHARE,
                 false,
                 0,
                 false,
@@ -65,7 +65,7 @@
         enqueueHostList(HostList.State.READY, 0, 1, 2, 3);
         gateway = Http2Gateway.start(
                 GatewayFixture.settings("avoid after=0"),
-                PlannerSettings.Measure.SHARE,
+                PlannerSettings.AdmissionUnit.SHARE,
                 hosts,
                 events,
                 ListenOptions.openSocket(),
@@ -86,7 +86,7 @@
         events.enqueueHostList(GatewayFixture.hostList(version, version == 1, state, IntStream.of(hosts), backends));
     }
 
-    private static int callQuote(LoadClient client) {
+    private static int callQuote(TestClient client) {
         try {
             return client.call("GET", "/quote").status();
         } catch (IOException failure) {
@@ -95,7 +95,7 @@
     }
 
     /** Sends 40 requests and returns the number of responses with a status other than 200. */
-    private static int countFailuresOf40(LoadClient client) {
+    private static int countFailuresOf40(TestClient client) {
         int failed = 0;
         for (int i = 0; i < 40; i++) {
             failed += callQuote(client) == 200 ? 0 : 1;
@@ -104,9 +104,9 @@
     }
 
     /** Returns a client after the gateway has received its first endpoint table. */
-    private LoadClient connect() throws IOException {
-        LoadClient client = new LoadClient(gateway.port());
-        LoadClient.await(this, () -> callQuote(client) == 200, "the gateway has received its first table");
+    private TestClient connect() throws IOException {
+        TestClient client = new TestClient(gateway.port());
+        TestClient.await(this, () -> callQuote(client) == 200, "the gateway has received its first table");
         return client;
     }
 
@@ -116,10 +116,10 @@
 
     @Test
     void sendsNothingToDrainingHostOnceUpdateIsApplied() throws IOException {
-        try (LoadClient client = connect()) {
+        try (TestClient client = connect()) {
             enqueueHostList(HostList.State.TERMINATING, 0);
             TestBackend draining = backends.get(0);
-            LoadClient.await(
+            TestClient.await(
                     this,
                     () -> { // 40 requests in a row avoid one of four equal hosts by chance once in 100,000 times
                         int executionsBefore = draining.executions("/quote");
@@ -138,17 +138,17 @@
     /** The controller ejects a failing host by the gateway's load reports; ejection by the gateway itself is disabled. */
     @Test
     void ejectsFailingHostByReportsOfGateway() throws IOException {
-        try (LoadClient client = connect()) {
+        try (TestClient client = connect()) {
             backends.get(1).onPath("/", Reaction.of(Behaviour.ERROR));
-            LoadClient.await(this, () -> countFailuresOf40(client) == 0, "s-1 is ejected");
+            TestClient.await(this, () -> countFailuresOf40(client) == 0, "s-1 is ejected");
         }
     }
 
     @Test
     void answersAtOnceWhileAllHostsDrainAndRecovers() throws IOException {
-        try (LoadClient client = connect()) {
+        try (TestClient client = connect()) {
             enqueueHostList(HostList.State.TERMINATING, 0, 1, 2, 3);
-            LoadClient.await(this, () -> callQuote(client) == 503, "no host can be picked");
+            TestClient.await(this, () -> callQuote(client) == 503, "no host can be picked");
             long startNanos = System.nanoTime();
             assertEquals(503, client.call("POST", "/assign").status());
             assertTrue(System.nanoTime() - startNanos < 1_000_000_000L);
@@ -159,7 +159,7 @@
 
     @Test
     void servesWithItsTablesWithoutController() throws Exception {
-        try (LoadClient client = connect()) {
+        try (TestClient client = connect()) {
             controllerThread.interrupt();
             controllerThread.join();
             for (int i = 0; i < 200; i++) {
@@ -171,9 +171,9 @@
 
     @Test
     void finishesDrainWhileHostsDrain() throws Exception {
-        try (LoadClient client = connect()) {
+        try (TestClient client = connect()) {
             backends.forEach(backend ->
-                    backend.onPath("/assign", Reaction.of(Behaviour.ANSWER).after(600)));
+                    backend.onPath("/assign", Reaction.of(Behaviour.ANSWER).withDelayMs(600)));
             List<Integer> streams = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
                 streams.add(client.send("POST", "/assign"));
@@ -189,12 +189,12 @@
 
     @Test
     void dialsHostAtItsNewAddress() throws IOException {
-        try (LoadClient client = connect();
+        try (TestClient client = connect();
                 TestBackend elsewhere = new TestBackend()) {
             backends.get(0).close();
             backends.set(0, elsewhere);
             enqueueHostList(HostList.State.READY, 0);
-            LoadClient.await(
+            TestClient.await(
                     this,
                     () -> {
                         callQuote(client); // the status does not matter until the new address is used
--- a/src/test/java/linenring/gateway/GatewayDrainTest.java
+++ b/src/test/java/linenring/gateway/GatewayDrainTest.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import linenring.testserver.Behaviour;
-import linenring.testserver.LoadClient;
 import linenring.testserver.Reaction;
+import linenring.testserver.TestClient;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -24,11 +24,12 @@
             fixture.backends().forEach(backend -> {
                 backend.onPath(
                         "/quote",
-                        Reaction.of(Behaviour.ANSWER).after(2000)); // keeps all requests active until the drain begins
-                backend.onPath("/assign", Reaction.of(Behaviour.ANSWER).after(2600));
+                        Reaction.of(Behaviour.ANSWER)
+                                .withDelayMs(2000)); // keeps all requests active until the drain begins
+                backend.onPath("/assign", Reaction.of(Behaviour.ANSWER).withDelayMs(2600));
             });
-            LoadClient client = fixture.connect();
-            LoadClient other = fixture.connect();
+            TestClient client = fixture.connect();
+            TestClient other = fixture.connect();
             List<Integer> streams = new ArrayList<>();
             for (int i = 0; i < 100; i++) {
                 streams.add(client.send(i % 2 == 0 ? "GET" : "POST", i % 2 == 0 ? "/quote" : "/assign"));
@@ -40,8 +41,8 @@
             fixture.gateway().drain();
             fixture.gateway().drain(); // a second SIGTERM has no effect
             client.await(() -> client.goAways().size() >= 2, "the final GOAWAY has arrived");
-            assertEquals(Integer.MAX_VALUE, client.goAways().get(0).uint31(0));
-            assertEquals(199, client.goAways().get(1).uint31(0));
+            assertEquals(Integer.MAX_VALUE, client.goAways().get(0).readUint31(0));
+            assertEquals(199, client.goAways().get(1).readUint31(0));
             int lateStream = client.send("POST", "/assign", "x-mark", "late");
             fixture.gateway().awaitDrained();
             for (int stream : streams) {
@@ -51,7 +52,7 @@
                 assertEquals(200, other.await(stream).status());
             }
             assertEquals(0, fixture.executionsOfKey("late")); // the GOAWAY is the only reply to the late stream
-            assertEquals(0, client.answer(lateStream).status());
+            assertEquals(0, client.response(lateStream).status());
             assertTrue(fixture.log().contains("graceful shutdown completed; requests finished: 200"), fixture.log());
         }
     }
@@ -60,18 +61,18 @@
     @Test
     void refusesNothingWhileClientHasNotReadOfDrain() throws Exception {
         try (GatewayFixture fixture = new GatewayFixture(1)) {
-            LoadClient client = fixture.connect().holdPings();
+            TestClient client = fixture.connect().delayPingAcknowledgements();
             assertEquals(200, client.call("GET", "/quote").status());
             fixture.awaitIdle();
             fixture.gateway().drain();
-            client.await(() -> client.heldPings() == 1, "the client has received the PING");
+            client.await(() -> client.delayedPingCount() == 1, "the client has received the PING");
             long announcedNanos = System.nanoTime();
             while (System.nanoTime() - announcedNanos < 600_000_000L) {
                 Thread.onSpinWait(); // three times the minimum time between the two GOAWAY frames
             }
             assertEquals(200, client.call("POST", "/assign").status());
             assertEquals(1, client.goAways().size());
-            client.answerPings();
+            client.acknowledgePings();
             fixture.gateway().awaitDrained();
             assertTrue(fixture.log().contains("requests finished: 1, refused: 0, aborted: 0"), fixture.log());
         }
@@ -82,7 +83,7 @@
     void endsAtLimitAndLogsBrokenOffRequests() throws Exception {
         try (GatewayFixture fixture = new GatewayFixture(1, "drain \"1s\"")) {
             fixture.backends().get(0).onPath("/", Reaction.of(Behaviour.HANG));
-            LoadClient client = fixture.connect();
+            TestClient client = fixture.connect();
             client.send("GET", "/quote");
             client.await(() -> fixture.executions("/quote") == 1, "the backend executes the request");
             fixture.gateway().drain();
--- a/src/test/java/linenring/gateway/GatewayFixture.java
+++ b/src/test/java/linenring/gateway/GatewayFixture.java
@@ -15,14 +15,14 @@
 import linenring.gateway.settings.SettingsText;
 import linenring.log.Log;
 import linenring.planner.Commands.RetryPolicy;
-import linenring.planner.PlannerSettings.Measure;
+import linenring.planner.PlannerSettings.AdmissionUnit;
 import linenring.protocol.ConfigurationUpdate;
 import linenring.protocol.HostList;
 import linenring.protocol.InboundMessage;
 import linenring.routing.HostRegistry;
 import linenring.settings.Names;
-import linenring.testserver.LoadClient;
 import linenring.testserver.TestBackend;
+import linenring.testserver.TestClient;
 import org.eclipse.jetty.http2.client.HTTP2Client;
 
 /**
@@ -55,7 +55,7 @@
             List.of(RetryPolicy.NONE, RetryPolicy.ONE_IF_NOT_EXECUTED, RetryPolicy.ONE, RetryPolicy.TWO);
 
     private final List<TestBackend> backends = new ArrayList<>();
-    private final List<LoadClient> clients = new ArrayList<>();
+    private final List<TestClient> clients = new ArrayList<>();
     private final EventQueue events = new EventQueue();
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
     private final List<InboundMessage> messages = Collections.synchronizedList(new ArrayList<>());
@@ -83,7 +83,7 @@
         try {
             gateway = Http2Gateway.start(
                     settings(moreSettings),
-                    Measure.SHARE,
+                    AdmissionUnit.SHARE,
                     hosts,
                     events,
                     ListenOptions.openSocket(),
@@ -158,7 +158,7 @@
 
     private void sendUpdate(ConfigurationUpdate.Part part) {
         stream.write(new ConfigurationUpdate(List.of(part)));
-        LoadClient.await(
+        TestClient.await(
                 this,
                 () -> {
                     processEvents();
@@ -176,8 +176,8 @@
         events.drainTo(this);
     }
 
-    LoadClient connect() throws IOException {
-        LoadClient client = new LoadClient(gateway.port());
+    TestClient connect() throws IOException {
+        TestClient client = new TestClient(gateway.port());
         clients.add(client);
         return client;
     }
@@ -194,7 +194,7 @@
 
     /** Waits until no request is active. */
     void awaitIdle() {
-        LoadClient.await(this, () -> gateway.activeRequests() == 0, "no request is active");
+        TestClient.await(this, () -> gateway.activeRequests() == 0, "no request is active");
     }
 
     @Override
@@ -217,7 +217,7 @@
 
     @Override
     public void close() throws IOException {
-        for (LoadClient client : clients) {
+        for (TestClient client : clients) {
             client.close();
         }
         gateway.close();
--- a/src/test/java/linenring/gateway/GatewayMeasurements.java
+++ b/src/test/java/linenring/gateway/GatewayMeasurements.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import linenring.load.LoadGenerator;
-import linenring.testserver.LoadClient;
+import linenring.testserver.TestClient;
 
 /** Manual measurements of a gateway in another process; not run with the tests. See docs/results.md. */
 public final class GatewayMeasurements {
@@ -27,9 +27,9 @@
 
     private static void holdIdleStreams(int port, int connections, int streams, int seconds)
             throws IOException, InterruptedException {
-        List<LoadClient> clients = new ArrayList<>();
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < connections; i++) {
-            LoadClient client = new LoadClient(port);
+            TestClient client = new TestClient(port);
             clients.add(client);
             for (int j = 0; j < streams; j++) {
                 client.send("GET", "/read/idle");
@@ -37,9 +37,9 @@
         }
         TimeUnit.SECONDS.sleep(seconds);
         int endedStreams = 0;
-        for (LoadClient client : clients) {
+        for (TestClient client : clients) {
             for (int j = 0; j < streams; j++) {
-                endedStreams += client.answer(2 * j + 1).isOver() ? 1 : 0;
+                endedStreams += client.response(2 * j + 1).hasEnded() ? 1 : 0;
             }
         }
         System.out.println(connections + " connections, " + endedStreams + " streams have ended");
@@ -49,7 +49,7 @@
         LoadGenerator.Plan plan = new LoadGenerator.Plan(
                 "127.0.0.1",
                 port,
-                List.of(new LoadGenerator.Call("read", "GET", "/read", 1, false)),
+                List.of(new LoadGenerator.CallTemplate("read", "GET", "/read", 1, false)),
                 1000,
                 1,
                 4,
@@ -57,16 +57,16 @@
                 3,
                 5000,
                 1);
-        System.out.print("without stalled clients: " + LoadGenerator.table(LoadGenerator.run(plan)));
-        List<LoadClient> stalledClients = new ArrayList<>();
+        System.out.print("without stalled clients: " + LoadGenerator.formatTable(LoadGenerator.run(plan)));
+        List<TestClient> stalledClients = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            LoadClient client = new LoadClient(port).ignoreWindows();
+            TestClient client = new TestClient(port).stopWindowUpdates();
             stalledClients.add(client);
             client.send("GET", "/read/large");
         }
-        System.out.print("with " + count + " stalled clients: " + LoadGenerator.table(LoadGenerator.run(plan)));
+        System.out.print("with " + count + " stalled clients: " + LoadGenerator.formatTable(LoadGenerator.run(plan)));
         long open = stalledClients.stream()
-                .filter(client -> !client.answer(1).isOver())
+                .filter(client -> !client.response(1).hasEnded())
                 .count();
         System.out.println(open + " stalled clients still hold their streams");
     }
--- a/src/test/java/linenring/gateway/GatewayRetryTest.java
+++ b/src/test/java/linenring/gateway/GatewayRetryTest.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import linenring.planner.Commands.RetryPolicy;
 import linenring.testserver.Behaviour;
-import linenring.testserver.LoadClient;
 import linenring.testserver.Reaction;
 import linenring.testserver.TestBackend;
+import linenring.testserver.TestClient;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -28,8 +28,8 @@
             fixture.sendTableOfAllHosts(RetryPolicy.TWO);
             fixture.backends()
                     .forEach(backend -> backend.onPath(
-                            "/assign", Reaction.of(Behaviour.ANSWER).after(100)));
-            LoadClient client = fixture.connect();
+                            "/assign", Reaction.of(Behaviour.ANSWER).withDelayMs(100)));
+            TestClient client = fixture.connect();
             // resets requests before their bodies, immediately after their bodies, and during their execution
             for (int i = 0; i < 20; i++) {
                 int withoutBody = client.sendHeaders("POST", "/assign", false, "x-mark", "held" + i);
@@ -68,7 +68,7 @@
                 assertEquals(
                         1,
                         fixture.backends().stream()
-                                .mapToInt(TestBackend::requests)
+                                .mapToInt(TestBackend::receivedRequests)
                                 .sum());
             }
         }
@@ -82,7 +82,7 @@
     void retriesSideEffectingRequestOnceOnProofThatItWasNotExecuted() throws IOException {
         for (Behaviour behaviour : List.of(Behaviour.REFUSE, Behaviour.GO_AWAY_BELOW)) {
             try (GatewayFixture fixture = new GatewayFixture(2)) {
-                LoadClient client = fixture.connect();
+                TestClient client = fixture.connect();
                 client.call("GET", "/quote"); // opens connections to the hosts
                 fixture.backends().forEach(backend -> backend.onPath("/assign", Reaction.of(Behaviour.ANSWER)));
                 for (int i = 0; i < 10; i++) {
@@ -107,7 +107,7 @@
     void retriesElsewhereWhenHostIsUnreachable() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(2)) {
             fixture.backends().get(0).close();
-            LoadClient client = fixture.connect();
+            TestClient client = fixture.connect();
             for (int i = 0; i < 20; i++) {
                 assertEquals(
                         200,
@@ -128,13 +128,13 @@
             try (GatewayFixture fixture = new GatewayFixture(2)) {
                 fixture.sendTableOfAllHosts(RetryPolicy.ONE);
                 fixture.backends().get(0).onPath("/", Reaction.of(behaviour));
-                LoadClient client = fixture.connect();
+                TestClient client = fixture.connect();
                 for (int i = 0; i < 6; i++) {
                     int stream = client.sendHeaders("POST", "/quote", false);
                     client.sendData(stream, 700, true);
-                    LoadClient.Answer answer = client.await(stream);
+                    TestClient.Response answer = client.await(stream);
                     assertEquals(200, answer.status(), behaviour.toString());
-                    assertEquals(2, answer.bytes());
+                    assertEquals(2, answer.bodyBytes());
                 }
                 assertEquals(6, fixture.backends().get(1).executions("/quote"));
                 assertEquals(
@@ -167,7 +167,7 @@
             fixture.sendTableOfAllHosts(RetryPolicy.ONE);
             fixture.backends().forEach(backend -> backend.onPath("/book", Reaction.of(Behaviour.ANSWER)));
             fixture.backends().get(0).onPath("/book", Reaction.of(Behaviour.DIE)); // backends 0 and 2 are in zone a
-            LoadClient client = fixture.connect();
+            TestClient client = fixture.connect();
             int retried = 0;
             for (int i = 0; i < 30; i++) {
                 String key = "b" + i;
@@ -192,13 +192,15 @@
         try (GatewayFixture fixture = new GatewayFixture(2, "body kept=\"1KiB\"")) {
             fixture.sendTableOfAllHosts(RetryPolicy.ONE);
             fixture.backends().forEach(backend -> backend.onPath("/", Reaction.of(Behaviour.RESET)));
-            LoadClient client = fixture.connect();
+            TestClient client = fixture.connect();
             int stream = client.sendHeaders("POST", "/quote", false);
             client.sendData(stream, 5000, true);
             assertEquals(502, client.await(stream).status());
             assertEquals(
                     1,
-                    fixture.backends().stream().mapToInt(TestBackend::requests).sum());
+                    fixture.backends().stream()
+                            .mapToInt(TestBackend::receivedRequests)
+                            .sum());
         }
     }
 
@@ -214,8 +216,8 @@
                 fixture.sendTableOfAllHosts(RetryPolicy.TWO);
                 fixture.backends()
                         .forEach(backend ->
-                                backend.onPath("/", Reaction.of(behaviour).withBytes(1000)));
-                LoadClient.Answer answer = fixture.connect().call("GET", "/quote");
+                                backend.onPath("/", Reaction.of(behaviour).withBodyBytes(1000)));
+                TestClient.Response answer = fixture.connect().call("GET", "/quote");
                 assertTrue(answer.isReset(), behaviour.toString());
                 assertEquals(1, fixture.executions("/quote"));
             }
@@ -232,12 +234,13 @@
                 new GatewayFixture(4, "tries budget=\"20%\" over=\"60s\" least=5\navoid after=0")) {
             fixture.sendTableOfAllHosts(RetryPolicy.TWO);
             fixture.backends().forEach(backend -> backend.onPath("/", Reaction.of(Behaviour.ERROR)));
-            LoadClient client = fixture.connect();
+            TestClient client = fixture.connect();
             for (int i = 0; i < 500; i++) {
                 assertEquals(500, client.call("GET", "/quote").status());
             }
-            int requests =
-                    fixture.backends().stream().mapToInt(TestBackend::requests).sum();
+            int requests = fixture.backends().stream()
+                    .mapToInt(TestBackend::receivedRequests)
+                    .sum();
             assertTrue(requests > 590 && requests <= 600, "attempts: " + requests);
         }
     }
--- a/src/test/java/linenring/gateway/Http2GatewayTest.java
+++ b/src/test/java/linenring/gateway/Http2GatewayTest.java
@@ -11,9 +11,9 @@
 import linenring.planner.Commands.RetryPolicy;
 import linenring.protocol.InboundMessage;
 import linenring.testserver.Behaviour;
-import linenring.testserver.LoadClient;
 import linenring.testserver.Reaction;
 import linenring.testserver.TestBackend;
+import linenring.testserver.TestClient;
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.HttpVersion;
 import org.eclipse.jetty.http.MetaData;
@@ -26,7 +26,7 @@
     @Test
     void forwardsRequestsToAllHostsOfTable() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(3)) {
-            LoadClient client = fixture.connect();
+            TestClient client = fixture.connect();
             List<Integer> streams = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
                 streams.add(client.send("GET", "/quote?from=here"));
@@ -34,21 +34,21 @@
             streams.forEach(stream -> assertEquals(200, client.await(stream).status()));
             assertEquals(60, fixture.executions("/quote"));
             fixture.backends().forEach(backend -> assertTrue(backend.executions("/quote") > 5));
-            assertTrue(fixture.backends().stream().allMatch(backend -> backend.connections() == 1));
+            assertTrue(fixture.backends().stream().allMatch(backend -> backend.openConnectionCount() == 1));
         }
     }
 
     @Test
     void answersUnknownRouteAtOnceWithoutHost() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(1)) {
-            LoadClient client = fixture.connect();
+            TestClient client = fixture.connect();
             assertEquals(404, client.call("GET", "/nothing").status());
             assertEquals(404, client.call("DELETE", "/quote").status());
             assertEquals(404, client.call("GET", "/quotes").status());
             assertEquals(200, client.call("GET", "/quote/7").status());
             int upload = client.sendHeaders("POST", "/nothing", false);
             assertEquals(404, client.await(upload).status());
-            assertEquals(1, fixture.backends().get(0).requests());
+            assertEquals(1, fixture.backends().get(0).receivedRequests());
         }
     }
 
@@ -56,16 +56,16 @@
     void forwardsBodiesHeadersTrailersAndEarlyHints() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(1)) {
             TestBackend backend = fixture.backends().get(0);
-            LoadClient client = fixture.connect();
-            backend.onNext(Reaction.of(Behaviour.ANSWER).withBytes(1_000_000));
-            assertEquals(1_000_000, client.call("GET", "/quote").bytes());
-            backend.onNext(Reaction.of(Behaviour.ANSWER).withBytes(0));
-            assertEquals(0, client.call("GET", "/quote").bytes());
+            TestClient client = fixture.connect();
+            backend.onNext(Reaction.of(Behaviour.ANSWER).withBodyBytes(1_000_000));
+            assertEquals(1_000_000, client.call("GET", "/quote").bodyBytes());
+            backend.onNext(Reaction.of(Behaviour.ANSWER).withBodyBytes(0));
+            assertEquals(0, client.call("GET", "/quote").bodyBytes());
             backend.onNext(Reaction.of(Behaviour.EARLY_HINTS_AND_TRAILERS));
-            LoadClient.Answer responseWithHints = client.call("GET", "/quote");
+            TestClient.Response responseWithHints = client.call("GET", "/quote");
             assertEquals(List.of(103), responseWithHints.interimStatuses());
             assertEquals("7", responseWithHints.trailers().get("x-sum"));
-            backend.onNext(Reaction.of(Behaviour.ANSWER).withBytes(0));
+            backend.onNext(Reaction.of(Behaviour.ANSWER).withBodyBytes(0));
             assertEquals(200, client.call("HEAD", "/quote").status());
             int upload = client.sendHeaders("POST", "/quote", false, "content-length", "50000");
             for (int i = 0; i < 5; i++) {
@@ -81,9 +81,9 @@
                             new MetaData(HttpVersion.HTTP_2, HttpFields.build().put("x-last", "9")),
                             true);
             assertEquals(200, client.await(requestWithTrailers).status());
-            assertEquals("9", backend.trailers().get("x-last"));
-            backend.onNext(Reaction.of(Behaviour.LIE_ABOUT_LENGTH).withBytes(100));
-            LoadClient.Answer tooShort = client.call("GET", "/quote");
+            assertEquals("9", backend.lastTrailers().get("x-last"));
+            backend.onNext(Reaction.of(Behaviour.LIE_ABOUT_LENGTH).withBodyBytes(100));
+            TestClient.Response tooShort = client.call("GET", "/quote");
             assertTrue(tooShort.isReset(), "a body shorter than its Content-Length is not forwarded as complete");
         }
     }
@@ -92,11 +92,11 @@
     @Test
     void resetsStreamOfWrongContentLengthAndServesOthers() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(1)) {
-            LoadClient client = fixture.connect();
+            TestClient client = fixture.connect();
             int wrongLength = client.sendHeaders("POST", "/assign", false, "content-length", "10");
             client.sendData(wrongLength, 20, true);
             assertTrue(client.await(wrongLength).isReset()
-                    || client.answer(wrongLength).status() >= 400);
+                    || client.response(wrongLength).status() >= 400);
             assertEquals(200, client.call("GET", "/quote").status());
         }
     }
@@ -111,15 +111,15 @@
             fixture.backends()
                     .get(0)
                     .onNext(
-                            Reaction.of(Behaviour.HANG_IN_BODY).withBytes(1000),
-                            Reaction.of(Behaviour.TRICKLE).withBytes(80));
-            LoadClient client = fixture.connect();
-            LoadClient.Answer stalled = client.call("GET", "/quote");
-            assertTrue(stalled.isReset() && stalled.bytes() == 500);
+                            Reaction.of(Behaviour.HANG_IN_BODY).withBodyBytes(1000),
+                            Reaction.of(Behaviour.TRICKLE).withBodyBytes(80));
+            TestClient client = fixture.connect();
+            TestClient.Response stalled = client.call("GET", "/quote");
+            assertTrue(stalled.isReset() && stalled.bodyBytes() == 500);
             assertTrue(fixture.log()
                     .contains("host s-0 broke off its response to quote, so the client's stream is reset: timed_out"));
-            LoadClient.Answer slow = client.call("GET", "/quote"); // takes 1.6 s in total
-            assertTrue(slow.isComplete() && slow.bytes() == 80);
+            TestClient.Response slow = client.call("GET", "/quote"); // takes 1.6 s in total
+            assertTrue(slow.isComplete() && slow.bodyBytes() == 80);
         }
     }
 
@@ -132,7 +132,7 @@
         try (GatewayFixture fixture = new GatewayFixture(1)) {
             fixture.backends().get(0).onPath("/", Reaction.of(Behaviour.HANG));
             long startNanos = System.nanoTime();
-            LoadClient.Answer answer = fixture.connect().call("POST", "/assign");
+            TestClient.Response answer = fixture.connect().call("POST", "/assign");
             assertEquals(504, answer.status());
             double elapsedMs = (System.nanoTime() - startNanos) / 1e6;
             assertTrue(
@@ -157,7 +157,7 @@
     void shedsLoadByAdmissionRatio() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(2)) {
             fixture.sendTable(new int[] {0, 1}, 0.5, RetryPolicy.NONE);
-            LoadClient client = fixture.connect();
+            TestClient client = fixture.connect();
             int rateLimited = 0;
             for (int i = 0; i < 200; i++) {
                 rateLimited += client.call("GET", "/quote").status() == 429 ? 1 : 0;
@@ -175,8 +175,8 @@
         try (GatewayFixture fixture = new GatewayFixture(2)) {
             fixture.backends()
                     .forEach(backend -> backend.onPath(
-                            "/assign", Reaction.of(Behaviour.ANSWER).after(400)));
-            LoadClient client = fixture.connect();
+                            "/assign", Reaction.of(Behaviour.ANSWER).withDelayMs(400)));
+            TestClient client = fixture.connect();
             List<Integer> streams = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
                 streams.add(client.send("POST", "/assign"));
@@ -191,7 +191,7 @@
             assertEquals(executionsBefore, fixture.backends().get(0).executions("/assign"));
             assertEquals(0, fixture.backends().get(0).executions("/quote"));
             client.await(
-                    () -> fixture.backends().get(0).connections() == 0,
+                    () -> fixture.backends().get(0).openConnectionCount() == 0,
                     "the connections of the ejected host are closed");
         }
     }
@@ -199,13 +199,13 @@
     @Test
     void reportsAttemptsAndRequestRates() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(1)) {
-            LoadClient client = fixture.connect();
+            TestClient client = fixture.connect();
             for (int i = 0; i < 7; i++) {
                 client.call("GET", "/quote");
             }
             fixture.backends().get(0).onPath("/", Reaction.of(Behaviour.RESET));
             client.call("POST", "/assign");
-            LoadClient.await(
+            TestClient.await(
                     this,
                     () -> {
                         fixture.processEvents();
--- a/src/test/java/linenring/gateway/MisbehavingClientsTest.java
+++ b/src/test/java/linenring/gateway/MisbehavingClientsTest.java
@@ -15,9 +15,9 @@
 import linenring.testserver.Behaviour;
 import linenring.testserver.Frame;
 import linenring.testserver.FrameConnection;
-import linenring.testserver.LoadClient;
 import linenring.testserver.Reaction;
 import linenring.testserver.TestBackend;
+import linenring.testserver.TestClient;
 import org.eclipse.jetty.http.HttpFields;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -35,15 +35,15 @@
     private static final int ENHANCE_YOUR_CALM = 11;
 
     private interface Violation {
-        void commit(LoadClient client) throws IOException;
+        void commit(TestClient client) throws IOException;
     }
 
     /** Asserts that the violator's connection is closed with one of the error codes and that other clients are served. */
     private static void assertEndsViolatorAlone(GatewayFixture fixture, Set<Integer> codes, Violation violation)
             throws IOException {
-        LoadClient other = fixture.connect();
+        TestClient other = fixture.connect();
         assertEquals(200, other.call("GET", "/quote").status());
-        LoadClient violator = fixture.connect();
+        TestClient violator = fixture.connect();
         try {
             violation.commit(violator);
         } catch (IOException failure) {
@@ -51,7 +51,7 @@
         }
         violator.await(violator::isClosed, "the violator's connection is closed");
         if (!violator.goAways().isEmpty()) { // a reset of the connection may lose the GOAWAY
-            int code = violator.goAways().get(violator.goAways().size() - 1).uint31(4);
+            int code = violator.goAways().get(violator.goAways().size() - 1).readUint31(4);
             assertTrue(codes.contains(code), "error code " + code);
         }
         assertEquals(200, other.call("GET", "/quote").status());
@@ -69,12 +69,12 @@
         try (GatewayFixture fixture = new GatewayFixture(2, "clients stall=\"1500ms\"")) {
             fixture.backends()
                     .forEach(backend -> backend.onPath(
-                            "/quote/large", Reaction.of(Behaviour.ANSWER).withBytes(5_000_000)));
-            LoadClient other = fixture.connect();
+                            "/quote/large", Reaction.of(Behaviour.ANSWER).withBodyBytes(5_000_000)));
+            TestClient other = fixture.connect();
             other.call("GET", "/quote");
-            List<LoadClient> violators = new ArrayList<>();
+            List<TestClient> violators = new ArrayList<>();
             for (int i = 0; i < 50; i++) {
-                violators.add(fixture.connect().ignoreWindows());
+                violators.add(fixture.connect().stopWindowUpdates());
                 violators.get(i).send("GET", "/quote/large");
             }
             other.await(() -> fixture.executions("/quote/large") == 50, "the backends execute all requests");
@@ -85,9 +85,9 @@
                 maxLatencyNanos = Math.max(maxLatencyNanos, System.nanoTime() - startNanos);
             }
             assertTrue(maxLatencyNanos < 1_000_000_000L, "another client waited " + maxLatencyNanos / 1e6 + " ms");
-            for (LoadClient violator : violators) {
+            for (TestClient violator : violators) {
                 assertEquals(ENHANCE_YOUR_CALM, violator.await(1).resetCode());
-                assertTrue(violator.answer(1).bytes() <= 65_535);
+                assertTrue(violator.response(1).bodyBytes() <= 65_535);
             }
             long sentBytes = fixture.backends().stream()
                     .mapToLong(TestBackend::sentBytes)
@@ -106,7 +106,7 @@
         try (GatewayFixture fixture = new GatewayFixture(1, "clients stall=\"500ms\" idle=\"1s\"")) {
             fixture.backends()
                     .get(0)
-                    .onPath("/quote/large", Reaction.of(Behaviour.ANSWER).withBytes(2_000_000));
+                    .onPath("/quote/large", Reaction.of(Behaviour.ANSWER).withBodyBytes(2_000_000));
             try (Socket unreadSocket = new Socket(
                     InetAddress.getLoopbackAddress(), fixture.gateway().port())) {
                 FrameConnection frames = new FrameConnection(unreadSocket);
@@ -114,9 +114,10 @@
                 frames.sendSettings(4, 100 << 20); // a stream window of 100 MiB exceeds every response
                 frames.sendWindowUpdate(0, 1 << 30);
                 for (int stream = 1; stream < 40; stream += 2) {
-                    frames.sendHeaders(stream, FrameConnection.request("GET", "/quote/large", HttpFields.EMPTY), true);
+                    frames.sendHeaders(
+                            stream, FrameConnection.requestHead("GET", "/quote/large", HttpFields.EMPTY), true);
                 }
-                LoadClient other = fixture.connect();
+                TestClient other = fixture.connect();
                 other.await(() -> fixture.executions("/quote/large") == 20, "the backend executes all requests");
                 other.await(() -> fixture.gateway().activeRequests() == 0, "the stalled requests have ended");
                 assertEquals(200, other.call("GET", "/quote").status());
@@ -129,7 +130,7 @@
     void slowHostDelaysOnlyItsOwnClient() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(1)) {
             fixture.backends().get(0).onPath("/assign", Reaction.of(Behaviour.NO_WINDOW));
-            LoadClient client = fixture.connect();
+            TestClient client = fixture.connect();
             int upload = client.sendHeaders("POST", "/assign", false);
             client.sendData(upload, 16_384, false);
             client.sendData(upload, 16_384, false);
@@ -182,20 +183,20 @@
     void endsFloodOfContinuationsAndTooLargeHeaders() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(1)) {
             assertEndsViolatorAlone(fixture, Set.of(ENHANCE_YOUR_CALM, PROTOCOL_ERROR), client -> {
-                byte[] block = client.frames().encode(FrameConnection.request("GET", "/quote", HttpFields.EMPTY));
+                byte[] block = client.frames().encode(FrameConnection.requestHead("GET", "/quote", HttpFields.EMPTY));
                 client.frames().sendFrame(Frame.HEADERS, Frame.END_STREAM, 1, block);
                 for (int i = 0; i < 5000; i++) {
                     client.frames().sendFrame(Frame.CONTINUATION, 0, 1, new byte[1000]);
                 }
             });
-            LoadClient client = fixture.connect();
+            TestClient client = fixture.connect();
             int tooLarge = client.send("GET", "/quote", "x-long", "x".repeat(40_000));
             client.await(
-                    () -> client.isClosed() || client.answer(tooLarge).isOver(),
+                    () -> client.isClosed() || client.response(tooLarge).hasEnded(),
                     "the request with too large headers is refused");
             assertTrue(client.isClosed()
-                    || client.answer(tooLarge).isReset()
-                    || client.answer(tooLarge).status() == 431);
+                    || client.response(tooLarge).isReset()
+                    || client.response(tooLarge).status() == 431);
             assertEquals(200, fixture.connect().call("GET", "/quote").status());
             assertEquals(0, fixture.backends().get(0).bodyBytes("/quote"));
         }
@@ -211,7 +212,7 @@
             assertEndsViolatorAlone(
                     fixture, Set.of(PROTOCOL_ERROR), client -> client.frames().sendWindowUpdate(0, 0));
             fixture.backends().get(0).onPath("/assign", Reaction.of(Behaviour.HANG));
-            LoadClient client = fixture.connect();
+            TestClient client = fixture.connect();
             int overflowing = client.send("POST", "/assign");
             int zeroIncrement = client.send("POST", "/assign");
             client.frames().sendWindowUpdate(overflowing, Integer.MAX_VALUE);
@@ -227,8 +228,8 @@
         try (GatewayFixture fixture = new GatewayFixture(1, "clients streams=10")) {
             fixture.backends()
                     .get(0)
-                    .onPath("/assign", Reaction.of(Behaviour.ANSWER).after(500));
-            LoadClient client = fixture.connect();
+                    .onPath("/assign", Reaction.of(Behaviour.ANSWER).withDelayMs(500));
+            TestClient client = fixture.connect();
             List<Integer> streams = new ArrayList<>();
             for (int i = 0; i < 30; i++) {
                 streams.add(client.send("POST", "/assign"));
@@ -257,7 +258,7 @@
                     fixture,
                     Set.of(PROTOCOL_ERROR),
                     client -> client.frames().sendFrame(Frame.DATA, 0, 0, new byte[4]));
-            LoadClient client = fixture.connect();
+            TestClient client = fixture.connect();
             int closedStream = client.send("GET", "/quote");
             client.await(closedStream);
             client.sendData(closedStream, 10, true); // a stream or connection error; no host executes anything
@@ -304,7 +305,7 @@
             assertTrue(log.contains("is rejected because it requests the obsolete upgrade to h2c")
                     && log.contains("is rejected because it sends a TLS handshake"));
             assertEquals(200, fixture.connect().call("GET", "/quote").status());
-            assertEquals(1, fixture.backends().get(0).requests());
+            assertEquals(1, fixture.backends().get(0).receivedRequests());
         }
     }
 
@@ -334,7 +335,7 @@
         try (GatewayFixture fixture = new GatewayFixture(1, "clients running=5")) {
             fixture.sendTableOfAllHosts(RetryPolicy.NONE);
             fixture.backends().get(0).onPath("/assign", Reaction.of(Behaviour.HANG));
-            LoadClient client = fixture.connect();
+            TestClient client = fixture.connect();
             for (int i = 0; i < 5; i++) {
                 client.send("POST", "/assign");
             }
--- a/src/test/java/linenring/gateway/SlowDialsTest.java
+++ b/src/test/java/linenring/gateway/SlowDialsTest.java
@@ -15,8 +15,8 @@
 import linenring.routing.ConnectionPool;
 import linenring.routing.HostRegistry;
 import linenring.testserver.Behaviour;
-import linenring.testserver.LoadClient;
 import linenring.testserver.Reaction;
+import linenring.testserver.TestClient;
 import org.eclipse.jetty.http2.api.Session;
 import org.eclipse.jetty.http2.client.HTTP2Client;
 import org.eclipse.jetty.io.ClientConnector;
@@ -34,13 +34,14 @@
     void doesNotSendRetryThatWaitedPastDeduplicationWindow() throws Exception {
         try (GatewayFixture fixture = new GatewayFixture(4, "hosts dial=\"10s\"")) {
             CountDownLatch maySendSettings = new CountDownLatch(1);
-            fixture.backends().get(2).greetAfter(maySendSettings);
-            fixture.backends().get(0).onPath("/book", Reaction.of(Behaviour.DIE).after(300));
+            fixture.backends().get(2).delaySettingsUntil(maySendSettings);
+            fixture.backends().get(0).onPath("/book", Reaction.of(Behaviour.DIE).withDelayMs(300));
             fixture.sendTable(new int[] {0}, 1, RetryPolicy.ONE);
-            LoadClient client = fixture.connect();
+            TestClient client = fixture.connect();
             long sentNanos = System.nanoTime();
             int bookingStream = client.send("POST", "/book", "x-mark", "once");
-            client.await(() -> fixture.backends().get(0).requests() == 1, "the first host has received the request");
+            client.await(
+                    () -> fixture.backends().get(0).receivedRequests() == 1, "the first host has received the request");
             fixture.sendTable(new int[] {2}, 1, RetryPolicy.ONE);
             while (System.nanoTime() - sentNanos < 2_200_000_000L) {
                 Thread.onSpinWait(); // waits until less than a fifth of the window of 2.5 s is left
--- a/src/test/java/linenring/gateway/UnansweredRequestsTest.java
+++ b/src/test/java/linenring/gateway/UnansweredRequestsTest.java
@@ -19,8 +19,8 @@
 import linenring.testserver.Behaviour;
 import linenring.testserver.Frame;
 import linenring.testserver.FrameConnection;
-import linenring.testserver.LoadClient;
 import linenring.testserver.Reaction;
+import linenring.testserver.TestClient;
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.MetaData;
 import org.eclipse.jetty.http2.hpack.HpackEncoder;
@@ -43,8 +43,8 @@
         try (GatewayFixture fixture = new GatewayFixture(2)) {
             fixture.backends()
                     .forEach(backend ->
-                            backend.onPath("/", Reaction.of(Behaviour.ANSWER).after(300)));
-            LoadClient client = fixture.connect().ignoreWindows();
+                            backend.onPath("/", Reaction.of(Behaviour.ANSWER).withDelayMs(300)));
+            TestClient client = fixture.connect().stopWindowUpdates();
             List<Integer> streams = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
                 streams.add(client.send("GET", "/quote"));
@@ -63,7 +63,7 @@
     void answersRequestsAfterHostResetIdleConnections() throws IOException {
         try (GatewayFixture fixture = new GatewayFixture(3)) {
             fixture.sendTableOfAllHosts(RetryPolicy.ONE);
-            LoadClient client = fixture.connect();
+            TestClient client = fixture.connect();
             for (int i = 0; i < 30; i++) {
                 assertEquals(200, client.call("GET", "/quote").status());
             }
@@ -82,15 +82,15 @@
     @Test
     void answersRequestsAfterIdlingPastAllLimits() throws Exception {
         try (GatewayFixture fixture = new GatewayFixture(2, "hosts idle=\"200ms\"\nclients idle=\"300ms\"")) {
-            LoadClient first = fixture.connect();
+            TestClient first = fixture.connect();
             assertEquals(200, first.call("GET", "/quote").status());
             first.await(first::isClosed, "the idle client connection is closed by the gateway");
             assertEquals(1, first.goAways().size(), "number of GOAWAY frames before the close");
             first.await(
-                    () -> fixture.backends().stream().allMatch(backend -> backend.connections() == 0),
+                    () -> fixture.backends().stream().allMatch(backend -> backend.openConnectionCount() == 0),
                     "the idle connections to hosts are closed by the gateway");
             for (int i = 0; i < 10; i++) {
-                LoadClient next = fixture.connect();
+                TestClient next = fixture.connect();
                 assertEquals(200, next.call("POST", "/assign").status());
             }
         }
@@ -102,12 +102,12 @@
         try (GatewayFixture fixture = new GatewayFixture(2, "hosts idle=\"30ms\"\nclients idle=\"40ms\"")) {
             int answered = 0;
             for (int i = 0; i < 60; i++) {
-                LoadClient client = connectAndCall(fixture);
+                TestClient client = connectAndCall(fixture);
                 TimeUnit.MILLISECONDS.sleep(25 + i % 30);
                 try {
                     int stream = client.send("POST", "/assign");
-                    LoadClient.Answer answer = client.await(stream);
-                    assertTrue(answer.status() == 200 || answer.isOver() || client.isClosed());
+                    TestClient.Response answer = client.await(stream);
+                    assertTrue(answer.status() == 200 || answer.hasEnded() || client.isClosed());
                     answered += answer.status() == 200 ? 1 : 0;
                 } catch (IOException failure) {
                     client.await(
@@ -124,9 +124,9 @@
      * Returns a client whose first request got a response. On a busy machine the first request may arrive after the idle
      * timeout of its new connection; the request is then sent on another connection.
      */
-    private static LoadClient connectAndCall(GatewayFixture fixture) throws Exception {
+    private static TestClient connectAndCall(GatewayFixture fixture) throws Exception {
         for (int connections = 0; connections < MAX_CONNECTIONS; connections++) {
-            LoadClient client = fixture.connect();
+            TestClient client = fixture.connect();
             try {
                 int status = client.call("GET", "/quote").status();
                 if (status == 200) {
@@ -150,8 +150,8 @@
         try (GatewayFixture fixture = new GatewayFixture(2, "drain \"10s\"")) {
             fixture.backends()
                     .forEach(backend ->
-                            backend.onPath("/", Reaction.of(Behaviour.ANSWER).after(1500)));
-            LoadClient activeClient = fixture.connect();
+                            backend.onPath("/", Reaction.of(Behaviour.ANSWER).withDelayMs(1500)));
+            TestClient activeClient = fixture.connect();
             int activeStream = activeClient.send("GET", "/quote"); // an active request that makes the drain last longer
             activeClient.await(() -> fixture.executions("/quote") == 1, "the backend executes the request");
             List<Socket> clients = new ArrayList<>();
@@ -190,8 +190,8 @@
         try (GatewayFixture fixture = new GatewayFixture(1, "drain \"10s\"")) {
             fixture.backends()
                     .get(0)
-                    .onPath("/quote", Reaction.of(Behaviour.ANSWER).after(1500));
-            LoadClient activeClient = fixture.connect();
+                    .onPath("/quote", Reaction.of(Behaviour.ANSWER).withDelayMs(1500));
+            TestClient activeClient = fixture.connect();
             int activeStream = activeClient.send("GET", "/quote");
             activeClient.await(() -> fixture.executions("/quote") == 1, "the backend executes the request");
             fixture.gateway().drain();
@@ -205,8 +205,8 @@
                 while (frame.type() != Frame.GOAWAY) {
                     frame = frames.read();
                 }
-                assertEquals(0, frame.uint31(0), "last stream of the GOAWAY");
-                assertEquals(0, frame.uint31(4), "error code of the GOAWAY is NO_ERROR");
+                assertEquals(0, frame.readUint31(0), "last stream of the GOAWAY");
+                assertEquals(0, frame.readUint31(4), "error code of the GOAWAY is NO_ERROR");
             }
             assertEquals(200, activeClient.await(activeStream).status());
             fixture.gateway().awaitDrained();
@@ -221,7 +221,7 @@
             for (Frame frame = frames.read(); frame != null; frame = frames.read()) {
                 if (frame.type() == Frame.HEADERS
                         || frame.type() == Frame.RST_STREAM
-                        || (frame.type() == Frame.GOAWAY && frame.uint31(0) < 1)) {
+                        || (frame.type() == Frame.GOAWAY && frame.readUint31(0) < 1)) {
                     return;
                 }
             }
@@ -274,7 +274,7 @@
                     socket.setSoLinger(splitIndex % 2 == 0, 0); // closes by a TCP reset or by an ordinary FIN
                 }
             }
-            LoadClient client = fixture.connect();
+            TestClient client = fixture.connect();
             assertEquals(200, client.call("GET", "/quote").status());
             fixture.awaitIdle();
             client.await(() -> fixture.backends().get(0).activeRequests() == 0, "no request is active at the backend");
@@ -307,7 +307,7 @@
         bytes.write(frame(4, 0, 0));
         ByteBuffer head = ByteBuffer.allocate(1024);
         try {
-            new HpackEncoder().encode(head, FrameConnection.request("POST", "/assign", HttpFields.build()));
+            new HpackEncoder().encode(head, FrameConnection.requestHead("POST", "/assign", HttpFields.build()));
         } catch (HpackException failure) {
             throw new IOException(failure);
         }
--- a/src/test/java/linenring/handover/UpgradeUnderLoadTest.java
+++ b/src/test/java/linenring/handover/UpgradeUnderLoadTest.java
@@ -21,9 +21,9 @@
 import linenring.load.CallOutcomes;
 import linenring.load.LoadGenerator;
 import linenring.testserver.Behaviour;
-import linenring.testserver.LoadClient;
 import linenring.testserver.Reaction;
 import linenring.testserver.TestBackend;
+import linenring.testserver.TestClient;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -51,7 +51,7 @@
     void startBackends() throws IOException {
         for (int i = 0; i < 2; i++) {
             backends.add(new TestBackend());
-            backends.get(i).onPath("/assign", Reaction.of(Behaviour.ANSWER).after(30));
+            backends.get(i).onPath("/assign", Reaction.of(Behaviour.ANSWER).withDelayMs(30));
         }
         logFile = temp.resolve("log");
         directory = temp.resolve("handover");
@@ -112,7 +112,7 @@
                 """.formatted(port, directory, settings));
         start(configuration, gateway);
         awaitLog("accepts requests at");
-        LoadClient.await(
+        TestClient.await(
                 this,
                 () -> Files.exists(directory.resolve(UpgradeCoordinator.SOCKET_FILE_NAME)),
                 "the upgrade socket exists");
@@ -144,7 +144,7 @@
     }
 
     private void awaitLog(String part) {
-        LoadClient.await(this, () -> logText().contains(part), "the log contains: " + part);
+        TestClient.await(this, () -> logText().contains(part), "the log contains: " + part);
     }
 
     private ProcessHandle newestProcess() {
@@ -164,8 +164,8 @@
                         "127.0.0.1",
                         port,
                         List.of(
-                                new LoadGenerator.Call("quote", "GET", "/quote", 1, false),
-                                new LoadGenerator.Call("assign", "POST", "/assign", 1, true)),
+                                new LoadGenerator.CallTemplate("quote", "GET", "/quote", 1, false),
+                                new LoadGenerator.CallTemplate("assign", "POST", "/assign", 1, true)),
                         200,
                         1,
                         3,
@@ -195,9 +195,10 @@
 
     /** Asserts that all calls were answered with status 200, and that each assign call ran once. */
     private void assertNothingLost(LoadGenerator.Outcomes all) {
-        long assigns = all.byOperation().get("assign").sent();
+        long assigns = all.byOperation().get("assign").scheduledCalls();
         all.byOperation()
-                .forEach((name, outcome) -> assertEquals(Map.of("200", outcome.sent()), outcome.countsByEnd(), name));
+                .forEach((name, outcome) ->
+                        assertEquals(Map.of("200", outcome.scheduledCalls()), outcome.countsByEnd(), name));
         assertEquals(
                 assigns,
                 backends.stream()
@@ -212,7 +213,7 @@
         UpgradeOutcome firstOutcome = outcome(requestUpgrade());
         assertTrue(firstOutcome.getSucceeded(), () -> firstOutcome.getMessage() + logText());
         assertTrue(process.waitFor(20, TimeUnit.SECONDS), "the old process did not exit after draining");
-        LoadClient.await(
+        TestClient.await(
                 this,
                 () -> logText().contains("this process is now the sole owner of the port"),
                 "the new process is the sole owner");
@@ -241,7 +242,7 @@
 
     private UpgradeOutcome requestSecondUpgrade(CompletableFuture<Optional<UpgradeOutcome>> firstUpgrade)
             throws Exception {
-        LoadClient.await(
+        TestClient.await(
                 this, () -> logText().split("starts process", -1).length == 3, "the second process is started");
         assertFalse(firstUpgrade.isDone());
         return outcome(requestUpgrade());
@@ -284,11 +285,11 @@
         assertTrue(backends.stream()
                         .mapToInt(backend -> backend.executions("/assign"))
                         .sum()
-                <= assigns.sent());
+                <= assigns.scheduledCalls());
         assertTrue(
                 assigns.countsByEnd().keySet().stream().allMatch(List.of("200", "lost", "unsent")::contains),
                 () -> assigns.countsByEnd().toString());
-        try (LoadClient client = new LoadClient(port)) {
+        try (TestClient client = new TestClient(port)) {
             assertEquals(200, client.call("GET", "/quote").status());
         }
         assertTrue(process.isAlive());
@@ -303,7 +304,7 @@
         process.destroyForcibly().waitFor();
         awaitLog("this process is now the sole owner of the port");
         assertEquals(Optional.empty(), upgrade.get(40, TimeUnit.SECONDS));
-        try (LoadClient client = new LoadClient(port)) {
+        try (TestClient client = new TestClient(port)) {
             assertEquals(200, client.call("GET", "/quote").status());
         }
         Optional<UpgradeOutcome> next =
@@ -320,7 +321,7 @@
                 UpgradeCoordinator.SOCKET_FILE_NAME)); // lets serve() continue without an upgrade socket
         serve("");
         awaitLog("is not possible");
-        try (LoadClient client = new LoadClient(port)) {
+        try (TestClient client = new TestClient(port)) {
             assertEquals(200, client.call("GET", "/quote").status());
         }
     }
--- a/src/test/java/linenring/planner/FakeProxies.java
+++ b/src/test/java/linenring/planner/FakeProxies.java
@@ -51,7 +51,7 @@
                 new PlannerSettings.ColdStart(0.2, 10_000),
                 new PlannerSettings.Channel(1000, 4, 1500, maxMessages, 10_000, 100, 250, 2000),
                 shards,
-                PlannerSettings.Measure.SHARE,
+                PlannerSettings.AdmissionUnit.SHARE,
                 false,
                 0,
                 false,
--- a/src/test/java/linenring/planner/RandomShape.java
+++ b/src/test/java/linenring/planner/RandomShape.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
+import linenring.planner.PlannerSettings.AdmissionUnit;
 import linenring.planner.PlannerSettings.Channel;
 import linenring.planner.PlannerSettings.ColdStart;
-import linenring.planner.PlannerSettings.Measure;
 import linenring.planner.PlannerSettings.Operation;
 import linenring.planner.PlannerSettings.Shards;
 import linenring.planner.RandomFleet.Shape;
@@ -15,7 +15,8 @@
  * combinations of them.
  */
 final class RandomShape {
-    private static final List<Measure> MEASURES = List.of(Measure.SHARE, Measure.PER_SECOND, Measure.NONE);
+    private static final List<AdmissionUnit> MEASURES =
+            List.of(AdmissionUnit.SHARE, AdmissionUnit.PER_SECOND, AdmissionUnit.NONE);
 
     private final Random random;
 
@@ -51,7 +52,7 @@
                 new ColdStart(0.2, 8000),
                 channel,
                 new Shards(0, false, 0, 0),
-                Measure.SHARE,
+                AdmissionUnit.SHARE,
                 false,
                 0,
                 false,
--- a/src/test/java/linenring/planner/ReconcileMeasurement.java
+++ b/src/test/java/linenring/planner/ReconcileMeasurement.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.stream.IntStream;
+import linenring.planner.PlannerSettings.AdmissionUnit;
 import linenring.planner.PlannerSettings.Channel;
 import linenring.planner.PlannerSettings.ColdStart;
-import linenring.planner.PlannerSettings.Measure;
 import linenring.planner.PlannerSettings.Shards;
 
 /** Measures the time that the planner takes for one input at various fleet sizes, in milliseconds; run by hand. */
@@ -46,7 +46,7 @@
                 new ColdStart(0.2, 18_000),
                 new Channel(1200, 4, 22.0 * proxies, 30, 10_000, 200, 500, 16_000),
                 new Shards(0, false, 0, 0),
-                Measure.SHARE,
+                AdmissionUnit.SHARE,
                 false,
                 0,
                 false,
--- a/src/test/java/linenring/planner/RecordedHistories.java
+++ b/src/test/java/linenring/planner/RecordedHistories.java
@@ -4,9 +4,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import linenring.planner.PlannerSettings.AdmissionUnit;
 import linenring.planner.PlannerSettings.Channel;
 import linenring.planner.PlannerSettings.ColdStart;
-import linenring.planner.PlannerSettings.Measure;
 import linenring.planner.PlannerSettings.Operation;
 import linenring.planner.PlannerSettings.Shards;
 import linenring.planner.RandomFleet.Shape;
@@ -80,10 +80,24 @@
         shapes.put("kinds", withMachineKinds(settings(fast, WITHOUT_SHARDS), 24, 6, 8));
         shapes.put(
                 "overload",
-                shape(overloadSettings(fast, Measure.SHARE), 12, 6, 30, 0.2, 1.3, new Chances(0.004, 0, 0.1, 0.02)));
+                shape(
+                        overloadSettings(fast, AdmissionUnit.SHARE),
+                        12,
+                        6,
+                        30,
+                        0.2,
+                        1.3,
+                        new Chances(0.004, 0, 0.1, 0.02)));
         shapes.put(
                 "overload-rate",
-                shape(overloadSettings(fast, Measure.PER_SECOND), 10, 5, 30, 0.1, 1.1, new Chances(0, 0, 0.02, 0)));
+                shape(
+                        overloadSettings(fast, AdmissionUnit.PER_SECOND),
+                        10,
+                        5,
+                        30,
+                        0.1,
+                        1.1,
+                        new Chances(0, 0, 0.02, 0)));
     }
 
     private static void addSubsetsAndZones(Map<String, Shape> shapes, Channel fast, Channel limited) {
@@ -177,7 +191,14 @@
                 shape(settings(fast, WITHOUT_SHARDS), 20, 10, 4.6, 0.2, 0.7, new Chances(0.01, 0, 0.5, 0.2)));
         shapes.put(
                 "tiny",
-                shape(overloadSettings(fast, Measure.SHARE), 5, 2, 3.5, 0.2, 0.9, new Chances(0.02, 0, 0.05, 0.05)));
+                shape(
+                        overloadSettings(fast, AdmissionUnit.SHARE),
+                        5,
+                        2,
+                        3.5,
+                        0.2,
+                        0.9,
+                        new Chances(0.02, 0, 0.05, 0.05)));
         shapes.put(
                 "mass-failure",
                 shape(settings(fast, WITHOUT_SHARDS), 20, 10, 30, 0.2, 1, new Chances(0.09, 0.03, 0.1, 0.05)));
@@ -260,15 +281,15 @@
     }
 
     private static PlannerSettings settings(Channel channel, Shards shards) {
-        return settings(channel, shards, Measure.SHARE, List.of(operation(1000, 1, false)));
+        return settings(channel, shards, AdmissionUnit.SHARE, List.of(operation(1000, 1, false)));
     }
 
     private static PlannerSettings settings(
-            Channel channel, Shards shards, Measure measure, List<Operation> operations) {
+            Channel channel, Shards shards, AdmissionUnit measure, List<Operation> operations) {
         return new PlannerSettings(operations, new ColdStart(0.2, 8000), channel, shards, measure, false, 0, false, 5);
     }
 
-    private static PlannerSettings overloadSettings(Channel channel, Measure measure) {
+    private static PlannerSettings overloadSettings(Channel channel, AdmissionUnit measure) {
         List<Operation> operations =
                 List.of(operation(600, 1, false), operation(1000, 5, false), operation(2500, 3, false));
         return settings(channel, WITHOUT_SHARDS, measure, operations);
@@ -277,7 +298,7 @@
     private static PlannerSettings homeZoneSettings(Channel channel) {
         List<Operation> operations =
                 List.of(operation(800, 1, true), operation(800, 2, true), new Operation(1500, 4, 1, -1, false, 2));
-        return settings(channel, WITHOUT_SHARDS, Measure.SHARE, operations);
+        return settings(channel, WITHOUT_SHARDS, AdmissionUnit.SHARE, operations);
     }
 
     private static PlannerSettings polledListSettings(Channel channel) {
@@ -286,7 +307,7 @@
                 new ColdStart(0.3, 12_000),
                 channel,
                 WITHOUT_SHARDS,
-                Measure.NONE,
+                AdmissionUnit.NONE,
                 true,
                 6000,
                 true,
--- a/src/test/java/linenring/planner/RecordedHistory.java
+++ b/src/test/java/linenring/planner/RecordedHistory.java
@@ -135,7 +135,7 @@
         double entries = expectedEntries + MESSAGE_OVERHEAD_ENTRIES;
         channelFreeAtMs = Math.max(nowMs(), channelFreeAtMs)
                 + entries * channelSlowdown / settings.channel().entriesPerMs();
-        double acknowledgedAtMs = channelFreeAtMs + 2 * settings.channel().transitMs();
+        double acknowledgedAtMs = channelFreeAtMs + 2 * settings.channel().usualTransitMs();
         if (!isUnresponsive(proxy, acknowledgedAtMs)) {
             double tookMs = Math.round(acknowledgedAtMs - sentAtMs);
             pendingAcknowledgements.add(() -> player.atTime(
--- a/src/test/java/linenring/protocol/HostListStreamTest.java
+++ b/src/test/java/linenring/protocol/HostListStreamTest.java
@@ -174,7 +174,7 @@
         HostList read = read(scopedFilter(), list(true, "{\"id\":7,\"zone\":1,\"service\":\"svc-9\"}"))
                 .orElseThrow();
         assertTrue(read.invalidEntries().isEmpty());
-        assertTrue(read.hasNoneInScope());
+        assertTrue(read.hasNoHostsInScope());
     }
 
     @Test
--- a/src/test/java/linenring/routing/ConnectionPoolTest.java
+++ b/src/test/java/linenring/routing/ConnectionPoolTest.java
@@ -26,7 +26,7 @@
 
     private boolean opensConnection(int waiter, double nowMs) {
         return assertInstanceOf(StreamGrant.Queued.class, pool.requestStream(waiter, nowMs))
-                .openConnection();
+                .shouldOpenConnection();
     }
 
     private void assertRejected(int waiter, double nowMs) {
@@ -167,7 +167,7 @@
                 activeByConnection.merge(granted.connection(), 1, Integer::sum);
             } else if (grant instanceof StreamGrant.Queued<String> queued) {
                 waiterCount++;
-                dialsInProgress += queued.openConnection() ? 1 : 0;
+                dialsInProgress += queued.shouldOpenConnection() ? 1 : 0;
             }
         }
 
@@ -175,7 +175,7 @@
             actions.assigned().forEach(assigned -> activeByConnection.merge(assigned.connection(), 1, Integer::sum));
             waiterCount -= actions.assigned().size() + actions.rejected().size();
             actions.connectionsToClose().forEach(activeByConnection::remove);
-            dialsInProgress += actions.openConnection() ? 1 : 0;
+            dialsInProgress += actions.shouldOpenConnection() ? 1 : 0;
         }
 
         private boolean hasActiveStreams() {
--- a/src/test/java/linenring/routing/TablesTest.java
+++ b/src/test/java/linenring/routing/EndpointTablesTest.java
@@ -16,16 +16,16 @@
 import java.util.Set;
 import java.util.TreeSet;
 import linenring.planner.Commands.RetryPolicy;
-import linenring.planner.PlannerSettings.Measure;
+import linenring.planner.PlannerSettings.AdmissionUnit;
 import linenring.protocol.ConfigurationUpdate;
 import linenring.protocol.HostList;
-import linenring.routing.UnusableUpdateException.Problem;
+import linenring.routing.InvalidUpdateException.Problem;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-class TablesTest {
+class EndpointTablesTest {
     private static Set<Integer> pickedHosts(RoutingFixture fixture, double nowMs) {
         Set<Integer> pickedHosts = new TreeSet<>();
         for (int i = 0; i < 2000; i++) {
@@ -59,8 +59,8 @@
     }
 
     private static void assertUnusable(RoutingFixture fixture, Problem problem, ConfigurationUpdate update) {
-        UnusableUpdateException thrown = assertThrows(
-                UnusableUpdateException.class, () -> fixture.tables().apply(update));
+        InvalidUpdateException thrown = assertThrows(
+                InvalidUpdateException.class, () -> fixture.tables().apply(update));
         assertEquals(problem, thrown.problem(), thrown.getMessage());
         assertEquals(Map.of(0, 1.0), fixture.tables().weights(0), thrown.getMessage());
     }
@@ -87,7 +87,7 @@
         fixture.apply(ejections(List.of("s-1"), List.of(), ConfigurationUpdate.WITHOUT_NONCE));
         fixture.withCompleteTables(3, null); // a new stream starts with a complete table
         assertEquals(hosts(0, 2), pickedHosts(fixture, 0));
-        assertFalse(fixture.tables().isEligibleAnywhere(1));
+        assertFalse(fixture.tables().isEligibleForAnyOperation(1));
         fixture.apply(ejections(List.of(), List.of("s-1"), ConfigurationUpdate.WITHOUT_NONCE));
         assertEquals(hosts(0, 1, 2), pickedHosts(fixture, 0));
     }
@@ -109,7 +109,7 @@
         fixture.withCompleteTables(2, null);
         assertFalse(fixture.tables().isEmpty());
         fixture.withCompleteTables(0, null);
-        assertEquals(Tables.NONE, fixture.tables().pick(0, 0, 0.5));
+        assertEquals(EndpointTables.NONE, fixture.tables().pick(0, 0, 0.5));
     }
 
     @Test
@@ -140,7 +140,7 @@
 
     @Test
     void admitsOrderedRateAndReturnsRetryAfter() {
-        RoutingFixture fixture = new RoutingFixture(1, Measure.PER_SECOND)
+        RoutingFixture fixture = new RoutingFixture(1, AdmissionUnit.PER_SECOND)
                 .withCompleteTables(1, admission(20, RetryPolicy.ONE_IF_NOT_EXECUTED));
         int admitted = 0;
         for (double nowMs = 0; nowMs < 10_000; nowMs += 10) { // 100 requests per second
@@ -213,18 +213,18 @@
     }
 
     private static void assertPicksEligible(RoutingFixture fixture, int operation, double nowMs) {
-        Tables tables = fixture.tables();
+        EndpointTables tables = fixture.tables();
         int pickedHost = tables.pick(operation, nowMs, fixture.random().nextDouble());
         boolean anyEligible =
                 tables.weights(operation).keySet().stream().anyMatch(host -> tables.isEligible(operation, host));
-        assertEquals(anyEligible, pickedHost != Tables.NONE);
-        assertTrue(pickedHost == Tables.NONE || tables.isEligible(operation, pickedHost));
+        assertEquals(anyEligible, pickedHost != EndpointTables.NONE);
+        assertTrue(pickedHost == EndpointTables.NONE || tables.isEligible(operation, pickedHost));
     }
 
     @Test
     void picksHostForSmallestAndLargestDraw() {
         RoutingFixture fixture = new RoutingFixture(3).withCompleteTables(3, null);
-        assertNotEquals(Tables.NONE, fixture.tables().pick(0, 0, 0));
-        assertNotEquals(Tables.NONE, fixture.tables().pick(0, 0, Math.nextDown(1.0)));
+        assertNotEquals(EndpointTables.NONE, fixture.tables().pick(0, 0, 0));
+        assertNotEquals(EndpointTables.NONE, fixture.tables().pick(0, 0, Math.nextDown(1.0)));
     }
 }
--- a/src/test/java/linenring/routing/RetryDecisionTest.java
+++ b/src/test/java/linenring/routing/RetryDecisionTest.java
@@ -14,7 +14,7 @@
 import java.util.BitSet;
 import java.util.List;
 import linenring.planner.Commands.RetryPolicy;
-import linenring.planner.PlannerSettings.Measure;
+import linenring.planner.PlannerSettings.AdmissionUnit;
 import linenring.routing.AttemptFailure.Cause;
 import linenring.routing.AttemptFailure.Execution;
 import net.jqwik.api.ForAll;
@@ -79,15 +79,15 @@
     void limitsSendTimeOfRetryWithIdempotencyKeyToDeduplicationWindow() {
         RetryDecision book = sixHosts(RetryPolicy.ONE).request(BOOK, true, 100);
         assertEquals(
-                Double.POSITIVE_INFINITY, requireSend(book.begin(100, true)).sendByMs());
+                Double.POSITIVE_INFINITY, requireSend(book.begin(100, true)).sendDeadlineMs());
         assertEquals(
                 100 + 0.8 * 2500,
-                requireSend(book.attemptFailed(CONNECTION_LOST, 200, true)).sendByMs());
+                requireSend(book.attemptFailed(CONNECTION_LOST, 200, true)).sendDeadlineMs());
         RetryDecision quote = sixHosts(RetryPolicy.ONE).request(QUOTE, false, 0);
         quote.begin(0, true);
         assertEquals(
                 Double.POSITIVE_INFINITY,
-                requireSend(quote.attemptFailed(CONNECTION_LOST, 10, true)).sendByMs());
+                requireSend(quote.attemptFailed(CONNECTION_LOST, 10, true)).sendDeadlineMs());
     }
 
     @Test
@@ -113,14 +113,14 @@
     @Test
     void limitsRetryableAttemptToObjectivesAndGivesLastAttemptAllRemainingTime() {
         RetryDecision retried = sixHosts(RetryPolicy.ONE).request(QUOTE, false, 0);
-        assertEquals(900, requireSend(retried.begin(0, true)).giveUpAtMs());
+        assertEquals(900, requireSend(retried.begin(0, true)).attemptDeadlineMs());
         assertEquals(
                 2000,
-                requireSend(retried.attemptFailed(ATTEMPT_TIMED_OUT, 900, true)).giveUpAtMs());
+                requireSend(retried.attemptFailed(ATTEMPT_TIMED_OUT, 900, true)).attemptDeadlineMs());
         RetryDecision sideEffecting = sixHosts(RetryPolicy.ONE).request(ASSIGN, false, 0);
-        assertEquals(2000, requireSend(sideEffecting.begin(0, true)).giveUpAtMs());
+        assertEquals(2000, requireSend(sideEffecting.begin(0, true)).attemptDeadlineMs());
         RetryDecision bodyNotRetained = sixHosts(RetryPolicy.ONE).request(QUOTE, false, 0);
-        assertEquals(2000, requireSend(bodyNotRetained.begin(0, false)).giveUpAtMs());
+        assertEquals(2000, requireSend(bodyNotRetained.begin(0, false)).attemptDeadlineMs());
     }
 
     @Test
@@ -198,7 +198,7 @@
     void rejectsImmediatelyForEmptyTableAndAboveAdmittedRate() {
         RetryDecision withoutHosts = new RoutingFixture(2).request(QUOTE, false, 0);
         assertEquals(FailureReason.NO_HOST, rejectionReason(withoutHosts.begin(0, true)));
-        RoutingFixture fixture = new RoutingFixture(2, Measure.PER_SECOND)
+        RoutingFixture fixture = new RoutingFixture(2, AdmissionUnit.PER_SECOND)
                 .withCompleteTables(2, admission(0.5, RetryPolicy.ONE_IF_NOT_EXECUTED));
         fixture.request(QUOTE, false, 0).begin(0, true);
         NextStep.Reject rejected =
--- a/src/test/java/linenring/routing/RoutingFixture.java
+++ b/src/test/java/linenring/routing/RoutingFixture.java
@@ -6,7 +6,7 @@
 import java.util.Random;
 import java.util.stream.IntStream;
 import linenring.planner.Commands.RetryPolicy;
-import linenring.planner.PlannerSettings.Measure;
+import linenring.planner.PlannerSettings.AdmissionUnit;
 import linenring.protocol.ConfigurationUpdate;
 import linenring.protocol.HostList;
 
@@ -25,22 +25,22 @@
     private static final double EJECTION_MS = 5000;
 
     private final HostRegistry hosts = new HostRegistry();
-    private final Tables tables;
+    private final EndpointTables tables;
     private final Random random = new Random(7);
     private RetryBudget budget = new RetryBudget(1, 100, 10_000);
 
     RoutingFixture(int count) {
-        this(count, Measure.SHARE);
+        this(count, AdmissionUnit.SHARE);
     }
 
-    RoutingFixture(int count, Measure measure) {
+    RoutingFixture(int count, AdmissionUnit measure) {
         List<HostList.Entry> entries = new ArrayList<>();
         for (int h = 0; h < count; h++) {
             entries.add(new HostList.Entry(
                     "s-" + h, h % 2, 0, HostList.State.READY, 1, 0, "127.0.0.1:" + (1000 + h), h / 2));
         }
         hosts.apply(new HostList(1, true, entries));
-        tables = new Tables(
+        tables = new EndpointTables(
                 ALL_OPERATIONS.stream().map(OperationPolicy::operation).toList(),
                 hosts,
                 measure,
@@ -52,7 +52,7 @@
         return hosts;
     }
 
-    Tables tables() {
+    EndpointTables tables() {
         return tables;
     }
 
@@ -99,7 +99,7 @@
     List<Integer> apply(ConfigurationUpdate update) {
         try {
             return tables.apply(update);
-        } catch (UnusableUpdateException unexpected) {
+        } catch (InvalidUpdateException unexpected) {
             throw new AssertionError(unexpected);
         }
     }
--- a/src/test/java/linenring/scale/report/RunReportTest.java
+++ b/src/test/java/linenring/scale/report/RunReportTest.java
@@ -48,11 +48,11 @@
             Map<String, Double> threads = Map.of("steward", 4e-6 * size, "compiler", 0.0001, "timer", 0.0002);
             Usage real = new Usage(0.01 + 4e-6 * size, 50e6 + 600 * size, Double.NaN, 1200, 300, 20, 2, threads);
             Usage simulated = new Usage(0.005 + 4e-6 * size, Double.NaN, 1e6 + 550 * size, 1200, 300, 20, 2, Map.of());
-            points.add(new Point(size, BASE.with(Variable.CATALOGUE_HOSTS, size), real, simulated, null));
+            points.add(new Point(size, BASE.withSize(Variable.CATALOGUE_HOSTS, size), real, simulated, null));
         }
         points.add(new Point(
                 FATAL_SIZE,
-                BASE.with(Variable.CATALOGUE_HOSTS, FATAL_SIZE),
+                BASE.withSize(Variable.CATALOGUE_HOSTS, FATAL_SIZE),
                 null,
                 null,
                 "exit code 3 | out of memory"));
--- a/src/test/java/linenring/scale/run/ScaleRunnerTest.java
+++ b/src/test/java/linenring/scale/run/ScaleRunnerTest.java
@@ -38,7 +38,7 @@
                         .map(point -> point.failure())
                         .toList());
         assertEquals(
-                List.of(WORKLOAD.with(Variable.PROXIES, 4), WORKLOAD),
+                List.of(WORKLOAD.withSize(Variable.PROXIES, 4), WORKLOAD),
                 run.sweeps().get(0).points().stream()
                         .map(point -> point.workload())
                         .toList());
--- a/src/test/java/linenring/stream/ConnectionRaceTest.java
+++ b/src/test/java/linenring/stream/ConnectionRaceTest.java
@@ -120,7 +120,7 @@
                 new PlannerSettings.ColdStart(0.2, 18_000),
                 new PlannerSettings.Channel(1200, 4, 1800, 30, 10_000, 100, 300, 2000),
                 new PlannerSettings.Shards(0, false, 0, 0),
-                PlannerSettings.Measure.SHARE,
+                PlannerSettings.AdmissionUnit.SHARE,
                 false,
                 0,
                 false,
