--- a/src/main/java/linenring/planner/Commands.java
+++ b/src/main/java/linenring/planner/Commands.java
@@ -17,7 +17,7 @@
     void setEjected(int host, boolean ejected);
 
     /**
-     * Binds a proxy to a table for the operations in the mask: bit k stands for operation k, and 0 for all
+     * Binds a proxy to a table for the operations in the mask: bit k represents operation k, and 0 for all
      * operations.
      */
     void bindProxy(int table, int operations, int proxy);
--- a/src/main/java/linenring/planner/EndpointTable.java
+++ b/src/main/java/linenring/planner/EndpointTable.java
@@ -66,7 +66,7 @@
         return number;
     }
 
-    /** Returns the mask of the table's operations: bit k stands for operation k, and 0 for all operations. */
+    /** Returns the mask of the table's operations: bit k represents operation k, and 0 for all operations. */
     int operations() {
         return operations;
     }
--- a/src/main/java/linenring/scale/report/fit/LeastSquares.java
+++ b/src/main/java/linenring/scale/report/fit/LeastSquares.java
@@ -19,7 +19,7 @@
 
     private static final double PARAMETER_PRECISION = 1e-6;
     private static final int MAX_EVALUATIONS = 200;
-    /** Sum of squares that stands for samples which do not determine the shape. */
+    /** Sum of squares that is used for samples which do not determine the shape. */
     private static final double UNDETERMINED = Double.MAX_VALUE;
     /** Sums of squared residuals below this share of the sum of squared values are rounding errors. */
     private static final double ROUNDING_ERROR_SHARE = 1e-12;
