--- a/src/main/java/linenring/kdl/KdlReader.java
+++ b/src/main/java/linenring/kdl/KdlReader.java
@@ -84,13 +84,14 @@
             String text = token.getText();
             String quoted = "'" + shorten(text) + "'";
             return switch (token.getType()) {
-                case Token.EOF -> "the file ends before a '}' that is open";
+                case Token.EOF -> "expected a '}' before the end of the file";
                 case KdlLexer.UNQUOTED ->
-                    quoted + " is no number; text that begins with a digit stands in quotes: \"" + shorten(text) + "\"";
+                    quoted + " is not a number; text that begins with a digit must be in quotes: \"" + shorten(text)
+                            + "\"";
                 case KdlLexer.SEP -> "expected more on this line, found its end";
                 case KdlLexer.STRAY ->
-                    text.equals("\"") ? "a quote is opened and not closed on its line" : quoted + " can't stand here";
-                default -> quoted + " can't stand here";
+                    text.equals("\"") ? "expected a closing quote on the same line" : quoted + " is not allowed here";
+                default -> quoted + " is not allowed here";
             };
         }
 
--- a/src/main/java/linenring/kdl/KdlToJson.java
+++ b/src/main/java/linenring/kdl/KdlToJson.java
@@ -69,7 +69,7 @@
     private void reportDuplicate(KdlNode node, int firstLine) {
         if (duplicateError == null) {
             duplicateError =
-                    new KdlError(node.line(), node.name() + " is given a second time, first on line " + firstLine);
+                    new KdlError(node.line(), node.name() + " is defined more than once, first on line " + firstLine);
         }
     }
 
--- a/src/main/java/linenring/kdl/SettingsSchema.java
+++ b/src/main/java/linenring/kdl/SettingsSchema.java
@@ -85,13 +85,13 @@
         boolean isArguments = KdlToJson.ARGUMENTS.equals(property);
         switch (error.getKeyword()) {
             case "required" -> {
-                String missing = isArguments ? "what it is called" : property;
+                String missing = isArguments ? "its name" : property;
                 document.addError(pointer, dottedName(pointer) + ": " + missing + " is missing");
             }
             case "additionalProperties" -> {
                 String unexpected = isArguments
-                        ? "a value stands where properties such as name=value are expected"
-                        : property + " is not known here";
+                        ? "expected properties such as name=value, found a value"
+                        : property + " is not a known key here";
                 document.addError(pointer + "/" + property, dottedName(pointer) + ": " + unexpected);
             }
             default -> {
--- a/src/main/java/linenring/planner/AdmissionController.java
+++ b/src/main/java/linenring/planner/AdmissionController.java
@@ -112,12 +112,12 @@
         }
         double previousRatio = admissionRatio;
         admissionRatio = nextRatio(statistics);
-        boolean isCut = admissionRatio < previousRatio;
-        if (isCut) {
+        boolean isReduced = admissionRatio < previousRatio;
+        if (isReduced) {
             discardOutcomesAtMs =
                     context.nowMs() + QUEUE_DRAIN_MS + Math.max(MIN_REPORT_WAIT_MS, statistics.reportSpanMs());
         }
-        nextEvaluationAtMs = (isCut ? discardOutcomesAtMs : context.nowMs()) + REEVALUATION_INTERVAL_MS;
+        nextEvaluationAtMs = (isReduced ? discardOutcomesAtMs : context.nowMs()) + REEVALUATION_INTERVAL_MS;
         shed((1 - admissionRatio) * workPerSecond);
         return admissionRatio != previousRatio;
     }
--- a/src/main/java/linenring/planner/Planner.java
+++ b/src/main/java/linenring/planner/Planner.java
@@ -94,7 +94,7 @@
      */
     private List<Rule> orderedRules() {
         return List.of(
-                // the first rules decide which tables exist, and which hosts and proxies each table serves
+                // these two rules decide which tables exist, and which hosts and proxies each table serves
                 Rule.preparing(partitionDetector::detectPartitions),
                 Rule.preparing(subsetAssigner::updateSubsets),
                 // joining proxies are bound before drains, since a bind replaces the old table together with its
@@ -216,8 +216,8 @@
     }
 
     /** Sets whether this controller is in charge of the shard from now on. */
-    public void setShardInCharge(int shard, boolean inCharge) {
-        shardPlacement.setInCharge(shard, inCharge);
+    public void setShardInCharge(int shard, boolean isInCharge) {
+        shardPlacement.setInCharge(shard, isInCharge);
     }
 
     /** Sets the host that owns the shard; the entry of the host at the shard's proxies has this weight. */
--- a/src/main/java/linenring/planner/ShardPlacement.java
+++ b/src/main/java/linenring/planner/ShardPlacement.java
@@ -29,11 +29,11 @@
     }
 
     /** Sets whether this controller is in charge of the shard from now on. */
-    void setInCharge(int shard, boolean inCharge) {
+    void setInCharge(int shard, boolean isInCharge) {
         // the owner that another controller has assigned may still be writing
         context.registry()
                 .shardTable(shard)
-                .discardOwnerAndEntries(inCharge ? context.nowMs() : Double.POSITIVE_INFINITY);
+                .discardOwnerAndEntries(isInCharge ? context.nowMs() : Double.POSITIVE_INFINITY);
     }
 
     /** Sets the owner of the shard; the shard's proxies already have an entry for the owner. */
--- a/src/main/java/linenring/planner/SlowStart.java
+++ b/src/main/java/linenring/planner/SlowStart.java
@@ -24,8 +24,8 @@
      */
     private static final double MIN_SUCCESS_FACTOR = 0.01;
     /**
-     * A host's weight is cut outside the update windows when its target weight is below this part of the written
-     * weight.
+     * A host's weight is cut regardless of the proxies' windows when its target weight is below this share of the
+     * weight that was last written.
      */
     private static final double CUT_THRESHOLD_RATIO = 0.6;
 
--- a/src/main/java/linenring/scale/catalogue/Catalogue.java
+++ b/src/main/java/linenring/scale/catalogue/Catalogue.java
@@ -167,9 +167,9 @@
         if (heldVersion == version) {
             return null;
         }
-        boolean isKept =
+        boolean hasAllLaterChanges =
                 heldVersion < version && !changes.isEmpty() && changes.peek().version() <= heldVersion + 1;
-        return isKept ? mergeChangesAfter(heldVersion) : snapshot();
+        return hasAllLaterChanges ? mergeChangesAfter(heldVersion) : snapshot();
     }
 
     /** Merges all changes after a version into one delta, which has the latest state of each changed host. */
--- a/src/main/java/linenring/scale/run/StaleHostDurations.java
+++ b/src/main/java/linenring/scale/run/StaleHostDurations.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Tracks how long tables hold hosts that are no longer ready, from readings taken a few times a second; performs no I/O. */
+/** Tracks how long tables hold hosts that are no longer ready, from checks a few times a second; performs no I/O. */
 final class StaleHostDurations {
     private static final double SECOND_NANOS = 1e9;
 
     private final Map<String, Long> staleSinceNanos = new HashMap<>(); // start of the current stale period, by host
     private long longestNanos;
 
-    /** Adds a reading with all hosts that are stale at {@code nowNanos}. */
+    /** Records the set of all hosts that are stale at {@code nowNanos}. */
     void add(Set<String> staleHosts, long nowNanos) {
         staleSinceNanos.forEach((host, start) -> longestNanos = Math.max(longestNanos, nowNanos - start));
         staleSinceNanos.keySet().retainAll(staleHosts);
--- a/src/test/java/linenring/discovery/HostWatchTest.java
+++ b/src/test/java/linenring/discovery/HostWatchTest.java
@@ -176,7 +176,10 @@
                     advanceNanos(3_000_000_000L);
                     write(
                             newConnection,
-                            chunk(list(4, false, hostInState("Ready")))); // a further delta of the restarted versions
+                            chunk(list(
+                                    4,
+                                    false,
+                                    hostInState("Ready")))); // another delta with a version below the current one
                     awaitLog("ignoring version 4, which is older than the current version 42", 2);
                     advanceNanos(3_000_000_001L);
                     write(newConnection, chunk("\n"));
--- a/src/test/java/linenring/gateway/FailedStreamsTest.java
+++ b/src/test/java/linenring/gateway/FailedStreamsTest.java
@@ -84,7 +84,7 @@
      */
     @Test
     void retriesWhenGoAwayIsReadBeforeWriteOfHeadersReturns() throws Exception {
-        SlowFirstConnector connector = new SlowFirstConnector();
+        SlowWriteConnector connector = new SlowWriteConnector();
         try (GatewayFixture fixture = new GatewayFixture(2, "", () -> new HTTP2Client(connector))) {
             fixture.backends().get(0).onPath("/assign", Reaction.of(Behaviour.GO_AWAY_BELOW));
             fixture.sendTable(new int[] {0}, 1, RetryPolicy.ONE_IF_NOT_EXECUTED);
@@ -126,7 +126,7 @@
     }
 
     /** A connector that uses a {@link SlowWriteEndPoint} for its first connection. */
-    private static final class SlowFirstConnector extends ClientConnector {
+    private static final class SlowWriteConnector extends ClientConnector {
         private final AtomicInteger dials = new AtomicInteger();
         private volatile SlowWriteEndPoint firstEndPoint;
 
--- a/src/test/java/linenring/gateway/GatewayBesideControllerTest.java
+++ b/src/test/java/linenring/gateway/GatewayBesideControllerTest.java
@@ -190,15 +190,15 @@
     @Test
     void dialsHostAtItsNewAddress() throws IOException {
         try (TestClient client = connect();
-                TestBackend elsewhere = new TestBackend()) {
+                TestBackend backendAtNewAddress = new TestBackend()) {
             backends.get(0).close();
-            backends.set(0, elsewhere);
+            backends.set(0, backendAtNewAddress);
             enqueueHostList(HostList.State.READY, 0);
             TestClient.await(
                     this,
                     () -> {
                         callQuote(client); // the status does not matter until the new address is used
-                        return elsewhere.executions("/quote") > 0;
+                        return backendAtNewAddress.executions("/quote") > 0;
                     },
                     "the gateway uses the new address");
         }
--- a/src/test/java/linenring/handover/HandoverWorld.java
+++ b/src/test/java/linenring/handover/HandoverSimulation.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 
 /** Simulates both processes of a handover and the messages between them, by replaying a history of events. */
-final class HandoverWorld {
+final class HandoverSimulation {
     /** An event of the simulation. */
     enum Event {
         UPGRADE_REQUESTED,
@@ -59,7 +59,7 @@
     private boolean isOutcomeReported;
     private double nowMs;
 
-    HandoverWorld(List<Event> events) {
+    HandoverSimulation(List<Event> events) {
         events.forEach(this::handle);
     }
 
--- a/src/test/java/linenring/handover/HandoverStatesTest.java
+++ b/src/test/java/linenring/handover/HandoverStatesTest.java
@@ -20,18 +20,18 @@
     @Test
     void keepsOneProcessAcceptingInEveryOrderOfMessagesDeathsAndTimeouts() {
         Set<String> exploredStates = new HashSet<>();
-        ArrayDeque<List<HandoverWorld.Event>> unexploredHistories = new ArrayDeque<>(List.of(List.of()));
+        ArrayDeque<List<HandoverSimulation.Event>> unexploredHistories = new ArrayDeque<>(List.of(List.of()));
         while (!unexploredHistories.isEmpty()) {
-            List<HandoverWorld.Event> events = unexploredHistories.remove();
-            HandoverWorld world = new HandoverWorld(events);
+            List<HandoverSimulation.Event> events = unexploredHistories.remove();
+            HandoverSimulation world = new HandoverSimulation(events);
             if (!exploredStates.add(world.stateKey())) {
                 continue;
             }
             assertTrue(
-                    new HandoverWorld(events).settlesWithOneAcceptingProcess(),
+                    new HandoverSimulation(events).settlesWithOneAcceptingProcess(),
                     () -> "no process accepts after events " + events);
-            for (HandoverWorld.Event nextEvent : world.possibleEvents()) {
-                List<HandoverWorld.Event> extendedHistory = new ArrayList<>(events);
+            for (HandoverSimulation.Event nextEvent : world.possibleEvents()) {
+                List<HandoverSimulation.Event> extendedHistory = new ArrayList<>(events);
                 extendedHistory.add(nextEvent);
                 unexploredHistories.add(extendedHistory);
             }
--- a/src/test/java/linenring/planner/ColdHostsTest.java
+++ b/src/test/java/linenring/planner/ColdHostsTest.java
@@ -91,8 +91,8 @@
     }
 
     /**
-     * Guards against the exclusion of cold hosts where it does harm. At a low request rate no proxy has enough
-     * attempts to avoid a host; cold hosts that were kept out once left 48 of 120 hosts to carry the whole load.
+     * Guards against excluding cold hosts from a large fleet. At a low request rate no proxy has enough attempts to
+     * avoid a host, so the exclusion protects no host; it has left 48 of 120 hosts with the whole load.
      */
     @Test
     void admitsColdHostInRetryStormWhereProxiesAvoidNoHost() {
--- a/src/test/java/linenring/planner/PlannerPlayer.java
+++ b/src/test/java/linenring/planner/PlannerDriver.java
@@ -8,7 +8,7 @@
  * Plays a planner on a simulated clock: calls the planner when an input is due and when the planner has requested a
  * call.
  */
-final class PlannerPlayer {
+final class PlannerDriver {
     static final double START_MS = 1_000_000;
 
     private record Input(double timeMs, long sequenceNumber, Consumer<Planner> action) {}
@@ -23,7 +23,7 @@
     private int callCount;
 
     /** Creates a player that runs the action after each reconciliation. */
-    PlannerPlayer(PlannerSettings settings, Commands commands, Runnable afterCall) {
+    PlannerDriver(PlannerSettings settings, Commands commands, Runnable afterCall) {
         planner = new Planner(settings, commands);
         this.afterCall = afterCall;
     }
--- a/src/test/java/linenring/planner/PlannerHistory.java
+++ b/src/test/java/linenring/planner/PlannerHistory.java
@@ -18,9 +18,9 @@
 
     private final boolean isCalledEveryTick;
     private final boolean hasUnresponsiveProxy;
-    private final PlannerPlayer player = new PlannerPlayer(FakeProxies.settings(0), this, this::requestTick);
+    private final PlannerDriver player = new PlannerDriver(FakeProxies.settings(0), this, this::requestTick);
     private final List<String> decisions = new ArrayList<>();
-    private double nextTickMs = PlannerPlayer.START_MS;
+    private double nextTickMs = PlannerDriver.START_MS;
 
     PlannerHistory(boolean isCalledEveryTick, boolean hasUnresponsiveProxy) {
         this.isCalledEveryTick = isCalledEveryTick;
--- a/src/test/java/linenring/planner/RandomFleet.java
+++ b/src/test/java/linenring/planner/RandomFleet.java
@@ -259,7 +259,7 @@
 
     private void reportRates(Planner planner, int proxy) {
         int operations = shape.settings().operations().size();
-        boolean sendsRates = isJoined[proxy] && history.nowMs() >= PlannerPlayer.START_MS + shape.requestRatesFromMs();
+        boolean sendsRates = isJoined[proxy] && history.nowMs() >= PlannerDriver.START_MS + shape.requestRatesFromMs();
         for (int operation = 0; sendsRates && operation < operations; operation++) {
             double expected = shape.requestsPerSecond() / operations * (0.7 + 0.6 * random.nextDouble());
             planner.requestRate(proxy, operation, REPORT_MS, (int) (expected + random.nextDouble()));
--- a/src/test/java/linenring/planner/RandomShape.java
+++ b/src/test/java/linenring/planner/RandomShape.java
@@ -79,7 +79,7 @@
     private Shape draw() {
         int zones = 1 + random.nextInt(3);
         PlannerSettings settings = settings(zones);
-        double pressureLow = uniform(0.05, 0.4);
+        double minRelativeLatency = uniform(0.05, 0.4);
         return new Shape(
                 settings,
                 3 + random.nextInt(30),
@@ -87,8 +87,8 @@
                 zones,
                 1 + random.nextInt(3),
                 logarithmic(0.15, 30),
-                pressureLow,
-                pressureLow + uniform(0, 1.2),
+                minRelativeLatency,
+                minRelativeLatency + uniform(0, 1.2),
                 zeroOrLogarithmic(0.001, 0.1),
                 zeroOrLogarithmic(0.001, 0.05),
                 uniform(0, 0.8),
--- a/src/test/java/linenring/planner/RecordedHistory.java
+++ b/src/test/java/linenring/planner/RecordedHistory.java
@@ -21,12 +21,12 @@
 
     private final PlannerSettings settings;
     private final IntPredicate isSometimesUnresponsive;
-    private final PlannerPlayer player;
+    private final PlannerDriver player;
     private final List<String> commands = new ArrayList<>();
     private final BitSet ejected = new BitSet();
     private final double[] lastWeight = new double[MAX_HOSTS];
     private final ArrayDeque<Runnable> pendingAcknowledgements = new ArrayDeque<>();
-    private double channelFreeAtMs = PlannerPlayer.START_MS;
+    private double channelFreeAtMs = PlannerDriver.START_MS;
     private double channelSlowdown = 1;
     private int nonce;
 
@@ -39,7 +39,7 @@
     RecordedHistory(PlannerSettings settings, IntPredicate isSometimesUnresponsive) {
         this.settings = settings;
         this.isSometimesUnresponsive = isSometimesUnresponsive;
-        player = new PlannerPlayer(settings, this, this::scheduleAcknowledgements);
+        player = new PlannerDriver(settings, this, this::scheduleAcknowledgements);
     }
 
     double nowMs() {
@@ -68,7 +68,7 @@
 
     /** Records a command, or a value that the planner returned, with the current time. */
     void record(String command) {
-        commands.add(String.format(Locale.ROOT, "%.3f %s", nowMs() - PlannerPlayer.START_MS, command));
+        commands.add(String.format(Locale.ROOT, "%.3f %s", nowMs() - PlannerDriver.START_MS, command));
     }
 
     void playTo(double elapsedMs) {
@@ -155,14 +155,14 @@
 
     private boolean isUnresponsive(int proxy, double atMs) {
         boolean isInUnresponsivePhase =
-                (atMs - PlannerPlayer.START_MS) % RESPONSE_CYCLE_MS >= RESPONSIVE_SHARE_OF_CYCLE * RESPONSE_CYCLE_MS;
+                (atMs - PlannerDriver.START_MS) % RESPONSE_CYCLE_MS >= RESPONSIVE_SHARE_OF_CYCLE * RESPONSE_CYCLE_MS;
         return isInUnresponsivePhase && isSometimesUnresponsive.test(proxy);
     }
 
     @Override
     public void requestCall(double atMs) {
         player.requestCall(atMs);
-        record(String.format(Locale.ROOT, "call at=%.3f", atMs - PlannerPlayer.START_MS));
+        record(String.format(Locale.ROOT, "call at=%.3f", atMs - PlannerDriver.START_MS));
     }
 
     @Override
--- a/src/test/java/linenring/protocol/HostListStreamTest.java
+++ b/src/test/java/linenring/protocol/HostListStreamTest.java
@@ -46,13 +46,13 @@
     }
 
     /** Feeds the text in fragments that end at these byte offsets, each in the same reused array. */
-    private DecodeResult<HostList> read(HostListFilter filter, String text, int... ends) {
+    private DecodeResult<HostList> read(HostListFilter filter, String text, int... endOffsets) {
         byte[] all = text.getBytes(StandardCharsets.UTF_8);
         byte[] buffer = new byte[all.length];
         try (HostListStream stream = codec.hostListStream(filter)) {
             int from = 0;
-            int[] fragmentEnds = Arrays.copyOf(ends, ends.length + 1);
-            fragmentEnds[ends.length] = all.length;
+            int[] fragmentEnds = Arrays.copyOf(endOffsets, endOffsets.length + 1);
+            fragmentEnds[endOffsets.length] = all.length;
             for (int end : fragmentEnds) {
                 System.arraycopy(all, from, buffer, 0, end - from);
                 stream.feed(buffer, 0, end - from);
@@ -88,11 +88,11 @@
     @Property(tries = 300)
     void decodesTheSameListFromAnyFragments(@ForAll @Size(max = 40) List<@IntRange(max = 900) Integer> cuts) {
         int bytes = LIST.getBytes(StandardCharsets.UTF_8).length;
-        int[] ends =
+        int[] endOffsets =
                 cuts.stream().mapToInt(cut -> Math.min(cut, bytes)).sorted().toArray();
         assertEquals(
                 read(scopedFilter(), LIST).orElseThrow(),
-                read(scopedFilter(), LIST, ends).orElseThrow());
+                read(scopedFilter(), LIST, endOffsets).orElseThrow());
     }
 
     /** The connection breaks within a list: if half a list were accepted, the hosts of the other half would be removed. */
--- a/src/test/java/linenring/scale/settings/ScalePlanReaderTest.java
+++ b/src/test/java/linenring/scale/settings/ScalePlanReaderTest.java
@@ -75,7 +75,7 @@
                 "3 | seed -1 | 3: scale.seed: -1 is not a whole number from 0",
                 "3 | | 2: scale: seed is missing",
                 "4 | warm-up 2 | 4: scale.warm-up: 2 is not a duration with its unit, such as \"20s\" or \"1.5min\"",
-                "4 | warmup \"2s\"; warm-up \"2s\" | 4: scale: warmup is not known here",
+                "4 | warmup \"2s\"; warm-up \"2s\" | 4: scale: warmup is not a known key here",
                 "6 | bounds memory=\"2GB\" processes=20 time=\"5min\" | 6: scale.bounds.memory: \"2GB\" is not a size with its unit, such as \"8GiB\"",
                 "6 | bounds memory=\"2GiB\" processes=20 time=\"20s\" | 6: scale.bounds.time: \"20s\" is less than the 21 s that warm-up and window of all points take",
                 "7 | workload catalogue-hosts=256 proxies=8 zones=3 stewards=2 changes-per-second=0 reports-per-second=0 restarts-per-second=0 | 7: scale.workload: services is missing",
@@ -87,7 +87,7 @@
                 "14 | workload hosts-in-scope=512 | 14: scale.sweep \"changes-per-second\".workload: hosts-in-scope of 512 exceeds catalogue-hosts of 256",
                 "16 | scenario \"zone-lost\" | 16: scale.scenario: \"zone-lost\" is not one of \"idle\", \"churn\", \"rolling-restart\", \"rack-lost\", \"zone-lost-and-back\", \"silence-caught-up\", \"spoilt-list\", \"partial-list\", \"proxies-restarted\", \"stewards-restarted\"",
                 "17 | scenario-workload hosts-in-scope=257 | 17: scale.scenario-workload: hosts-in-scope of 257 exceeds catalogue-hosts of 256",
-                "18 | | 19: the file ends before a '}' that is open",
+                "18 | | 19: expected a '}' before the end of the file",
             })
     void reportsFileLineKeyAndExpectedValueOfAnError(int line, String replacement, String message) {
         List<String> lines = new ArrayList<>(VALID.lines().toList());
