--- a/src/main/java/linenring/discovery/CurrentHosts.java
+++ b/src/main/java/linenring/discovery/CurrentHosts.java
@@ -50,7 +50,7 @@
         return scope;
     }
 
-    /** Whether the current list has this host or may have it. */
+    /** Whether the current list contains the host, or may contain it because its ids are not completely known. */
     boolean mayContain(String host) {
         return mayContainOtherHosts || hostIds.contains(host);
     }
--- a/src/main/java/linenring/discovery/WatchState.java
+++ b/src/main/java/linenring/discovery/WatchState.java
@@ -101,7 +101,7 @@
         return nextSource().flatMap(EndpointSource::connection);
     }
 
-    /** Returns the connection of the serving source if the given source is about to replace the serving source. */
+    /** Returns the serving source's connection if the given source is the next one to serve, or else empty. */
     synchronized Optional<AgentConnection> servingConnectionIfNext(EndpointSource source) {
         boolean isNext = !source.isAbandoned() && source == nextSource;
         return isNext ? servingSource.connection() : Optional.empty();
--- a/src/main/java/linenring/gateway/settings/GatewayDefaults.java
+++ b/src/main/java/linenring/gateway/settings/GatewayDefaults.java
@@ -110,8 +110,8 @@
     static final String HANDOVER_TAKEOVER_TIMEOUT = "5s";
 
     /**
-     * Time in a handover during which the old process takes over again if the new one exits; a fault that ends a new
-     * release immediately shows within seconds.
+     * Time in a handover during which the old process takes over again if the new one exits. A new release that fails at
+     * its start exits within seconds.
      */
     static final String HANDOVER_PROBATION_TIME = "10s";
 
--- a/src/main/java/linenring/planner/HostHealth.java
+++ b/src/main/java/linenring/planner/HostHealth.java
@@ -96,7 +96,7 @@
         weightShare = initialShare;
     }
 
-    /** Sets the backoff of the next probation as after this number of failed probations. */
+    /** Makes the wait until the next probation as long as after the given number of failed probations. */
     void presumeFailedProbations(int failedProbations) {
         consecutiveEjections = failedProbations;
     }
--- a/src/main/java/linenring/routing/NextStep.java
+++ b/src/main/java/linenring/routing/NextStep.java
@@ -21,9 +21,9 @@
     /** Answer the request with a failure; {@code retryAfterMs} is infinity if no retry time is known. */
     record Reject(FailureReason reason, double retryAfterMs) implements NextStep {}
 
-    /** The type of {@link #FORWARD}. */
+    /** Forward the host's response to the client; {@link #FORWARD} is the only instance. */
     record Forward() implements NextStep {}
 
-    /** The type of {@link #NOTHING}. */
+    /** Take no action; {@link #NOTHING} is the only instance. */
     record Nothing() implements NextStep {}
 }
--- a/src/main/java/linenring/simulator/SimulatorMessage.java
+++ b/src/main/java/linenring/simulator/SimulatorMessage.java
@@ -22,8 +22,8 @@
     }
 
     /** Parses the next line; throws {@link SimulatorInputException} for a field that is not of the form name=value. */
-    void read(String text, long newLineNumber) {
-        lineNumber = newLineNumber;
+    void read(String text, long inputLineNumber) {
+        lineNumber = inputLineNumber;
         fieldCount = 0;
         int end = text.indexOf(' ');
         name = end < 0 ? text : text.substring(0, end);
--- a/src/main/java/linenring/stream/OutboundQueue.java
+++ b/src/main/java/linenring/stream/OutboundQueue.java
@@ -27,7 +27,7 @@
     private final Flusher flusher = new Flusher();
     private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>(); // @GuardedBy("unsent")
     private int unsentBytes; // @GuardedBy("unsent")
-    private volatile boolean isClosed; // written with the lock on unsent held
+    private volatile boolean isClosed; // modified only while holding the lock of the field unsent
 
     OutboundQueue(EndPoint endPoint, Runnable onWriteFailure) {
         this.endPoint = endPoint;
--- a/src/main/java/linenring/stream/PeerConnection.java
+++ b/src/main/java/linenring/stream/PeerConnection.java
@@ -41,7 +41,7 @@
     private final StreamServer server;
     private final long number;
     private final long openedAtNanos;
-    private final PeerSession session = new PeerSession(); // modified with the lock on "this" held
+    private final PeerSession session = new PeerSession(); // modified only while holding this connection's lock
     private final LineFramer framer; // @GuardedBy("this")
     private final OutboundQueue outbound;
 
--- a/src/test/java/linenring/cli/ControllerLauncherTest.java
+++ b/src/test/java/linenring/cli/ControllerLauncherTest.java
@@ -55,7 +55,8 @@
     void reloadsAtStartAfterAnEarlierSighup() throws Exception {
         ReloadSignals signals = ReloadSignals.install(() -> {});
         AtomicInteger reloadCount = new AtomicInteger();
-        synchronized (signals) { // holds back the signal's thread, so that the signal precedes the reload action
+        synchronized (
+                signals) { // the signal is raised, but its handler waits for this lock until the reload action is set
             ProcessSignals.raise(ProcessSignals.HANG_UP);
             while (Thread.getAllStackTraces().keySet().stream()
                     .noneMatch(
--- a/src/test/java/linenring/controller/ChannelModel.java
+++ b/src/test/java/linenring/controller/ChannelModel.java
@@ -272,7 +272,7 @@
         return maxQueuedEntries;
     }
 
-    /** Returns the highest number of entries written since the oldest unsent message. */
+    /** Returns the maximum, over time, of the entries in the oldest message that is not sent yet and in all later ones. */
     double maxCountedEntries() {
         return maxCountedEntries;
     }
--- a/src/test/java/linenring/controller/CompleteListsTest.java
+++ b/src/test/java/linenring/controller/CompleteListsTest.java
@@ -56,24 +56,25 @@
     @ParameterizedTest(name = "seed {0}")
     @ValueSource(ints = {1, 2, 3, 4, 5})
     void completeListsLeadToTheSameTablesAsChanges(int seed) {
-        ControlLoopFixture fedChanges = new ControlLoopFixture(warmHosts(1, HOSTS), PROXIES).joinAll(PROXIES, true);
-        ControlLoopFixture fedCompleteLists =
+        ControlLoopFixture fleetWithDeltas =
+                new ControlLoopFixture(warmHosts(1, HOSTS), PROXIES).joinAll(PROXIES, true);
+        ControlLoopFixture fleetWithCompleteLists =
                 new ControlLoopFixture(warmHosts(1, HOSTS), PROXIES).joinAll(PROXIES, true);
         Catalogue catalogue = new Catalogue();
         warmHosts(1, HOSTS).entries().forEach(catalogue::applyEntry);
         Random random = new Random(seed);
         for (int step = 0; step < 120; step++) {
             catalogue.changes.clear();
-            changeSomeHosts(catalogue, fedChanges.nowMs(), random);
+            changeSomeHosts(catalogue, fleetWithDeltas.nowMs(), random);
             HostList changes = catalogue.nextChanges();
-            fedChanges.eventQueue().enqueueHostList(changes);
-            fedCompleteLists.eventQueue().enqueueHostList(step % 3 == 0 ? changes : catalogue.complete());
+            fleetWithDeltas.eventQueue().enqueueHostList(changes);
+            fleetWithCompleteLists.eventQueue().enqueueHostList(step % 3 == 0 ? changes : catalogue.complete());
             double stepMs = 100 + 50 * random.nextInt(12);
-            fedChanges.advance(stepMs);
-            fedCompleteLists.advance(stepMs);
-            assertEquals(tables(fedChanges), tables(fedCompleteLists), "after step " + step);
+            fleetWithDeltas.advance(stepMs);
+            fleetWithCompleteLists.advance(stepMs);
+            assertEquals(tables(fleetWithDeltas), tables(fleetWithCompleteLists), "after step " + step);
         }
-        RecordingProxy any = fedCompleteLists.proxies().get(0);
+        RecordingProxy any = fleetWithCompleteLists.proxies().get(0);
         assertTrue(
                 any.ejectionTimesMs().size() > 10 && any.restorationTimesMs().size() > 5,
                 "too few hosts were ejected and restored for a useful comparison");
--- a/src/test/java/linenring/controller/FleetStateTest.java
+++ b/src/test/java/linenring/controller/FleetStateTest.java
@@ -269,7 +269,7 @@
         // Two equal policies are sent as one, which leaves room for one restoration.
         assertEquals(List.of("s-0", "s-1"), otherStream.lastParts().get(0).restored());
         fleetState.setWeight(7, 0, 0.5);
-        // The planner must count the restoration that the update carries besides its entry.
+        // The planner must count two entries: the table entry and the restoration in the same update.
         assertEquals(2, fleetState.entriesInMessage(0, 1));
         fleetState.send();
         // Each update carries one additional restoration.
--- a/src/test/java/linenring/gateway/DrainTest.java
+++ b/src/test/java/linenring/gateway/DrainTest.java
@@ -15,7 +15,7 @@
         assertTrue(drain.acceptStream("session", 1));
         assertTrue(drain.begin(0));
         assertFalse(drain.begin(1));
-        assertTrue(drain.acceptStream("session", 3)); // in transit when the drain begins
+        assertTrue(drain.acceptStream("session", 3)); // the stream was in transit when the drain began
         assertFalse(drain.sessionOpened("opened during drain"));
         assertEquals(Drain.Stage.ANNOUNCED, drain.advance(100));
         assertEquals(Drain.Stage.SENDING_FINAL_GOAWAYS, drain.advance(200));
--- a/src/test/java/linenring/gateway/MisbehavingClientsTest.java
+++ b/src/test/java/linenring/gateway/MisbehavingClientsTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Tests clients that violate rules or limits of HTTP/2 (RFC 9113, 5.1, 6, 10.5). Only the violator's stream or connection
+ * Tests clients that violate rules or limits of HTTP/2 (RFC 9113, 5.1, 6, 10.5). Only the violating client's stream or connection
  * is closed, and other clients are still served.
  */
 @Timeout(60)
@@ -38,20 +38,23 @@
         void commit(TestClient client) throws IOException;
     }
 
-    /** Asserts that the violator's connection is closed with one of the error codes and that other clients are served. */
+    /** Asserts that the connection of the violating client is closed with one of the error codes and that other clients are served. */
     private static void assertEndsViolatorAlone(GatewayFixture fixture, Set<Integer> codes, Violation violation)
             throws IOException {
         TestClient other = fixture.connect();
         assertEquals(200, other.call("GET", "/quote").status());
-        TestClient violator = fixture.connect();
+        TestClient violatingClient = fixture.connect();
         try {
-            violation.commit(violator);
+            violation.commit(violatingClient);
         } catch (IOException failure) {
             // the gateway closed the connection during the violation
         }
-        violator.await(violator::isClosed, "the violator's connection is closed");
-        if (!violator.goAways().isEmpty()) { // a reset of the connection may lose the GOAWAY
-            int code = violator.goAways().get(violator.goAways().size() - 1).readUint31(4);
+        violatingClient.await(violatingClient::isClosed, "the connection of the violating client is closed");
+        if (!violatingClient.goAways().isEmpty()) { // a reset of the connection may lose the GOAWAY
+            int code = violatingClient
+                    .goAways()
+                    .get(violatingClient.goAways().size() - 1)
+                    .readUint31(4);
             assertTrue(codes.contains(code), "error code " + code);
         }
         assertEquals(200, other.call("GET", "/quote").status());
@@ -72,10 +75,10 @@
                             "/quote/large", Reaction.of(Behaviour.ANSWER).withBodyBytes(5_000_000)));
             TestClient other = fixture.connect();
             other.call("GET", "/quote");
-            List<TestClient> violators = new ArrayList<>();
+            List<TestClient> violatingClients = new ArrayList<>();
             for (int i = 0; i < 50; i++) {
-                violators.add(fixture.connect().stopWindowUpdates());
-                violators.get(i).send("GET", "/quote/large");
+                violatingClients.add(fixture.connect().stopWindowUpdates());
+                violatingClients.get(i).send("GET", "/quote/large");
             }
             other.await(() -> fixture.executions("/quote/large") == 50, "the backends execute all requests");
             long maxLatencyNanos = 0;
@@ -85,9 +88,9 @@
                 maxLatencyNanos = Math.max(maxLatencyNanos, System.nanoTime() - startNanos);
             }
             assertTrue(maxLatencyNanos < 1_000_000_000L, "another client waited " + maxLatencyNanos / 1e6 + " ms");
-            for (TestClient violator : violators) {
-                assertEquals(ENHANCE_YOUR_CALM, violator.await(1).resetCode());
-                assertTrue(violator.response(1).bodyBytes() <= 65_535);
+            for (TestClient violatingClient : violatingClients) {
+                assertEquals(ENHANCE_YOUR_CALM, violatingClient.await(1).resetCode());
+                assertTrue(violatingClient.response(1).bodyBytes() <= 65_535);
             }
             long sentBytes = fixture.backends().stream()
                     .mapToLong(TestBackend::sentBytes)
--- a/src/test/java/linenring/handover/HandoverSimulation.java
+++ b/src/test/java/linenring/handover/HandoverSimulation.java
@@ -215,7 +215,10 @@
                 + isPreparing + isOldProcessAccepting + isNewProcessAccepting + isOutcomeReported;
     }
 
-    /** Handles all events that are not avoidable, and returns whether exactly one process accepts then, or none is left. */
+    /**
+     * Plays all events that must happen eventually; returns whether afterwards exactly one process accepts connections, or
+     * both processes are dead.
+     */
     boolean settlesWithOneAcceptingProcess() {
         for (int i = 0; i < MAX_STEPS_TO_SETTLE; i++) {
             List<Event> events = unavoidableEvents();
--- a/src/test/java/linenring/stream/ConnectionLossTest.java
+++ b/src/test/java/linenring/stream/ConnectionLossTest.java
@@ -205,10 +205,10 @@
     /** Updates that the peer read earlier must not count toward the limit of unsent bytes. */
     @Test
     void closesAProxyThatStopsReadingAfterLongServiceAsSoonAsANewOne() {
-        int withNewPeer = updatesUntilClosed(0);
-        int withLongServedPeer = updatesUntilClosed(50_000);
-        assertEquals(withNewPeer, withLongServedPeer);
-        assertTrue(withNewPeer > 500 && withNewPeer < 5000, withNewPeer + " updates");
+        int updatesToNewPeer = updatesUntilClosed(0);
+        int updatesToLongConnectedPeer = updatesUntilClosed(50_000);
+        assertEquals(updatesToNewPeer, updatesToLongConnectedPeer);
+        assertTrue(updatesToNewPeer > 500 && updatesToNewPeer < 5000, updatesToNewPeer + " updates");
     }
 
     private int updatesUntilClosed(int updatesReadBefore) {
--- a/src/test/java/linenring/stream/ConnectionRaceTest.java
+++ b/src/test/java/linenring/stream/ConnectionRaceTest.java
@@ -221,7 +221,7 @@
         }
     }
 
-    /** When the server closes, the peers of accepted sockets without a connection must notice at once, so that they reconnect. */
+    /** A server that closes must also close sockets that it has accepted but not opened yet, so that their peers reconnect at once. */
     @Test
     void closesSocketsThatAreAcceptedAndNotOpenYet() throws Exception {
         open(new EventQueue());
