--- a/src/test/java/linenring/planner/RecordedHistories.java
+++ b/src/test/java/linenring/planner/RecordedHistories.java
@@ -40,7 +40,7 @@
      * Probabilities per second of events: a host fails, a host slows down, hosts are replaced, proxies join or are
      * lost.
      */
-    private record EventProbabilities(double fail, double slow, double replace, double join) {}
+    private record Chances(double fail, double slow, double replace, double join) {}
 
     private RecordedHistories() {}
 
@@ -76,14 +76,7 @@
     private static void addHealthAndLoad(Map<String, Shape> shapes, Channel fast) {
         shapes.put(
                 "health",
-                shape(
-                        settings(fast, WITHOUT_SHARDS),
-                        18,
-                        8,
-                        40,
-                        0.08,
-                        0.5,
-                        new EventProbabilities(0.012, 0.004, 0.05, 0.02)));
+                shape(settings(fast, WITHOUT_SHARDS), 18, 8, 40, 0.08, 0.5, new Chances(0.012, 0.004, 0.05, 0.02)));
         shapes.put("kinds", withMachineKinds(settings(fast, WITHOUT_SHARDS), 24, 6, 8));
         shapes.put(
                 "overload",
@@ -94,7 +87,7 @@
                         30,
                         0.2,
                         1.3,
-                        new EventProbabilities(0.004, 0, 0.1, 0.02)));
+                        new Chances(0.004, 0, 0.1, 0.02)));
         shapes.put(
                 "overload-rate",
                 shape(
@@ -104,20 +97,13 @@
                         30,
                         0.1,
                         1.1,
-                        new EventProbabilities(0, 0, 0.02, 0)));
+                        new Chances(0, 0, 0.02, 0)));
     }
 
     private static void addSubsetsAndZones(Map<String, Shape> shapes, Channel fast, Channel limited) {
         shapes.put(
                 "subsets",
-                shape(
-                        settings(limited, WITHOUT_SHARDS),
-                        48,
-                        120,
-                        3,
-                        0.1,
-                        0.5,
-                        new EventProbabilities(0.002, 0.001, 0.3, 0.3)));
+                shape(settings(limited, WITHOUT_SHARDS), 48, 120, 3, 0.1, 0.5, new Chances(0.002, 0.001, 0.3, 0.3)));
         shapes.put(
                 "subset-churn",
                 shape(
@@ -127,7 +113,7 @@
                         2,
                         0.1,
                         0.4,
-                        new EventProbabilities(0, 0, 0.5, 0.6)));
+                        new Chances(0, 0, 0.5, 0.6)));
         shapes.put(
                 "surge",
                 shape(
@@ -137,7 +123,7 @@
                         6,
                         0.1,
                         0.3,
-                        new EventProbabilities(0, 0, 0.3, 0.4)));
+                        new Chances(0, 0, 0.3, 0.4)));
         shapes.put("zones", withZonePartitions(settings(fast, WITHOUT_SHARDS), 60, 12, 2));
         shapes.put("zone-subsets", withZonePartitions(settings(limited, WITHOUT_SHARDS), 60, 60, 1));
         shapes.put(
@@ -149,7 +135,7 @@
                         20,
                         0.1,
                         0.6,
-                        new EventProbabilities(0.005, 0.002, 0.1, 0.1)));
+                        new Chances(0.005, 0.002, 0.1, 0.1)));
     }
 
     private static void addDrainsAndHostLists(Map<String, Shape> shapes, Channel fast) {
@@ -162,23 +148,13 @@
                         10,
                         0.1,
                         0.3,
-                        new EventProbabilities(0.002, 0, 0.9, 0.2)));
+                        new Chances(0.002, 0, 0.9, 0.2)));
         shapes.put(
                 "short-grace",
-                shape(
-                        settings(shortGraceChannel(), WITHOUT_SHARDS),
-                        30,
-                        24,
-                        8,
-                        0.1,
-                        0.3,
-                        new EventProbabilities(0, 0, 0.8, 0.2)));
-        shapes.put(
-                "ids",
-                shape(settings(fast, WITHOUT_SHARDS), 12, 8, 20, 0.1, 0.4, new EventProbabilities(0.003, 0, 0.8, 0.1)));
+                shape(settings(shortGraceChannel(), WITHOUT_SHARDS), 30, 24, 8, 0.1, 0.3, new Chances(0, 0, 0.8, 0.2)));
+        shapes.put("ids", shape(settings(fast, WITHOUT_SHARDS), 12, 8, 20, 0.1, 0.4, new Chances(0.003, 0, 0.8, 0.1)));
         shapes.put(
-                "asked-list",
-                shape(polledListSettings(fast), 8, 4, 20, 0.05, 0.3, new EventProbabilities(0.002, 0, 0.2, 0.05)));
+                "asked-list", shape(polledListSettings(fast), 8, 4, 20, 0.05, 0.3, new Chances(0.002, 0, 0.2, 0.05)));
     }
 
     private static void addShards(Map<String, Shape> shapes, Channel fast) {
@@ -191,7 +167,7 @@
                         20,
                         0.1,
                         0.3,
-                        new EventProbabilities(0, 0, 0.3, 0.05)));
+                        new Chances(0, 0, 0.3, 0.05)));
         shapes.put(
                 "single-owner",
                 shape(
@@ -201,7 +177,7 @@
                         20,
                         0.1,
                         0.3,
-                        new EventProbabilities(0.002, 0, 0.3, 0.05)));
+                        new Chances(0.002, 0, 0.3, 0.05)));
     }
 
     /**
@@ -212,14 +188,7 @@
         shapes.put("thin-zones", withZonePartitions(settings(fast, WITHOUT_SHARDS), 40, 20, 0.6));
         shapes.put(
                 "thin-cold",
-                shape(
-                        settings(fast, WITHOUT_SHARDS),
-                        20,
-                        10,
-                        4.6,
-                        0.2,
-                        0.7,
-                        new EventProbabilities(0.01, 0, 0.5, 0.2)));
+                shape(settings(fast, WITHOUT_SHARDS), 20, 10, 4.6, 0.2, 0.7, new Chances(0.01, 0, 0.5, 0.2)));
         shapes.put(
                 "tiny",
                 shape(
@@ -229,27 +198,13 @@
                         3.5,
                         0.2,
                         0.9,
-                        new EventProbabilities(0.02, 0, 0.05, 0.05)));
+                        new Chances(0.02, 0, 0.05, 0.05)));
         shapes.put(
                 "mass-failure",
-                shape(
-                        settings(fast, WITHOUT_SHARDS),
-                        20,
-                        10,
-                        30,
-                        0.2,
-                        1,
-                        new EventProbabilities(0.09, 0.03, 0.1, 0.05)));
+                shape(settings(fast, WITHOUT_SHARDS), 20, 10, 30, 0.2, 1, new Chances(0.09, 0.03, 0.1, 0.05)));
         shapes.put(
                 "slow-hosts",
-                shape(
-                        settings(fast, WITHOUT_SHARDS),
-                        16,
-                        8,
-                        16,
-                        0.15,
-                        0.5,
-                        new EventProbabilities(0, 0.02, 0.02, 0.02)));
+                shape(settings(fast, WITHOUT_SHARDS), 16, 8, 16, 0.15, 0.5, new Chances(0, 0.02, 0.02, 0.02)));
     }
 
     /**
@@ -268,7 +223,7 @@
                         2,
                         0.1,
                         0.4,
-                        new EventProbabilities(0, 0, 0.7, 0.9)));
+                        new Chances(0, 0, 0.7, 0.9)));
     }
 
     private static Shape withUnresponsiveProxies(PlannerSettings settings, int hosts, int proxies) {
@@ -282,7 +237,7 @@
             double requestsPerSecond,
             double minRelativeLatency,
             double maxRelativeLatency,
-            EventProbabilities probabilities) {
+            Chances chances) {
         return new Shape(
                 settings,
                 hosts,
@@ -292,10 +247,10 @@
                 requestsPerSecond,
                 minRelativeLatency,
                 maxRelativeLatency,
-                probabilities.fail(),
-                probabilities.slow(),
-                probabilities.replace(),
-                probabilities.join(),
+                chances.fail(),
+                chances.slow(),
+                chances.replace(),
+                chances.join(),
                 0,
                 0,
                 120,
