--- a/src/test/java/linenring/gateway/settings/GatewaySettingsReaderTest.java
+++ b/src/test/java/linenring/gateway/settings/GatewaySettingsReaderTest.java
@@ -60,7 +60,7 @@
                 "4 | proxy id=4 zone=\"b\" | 4: front.proxy.id: 4 must be below the controller's number of proxies, which is 4",
                 "4 | proxy id=-1 zone=\"b\" | 4: front.proxy.id: -1 is not a proxy number of at least 0",
                 "4 | proxy id=1 | 4: front.proxy: zone is missing",
-                "4 | proxy id=true zone=\"b\" | 4: 'true' must be written as #true, or in quotes if text is meant",
+                "4 | proxy id=true zone=\"b\" | 4: 'true' is written #true, or in quotes if text is meant",
                 "5 | mark-header \"X Mark\" | 5: front.mark-header: \"X Mark\" is not a header name in lower case",
                 "5 | | 6: operation \"book\": a fingerprinted operation requires mark-header",
                 "7 | operation \"quote\" effect=\"idempotent\" objective=750ms timeout=\"2s\" | 7: '750ms' is not a number; text that begins with a digit must be in quotes: \"750ms\"",
